--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,8 +21,8 @@
 
 import click
 
-from lotusroute import interface as i
-from lotusroute.choice import Director
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
 
 SETTLE = 16_000.0  # ms before the first cold server starts: connections and means have settled
 LENGTH = 24_000.0  # ms that are looked at after it
@@ -58,8 +58,8 @@
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case, self.chance = case, random.Random(seed)
-        vip = i.Vip(
-            {"live": i.ServiceType(300.0)},
+        vip = events.Vip(
+            {"live": events.ServiceType(300.0)},
             siblings=case.directors,
             shares_work=case.groups > 0,
             sizes_hold=False,
@@ -90,7 +90,7 @@
         """Play all."""
         names = [f"s{at}" for at in range(self.case.servers)]
         for at in range(len(self.directors)):
-            self.decide(at, i.ServerList(i.WHOLE, tuple(i.Server(name) for name in names)))
+            self.decide(at, events.ServerList(events.WHOLE, tuple(events.Server(name) for name in names)))
         self.at(0.0, "client")
         share, span = COLD[self.case.cold]
         count = max(1, round(share * len(names)))
@@ -102,14 +102,14 @@
             self.now, _, (kind, *rest) = heapq.heappop(self.queue)
             getattr(self, f"_{kind}")(*rest)
 
-    def decide(self, director: int, event: i.Event) -> None:
+    def decide(self, director: int, event: events.Event) -> None:
         """Tell a Director, and do what it says."""
         for action in self.directors[director].decide(self.now, event):
-            if isinstance(action, i.Connect):
+            if isinstance(action, events.Connect):
                 if action.server in self.started:
                     self.sent[action.server].append(self.now)
                 self.at(SETUP, "up", director, action.id, action.server)
-            elif isinstance(action, i.Reject | i.Abort):
+            elif isinstance(action, events.Reject | events.Abort):
                 client, tries = self.asks.pop(action.id)
                 self.counts["refused"] += 1
                 if tries < RETRIES:
@@ -117,14 +117,14 @@
                     self.at(wait * self.chance.uniform(0.9, 1.3), "ask", client, tries + 1)
                 else:
                     self.counts["lost"] += 1
-            elif isinstance(action, i.Move):
+            elif isinstance(action, events.Move):
                 self.counts["moved"] += 1
-                self._close(action.id, i.CANCELLED, self.chance.uniform(50.0, 500.0))
-            elif isinstance(action, i.WakeMe):
+                self._close(action.id, events.CANCELLED, self.chance.uniform(50.0, 500.0))
+            elif isinstance(action, events.WakeMe):
                 self.at(action.delay, "wake", director, action.mark)
 
     def _wake(self, director: int, mark: str) -> None:
-        self.decide(director, i.Wake(mark))
+        self.decide(director, events.Wake(mark))
 
     def _client(self) -> None:
         self.at(self.chance.expovariate(EACH * self.case.servers / 1_000), "client")
@@ -141,46 +141,47 @@
         drawn = int(self.case.groups * random.Random(client).random() ** 1.5)
         group = f"g{drawn}" if self.case.groups else None
         self.decide(
-            director, i.Flow(flow, "live", None, group, f"k{client}", self.now + 1_800.0, returned=tries > 0)
+            director,
+            events.Flow(flow, "live", None, group, f"k{client}", self.now + 1_800.0, returned=tries > 0),
         )
 
     def _up(self, director: int, flow: int, server: str) -> None:
         client, _ = self.asks.pop(flow)
         self.counts["served"] += 1
         self.open[flow] = director, server, client
-        self.decide(director, i.Established(flow, server))
+        self.decide(director, events.Established(flow, server))
         self.at(self.chance.expovariate(1 / LIVE), "end", flow)
 
     def _end(self, flow: int) -> None:
         if flow in self.open:
             director, server, _ = self.open.pop(flow)
-            self.decide(director, i.Ended(flow, server, True, i.OK))
+            self.decide(director, events.Ended(flow, server, True, events.OK))
 
     def _close(self, flow: int, result: str, back: float) -> None:
         if flow in self.open:
             director, server, client = self.open.pop(flow)
-            self.decide(director, i.Ended(flow, server, True, result))
+            self.decide(director, events.Ended(flow, server, True, result))
             self.at(back, "ask", client, 1)
 
     def _replace(self, old: str, new: str) -> None:
         self.started[new], self.sent[new] = self.now, []
-        changes = i.Server(old, state=i.DRAINING), i.Server(new, started=self.now)
+        changes = events.Server(old, state=events.DRAINING), events.Server(new, started=self.now)
         for at in range(len(self.directors)):
-            self.decide(at, i.ServerList(i.CHANGES, changes))
+            self.decide(at, events.ServerList(events.CHANGES, changes))
         for flow, (_, server, _) in list(self.open.items()):
             if server == old:
                 self.at(
                     self.chance.uniform(0.0, 1_000.0),
                     "close",
                     flow,
-                    i.CANCELLED,
+                    events.CANCELLED,
                     self.chance.uniform(50.0, 500.0),
                 )
 
     def _break(self) -> None:
         for flow in list(self.open):
             if self.chance.random() < 1 / 3:
-                self._close(flow, i.RESET, self.chance.uniform(50.0, 1_500.0))
+                self._close(flow, events.RESET, self.chance.uniform(50.0, 1_500.0))
 
 
 def bears(started: float, at: float) -> float:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -10,8 +10,8 @@
 
 import click
 
-from lotusroute import interface as i
-from lotusroute.choice import Director
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
 
 SERVERS = (10, 100, 1_000)
 STANDING = (100, 1_000, 5_000)
@@ -22,15 +22,19 @@
 def measure(servers: int, standing: int) -> dict[str, float]:
     """Return the us of a whole flow (asked, established, ended) and of a tick, at such a size."""
     chance = random.Random(7)
-    director = Director(i.Vip({"live": i.ServiceType(300.0)}, max_connects=4), 7)
+    director = Director(events.Vip({"live": events.ServiceType(300.0)}, max_connects=4), 7)
     now = 0.0
-    director.decide(now, i.ServerList(i.WHOLE, tuple(i.Server(f"s{n}") for n in range(servers))))
+    director.decide(
+        now, events.ServerList(events.WHOLE, tuple(events.Server(f"s{n}") for n in range(servers)))
+    )
 
     def opened(number: int) -> str:
         nonlocal now
         now += 1.0
-        action = director.decide(now, i.Flow(number, "live", None, None, f"{chance.random()}", now + 1800))[0]
-        director.decide(now + chance.uniform(0.5, 1.5) * SETUP, i.Established(number, action.server))
+        action = director.decide(
+            now, events.Flow(number, "live", None, None, f"{chance.random()}", now + 1800)
+        )[0]
+        director.decide(now + chance.uniform(0.5, 1.5) * SETUP, events.Established(number, action.server))
         return action.server
 
     for number in range(standing):
@@ -40,10 +44,10 @@
         began = time.perf_counter()
         for _ in range(BLOCK):
             number += 1
-            director.decide(now + SETUP, i.Ended(number, opened(number), True, i.OK))
+            director.decide(now + SETUP, events.Ended(number, opened(number), True, events.OK))
         flows.append((time.perf_counter() - began) / BLOCK * 1e6)
         began = time.perf_counter()
-        director.decide(now, i.Wake("tick"))
+        director.decide(now, events.Wake("tick"))
         ticks.append((time.perf_counter() - began) * 1e6)
     return {"flow_us": statistics.median(flows), "tick_us": statistics.median(ticks)}
 
--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -15,20 +15,20 @@
 for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
     signal.signal(number, lambda number, _: EARLY.append(number))
 
-from lotusroute.net import polling
+from lotusroute.net import epoll_reactor
 
-polling.install()
+epoll_reactor.install()
 
 # Nothing may import Twisted's reactor before ours is installed, and the signals come first.
 # ruff: noqa: E402, I001
 from twisted.internet import defer, error, reactor
 
-from lotusroute import interface
-from lotusroute.net import log, startup
-from lotusroute.net.clients import Clients, Listener
+from lotusroute.routing import events
+from lotusroute.net import config, structured_log
+from lotusroute.net.downstream import Clients, Listener
 from lotusroute.net.discovery import Discovery, listed, version
 from lotusroute.net.owner import Owner
-from lotusroute.vip import Malformed
+from lotusroute.service_config import Malformed
 
 COLLECT = 5_000, 20, 20  # objects, and younger looks, between looks for garbage: every few hundred flows
 OPENING = 1.0  # s that the listener waits at most for the first word of discovery
@@ -42,13 +42,13 @@
 
         return command(prog_name="lotusroute")
     try:
-        posting = startup.read(os.environ)
+        posting = config.read(os.environ)
         remembered = _remembered(posting)
     except Malformed as fault:
         print(f"lotusroute: {fault}", file=sys.stderr)
         return 2
-    log.start(posting.log_level)
-    counts = log.Counts()
+    structured_log.start(posting.log_level)
+    counts = structured_log.Counts()
     owner = Owner(posting, counts)
     owner.put(remembered)
     clients = Clients(owner.put, owner.clock, owner.ready, posting.sockets, counts)
@@ -100,30 +100,31 @@
     return 0
 
 
-def _fleet(posting: startup.Posting, counts: log.Counts, standing: "Standing"):
+def _fleet(posting: config.Posting, counts: structured_log.Counts, standing: "Standing"):
     """Start the fleet's parts where the operator's file asks for them; else nothing of them is imported."""
-    file = startup.fleet_file(os.environ)
+    file = config.fleet_file(os.environ)
     if not file:
         return _relays(posting, counts, standing)
     try:
-        from lotusroute.fleet import part, plan, watch
+        from lotusroute.fleet import config as fleet_config
+        from lotusroute.fleet import lease_service, shared_discovery
     except ImportError as fault:
         raise Malformed(f"LB_FLEET: {fault}; install lotusroute[fleet]") from None
-    fleet = part.Part(reactor, plan.read(file), posting.name, counts)
-    if watch.TASK in fleet.plan.tasks:
-        standing.watch = watch.Watch(fleet)
+    fleet = lease_service.Part(reactor, fleet_config.read(file), posting.name, counts)
+    if shared_discovery.TASK in fleet.plan.tasks:
+        standing.watch = shared_discovery.Watch(fleet)
 
     def unheard(reason) -> None:
         # Without its link this balancer is alone, and serves as without the file.
-        log.say("fleet's address not open", logging.WARNING, why=str(reason.value))
+        structured_log.say("fleet's address not open", logging.WARNING, why=str(reason.value))
 
     reactor.callWhenRunning(lambda: fleet.start().addErrback(unheard))
     return fleet
 
 
-def _relays(posting: startup.Posting, counts: log.Counts, standing: "Standing") -> None:
+def _relays(posting: config.Posting, counts: structured_log.Counts, standing: "Standing") -> None:
     """Follow a relay where the operator's file asks for it; else nothing of that is imported."""
-    file = startup.relays_file(os.environ)
+    file = config.relays_file(os.environ)
     if not file:
         return
     try:
@@ -138,7 +139,9 @@
 class Standing:
     """What the running balancer was last told, and the discovery that it follows by it."""
 
-    def __init__(self, posting: startup.Posting, owner: Owner, clients: Clients, counts: log.Counts) -> None:
+    def __init__(
+        self, posting: config.Posting, owner: Owner, clients: Clients, counts: structured_log.Counts
+    ) -> None:
         self.first = self.posting = posting
         self.owner, self.clients, self.counts = owner, clients, counts
         self.discovery: Discovery | None = None
@@ -166,33 +169,33 @@
         """Read the file again; open flows and all that the decisions know stay as they are."""
         self.counts["reloads"] += 1
         try:
-            new = startup.read(os.environ, anew=True)
+            new = config.read(os.environ, anew=True)
         except Malformed as fault:
             # A file that was spoilt must not end a balancer that serves.
-            log.say("reload refused", logging.WARNING, why=str(fault))
+            structured_log.say("reload refused", logging.WARNING, why=str(fault))
             return
         old, self.posting = self.posting, new
         self.owner.allow(new)
         self.clients.allow(new.sockets)
         if new.discovery != old.discovery:
             self.follow()
-        restart = ",".join(startup.needing_restart(self.first, new)) or "nothing"
-        log.say("reloaded", discovery=new.discovery[0], sockets=new.sockets, needs_restart=restart)
+        restart = ",".join(config.needing_restart(self.first, new)) or "nothing"
+        structured_log.say("reloaded", discovery=new.discovery[0], sockets=new.sockets, needs_restart=restart)
 
 
-def _remembered(posting: startup.Posting):
+def _remembered(posting: config.Posting):
     try:
-        return listed(posting.known, interface.REMEMBERED)
+        return listed(posting.known, events.REMEMBERED)
     except (KeyError, TypeError, ValueError, AttributeError, Malformed) as fault:
         raise Malformed(f"known: {type(fault).__name__} {fault}") from None
 
 
-def _remembered_seq(posting: startup.Posting) -> int | None:
+def _remembered_seq(posting: config.Posting) -> int | None:
     """Of a list that is remembered whole; anything else is named, and the whole list asked for."""
     try:
         return version(posting.known.get("seq")) if posting.known["hosts"] else None
     except Malformed as fault:
-        log.say("remembered list without a version", logging.WARNING, why=str(fault))
+        structured_log.say("remembered list without a version", logging.WARNING, why=str(fault))
         return None
 
 
--- a/lotusroute/adapter/__main__.py
+++ b/lotusroute/adapter/__main__.py
@@ -3,10 +3,10 @@
 import sys
 from collections.abc import Iterable, Iterator
 
-from lotusroute import interface
 from lotusroute.adapter import wire
-from lotusroute.choice import Director
-from lotusroute.vip import Malformed, number, one_of
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
+from lotusroute.service_config import Malformed, number, one_of
 
 
 class Host:
@@ -14,11 +14,11 @@
 
     def __init__(self) -> None:
         self.directors: dict[int, Director] = {}
-        self.vips: dict[int, interface.Vip] = {}
-        self.rosters: dict[int, tuple[interface.Server, ...]] = {}  # at most 16, replaced by number
+        self.vips: dict[int, events.Vip] = {}
+        self.rosters: dict[int, tuple[events.Server, ...]] = {}  # at most 16, replaced by number
         self.at: int | None = None
         self.now: float | None = None
-        self.rows: list[interface.Server] = []
+        self.rows: list[events.Server] = []
         self.rows_due = 0
         self.sheet = 0
         self.reply: list[str] = []
@@ -92,13 +92,13 @@
         if not self.rows_due:
             self.rosters[self.sheet] = ()
 
-    def _registry(self, values: list[str]) -> interface.ServerList:
+    def _registry(self, values: list[str]) -> events.ServerList:
         if len(values) != 3:
             raise Malformed(f"registry has 3 values, not {len(values)}")
         scope = one_of(wire.SCOPES, values[2], "scope")
-        if scope == interface.REFUSED:
-            return interface.ServerList(scope)
-        return interface.ServerList(scope, one_of(self.rosters, wire.integer(values[0]), "roster"))
+        if scope == events.REFUSED:
+            return events.ServerList(scope)
+        return events.ServerList(scope, one_of(self.rosters, wire.integer(values[0]), "roster"))
 
 
 def replies(lines: Iterable[str]) -> Iterator[str]:
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -1,20 +1,25 @@
 """The bench's wire: lines of text in, lines of text out, and the names that end here."""
 
-from lotusroute import interface as i
-from lotusroute.vip import Malformed, number, one_of
-from lotusroute.vip import vip as decode_vip
-
-STATES = {"IN": i.READY, "LAME": i.DRAINING, "OUT": i.GONE}
-SCOPES = {"changes": i.CHANGES, "all": i.WHOLE, "remembered": i.REMEMBERED, "refused": i.REFUSED}
+from lotusroute.routing import events
+from lotusroute.service_config import Malformed, number, one_of
+from lotusroute.service_config import vip as decode_vip
+
+STATES = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.GONE}
+SCOPES = {
+    "changes": events.CHANGES,
+    "all": events.WHOLE,
+    "remembered": events.REMEMBERED,
+    "refused": events.REFUSED,
+}
 RESULTS = {
-    "S": i.OK,
-    "E": i.ERROR,
-    "F": i.FULL,
-    "T": i.TIMEOUT,
-    "C": i.UNREACHABLE,
-    "R": i.RESET,
-    "X": i.CANCELLED,
-    "N": i.UNSENT,
+    "S": events.OK,
+    "E": events.ERROR,
+    "F": events.FULL,
+    "T": events.TIMEOUT,
+    "C": events.UNREACHABLE,
+    "R": events.RESET,
+    "X": events.CANCELLED,
+    "N": events.UNSENT,
 }
 REPEAT, MID_FLOW, RETURNED = 2, 8, 16
 LOAD_CHANGED, MESSAGES_SLOW = 1, 2
@@ -39,7 +44,7 @@
     return None if text == "-" else text
 
 
-def vip(parts: list[str]) -> i.Vip:
+def vip(parts: list[str]) -> events.Vip:
     """Decode the settings of an instance."""
     env: dict[str, str] = {}
     for part in parts:
@@ -51,19 +56,19 @@
     return decode_vip(env)
 
 
-def row(parts: list[str]) -> i.Server:
+def row(parts: list[str]) -> events.Server:
     """Decode one line of a server list."""
     if len(parts) != 7:
         raise Malformed(f"a row has 7 values, not {len(parts)}")
     server, zone, _, cell, state, size, started = parts
-    return i.Server(
+    return events.Server(
         server, zone, integer(cell), one_of(STATES, state, "lifecycle"), number(size), number(started)
     )
 
 
-def _ask(v: list[str]) -> i.Flow:
+def _ask(v: list[str]) -> events.Flow:
     marks = integer(v[4])
-    return i.Flow(
+    return events.Flow(
         integer(v[0]),
         v[1],
         text_or_none(v[2]),
@@ -75,39 +80,39 @@
     )
 
 
-def _already_open(v: list[str]) -> i.AlreadyOpen:
+def _already_open(v: list[str]) -> events.AlreadyOpen:
     tenant, key, group = map(text_or_none, (v[2], v[3], v[6]))
-    flow = i.Flow(integer(v[0]), v[1], tenant, group, key, number(v[4]))
-    return i.AlreadyOpen(flow, v[8])
+    flow = events.Flow(integer(v[0]), v[1], tenant, group, key, number(v[4]))
+    return events.AlreadyOpen(flow, v[8])
 
 
-def _resolved(v: list[str]) -> i.Ended:
+def _resolved(v: list[str]) -> events.Ended:
     number(v[3]), integer(v[4])
-    return i.Ended(integer(v[0]), v[2], boolean(v[1]), one_of(RESULTS, v[5], "outcome"))
+    return events.Ended(integer(v[0]), v[2], boolean(v[1]), one_of(RESULTS, v[5], "outcome"))
 
 
-def _notice(v: list[str]) -> i.LoadNoted | i.DelayNoted | None:
+def _notice(v: list[str]) -> events.LoadNoted | events.DelayNoted | None:
     topic, value = integer(v[3]), number(v[4])
     if topic == LOAD_CHANGED:
-        return i.LoadNoted(integer(v[0]), value)
-    return i.DelayNoted(v[2], value) if topic == MESSAGES_SLOW else None
+        return events.LoadNoted(integer(v[0]), value)
+    return events.DelayNoted(v[2], value) if topic == MESSAGES_SLOW else None
 
 
 # name of the message: how many values it has, and how they are read
 EVENTS = {
     "ask": (8, _ask),
     "already_open": (9, _already_open),
-    "under_way": (4, lambda v: i.Established(integer(v[0]), v[2])),
+    "under_way": (4, lambda v: events.Established(integer(v[0]), v[2])),
     "notice": (5, _notice),
     "resolved": (7, _resolved),
-    "withdrawn": (1, lambda v: i.Withdrawn(integer(v[0]))),
-    "alarm": (1, lambda v: i.Wake(v[0])),
+    "withdrawn": (1, lambda v: events.Withdrawn(integer(v[0]))),
+    "alarm": (1, lambda v: events.Wake(v[0])),
     "checked": (4, lambda v: None),  # probes and messages of siblings: none are asked for
     "from_peer": (2, lambda v: None),
 }
 
 
-def event(name: str, values: list[str]) -> i.Event | None:
+def event(name: str, values: list[str]) -> events.Event | None:
     """Decode one event; None for what this balancer has no use for.
 
     >>> event("withdrawn", ["242166553"])
@@ -123,20 +128,20 @@
 
 
 ACTIONS = {
-    i.Connect: lambda a: f"pass_on {a.id} {a.server} {a.within:.3f}",
-    i.Reject: lambda a: f"not_now {a.id} {a.retry_after:.3f}",
-    i.Abort: lambda a: f"abort {a.id}",
-    i.Move: lambda a: f"relocate {a.id}",
-    i.WakeMe: lambda a: f"remind {a.delay:.3f} {a.mark}",
-    i.Subscribe: lambda a: "listen 1",
-    i.Say: lambda a: f"remark {a.line}",
+    events.Connect: lambda a: f"pass_on {a.id} {a.server} {a.within:.3f}",
+    events.Reject: lambda a: f"not_now {a.id} {a.retry_after:.3f}",
+    events.Abort: lambda a: f"abort {a.id}",
+    events.Move: lambda a: f"relocate {a.id}",
+    events.WakeMe: lambda a: f"remind {a.delay:.3f} {a.mark}",
+    events.Subscribe: lambda a: "listen 1",
+    events.Say: lambda a: f"remark {a.line}",
 }
 
 
-def line(action: i.Action) -> str:
+def line(action: events.Action) -> str:
     """Write one action.
 
-    >>> line(i.Connect(7, "10.0.0.1:80", 80.0))
+    >>> line(events.Connect(7, "10.0.0.1:80", 80.0))
     'pass_on 7 10.0.0.1:80 80.000'
     """
     return ACTIONS[type(action)](action)
--- a/lotusroute/scale/command.py
+++ b/lotusroute/capacity/command.py
@@ -10,9 +10,9 @@
 
 import click
 
-from lotusroute.scale.fit import SIZES, grown, line
-from lotusroute.scale.processes import TooLarge
-from lotusroute.scale.target import Target
+from lotusroute.capacity.processes import TooLarge
+from lotusroute.capacity.regression_line import SIZES, grown, line
+from lotusroute.capacity.target import Target
 
 
 @click.group()
@@ -32,10 +32,10 @@
 
     Example: lotusroute scale measure fleet --sizes 8,30,65,125 --json fleet.json
     """
-    from lotusroute.scale import news
-    from lotusroute.scale.roles import ROLES
+    from lotusroute.capacity import update_propagation
+    from lotusroute.capacity.roles import ROLES
 
-    do, usual = {**ROLES, "relays": (news.relays, (20, 50, 100, 150))}[role]
+    do, usual = {**ROLES, "relays": (update_propagation.relays, (20, 50, 100, 150))}[role]
     try:
         asked = [int(size) for size in sizes.split(",")] if sizes else list(usual)
     except ValueError:
@@ -117,7 +117,7 @@
 
     Example: lotusroute scale news --relays 40 --real 20 --hollow 6140 --zones 19
     """
-    from lotusroute.scale.news import SCENARIOS, play
+    from lotusroute.capacity.update_propagation import SCENARIOS, play
 
     for scenario in scenarios:
         if scenario not in SCENARIOS:
@@ -145,10 +145,10 @@
 
     Example: lotusroute scale herd --followers 200 --answers 150 --down 8
     """
-    from lotusroute.net import polling
+    from lotusroute.net import epoll_reactor
 
-    polling.install()
-    from lotusroute.scale.herd import run
+    epoll_reactor.install()
+    from lotusroute.capacity.reconnect_storm import run
 
     figures = run(**sizes)
     click.echo(json.dumps(figures) if as_json else " ".join(f"{k}={v}" for k, v in figures.items()))
--- a/lotusroute/scale/exact.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from lotusroute.fleet.watch import BEAT as WATCH_BEAT
-from lotusroute.fleet.watch import Word as WatchWord
-from lotusroute.relay import lists, messages
+from lotusroute.capacity.stubs import entry
+from lotusroute.fleet.shared_discovery import BEAT as WATCH_BEAT
+from lotusroute.fleet.shared_discovery import Word as WatchWord
+from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import BEAT, Drop, FanOut
-from lotusroute.relay.news import Store, Version
-from lotusroute.scale.standins import entry
+from lotusroute.relay.versioned_store import Store, Version
 
 HOSTS = 20  # servers in the list
 REST = 6_000.0  # ms at rest
@@ -26,7 +26,7 @@
     """
     store, now, sent, size_sent = Store(), 0.0, 0, 0
     hosts = [entry(f"s-{at}") for at in range(HOSTS)]
-    store.publish(1, lists.changes(store, {"seq": 1, "whole": True, "hosts": hosts}, "d:1"))
+    store.publish(1, endpoint_items.changes(store, {"seq": 1, "whole": True, "hosts": hosts}, "d:1"))
     fan = FanOut(store, size)
     followers = {f"n{at}": Store() for at in range(size)}
 
@@ -49,7 +49,7 @@
     for number in range(CHANGES):
         now += 10.0
         told = {"seq": 2 + number, "whole": False, "hosts": [entry("s-0", health="DRAINING")]}
-        store.publish(1, lists.changes(store, told, "d:1"))
+        store.publish(1, endpoint_items.changes(store, told, "d:1"))
         fan.news(now)
         now += BEAT
         carry(fan.tick(now, 100.0))
--- a/lotusroute/scale/followers.py
+++ b/lotusroute/capacity/direct_followers.py
@@ -3,7 +3,7 @@
 Owns how many share the process. It must never hold a copy of what follows: that is the program's own
 `Discovery`.
 
-    python -m lotusroute.scale.followers followers.json
+    python -m lotusroute.capacity.direct_followers followers.json
 """
 
 import json
@@ -11,24 +11,24 @@
 import signal
 import sys
 
-from lotusroute.net import polling
+from lotusroute.net import epoll_reactor
 
-polling.install()
+epoll_reactor.install()
 
 # Nothing may import Twisted's reactor before ours is installed.
 # ruff: noqa: E402, I001
 from twisted.internet import defer, reactor
 
-from lotusroute.net import log
+from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
 
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    log.start("WARNING")
-    log.LOG.setLevel("INFO")
-    counts = log.Counts()
+    structured_log.start("WARNING")
+    structured_log.LOG.setLevel("INFO")
+    counts = structured_log.Counts()
     host, _, port = told["discovery"].rpartition(":")
 
     def begin(seed: int) -> None:
@@ -38,7 +38,7 @@
     for at in range(len(told["names"])):
         reactor.callLater(0.005 * at, begin, at)
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counts.print))
-    reactor.callLater(0.005 * len(told["names"]), log.say, "ready")
+    reactor.callLater(0.005 * len(told["names"]), structured_log.say, "ready")
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/lotusroute/scale/targets.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -1,6 +1,6 @@
 """A stand-in discovery as a process.
 
-    python -m lotusroute.scale.targets PORT HOSTS ANSWERS [EVERY [DIAL]]
+    python -m lotusroute.capacity.discovery_stub PORT HOSTS ANSWERS [EVERY [DIAL]]
 
 Owns its start and its counters. It must never listen anywhere but on loopback.
 """
@@ -13,19 +13,19 @@
 from twisted.internet import reactor, task
 from twisted.web import server
 
-from lotusroute.net import log
-from lotusroute.scale.standins import Targets, entry
+from lotusroute.capacity.stubs import Targets, entry
+from lotusroute.net import structured_log
 
 BURST = 50  # changes in a second, on SIGHUP; SIGUSR2 makes one
 
 
 def main(port: str, hosts: str, answers: str, every: str = "0", dial: str = "9") -> int:
     """Run until killed; with `every`, an entry is told anew each so many seconds. `dial` is all's port."""
-    log.start("WARNING")
-    log.LOG.setLevel("INFO")
+    structured_log.start("WARNING")
+    structured_log.LOG.setLevel("INFO")
     targets = Targets([entry(f"s-{at}", int(dial)) for at in range(int(hosts))], float(answers))
     reactor.listenTCP(int(port), server.Site(targets), interface="127.0.0.1")
-    counts = log.Counts()
+    counts = structured_log.Counts()
 
     def tell() -> None:
         counts.update(calls=len(targets.calls) - counts["calls"], bytes=targets.bytes - counts["bytes"])
@@ -36,7 +36,7 @@
     def change() -> None:
         number = next(changes)
         targets.change([{**entry("s-0", int(dial)), "block": number}])
-        log.say("changed", change=number, at=time.monotonic(), of="s-0")
+        structured_log.say("changed", change=number, at=time.monotonic(), of="s-0")
 
     def burst() -> None:
         for at in range(BURST):
@@ -46,7 +46,7 @@
         task.LoopingCall(change).start(float(every), now=False)
     for number, call in ((signal.SIGUSR1, tell), (signal.SIGUSR2, change), (signal.SIGHUP, burst)):
         signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
-    reactor.callWhenRunning(log.say, "ready")
+    reactor.callWhenRunning(structured_log.say, "ready")
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/lotusroute/scale/hollow.py
+++ b/lotusroute/capacity/hollow.py
@@ -3,7 +3,7 @@
 Owns how many of them share a process. It must never hold a copy of what they are made of: each is the very
 code that a balancer runs. Started by `lotusroute scale`, with a file that names them:
 
-    python -m lotusroute.scale.hollow hollow.json
+    python -m lotusroute.capacity.hollow hollow.json
 """
 
 import json
@@ -11,43 +11,47 @@
 import signal
 import sys
 
-from lotusroute.net import polling
+from lotusroute.net import epoll_reactor
 
-polling.install()
+epoll_reactor.install()
 
 # Nothing may import Twisted's reactor before ours is installed.
 # ruff: noqa: E402, I001
 from twisted.internet import defer, reactor
 
-from lotusroute.fleet import part, plan, watch
-from lotusroute.net import log
+from lotusroute.fleet import config, lease_service, shared_discovery
+from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
 
-def member(told: plan.Plan, name: str, where: tuple[str, int], seed: int, counts: log.Counts) -> None:
+def member(
+    told: config.Plan, name: str, where: tuple[str, int], seed: int, counts: structured_log.Counts
+) -> None:
     """Start one hollow balancer."""
-    fleet = part.Part(reactor, told, name, counts)
+    fleet = lease_service.Part(reactor, told, name, counts)
     following = Discovery(where, 0, seed, lambda news: counts.update(lists_taken=1), counts, 2_000.0, False)
     if told.tasks:
-        following.watch = watch.Watch(fleet)
+        following.watch = shared_discovery.Watch(fleet)
         following.watch.discovery = following
-    fleet.start().addErrback(lambda reason: log.say("no address", name=name, why=str(reason.value)))
+    fleet.start().addErrback(
+        lambda reason: structured_log.say("no address", name=name, why=str(reason.value))
+    )
     defer.ensureDeferred(following.follow())
 
 
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    log.start("WARNING")
-    log.LOG.setLevel("INFO")
-    counts = log.Counts()
-    fleet = plan.read(told["fleet"])
+    structured_log.start("WARNING")
+    structured_log.LOG.setLevel("INFO")
+    counts = structured_log.Counts()
+    fleet = config.read(told["fleet"])
     host, _, port = told["discovery"].rpartition(":")
     for at, name in enumerate(told["names"]):
         # Not all in one turn: a process that starts a hundred stands still for as long.
         reactor.callLater(0.01 * at, member, fleet, name, (host, int(port)), at, counts)
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counts.print))
-    reactor.callLater(0.01 * len(told["names"]), log.say, "ready")
+    reactor.callLater(0.01 * len(told["names"]), structured_log.say, "ready")
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/lotusroute/scale/subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -4,7 +4,7 @@
 they are made of. SIGUSR1 writes what came to the file that it was told, SIGUSR2 ends all ways at once and
 begins anew.
 
-    python -m lotusroute.scale.subscribers subscribers.json
+    python -m lotusroute.capacity.hollow_subscribers subscribers.json
 """
 
 import json
@@ -13,15 +13,15 @@
 import sys
 import time
 
-from lotusroute.net import polling
+from lotusroute.net import epoll_reactor
 
-polling.install()
+epoll_reactor.install()
 
 # Nothing may import Twisted's reactor before ours is installed.
 # ruff: noqa: E402, I001
 from twisted.internet import defer, reactor
 
-from lotusroute.net import log
+from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 from lotusroute.relay import subscription
 
@@ -33,7 +33,7 @@
     """All subscribers of one process."""
 
     def __init__(self, told: dict) -> None:
-        self.told, self.counts = told, log.Counts()
+        self.told, self.counts = told, structured_log.Counts()
         self.came: dict[str, dict[int, float]] = {name: {} for name in told["names"]}  # by name: change, when
         self.subscriptions: dict[str, subscription.Subscription] = {}
         host, _, port = told["discovery"].rpartition(":")
@@ -64,7 +64,7 @@
         part = file.with_suffix(".part")
         part.write_text(json.dumps({"came": self.came, "stores": stores, "counts": self.counts}))
         part.rename(file)
-        log.say("written")
+        structured_log.say("written")
 
     def restart(self) -> None:
         """All lose what they have and come back at once."""
@@ -81,8 +81,8 @@
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    log.start("ERROR")
-    log.LOG.setLevel("WARNING")
+    structured_log.start("ERROR")
+    structured_log.LOG.setLevel("WARNING")
     hollow = Hollow(told)
     for at, name in enumerate(told["names"]):
         reactor.callLater(EACH * at, hollow.begin, name, at)
--- a/lotusroute/scale/processes.py
+++ b/lotusroute/capacity/processes.py
@@ -32,8 +32,8 @@
     '5 processes'
     >>> fits(201)
     Traceback (most recent call last):
-    lotusroute.scale.processes.TooLarge: 201 processes, 200 at most; measure fewer or make more of them hollow
-    """
+    lotusroute.capacity.processes.TooLarge: 201 processes, 200 at most; measure fewer or make more of them hollow
+    """  # noqa: E501
     if processes > MOST:
         raise TooLarge(f"{processes} processes, {MOST} at most; measure fewer or make more of them hollow")
     memory = processes * REAL_MB + hollow * HOLLOW_MB
--- a/lotusroute/scale/herd.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -10,8 +10,8 @@
 from twisted.internet import defer, reactor
 from twisted.web import server
 
+from lotusroute.capacity.stubs import Targets, entry
 from lotusroute.net.discovery import Discovery
-from lotusroute.scale.standins import Targets, entry
 
 
 def run(followers: int, answers: float, hosts: int, down: float, seconds: float, grace: float) -> dict:
--- a/lotusroute/scale/roles.py
+++ b/lotusroute/capacity/roles.py
@@ -13,8 +13,8 @@
 import time
 from collections.abc import Callable, Iterator
 
-from lotusroute.scale import processes
-from lotusroute.scale.processes import Started, cpu, fits, rss, write
+from lotusroute.capacity import processes
+from lotusroute.capacity.processes import Started, cpu, fits, rss, write
 
 SETTLE = 4.0  # s after all are linked, before anything is counted
 HOLLOW_EACH = 60  # hollow balancers in one process: more, and it is that process that is measured
@@ -56,7 +56,7 @@
 def discovery(hosts: int, dial: int = 9) -> Iterator[tuple[Started, int]]:
     """A stand-in discovery in a process of its own; yields it with its port."""
     at = port()
-    call = ["-m", "lotusroute.scale.targets", str(at), str(hosts), "1e6", "0", str(dial)]
+    call = ["-m", "lotusroute.capacity.discovery_stub", str(at), str(hosts), "1e6", "0", str(dial)]
     started = Started(call, {})
     try:
         started.wait("event=ready")
@@ -130,7 +130,7 @@
                 "names": names[at : at + HOLLOW_EACH],
                 "discovery": f"127.0.0.1:{where}",
             }
-            one = Started(["-m", "lotusroute.scale.hollow", write(folder / f"hollow{at}.json", told)], {})
+            one = Started(["-m", "lotusroute.capacity.hollow", write(folder / f"hollow{at}.json", told)], {})
             stack.callback(one.end)
             hollow.append(one)
         for one in hollow:
@@ -200,7 +200,7 @@
     with processes.folder() as folder, discovery(hosts) as (targets, where):
         names = [f"n{at + 1}" for at in range(size)]
         told = {"names": names, "discovery": f"127.0.0.1:{where}"}
-        one = Started(["-m", "lotusroute.scale.followers", write(folder / "f.json", told)], {})
+        one = Started(["-m", "lotusroute.capacity.direct_followers", write(folder / "f.json", told)], {})
         try:
             one.wait("event=ready")
             time.sleep(SETTLE)
@@ -226,16 +226,16 @@
     """A list of so many servers: its bytes, reading it, and ranking by it; a change of one of them."""
     import json
 
-    from lotusroute import interface as i
-    from lotusroute.choice import Director
+    from lotusroute.capacity.stubs import entry
     from lotusroute.net.discovery import listed
-    from lotusroute.scale.standins import entry
+    from lotusroute.routing import events
+    from lotusroute.routing.director import Director
 
     say(fits(1))
     whole = {"seq": 1, "whole": True, "hosts": [entry(f"s-{at:08x}", 9_000) for at in range(size)]}
     body = json.dumps(whole).encode()
     add(points, "list.bytes", "B", size, len(body))
-    director = Director(i.Vip({"live": i.ServiceType(300.0)}, shares_work=True, max_connects=4), 1)
+    director = Director(events.Vip({"live": events.ServiceType(300.0)}, shares_work=True, max_connects=4), 1)
 
     def timed(do: Callable[[], object]) -> float:
         best = float("inf")
@@ -245,21 +245,21 @@
             best = min(best, time.process_time() - start)
         return 1000 * best
 
-    news = listed(whole, i.WHOLE)
-    add(points, "list.read", "ms of CPU", size, timed(lambda: listed(json.loads(body), i.WHOLE)))
+    news = listed(whole, events.WHOLE)
+    add(points, "list.read", "ms of CPU", size, timed(lambda: listed(json.loads(body), events.WHOLE)))
     add(
         points,
         "list.take",
         "ms of CPU",
         size,
-        timed(lambda: director.decide(0.0, i.ServerList(i.WHOLE, news.servers))),
+        timed(lambda: director.decide(0.0, events.ServerList(events.WHOLE, news.servers))),
     )
     add(
         points,
         "list.change",
         "ms of CPU",
         size,
-        timed(lambda: director.decide(0.0, i.ServerList(i.CHANGES, news.servers[:1]))),
+        timed(lambda: director.decide(0.0, events.ServerList(events.CHANGES, news.servers[:1]))),
     )
     number = 0
 
@@ -267,8 +267,8 @@
         nonlocal number
         for _ in range(200):
             number += 1
-            director.decide(1.0, i.Flow(number, "live", None, f"g{number}", f"k{number}", 2_000.0))
-            director.decide(2.0, i.Withdrawn(number))
+            director.decide(1.0, events.Flow(number, "live", None, f"g{number}", f"k{number}", 2_000.0))
+            director.decide(2.0, events.Withdrawn(number))
 
     add(points, "decisions.flow", "ms of CPU, each in a segment of its own", size, timed(flows) / 200)
 
@@ -277,7 +277,7 @@
 
 
 async def _flows(at: int, size: int) -> None:
-    from lotusroute.scale.standins import Client
+    from lotusroute.capacity.stubs import Client
 
     async def some(first: int) -> None:
         for number in range(first, size, 16):
@@ -288,7 +288,7 @@
 
 
 async def _standing(at: int, size: int, seconds: float, then: Callable[[str], None]) -> int:
-    from lotusroute.scale.standins import Client
+    from lotusroute.capacity.stubs import Client
 
     clients = []
     for first in range(0, size, 32):
@@ -310,7 +310,7 @@
 
 def plane(size: int, seconds: float, hosts: int, points: Points, say: Say) -> None:
     """The data plane: flows, connections that stand, lines, by one process."""
-    from lotusroute.scale.standins import entry
+    from lotusroute.capacity.stubs import entry
 
     say(fits(3))
     need = 2 * size + 256
@@ -322,7 +322,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, need), hard))
     back = port()
     with processes.folder() as folder, discovery(SERVERS, back) as (_, where):
-        servers = subprocess.Popen([sys.executable, "-m", "lotusroute.scale.servers", str(back)])
+        servers = subprocess.Popen([sys.executable, "-m", "lotusroute.capacity.server_stub", str(back)])
         one = balancer(
             folder, "n1", listen := port(), where, {}, tuple(entry(f"s-{at}", back) for at in range(SERVERS))
         )
--- a/lotusroute/scale/servers.py
+++ b/lotusroute/capacity/server_stub.py
@@ -1,4 +1,4 @@
-"""A stand-in server as a process: `python -m lotusroute.scale.servers PORT`.
+"""A stand-in server as a process: `python -m lotusroute.capacity.server_stub PORT`.
 
 Owns its start. It must never listen anywhere but on loopback.
 """
@@ -6,7 +6,7 @@
 import asyncio
 import sys
 
-from lotusroute.scale.standins import serve
+from lotusroute.capacity.stubs import serve
 
 
 async def main(port: str) -> None:
--- a/lotusroute/scale/news.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from lotusroute.scale.processes import Started, cpu, fits, folder, rss, write
-from lotusroute.scale.roles import add, balancer, port
+from lotusroute.capacity.processes import Started, cpu, fits, folder, rss, write
+from lotusroute.capacity.roles import add, balancer, port
 
 RELAYS = 3  # of a measure
 EACH = 160  # hollow subscribers in one process
@@ -49,7 +49,7 @@
     for name in names:
         tables.setdefault(zone_of[name], {})[name] = f"127.0.0.1:{ports[name]}"
     with folder() as place, contextlib.ExitStack() as stack:
-        targets = Started(["-m", "lotusroute.scale.targets", str(where), str(hosts), "1e6"], {})
+        targets = Started(["-m", "lotusroute.capacity.discovery_stub", str(where), str(hosts), "1e6"], {})
         stack.callback(targets.end)
         targets.wait("event=ready")
         peers = "\n".join(f'{name} = "127.0.0.1:{at}"' for name, at in ports.items())
@@ -113,7 +113,9 @@
                 "file": str(file),
                 "discovery": f"127.0.0.1:{where}",
             }
-            one = Started(["-m", "lotusroute.scale.subscribers", write(place / f"s{group}.json", told)], {})
+            one = Started(
+                ["-m", "lotusroute.capacity.hollow_subscribers", write(place / f"s{group}.json", told)], {}
+            )
             stack.callback(one.end)
             hollows.append(one)
             group_zones.append(zone)
--- a/lotusroute/cli.py
+++ b/lotusroute/cli.py
@@ -12,8 +12,8 @@
 import click
 from twisted.internet import defer, reactor
 
-from lotusroute.fleet import link, plan
-from lotusroute.vip import Malformed
+from lotusroute.fleet import config, transport
+from lotusroute.service_config import Malformed
 
 FILE = click.option(
     "--fleet",
@@ -45,7 +45,7 @@
 def _ask(file: str, peers: tuple[str, ...]) -> tuple[dict[str, dict], dict[str, str]]:
     """Ask balancers what they show; returns what came by name, and why nothing did."""
     try:
-        told = plan.read(file)
+        told = config.read(file)
         for peer in peers:
             if peer not in told.peers:
                 raise Malformed(f"--peer {peer}: not among the peers of {file}: {', '.join(told.peers)}")
@@ -64,7 +64,7 @@
         reactor.stop()
 
     def begin() -> None:
-        calls = [link.look(reactor, told, name) for name in names]
+        calls = [transport.look(reactor, told, name) for name in names]
         defer.DeferredList(calls, consumeErrors=True).addCallback(done)
 
     reactor.callWhenRunning(begin)
@@ -100,7 +100,9 @@
         return self._group().get_command(ctx, name)
 
 
-command.add_command(Later("lotusroute.scale.command", "scale", help="Measure what each role costs by size."))
+command.add_command(
+    Later("lotusroute.capacity.command", "scale", help="Measure what each role costs by size.")
+)
 command.add_command(Later("lotusroute.relay.command", "relay", help="Carry the list to those that follow."))
 
 
@@ -120,7 +122,7 @@
 
     Example: lotusroute rig hunt --seconds 60 --processes 5 --keepers 5 --seed 1
     """
-    from lotusroute.rig.hunt import scenario
+    from lotusroute.fault_injection.random_scenarios import scenario
 
     if int(keepers) > processes:
         raise click.UsageError(f"--keepers {keepers}: more than the {processes} processes; give fewer")
--- a/lotusroute/rig/judge.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from lotusroute.rig.processes import RIG, Line
+from lotusroute.fault_injection.processes import RIG, Line
 
 READING = 0.25  # s between a line's writing and its reading on a busy machine; seen: 0.02
 TAIL = 20  # lines that a breach brings
--- a/lotusroute/rig/explorer.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -3,8 +3,8 @@
 Owns the small world in which keepers and askers run, the order in which things happen there, and what counts
 as a breach. It must never change the machines, use a clock or a socket, or pass over a breach.
 
-    python -m lotusroute.rig.explorer --walks 20000 --seed 1
-    python -m lotusroute.rig.explorer --search 200000
+    python -m lotusroute.fault_injection.lease_model_checker --walks 20000 --seed 1
+    python -m lotusroute.fault_injection.lease_model_checker --search 200000
 
 Real time passes in steps. Keepers' clocks run fast and askers' slow, both at the ends of the drift, which is
 the worst for a lease. An asker looks at its clock only when a move `look` or a message comes: where none
@@ -18,9 +18,9 @@
 from collections import deque
 from typing import NamedTuple
 
-from lotusroute.leases.asker import Asker, Claim
-from lotusroute.leases.keeper import NUMBERS, Keeper
-from lotusroute.leases.words import Freed, Held, Terms, Tick, Told, Want
+from lotusroute.leases.acceptor import NUMBERS, Keeper
+from lotusroute.leases.messages import Freed, Held, Terms, Tick, Told, Want
+from lotusroute.leases.proposer import Asker, Claim
 
 STEP = 500.0  # ms of real time a step: six of them are a lease, so that few steps reach its end
 TASK = "task"
@@ -233,7 +233,7 @@
     """Explore as asked; 0 where nothing was breached, 1 on a breach, 2 on a bad call."""
     parser = argparse.ArgumentParser(
         description="Try interleavings of the lease machines and judge each state.",
-        epilog="example: python -m lotusroute.rig.explorer --walks 20000 --askers 3",
+        epilog="example: python -m lotusroute.fault_injection.lease_model_checker --walks 20000 --askers 3",
     )
     parser.add_argument("--walks", type=int, default=0, help="drawn orders to try")
     parser.add_argument("--length", type=int, default=120, help="moves of each")
--- a/lotusroute/rig/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from lotusroute.rig.wires import Wires
+from lotusroute.fault_injection.network_proxy import Wires
 
 PATIENCE = 15.0  # s for anything that is waited for: a start takes half a second on a free core
 RIG = "rig"  # the name under which faults stand among the lines
--- a/lotusroute/rig/hunt.py
+++ b/lotusroute/fault_injection/random_scenarios.py
@@ -10,8 +10,8 @@
 import time
 from typing import NamedTuple
 
-from lotusroute.rig.judge import Breach, judge
-from lotusroute.rig.processes import Fleet, Line
+from lotusroute.fault_injection.invariants import Breach, judge
+from lotusroute.fault_injection.processes import Fleet, Line
 
 LEASE = 1_000.0  # ms: a third of the usual, so that more hand-overs fit in
 FAULTS = 6  # of one scenario, at most
--- a/lotusroute/rig/news.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -3,7 +3,7 @@
 Owns the small world in which stores and fans run, the order of moves, and what counts as a breach. It must
 never change the machines, use a clock or a socket, or pass over a breach.
 
-    python -m lotusroute.rig.news --walks 2000 --seed 1
+    python -m lotusroute.fault_injection.relay_model_checker --walks 2000 --seed 1
 
 Relays are the origin one after the other or, for a while, several: a deposed one goes on publishing until it
 hears of the later fence. Two subscribers follow either relay and change sides.
@@ -15,7 +15,7 @@
 from collections import Counter
 
 from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, Beat, Drop, FanOut, Send
-from lotusroute.relay.news import SPOILT, Delta, Refused, Store, Version
+from lotusroute.relay.versioned_store import SPOILT, Delta, Refused, Store, Version
 
 RELAYS, SUBSCRIBERS = ("r1", "r2", "r3"), ("s1", "s2")
 KEYS = tuple("abcd")
@@ -222,7 +222,7 @@
 
 def main(arguments: list[str]) -> int:
     """Walk; 0 where nothing was breached, 1 else."""
-    name = "python -m lotusroute.rig.news"
+    name = "python -m lotusroute.fault_injection.relay_model_checker"
     reader = argparse.ArgumentParser(prog=name, description=__doc__.splitlines()[0])
     reader.add_argument("--walks", type=int, default=1_000)
     reader.add_argument("--seed", type=int, default=1)
--- a/lotusroute/fleet/disk.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -8,7 +8,7 @@
 import pathlib
 import zlib
 
-from lotusroute.vip import Malformed
+from lotusroute.service_config import Malformed
 
 FILE = "promised"  # in the state folder
 
--- a/lotusroute/fleet/plan.py
+++ b/lotusroute/fleet/config.py
@@ -9,9 +9,9 @@
 import tomllib
 from typing import NamedTuple
 
-from lotusroute.leases.words import LEASE, TERM, Terms
-from lotusroute.net.startup import address
-from lotusroute.vip import Malformed
+from lotusroute.leases.messages import LEASE, TERM, Terms
+from lotusroute.net.config import address
+from lotusroute.service_config import Malformed
 
 KEEPERS = 3, 5, 7  # an even set bears no more losses than the odd one below it, and asks one more
 LEASES = 500.0, 60_000.0  # ms: shorter ones end in a stall of ours, longer ones are a failure of minutes
@@ -49,7 +49,7 @@
 
     >>> plan({"name": "f", "keepers": ["a", "b", "c"], "peers": {"a": "127.0.0.1:1", "b": "127.0.0.1:2"}})
     Traceback (most recent call last):
-    lotusroute.vip.Malformed: keepers: 'c' is not among peers; add its address there
+    lotusroute.service_config.Malformed: keepers: 'c' is not among peers; add its address there
     """
     unknown = sorted(set(told) - KEYS)
     if unknown:
--- a/lotusroute/fleet/part.py
+++ b/lotusroute/fleet/lease_service.py
@@ -14,12 +14,11 @@
 import msgspec
 from twisted.internet import threads
 
-from lotusroute.fleet import disk
-from lotusroute.fleet.link import LOOKER, Failed, Link
-from lotusroute.fleet.plan import Plan
-from lotusroute.leases.asker import Asker
-from lotusroute.leases.keeper import BLOCK, Keeper, Reserve
-from lotusroute.leases.words import (
+from lotusroute.fleet import acceptor_storage
+from lotusroute.fleet.config import Plan
+from lotusroute.fleet.transport import LOOKER, Failed, Link
+from lotusroute.leases.acceptor import BLOCK, Keeper, Reserve
+from lotusroute.leases.messages import (
     Ask,
     Freed,
     Held,
@@ -33,8 +32,9 @@
     Told,
     Want,
 )
-from lotusroute.net.log import say
-from lotusroute.vip import Malformed
+from lotusroute.leases.proposer import Asker
+from lotusroute.net.structured_log import say
+from lotusroute.service_config import Malformed
 
 WORDS = {"prepare": Prepare, "propose": Propose, "release": Release}  # calls to a keeper, by kind
 SOONEST = 5.0  # ms between two looks at the clock
@@ -64,7 +64,7 @@
         if name in plan.terms.keepers:
             if not plan.state or not os.path.isdir(plan.state):
                 raise Malformed(f"LB_FLEET: state: '{plan.state}' is no folder, and a keeper needs one")
-            self.keeper = Keeper(plan.terms, self.clock(), disk.load(plan.state))
+            self.keeper = Keeper(plan.terms, self.clock(), acceptor_storage.load(plan.state))
 
     @staticmethod
     def clock() -> float:
@@ -194,7 +194,7 @@
         if self.reserving:
             return
         self.reserving = True
-        writing = threads.deferToThread(disk.store, self.plan.state, reserve.under)
+        writing = threads.deferToThread(acceptor_storage.store, self.plan.state, reserve.under)
 
         def stored(_: object) -> None:
             self.reserving = False
--- a/lotusroute/fleet/watch.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -8,10 +8,10 @@
 import msgspec
 from twisted.internet import defer
 
-from lotusroute.fleet.link import BODY, Failed
-from lotusroute.fleet.part import Part
+from lotusroute.fleet.lease_service import Part
+from lotusroute.fleet.transport import BODY, Failed
 from lotusroute.net.discovery import HOLD
-from lotusroute.net.log import say
+from lotusroute.net.structured_log import say
 
 TASK = "watch"
 BEAT = 0.4  # s between a holder's words: three fit into STALE, one lost is nothing
--- a/lotusroute/fleet/link.py
+++ b/lotusroute/fleet/transport.py
@@ -16,8 +16,8 @@
 from twisted.protocols import amp
 from twisted.python import failure
 
-from lotusroute.fleet.plan import Plan
-from lotusroute.net.log import say
+from lotusroute.fleet.config import Plan
+from lotusroute.net.structured_log import say
 
 FORM = 1  # of what is said on the link: who speaks another is let go
 BODY = 60_000  # bytes of one call or answer: AMP carries 65,535
--- a/lotusroute/leases/keeper.py
+++ b/lotusroute/leases/acceptor.py
@@ -7,7 +7,7 @@
 import math
 from typing import NamedTuple
 
-from lotusroute.leases.words import (
+from lotusroute.leases.messages import (
     FULL,
     HELD,
     LONG,
--- a/lotusroute/leases/asker.py
+++ b/lotusroute/leases/proposer.py
@@ -8,7 +8,7 @@
 import random
 from typing import NamedTuple
 
-from lotusroute.leases.words import (
+from lotusroute.leases.messages import (
     HELD,
     PAUSE,
     RENEW,
--- a/lotusroute/migrate.py
+++ b/lotusroute/migrate.py
@@ -2,7 +2,7 @@
 
 The new shape: no probes, no messages between balancers, all servers in one location. Owns what becomes of
 each key, and the writing. It must never open a socket, touch the old file, check by rules of its own (those
-of `net/startup.py` hold), lose a key in silence, or print the value of a key that it does not know.
+of `net/config.py` hold), lose a key in silence, or print the value of a key that it does not know.
 """
 
 import argparse
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from lotusroute.net import startup
-from lotusroute.vip import Malformed
+from lotusroute.net import config
+from lotusroute.service_config import Malformed
 
 EXAMPLE = """example:
   python -m lotusroute.migrate old.json new.json --location hall-a --dry-run
@@ -204,13 +204,13 @@
         if not (asked.force or asked.dry_run):
             raise Malformed(f"{asked.new}: exists; name another, or say --force")
     try:
-        old = startup.load(asked.old)
-        startup.posting(old, os.environ)
+        old = config.load(asked.old)
+        config.posting(old, os.environ)
     except Malformed as fault:
         raise Malformed(f"{asked.old}: {fault}") from None
     try:
         new, report = migrate(old, asked.location, dict(asked.set), asked.keep_known)
-        startup.posting(new, os.environ)
+        config.posting(new, os.environ)
     except Malformed as fault:
         raise Malformed(f"{asked.new}, as it would be: {fault}") from None
     if not asked.dry_run:
--- a/lotusroute/net/startup.py
+++ b/lotusroute/net/config.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from lotusroute.interface import Vip
-from lotusroute.vip import Malformed, flatten, number
-from lotusroute.vip import vip as decode_vip
+from lotusroute.routing.events import Vip
+from lotusroute.service_config import Malformed, flatten, number
+from lotusroute.service_config import vip as decode_vip
 
 SOCKETS = 1024.0  # descriptors, where no limit is told: what a process usually may hold
 MEMORY = 1024.0  # MB, where no limit is told: more than all descriptors can fill
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -17,12 +17,12 @@
 from twisted.internet import defer, reactor, task
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
-from lotusroute import interface as i
-from lotusroute.net.log import say
-from lotusroute.net.startup import address
-from lotusroute.vip import Malformed, number, one_of
+from lotusroute.net.config import address
+from lotusroute.net.structured_log import say
+from lotusroute.routing import events
+from lotusroute.service_config import Malformed, number, one_of
 
-STATES = {"SERVING": i.READY, "DRAINING": i.DRAINING, "DELETED": i.GONE}
+STATES = {"SERVING": events.READY, "DRAINING": events.DRAINING, "DELETED": events.GONE}
 # One clock for all: whatever becomes of the calls, a change counts as told LATEST after discovery had it.
 # Each call, wait and pause has to fit into what is left of that, and of the grace of a drain, since the last
 # whole answer. Counted each by itself, a silent watch and a refusal after it passed both by up to 4 s.
@@ -47,7 +47,7 @@
     """What discovery told: a list or changes to it, with where each server is dialled."""
 
     scope: str
-    servers: tuple[i.Server, ...]
+    servers: tuple[events.Server, ...]
     dials: dict[str, tuple[str, int]]
 
 
@@ -64,7 +64,7 @@
     Malformed where there are entries and none can be read.
 
     >>> told = {"hosts": [{"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}, 7]}
-    >>> listed(told, i.WHOLE).dials
+    >>> listed(told, events.WHOLE).dials
     {'s-1': ('10.1.0.18', 9000)}
     """
     servers, dials, unread = [], {}, []
@@ -86,13 +86,13 @@
     return Listed(scope, tuple(servers), dials)
 
 
-def _entry(entry: dict) -> tuple[i.Server, tuple[str, int] | None]:
+def _entry(entry: dict) -> tuple[events.Server, tuple[str, int] | None]:
     """Decode one entry; where it is dialled is None for a server that is gone."""
     state, server = one_of(STATES, entry["health"], "health"), entry["host"]
     if not (isinstance(server, str) and server):
         raise Malformed(f"host: {server!r} is no name")
-    dial = None if state == i.GONE else address(entry["dial"])
-    return i.Server(
+    dial = None if state == events.GONE else address(entry["dial"])
+    return events.Server(
         server,
         str(entry.get("site", "")),
         int(entry.get("block") or 0),
@@ -189,7 +189,7 @@
             self._first_word()
             if isinstance(news, Listed):
                 pause, refusals = 0.0, 0
-                if news.servers or news.scope == i.WHOLE:
+                if news.servers or news.scope == events.WHOLE:
                     self.put(news)
                 continue
             self.counts["discovery_failed"] += 1
@@ -282,9 +282,9 @@
 
     def _checked(self, told: dict) -> Listed:
         """Decode what was told and take its version; raises where it is no list or does not follow ours."""
-        news = listed(told, i.WHOLE if told["whole"] else i.CHANGES, self.counts)
+        news = listed(told, events.WHOLE if told["whole"] else events.CHANGES, self.counts)
         seq = version(told["seq"])
-        if news.scope == i.CHANGES and (self.seq is None or seq < self.seq):
+        if news.scope == events.CHANGES and (self.seq is None or seq < self.seq):
             raise Malformed(f"changes up to {seq} of a list held at {self.seq}")
         self.seq = seq
         return news
@@ -303,7 +303,7 @@
             news = self._checked(told)
         except UNREADABLE:
             return False
-        if news.servers or news.scope == i.WHOLE:
+        if news.servers or news.scope == events.WHOLE:
             self.put(news)
         self._first_word()
         return True
--- a/lotusroute/net/clients.py
+++ b/lotusroute/net/downstream.py
@@ -14,8 +14,8 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from lotusroute.net.lines import BUSY, END, ERR, LINE, MOVE, PING, PONG, SliceReceiver
-from lotusroute.vip import Malformed
+from lotusroute.net.line_protocol import BUSY, END, ERR, LINE, MOVE, PING, PONG, SliceReceiver
+from lotusroute.service_config import Malformed
 
 FIRST_LINE = 2.0  # s from connecting to a whole first line, however it trickles; a close is owed within 3
 CHECKS = 16  # PINGs on one connection; a front sends one, and those that send them without end cost our core
--- a/lotusroute/net/held.py
+++ b/lotusroute/net/flow.py
@@ -5,10 +5,10 @@
 do I/O but look at its own client's socket, or choose a server.
 """
 
-from lotusroute import interface as i
-from lotusroute.net.clients import ClientSide, Opening
-from lotusroute.net.lines import ERR
-from lotusroute.net.servers import Link
+from lotusroute.net.downstream import ClientSide, Opening
+from lotusroute.net.line_protocol import ERR
+from lotusroute.net.upstream import Link
+from lotusroute.routing import events
 
 LEAST_GRACE = 50.0  # ms: by so much the protocol lengthens each time limit, also a grace of none
 
@@ -33,7 +33,7 @@
     )
 
     def __init__(
-        self, number: int, opening: Opening, kind: i.ServiceType, due: float, client: ClientSide
+        self, number: int, opening: Opening, kind: events.ServiceType, due: float, client: ClientSide
     ) -> None:
         self.number, self.opening, self.kind, self.due, self.client = number, opening, kind, due, client
         self.link: Link | None = None  # the connect in flight, or the connection; one at a time
@@ -44,7 +44,7 @@
     def over(self, result: str) -> None:
         """A connect has ended so. That it may have run stays true whatever becomes of the next one: a stop
         that looked at the connect in flight alone told clients that to come again is harmless."""
-        if result not in i.NEVER_RAN and self.ran_at is None:
+        if result not in events.NEVER_RAN and self.ran_at is None:
             self.ran_at = self.began
 
     def refusal(self, busy: bytes) -> bytes:
@@ -60,6 +60,6 @@
         if self.opening.at:
             return True  # it stood there before the run
         kind, ran_at = self.kind, self.ran_at
-        if kind.kind == i.REFERENCED and ran_at is not None and now >= ran_at + kind.window:
+        if kind.kind == events.REFERENCED and ran_at is not None and now >= ran_at + kind.window:
             return False
         return now < self.began + max(grace, LEAST_GRACE)
--- a/lotusroute/net/lines.py
+++ b/lotusroute/net/line_protocol.py
@@ -11,7 +11,7 @@
 from twisted.protocols.policies import TimeoutMixin
 from zope.interface import implementer
 
-from lotusroute.net.log import fault
+from lotusroute.net.structured_log import fault
 
 LINE = 4096  # bytes of a line with its ending, by the protocol
 SIP = 8_192  # bytes read at once, and that may wait to be written: 64 KiB each way made a full house 90 MB
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -15,15 +15,15 @@
 
 from twisted.internet import reactor
 
-from lotusroute import interface as i
-from lotusroute.choice import Director
-from lotusroute.net.clients import Asked, ClientSide, Left, Opening
+from lotusroute.net.config import Posting
 from lotusroute.net.discovery import Listed
-from lotusroute.net.held import Held
-from lotusroute.net.lines import BUSY, ERR
-from lotusroute.net.log import LOG, fault, say
-from lotusroute.net.servers import CONNECTING, REACHES, STANDING, Answered, Fell, Link, Loaded, Timed
-from lotusroute.net.startup import Posting
+from lotusroute.net.downstream import Asked, ClientSide, Left, Opening
+from lotusroute.net.flow import Held
+from lotusroute.net.line_protocol import BUSY, ERR
+from lotusroute.net.structured_log import LOG, fault, say
+from lotusroute.net.upstream import CONNECTING, REACHES, STANDING, Answered, Fell, Link, Loaded, Timed
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
 
 MARGIN = 40.0  # ms before a flow's connect timeout by which it is answered: what a busy core may hold us up
 MARGIN_SHARE = 0.25  # of a short wait, which must leave time to serve
@@ -146,7 +146,7 @@
         self.counts["faults"] += 1
         fault("event failed", kind=type(event).__name__)
         self._forget(number)
-        if isinstance(event, i.Wake | Step):
+        if isinstance(event, events.Wake | Step):
             # Without its next one the upkeep, or our end, would stand still for good.
             self._later(STEP if isinstance(event, Step) else LOOK, event)
         elif isinstance(event, Asked) and not event.number:
@@ -165,7 +165,7 @@
                 held.client.move()
             else:
                 held.client.answer(ERR)
-            self.put(i.Withdrawn(number))
+            self.put(events.Withdrawn(number))
 
     def _drop(self, held: Held) -> None:
         """A flow is answered, or its connection over. Only those who copied its id use it again."""
@@ -175,7 +175,7 @@
     def _later(self, ms: float, event: object):
         return reactor.callLater(max(0.0, ms) / 1000, self.put, event)
 
-    def _decide(self, event: i.Event) -> None:
+    def _decide(self, event: events.Event) -> None:
         for action in self.director.decide(self.clock(), event):
             try:
                 self._do[type(action)](self, action)
@@ -224,9 +224,11 @@
         unknown = opening.service_type not in self.posting.vip.service_types
         return unknown or opening.id in self.ids or bool(tenants and tenant and tenant not in tenants)
 
-    def _flow(self, held: Held) -> i.Flow:
+    def _flow(self, held: Held) -> events.Flow:
         o = held.opening
-        return i.Flow(held.number, o.service_type, o.tenant, o.group, o.key, held.due, returned=o.returned)
+        return events.Flow(
+            held.number, o.service_type, o.tenant, o.group, o.key, held.due, returned=o.returned
+        )
 
     def _turn_away(self, side: ClientSide, advice: float) -> None:
         self.counts["turned_away"] += 1
@@ -299,9 +301,9 @@
         if server in self.draining:
             self._step_on()
         if held.opening.at:
-            self._decide(i.AlreadyOpen(self._flow(held), server))
+            self._decide(events.AlreadyOpen(self._flow(held), server))
         else:
-            self._decide(i.Established(held.number, server))
+            self._decide(events.Established(held.number, server))
 
     def _fell(self, event: Fell) -> None:
         held = self.flows.get(event.number)
@@ -329,17 +331,17 @@
         self._trace("ended", held, server=server, result=result, came=came)
         if held.up:
             self._drop(held)
-            self._decide(i.Ended(held.number, server, True, result))
+            self._decide(events.Ended(held.number, server, True, result))
             return
         held.over(result)
         if held.opening.at:
-            if result in i.NEVER_RAN or held.kind.kind == i.REPEATABLE:
+            if result in events.NEVER_RAN or held.kind.kind == events.REPEATABLE:
                 self._stand_again(held)
             else:
                 self.counts["standing_lost"] += 1
                 self._answer(held, ERR)
         else:
-            self._decide(i.Ended(held.number, server, False, result))
+            self._decide(events.Ended(held.number, server, False, result))
             if held.link is None and held.number in self.flows:
                 raise RuntimeError("flow left without a connect or an answer")
 
@@ -359,32 +361,32 @@
         self._hang_up(held)
         held.client.answer(ERR)
         if not held.opening.at:
-            self._decide(i.Withdrawn(held.number))
+            self._decide(events.Withdrawn(held.number))
 
     def _gone(self, event: Gone) -> None:
         held = self.flows.get(event.number)
         if held is not None:
             held.link.abandon()
             held.client.halfClose()
-            self._ended(held, i.CANCELLED)
+            self._ended(held, events.CANCELLED)
 
     def _loaded(self, event: Loaded) -> None:
         if LOG.isEnabledFor(logging.DEBUG):
             say("load", logging.DEBUG, flow=event.number, load=event.load)
         if event.number in self.flows:
-            self._decide(i.LoadNoted(event.number, event.load))
+            self._decide(events.LoadNoted(event.number, event.load))
 
     def _timed(self, event: Timed) -> None:
         self.delays.setdefault(event.server, []).append(event.delay)
 
     def _listed(self, event: Listed) -> None:
         self.counts["lists"] += 1
-        if event.scope != i.CHANGES:
+        if event.scope != events.CHANGES:
             self.dials.clear()
         for server in event.servers:
-            if server.state == i.GONE:
+            if server.state == events.GONE:
                 self.dials.pop(server.id, None)
-            if server.state != i.DRAINING:
+            if server.state != events.DRAINING:
                 self.draining.pop(server.id, None)
             elif server.id not in self.draining:
                 # Not every server sends its clients away; those it still holds when it leaves are cut off.
@@ -404,7 +406,7 @@
                     at=server.started,
                     cell=server.cell,
                 )
-        self._decide(i.ServerList(event.scope, event.servers))
+        self._decide(events.ServerList(event.scope, event.servers))
         self._withdraw()
 
     def _withdraw(self) -> None:
@@ -417,7 +419,7 @@
             if link.server in self.draining or link.server not in self.dials:
                 self.counts["withdrawn_connects"] += 1
                 link.abandon()
-                self._ended(held, i.UNSENT)
+                self._ended(held, events.UNSENT)
 
     # The look at open connections
 
@@ -447,20 +449,20 @@
                 continue
             self.counts["slow_notes"] += 1
             say("server slow", logging.DEBUG, server=server, delay=delay, of=len(delays))
-            self._decide(i.DelayNoted(server, delay))
+            self._decide(events.DelayNoted(server, delay))
         self.delays = {}
         for held in quiet:
-            self._move(i.Move(held.number))
+            self._move(events.Move(held.number))
         for held in silent:
             # A machine that vanished says nothing, and TCP does not notice.
             self.counts["silent"] += 1
             held.link.abandon()
             held.client.move()
-            self._ended(held, i.RESET)
+            self._ended(held, events.RESET)
 
     # What is to be done
 
-    def _connect(self, action: i.Connect) -> None:
+    def _connect(self, action: events.Connect) -> None:
         held = self.flows.get(action.id)
         if held is None or held.up or held.link is not None:
             return
@@ -469,34 +471,34 @@
         within = action.within or math.inf
         self._begin(held, action.server, min(held.due, self.clock() + within))
 
-    def _reject(self, action: i.Reject) -> None:
+    def _reject(self, action: events.Reject) -> None:
         held = self.flows.get(action.id)
         if held is not None and not held.up:
             self.counts["rejected"] += 1
             self._answer(held, self._busy(action.retry_after))
 
-    def _abort(self, action: i.Abort) -> None:
+    def _abort(self, action: events.Abort) -> None:
         held = self.flows.get(action.id)
         if held is not None and not held.up:
             self.counts["aborted"] += 1
             self._answer(held, ERR)
 
-    def _move(self, action: i.Move) -> None:
+    def _move(self, action: events.Move) -> None:
         held = self.flows.get(action.id)
         if held is not None and held.up and not held.left:
             self.counts["moved"] += 1
             self._trace("moved", held, server=held.link.server)
             held.client.move()
             held.link.leave()
-            self._ended(held, i.CANCELLED)
+            self._ended(held, events.CANCELLED)
 
-    def _wake_me(self, action: i.WakeMe) -> None:
-        self._later(action.delay, i.Wake(action.mark))
+    def _wake_me(self, action: events.WakeMe) -> None:
+        self._later(action.delay, events.Wake(action.mark))
 
-    def _say(self, action: i.Say) -> None:
+    def _say(self, action: events.Say) -> None:
         say(action.line)
 
-    def _nothing(self, action: i.Action) -> None:
+    def _nothing(self, action: events.Action) -> None:
         """Discovery watches by itself."""
 
     def _answer(self, held: Held, words: bytes) -> None:
@@ -552,7 +554,7 @@
         """Move as many of them as brings all away in the time left, so that the others see no crowd. Parts of
         one are drawn: two hundred that rounded up their one or two were a crowd in the first step."""
         for held in up[: int(len(up) / max(1.0, left / STEP) + self.chance.random())]:
-            self._move(i.Move(held.number))
+            self._move(events.Move(held.number))
 
     def _stop_on(self, gone: float, up: list[Held]) -> None:
         last = min(self.posting.longest, STOP_LONGEST) + STOP_REST
@@ -594,15 +596,15 @@
         Gone: _gone,
         Look: _look,
         Step: _step,
-        i.Wake: _decide,
-        i.Withdrawn: _decide,
+        events.Wake: _decide,
+        events.Withdrawn: _decide,
     }
     _do = {
-        i.Connect: _connect,
-        i.Reject: _reject,
-        i.Abort: _abort,
-        i.Move: _move,
-        i.WakeMe: _wake_me,
-        i.Say: _say,
-        i.Subscribe: _nothing,
+        events.Connect: _connect,
+        events.Reject: _reject,
+        events.Abort: _abort,
+        events.Move: _move,
+        events.WakeMe: _wake_me,
+        events.Say: _say,
+        events.Subscribe: _nothing,
     }
--- a/lotusroute/net/servers.py
+++ b/lotusroute/net/upstream.py
@@ -13,9 +13,9 @@
 from twisted.internet import error, reactor
 from twisted.internet.protocol import ClientFactory
 
-from lotusroute import interface as i
-from lotusroute.net.lines import BUSY, BYE, LOAD, MOVE, SliceReceiver, word
-from lotusroute.vip import Malformed, number
+from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, SliceReceiver, word
+from lotusroute.routing import events
+from lotusroute.service_config import Malformed, number
 
 UNANSWERED = 64  # client lines whose answers are timed at once; those of two minutes
 
@@ -85,13 +85,13 @@
         self.client = None  # where lines are passed on to, once the connection stands
         self.asked: deque[float] = deque(maxlen=UNANSWERED)  # when lines went out; each answer takes one
         self.heard = self.spoke = 0.0  # when the server's and the client's last lines came; 0: never
-        self.last = i.RESET  # how the connection ends if it ended now
+        self.last = events.RESET  # how the connection ends if it ended now
 
     def connectionMade(self) -> None:
         super().connectionMade()
         link = self.link
         if not link.wanted():
-            link.fell(i.UNSENT)
+            link.fell(events.UNSENT)
             self.transport.abortConnection()
             return
         link.line = self.write(link.line)
@@ -109,7 +109,7 @@
         if first == LOAD:
             self._load(line)
         elif first in (BYE, MOVE):
-            self.last = i.OK if first == BYE else i.CANCELLED
+            self.last = events.OK if first == BYE else events.CANCELLED
         elif self.asked:
             self.link.put(Timed(self.link.server, now - self.asked.popleft()))
         self.client.send(line)
@@ -120,11 +120,11 @@
             # Lines that come with the receipt wait until the client's side takes them.
             self.held = True
             link.reach = STANDING
-            self.last = i.RESET
+            self.last = events.RESET
             link.put(Answered(link.number, link, line))
         else:
             # An UP without a receipt, or before our line was whole, is no answer that a server made for it.
-            link.fell({BUSY: i.FULL, MOVE: i.CANCELLED}.get(first, i.ERROR))
+            link.fell({BUSY: events.FULL, MOVE: events.CANCELLED}.get(first, events.ERROR))
             self.transport.abortConnection()
 
     def _load(self, line: memoryview) -> None:
@@ -155,7 +155,7 @@
         self.link.fell(self.last if self.client is not None else self.link.broken())
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self.link.fell(i.ERROR if self.client is None else i.RESET)
+        self.link.fell(events.ERROR if self.client is None else events.RESET)
         self.transport.abortConnection()
 
 
@@ -194,11 +194,11 @@
     def clientConnectionFailed(self, connector, reason) -> None:
         # Out of descriptors: that is not the server's fault.
         own = reason.check(error.ConnectBindError, error.UserError)
-        self.fell(i.UNSENT if own else i.UNREACHABLE)
+        self.fell(events.UNSENT if own else events.UNREACHABLE)
 
     def broken(self) -> str:
         """How it ended, if the connection broke now: after the line's last byte it may have run."""
-        return i.RESET if self.reach >= WRITTEN else i.UNREACHABLE
+        return events.RESET if self.reach >= WRITTEN else events.UNREACHABLE
 
     def fell(self, result: str) -> None:
         """Report the end, once."""
@@ -214,7 +214,9 @@
 
     def abandon(self) -> str:
         """Stop waiting, close at once and return how far it had come; nothing is reported any more."""
-        result = i.TIMEOUT if self.reach >= WRITTEN else i.UNSENT if self.hurried else i.UNREACHABLE
+        result = (
+            events.TIMEOUT if self.reach >= WRITTEN else events.UNSENT if self.hurried else events.UNREACHABLE
+        )
         self._over()
         if self.side is not None and self.side.transport is not None:
             self.side.client = None
@@ -238,13 +240,13 @@
 
     def client_ended(self, rest: bytes) -> None:
         """The client has stopped sending: so do we, and whatever end comes now is not the server's doing."""
-        self.side.last = i.CANCELLED
+        self.side.last = events.CANCELLED
         self.side.transport.write(rest)
         self.side.halfClose()
 
     def client_lost(self) -> None:
         """The client's connection broke: so does its server's, which is not to be blamed for it."""
-        self.side.last = i.CANCELLED
+        self.side.last = events.CANCELLED
         self.side.transport.abortConnection()
 
     def leave(self) -> None:
--- a/lotusroute/relay/command.py
+++ b/lotusroute/relay/command.py
@@ -11,10 +11,10 @@
 from twisted.internet import reactor
 
 from lotusroute.cli import FILE, JSON, PEER, _ask, _finish
-from lotusroute.fleet import part, plan
-from lotusroute.net import log
-from lotusroute.net.startup import address
-from lotusroute.vip import Malformed
+from lotusroute.fleet import config, lease_service
+from lotusroute.net import structured_log
+from lotusroute.net.config import address
+from lotusroute.service_config import Malformed
 
 
 @click.group()
@@ -31,14 +31,14 @@
 
     Example: lotusroute relay run --fleet deploy/relays.toml --name r1 --discovery 10.2.0.1:8500
     """
-    from lotusroute.relay.host import Relay
+    from lotusroute.relay.server import Relay
 
-    log.start("WARNING")
-    log.LOG.setLevel("INFO")
-    counts = log.Counts()
+    structured_log.start("WARNING")
+    structured_log.LOG.setLevel("INFO")
+    counts = structured_log.Counts()
     try:
-        told, where = plan.read(file), address(discovery)
-        fleet = part.Part(reactor, told, name, counts)
+        told, where = config.read(file), address(discovery)
+        fleet = lease_service.Part(reactor, told, name, counts)
     except Malformed as fault:
         click.echo(f"lotusroute: {fault}", err=True)
         sys.exit(2)
@@ -56,7 +56,7 @@
         reactor.stop()
 
     reactor.callWhenRunning(lambda: carried.start().addErrback(unheard))
-    reactor.callWhenRunning(log.say, "relay ready", name=name)
+    reactor.callWhenRunning(structured_log.say, "relay ready", name=name)
     reactor.run(installSignalHandlers=False)
     counts.print()
 
--- a/lotusroute/relay/lists.py
+++ b/lotusroute/relay/endpoint_items.py
@@ -6,7 +6,7 @@
 
 import json
 
-from lotusroute.relay.news import Store
+from lotusroute.relay.versioned_store import Store
 
 ABOUT = "#list"  # the item that says where the list is from and which version of discovery's it is
 
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -10,7 +10,7 @@
 import math
 from typing import NamedTuple
 
-from lotusroute.relay.news import Delta, Snapshot, Store, Version
+from lotusroute.relay.versioned_store import Delta, Snapshot, Store, Version
 
 BEAT = 600.0  # ms between words to one who lacks nothing: who hears none for 1.5 s goes elsewhere
 GIVE_UP = 2_500.0  # ms without an acknowledgement after which one is let go: it has left by then
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lotusroute.relay.fanout import Beat
-from lotusroute.relay.news import Delta, Snapshot, Version, parts
+from lotusroute.relay.versioned_store import Delta, Snapshot, Version, parts
 
 PART = 40_000  # bytes of items in one call: the link takes 60,000
 KEYS = 1_000_000  # items of one snapshot at most: more is a defect or a liar
--- a/lotusroute/relay/host.py
+++ b/lotusroute/relay/server.py
@@ -10,13 +10,13 @@
 import msgspec
 from twisted.internet import defer
 
-from lotusroute.fleet.link import Failed
-from lotusroute.fleet.part import Part
+from lotusroute.fleet.lease_service import Part
+from lotusroute.fleet.transport import Failed
 from lotusroute.net.discovery import Discovery
-from lotusroute.net.log import say
-from lotusroute.relay import lists, messages
+from lotusroute.net.structured_log import say
+from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import Drop, FanOut, Send
-from lotusroute.relay.news import OLDER, SPOILT, TAKEN, Refused, Snapshot, Store, Version
+from lotusroute.relay.versioned_store import OLDER, SPOILT, TAKEN, Refused, Snapshot, Store, Version
 
 TASK = "origin"
 HOLD = 500  # ms that the origin's watch waits: it alone calls, and its silence is noticed so much sooner
@@ -171,7 +171,7 @@
         self.highest = fence
         for peer in self.part.others():
             self.part.link.dial(peer)
-        where, seq = lists.about(self.store)
+        where, seq = endpoint_items.about(self.store)
         same = where == self._base()
         self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counts)
         self.discovery.watch, self.discovery.most_hold = self, HOLD
@@ -204,7 +204,7 @@
             return
         now = self.part.clock()
         try:
-            if self.store.publish(self.fence, lists.changes(self.store, told, self._base())):
+            if self.store.publish(self.fence, endpoint_items.changes(self.store, told, self._base())):
                 self.counts["news_published"] += 1
                 self._told(now)
         except Refused as fault:
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -15,16 +15,16 @@
 
 from twisted.internet import defer
 
-from lotusroute.fleet.link import Failed, Link
-from lotusroute.fleet.plan import Plan
-from lotusroute.leases.words import Terms
+from lotusroute.fleet.config import Plan
+from lotusroute.fleet.transport import Failed, Link
+from lotusroute.leases.messages import Terms
+from lotusroute.net.config import address
 from lotusroute.net.discovery import LINE, REFUSED
-from lotusroute.net.log import say
-from lotusroute.net.startup import address
-from lotusroute.relay import lists, messages
-from lotusroute.relay.follower import Follower, Join, Quit
-from lotusroute.relay.news import SPOILT, TAKEN, Store, Version
-from lotusroute.vip import Malformed
+from lotusroute.net.structured_log import say
+from lotusroute.relay import endpoint_items, messages
+from lotusroute.relay.relay_selector import Follower, Join, Quit
+from lotusroute.relay.versioned_store import SPOILT, TAKEN, Store, Version
+from lotusroute.service_config import Malformed
 
 TICK = 0.1  # s between looks at the clock
 FIRST = 0.8  # s that a new process waits for its first news before it calls discovery itself
@@ -144,7 +144,7 @@
             self.counts["news_in"] += 1
             news = self.assembly.take(word)
             if news is not None:
-                _, seq = lists.about(self.store)
+                _, seq = endpoint_items.about(self.store)
                 outcome = self.store.take(news)
                 self.counts[f"news_{outcome}"] += 1
                 if outcome == SPOILT:
@@ -163,14 +163,14 @@
             self.counts["news_of_another"] += 1
             return
         changed = getattr(news, "changed", None)
-        if changed is not None and self.discovery.handed(lists.answer(self.store, changed), seq):
+        if changed is not None and self.discovery.handed(endpoint_items.answer(self.store, changed), seq):
             return
-        if not self.discovery.handed(lists.answer(self.store, None), None):
+        if not self.discovery.handed(endpoint_items.answer(self.store, None), None):
             self.counts["news_not_handed"] += 1
 
     def _same(self, discovery) -> bool:
         """Whether what relays carry is this discovery's."""
-        return discovery.base.startswith(f"http://{lists.about(self.store)[0]}/")
+        return discovery.base.startswith(f"http://{endpoint_items.about(self.store)[0]}/")
 
     # What Discovery asks and tells
 
@@ -184,7 +184,7 @@
             now = self.clock()
             if self.follower.fresh(now) or now < self.began + 1000 * FIRST:
                 if discovery.seq is None and self._same(discovery):
-                    discovery.handed(lists.answer(self.store, None), None)
+                    discovery.handed(endpoint_items.answer(self.store, None), None)
                 await self._wait(TICK)
                 continue
             # All that lost their relays at once come one by one, as far as the time for news allows.
--- a/lotusroute/choice.py
+++ b/lotusroute/routing/director.py
@@ -1,8 +1,7 @@
 """Every decision of the balancer, and nothing else.
 
-`Director(vip, seed)` is one balancer of one virtual ip. `decide(now, event)` takes what happened and
-returns what is to be done; `lotusroute/interface.py` defines both sides. The module is pure: the host
-brings the clock, the seed and all news.
+`Director(vip, seed)` is one balancer of one virtual ip. `decide(now, event)` takes an event and returns
+actions; `lotusroute/routing/events.py` defines both. It is pure: the host brings clock, seed and news.
 
 The design: a client's key hashes to a segment, a segment has a default server by highest hash, shared
 by all balancers (a large one several); when usage is uneven one moves from the busiest to the idlest.
@@ -19,7 +18,7 @@
 from collections import Counter, deque
 from zlib import crc32
 
-from lotusroute import interface as i
+from lotusroute.routing import events
 
 P = 10  # bits: 1024 segments, so that few groups share one; 8 mixed them, 12 gave no more
 FILL = 1.4  # mean servers' connections that one server can take: at 40% load, with the cost of a group
@@ -104,9 +103,9 @@
                  "open", "bad", "aside", "hot", "turn", "own_turn", "turns", "weak", "moved", "delay",
                  "setup", "last", "mild", "sure", "late", "signs", "sign_at", "sound")  # fmt: skip
 
-    def __init__(self, line: i.Server, now: float) -> None:
+    def __init__(self, line: events.Server, now: float) -> None:
         self.id, self.started, self.listed = line.id, line.started, now
-        self.state = i.GONE  # until its line is read
+        self.state = events.GONE  # until its line is read
         self.word = _word(line.id)
         self.open: dict[int, _Held] = {}  # own connections, emptied as each ends
         self.bad = self.aside = self.hot = self.weak = self.moved = self.delay = 0.0
@@ -125,7 +124,7 @@
 
     __slots__ = ("flow", "segment", "tried", "ran", "ran_at", "sent_at", "host", "up", "load", "place")
 
-    def __init__(self, flow: i.Flow, segment: int) -> None:
+    def __init__(self, flow: events.Flow, segment: int) -> None:
         self.flow, self.segment = flow, segment
         self.place = 0  # of the segment's servers, the one that is its entry
         self.tried: list[str] = []
@@ -137,7 +136,7 @@
 class Director:
     """One balancer of one virtual ip."""
 
-    def __init__(self, vip: i.Vip, seed: int) -> None:
+    def __init__(self, vip: events.Vip, seed: int) -> None:
         self.vip = vip
         self.untold = not vip.tells_delay  # no server says that its messages are slow, as on sockets
         self.chance = random.Random(seed)
@@ -146,7 +145,7 @@
         self.slow = (self.target if self.untold else vip.message_target or self.target) / 3
         self.late = self.slow * (1 if self.untold else LATE)
         self.now = 0.0
-        self.out: list[i.Action] = []
+        self.out: list[events.Action] = []
         self.hosts: dict[str, _Host] = {}  # servers listed; gone ones leave with their last connection
         self.ready: list[_Host] = []  # as of the last list
         self.explained = 0.0  # until when returning clients are no news
@@ -169,7 +168,7 @@
         self.quick_at = -math.inf
         self.subscribed, self.refusals, self.ask_at = False, 0, 0.0
 
-    def decide(self, now: float, event: i.Event) -> list[i.Action]:
+    def decide(self, now: float, event: events.Event) -> list[events.Action]:
         """Take one event and return the actions it calls for, in order."""
         self.now, self.out = now, []
         self._on[type(event)](self, event)
@@ -177,8 +176,8 @@
 
     # The server list
 
-    def _server_list(self, event: i.ServerList) -> None:
-        if event.scope == i.REFUSED:
+    def _server_list(self, event: events.ServerList) -> None:
+        if event.scope == events.REFUSED:
             # A broken subscription goes unnoticed unless renewed; all renewing at once breaks it again.
             self.subscribed = False
             self.refusals += 1
@@ -187,31 +186,31 @@
             return
         if not self.ticks:
             self.ticks = 1
-            self.out.append(i.WakeMe(self.chance.uniform(0.0, TICK), "tick"))
+            self.out.append(events.WakeMe(self.chance.uniform(0.0, TICK), "tick"))
         elif self.vip.must_ask:
             self.subscribed, self.refusals = True, 0
-        if event.scope != i.CHANGES:
+        if event.scope != events.CHANGES:
             listed = {line.id for line in event.servers}
             for host in self.hosts.values():
                 if host.id not in listed:
-                    host.state = i.GONE
+                    host.state = events.GONE
         for line in event.servers:
             self._listed(line)
-        for host in [h for h in self.hosts.values() if h.state == i.GONE and not h.open]:
+        for host in [h for h in self.hosts.values() if h.state == events.GONE and not h.open]:
             del self.hosts[host.id]
-        before, self.ready = self.ready, [h for h in self.hosts.values() if h.state == i.READY]
-        if self.untold and (not before or any(h.state != i.READY for h in before)):
+        before, self.ready = self.ready, [h for h in self.hosts.values() if h.state == events.READY]
+        if self.untold and (not before or any(h.state != events.READY for h in before)):
             # Who comes back now may come from those that left, or from another balancer that died with us.
             self.explained = self.now + EXPLAINED
         self.capacity = sum(h.size for h in self.ready) or 1.0
         self.largest = max((h.size for h in self.ready), default=1.0)
         self.orders.clear()
-        self.moved = {s: h for s, h in self.moved.items() if h.state == i.READY}
+        self.moved = {s: h for s, h in self.moved.items() if h.state == events.READY}
 
-    def _listed(self, line: i.Server) -> None:
+    def _listed(self, line: events.Server) -> None:
         host = self.hosts.get(line.id)
         if host is None:
-            if line.state == i.GONE:
+            if line.state == events.GONE:
                 return
             # On sockets those of the first list are not new: one stood idle for 10 s beside 29 connections.
             first = self.untold and self.ticks <= 1
@@ -230,7 +229,7 @@
 
     # The design: segments, defaults and moves
 
-    def _segment(self, flow: i.Flow) -> int:
+    def _segment(self, flow: events.Flow) -> int:
         shared = flow.group if self.vip.shares_work else None
         return crc32((shared or flow.key or str(flow.id)).encode()) >> (32 - P)
 
@@ -293,13 +292,13 @@
 
     # Flows
 
-    def _flow(self, flow: i.Flow) -> None:
+    def _flow(self, flow: events.Flow) -> None:
         self.asked += 1
         self.crowd, self.crowd_at = 1 + self._came(), self.now
         self.arrived += not (flow.returned or flow.mid_flow)
         self._connect(self._hold(flow))
 
-    def _hold(self, flow: i.Flow) -> _Held:
+    def _hold(self, flow: events.Flow) -> _Held:
         held = self.held[flow.id] = _Held(flow, self._segment(flow))
         self.counts[held.segment] = self.counts.get(held.segment, 0) + 1
         held.place = crc32((flow.key or str(flow.id)).encode()) % self._places(held.segment)
@@ -361,7 +360,7 @@
                 return host
         return None
 
-    def _throttled(self, flow: i.Flow) -> bool:
+    def _throttled(self, flow: events.Flow) -> bool:
         """Where most connects fail whatever the server, something that all share is down, and further
         tries keep it down: at a jammed session store 36 connects a flow were made, all day."""
         bad, good, part, spare = self.failed, self.stood, FAILING, SPARE
@@ -379,8 +378,8 @@
         if held.ran is None:
             return True
         kind = self.vip.service_types[held.flow.service_type]
-        if kind.kind != i.REFERENCED:
-            return kind.kind != i.ONCE_ONLY
+        if kind.kind != events.REFERENCED:
+            return kind.kind != events.ONCE_ONLY
         same = {"zone": host.zone == held.ran.zone, "cell": host.cell == held.ran.cell}
         return self.now < held.ran_at + kind.window and same.get(kind.group, kind.group == "all")
 
@@ -403,14 +402,14 @@
         held.tried.append(host.id)
         held.sent_at, held.host = self.now, host
         host.open[flow.id] = held
-        self.out.append(i.Connect(flow.id, host.id, within))
+        self.out.append(events.Connect(flow.id, host.id, within))
 
     def _give_up(self, held: _Held) -> None:
         kind = self.vip.service_types[held.flow.service_type]
         if kind.harmless(held.ran is not None):
-            self.out.append(i.Reject(held.flow.id, min(self.vip.max_retry_after, ADVICE)))
+            self.out.append(events.Reject(held.flow.id, min(self.vip.max_retry_after, ADVICE)))
         else:
-            self.out.append(i.Abort(held.flow.id))
+            self.out.append(events.Abort(held.flow.id))
         self._finish(held)
 
     def _finish(self, held: _Held | None) -> None:
@@ -422,55 +421,55 @@
         if held.host is not None:
             held.host.open.pop(held.flow.id, None)
 
-    def _already_open(self, event: i.AlreadyOpen) -> None:
+    def _already_open(self, event: events.AlreadyOpen) -> None:
         held = self._hold(event.flow)
         host = held.host = self.hosts.get(event.server)
         held.up = True
         if host is not None:
             host.open[event.flow.id] = held
-            if self.vip.shares_work and host.state == i.READY:
+            if self.vip.shares_work and host.state == events.READY:
                 # Groups that stood elsewhere than their defaults were paid for twice: 12 places became 25.
                 self.moved[held.segment, held.place] = host
 
-    def _established(self, event: i.Established) -> None:
+    def _established(self, event: events.Established) -> None:
         if (held := self.held.get(event.id)) is not None:
             held.up = True
             self.stood += 1
             if held.host is not None:
                 self._set_up(held.host, held)
 
-    def _ended(self, event: i.Ended) -> None:
+    def _ended(self, event: events.Ended) -> None:
         held = self.held.get(event.id)
         if held is None:
             return
         host = held.host
-        self.failed += not held.up and event.result != i.OK
-        self.cut += held.up and event.result == i.RESET
+        self.failed += not held.up and event.result != events.OK
+        self.cut += held.up and event.result == events.RESET
         if host is not None:
             self._judge(host, held, event.result)
             host.open.pop(event.id, None)
         if event.final:
             self._finish(held)
             return
-        if event.result not in i.NEVER_RAN and held.ran is None:
+        if event.result not in events.NEVER_RAN and held.ran is None:
             held.ran, held.ran_at = host, held.sent_at
         self._connect(held)
 
     # The health of servers
 
     def _judge(self, host: _Host, held: _Held, result: str) -> None:
-        if result == i.OK:
+        if result == events.OK:
             host.bad *= 0.5
-        elif result == i.FULL:
+        elif result == events.FULL:
             self._weaken(host)
             host.hot = max(host.hot, self.now + TICK)
-        elif result == i.UNREACHABLE:
+        elif result == events.UNREACHABLE:
             # Silent death shows in connects long before the list tells of it.
             self._blame(host, 0.6)
-        elif result in (i.ERROR, i.TIMEOUT, i.RESET):
+        elif result in (events.ERROR, events.TIMEOUT, events.RESET):
             # Many connections cut at once: the process is gone. One cut now and then: it sheds load.
-            cut = result == i.RESET and held.up
-            if cut or result == i.TIMEOUT and not self._lone(host):
+            cut = result == events.RESET and held.up
+            if cut or result == events.TIMEOUT and not self._lone(host):
                 self._weaken(host)
             self._blame(host, 0.15 if cut else 0.3)
 
@@ -536,13 +535,13 @@
         host.bad += weight * (1 - host.bad)
         if host.bad >= BAD and host.aside <= self.now:
             host.aside = self.now + ASIDE + self.chance.uniform(0.0, ASIDE / 2)
-            self.out.append(i.Say(f"set aside {host.id}"))
+            self.out.append(events.Say(f"set aside {host.id}"))
 
-    def _load_noted(self, event: i.LoadNoted) -> None:
+    def _load_noted(self, event: events.LoadNoted) -> None:
         if (held := self.held.get(event.id)) is not None:
             held.load = event.load
 
-    def _delay_noted(self, event: i.DelayNoted) -> None:
+    def _delay_noted(self, event: events.DelayNoted) -> None:
         """Slow steers new flows past while others serve, late refuses and moves: with one grade for both a
         full fleet moved all day. One that is well again stays slow to us while what filled it leaves."""
         if (host := self.hosts.get(event.server)) is None:
@@ -639,8 +638,8 @@
 
     # Upkeep
 
-    def _wake(self, event: i.Wake) -> None:
-        self.out.append(i.WakeMe(TICK, "tick"))
+    def _wake(self, event: events.Wake) -> None:
+        self.out.append(events.WakeMe(TICK, "tick"))
         gain = max(RATE_GAIN, 1 / self.ticks)
         self.rate += gain * (self.arrived - self.rate)
         self.asks += gain * (self.asked - self.asks)
@@ -648,9 +647,9 @@
         self.failed, self.stood, self.cut = (x * (1 - RATE_GAIN) for x in (self.failed, self.stood, self.cut))
         if self.vip.must_ask and not self.subscribed and self.now >= self.ask_at:
             self.ask_at = self.now + self.vip.ask_every / 2
-            self.out.append(i.Subscribe())
+            self.out.append(events.Subscribe())
         self.sick = {h.id: h for h in self.sick.values()
-                     if max(h.weak, h.mild) > self.now and h.state == i.READY}  # fmt: skip
+                     if max(h.weak, h.mild) > self.now and h.state == events.READY}  # fmt: skip
         for host in self.sick.values():
             if host.open and max(host.hot, host.sure) > self.now >= host.moved + MOVE_EVERY:
                 self._move_off(host)
@@ -676,7 +675,7 @@
             if drawn < chance and (not self._cold(host) or drawn < chance * self._filling(host, True)):
                 self.moved.pop((held.segment, held.place), None)
                 held.up = False
-                self.out.append(i.Move(held.flow.id))
+                self.out.append(events.Move(held.flow.id))
 
     def _share(self, host: _Host) -> float:
         """What part of its full capacity a server that has started has at least."""
@@ -700,13 +699,14 @@
             # ica69c5: looked for at each of 2,000 moves a second among 251 servers, a third of the CPU.
             fit = [h for h in self.ready if max(h.aside, h.hot) <= self.now and not self._cold(h)]
         for held in able[: int(len(able) * share + self.chance.random())]:
-            self.out.append(i.Move(held.flow.id))
+            self.out.append(events.Move(held.flow.id))
             held.up = False
             if fit and self._entry(held.segment, held.place) is host:
                 self.moved[held.segment, held.place] = min(fit, key=lambda h: (len(h.open) / h.size, h.id))
 
     _on = {
-        i.ServerList: _server_list, i.Flow: _flow, i.AlreadyOpen: _already_open, i.Established: _established,
-        i.Ended: _ended, i.Withdrawn: lambda me, event: me._finish(me.held.get(event.id)), i.Wake: _wake,
-        i.LoadNoted: _load_noted, i.DelayNoted: _delay_noted,
+        events.ServerList: _server_list, events.Flow: _flow, events.AlreadyOpen: _already_open,
+        events.Established: _established, events.Ended: _ended, events.Wake: _wake,
+        events.LoadNoted: _load_noted, events.DelayNoted: _delay_noted,
+        events.Withdrawn: lambda me, event: me._finish(me.held.get(event.id)),
     }  # fmt: skip
--- a/lotusroute/vip.py
+++ b/lotusroute/service_config.py
@@ -6,11 +6,15 @@
 import math
 from collections.abc import Iterator, Mapping
 
-from lotusroute import interface as i
+from lotusroute.routing import events
 
 FLAGS = {"true": True, "false": False}
 UNTOLD = "non_idempotent"  # the effect where none is told: the one that is never repeated in error
-KINDS = {"read_like": i.REPEATABLE, "idempotency_key": i.REFERENCED, "non_idempotent": i.ONCE_ONLY}
+KINDS = {
+    "read_like": events.REPEATABLE,
+    "idempotency_key": events.REFERENCED,
+    "non_idempotent": events.ONCE_ONLY,
+}
 
 
 class Malformed(Exception):
@@ -61,7 +65,7 @@
         yield from flatten(item, f"{path}.{key}" if path else str(key))
 
 
-def vip(env: Mapping[str, str]) -> i.Vip:
+def vip(env: Mapping[str, str]) -> events.Vip:
     """Decode the settings; unknown ones are passed over, a bad one is named.
 
     >>> vip({"service_types.count": "1", "service_types.0.name": "live"}).service_types
@@ -91,13 +95,13 @@
     service_types = {}
     for at in range(int(get("service_types.count"))):
         path = f"service_types.{at}."
-        service_types[env.get(path + "name", "")] = i.ServiceType(
+        service_types[env.get(path + "name", "")] = events.ServiceType(
             setup_target=get(path + "setup_target"),
             kind=one_of(KINDS, env.get(path + "effect", UNTOLD), path + "effect"),
             group=env.get(path + "group", "all"),
             window=get(path + "window"),
         )
-    return i.Vip(
+    return events.Vip(
         service_types=service_types,
         me=int(get("me")),
         siblings=int(get("siblings", 1, least=1)),
--- a/tests/fakehost.py
+++ b/tests/harness.py
@@ -16,11 +16,11 @@
 import threading
 import time
 
-from lotusroute import interface as i
-from lotusroute.choice import Director
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
 
-VIP = i.Vip(
-    {"live": i.ServiceType(300.0)},
+VIP = events.Vip(
+    {"live": events.ServiceType(300.0)},
     max_connects=4,
     max_retry_after=1000.0,
     cold_from=0.2,
@@ -35,39 +35,42 @@
     def __init__(self, servers=4, vip=VIP, seed=7, **changes):
         self.director = Director(vip._replace(**changes), seed)
         self.now, self.next = 0.0, 0
-        self.list(*(i.Server(f"s{n}", zone=f"z{n % 2}", cell=n % 2) for n in range(servers)), scope=i.WHOLE)
+        self.list(
+            *(events.Server(f"s{n}", zone=f"z{n % 2}", cell=n % 2) for n in range(servers)),
+            scope=events.WHOLE,
+        )
 
     def tell(self, event):
         return self.director.decide(self.now, event)
 
-    def list(self, *servers, scope=i.CHANGES):
-        return self.tell(i.ServerList(scope, servers))
+    def list(self, *servers, scope=events.CHANGES):
+        return self.tell(events.ServerList(scope, servers))
 
     def ask(self, key="k", group=None, tenant=None, **more):
         """A new flow; returns its first action."""
         self.next += 1
-        flow = i.Flow(self.next, "live", tenant, group, key, self.now + 1800.0, **more)
+        flow = events.Flow(self.next, "live", tenant, group, key, self.now + 1800.0, **more)
         return self.tell(flow)[0]
 
     def default(self, key):
         """The server that all balancers take for a key's segment."""
         director = self.director
-        return director._order(director._segment(i.Flow(0, "live", None, None, key, 0.0)))[0].id
+        return director._order(director._segment(events.Flow(0, "live", None, None, key, 0.0)))[0].id
 
     def open(self, key="k", **more):
         connect = self.ask(key, **more)
-        self.tell(i.Established(connect.id, connect.server))
+        self.tell(events.Established(connect.id, connect.server))
         return connect
 
     def end(self, connect, result, final=False):
-        return self.tell(i.Ended(connect.id, connect.server, final, result))
+        return self.tell(events.Ended(connect.id, connect.server, final, result))
 
     def wait(self, ms):
         """Let time pass, waking the director each second; returns all it asked for."""
         out, until = [], self.now + ms
         while self.now + 1000.0 <= until:
             self.now += 1000.0
-            out += self.tell(i.Wake("tick"))
+            out += self.tell(events.Wake("tick"))
         self.now = until
         return out
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lotusroute.adapter.__main__ import replies
-from lotusroute.vip import Malformed
+from lotusroute.service_config import Malformed
 
 ATTACH = "attach 5 service_types.count=1 service_types.0.name=c service_types.0.setup_target=300 odd.key=1"
 START = ["mark 1.0", "at 3", ATTACH, "roster 0 1", "row a:1 z k 0 IN 1 -", "registry 0 1 remembered"]
--- a/tests/test_scale.py
+++ b/tests/test_capacity_commands.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lotusroute.scale import exact
-from lotusroute.scale.fit import line
-from lotusroute.scale.processes import TooLarge, fits
+from lotusroute.capacity import deterministic_counts
+from lotusroute.capacity.processes import TooLarge, fits
+from lotusroute.capacity.regression_line import line
 
 
 def scale(*words):
@@ -19,10 +19,10 @@
 @pytest.mark.parametrize(
     "role, size, messages, size_bytes",
     [
-        (exact.relay, 10, 140, 24_440),
-        (exact.relay, 20, 280, 48_880),
-        (exact.holder, 11, 160, 7_230),
-        (exact.holder, 21, 320, 14_460),
+        (deterministic_counts.relay, 10, 140, 24_440),
+        (deterministic_counts.relay, 20, 280, 48_880),
+        (deterministic_counts.holder, 11, 160, 7_230),
+        (deterministic_counts.holder, 21, 320, 14_460),
     ],
 )
 def test_messages_and_bytes_of_a_role_are_what_they_were(role, size, messages, size_bytes):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity_page.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lotusroute.scale.target import Target
+from lotusroute.capacity.target import Target
 
 PAGE = pathlib.Path(__file__).parents[1] / "docs" / "CAPACITY.md"
 DOES = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
--- a/tests/test_choice.py
+++ b/tests/test_director.py
@@ -4,22 +4,22 @@
 from collections import Counter
 
 import pytest
-from fakehost import VIP, FakeHost, of
+from harness import VIP, FakeHost, of
 
-from lotusroute import interface as i
+from lotusroute.routing import events
 
 KEYS = [f"key-{at}" for at in range(200)]
 
 
 def kind(kind, group="all"):
-    return {"live": i.ServiceType(300.0, kind, group, 5000.0)}
+    return {"live": events.ServiceType(300.0, kind, group, 5000.0)}
 
 
 def test_two_balancers_share_defaults_and_a_lost_server_remaps_only_its_own():
     one, two = FakeHost(), FakeHost(me=1)
     before = {key: one.ask(key).server for key in KEYS}
     assert before == {key: two.ask(key).server for key in KEYS}
-    one.list(i.Server("s2", state=i.GONE))
+    one.list(events.Server("s2", state=events.GONE))
     after = {key: one.ask(key).server for key in KEYS}
     assert all(after[key] == before[key] for key in KEYS if before[key] != "s2")
     assert "s2" in before.values() and "s2" not in after.values()
@@ -45,7 +45,7 @@
     moved = [key for key in mine if host.ask(key).server == "s1"]
     assert len(moved) == 1
     assert host.ask(moved[0], mid_flow=True).server == "s0"
-    host.list(i.Server("s1", state=i.DRAINING))
+    host.list(events.Server("s1", state=events.DRAINING))
     assert host.ask(moved[0]).server == "s0"
 
 
@@ -66,66 +66,66 @@
     default = host.ask(group="yard").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
     host = FakeHost(shares_work=True)
-    host.tell(i.AlreadyOpen(i.Flow(99, "live", None, "yard", "k", 1800.0), other))
+    host.tell(events.AlreadyOpen(events.Flow(99, "live", None, "yard", "k", 1800.0), other))
     assert host.ask(group="yard").server == other
-    host.list(i.Server(other, state=i.DRAINING))
+    host.list(events.Server(other, state=events.DRAINING))
     assert host.ask(group="yard").server != other
 
 
 def test_draining_servers_get_nothing_new():
     host = FakeHost(2)
-    host.list(i.Server("s0", state=i.DRAINING))
+    host.list(events.Server("s0", state=events.DRAINING))
     assert {host.ask(key).server for key in KEYS} == {"s1"}
 
 
 def test_no_server_means_an_answer_at_once():
-    assert FakeHost(0).ask() == i.Reject(1, 1000.0)
+    assert FakeHost(0).ask() == events.Reject(1, 1000.0)
 
 
 def test_failed_connects_go_down_the_order_one_at_a_time_then_get_one_answer():
     host = FakeHost()
     connect, seen = host.ask(), []
-    while isinstance(connect, i.Connect):
+    while isinstance(connect, events.Connect):
         seen.append(connect.server)
-        actions = [a for a in host.end(connect, i.UNREACHABLE) if not isinstance(a, i.Say)]
+        actions = [a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.Say)]
         assert len(actions) == 1
         connect = actions[0]
-    assert connect == i.Reject(1, 1000.0) and len(set(seen)) == len(seen) == 4
-    assert host.end(i.Connect(1, seen[-1]), i.TIMEOUT, True) == []
+    assert connect == events.Reject(1, 1000.0) and len(set(seen)) == len(seen) == 4
+    assert host.end(events.Connect(1, seen[-1]), events.TIMEOUT, True) == []
 
 
 def test_a_time_out_at_the_connect_timeout_is_answered_and_not_tried_again():
     host = FakeHost()
     connect = host.ask()
     host.now += 1800.0
-    assert of(i.Connect, host.end(connect, i.TIMEOUT)) == []
+    assert of(events.Connect, host.end(connect, events.TIMEOUT)) == []
     assert host.director.held == {}
 
 
 def test_once_only_is_not_sent_twice_unless_it_never_ran():
-    host = FakeHost(service_types=kind(i.ONCE_ONLY))
-    second = of(i.Connect, host.end(host.ask(), i.FULL))[0]
-    assert host.end(second, i.TIMEOUT) == [i.Abort(1)]
+    host = FakeHost(service_types=kind(events.ONCE_ONLY))
+    second = of(events.Connect, host.end(host.ask(), events.FULL))[0]
+    assert host.end(second, events.TIMEOUT) == [events.Abort(1)]
 
 
 def test_referenced_goes_again_only_where_and_while_repeats_are_known():
     for group in ("zone", "cell"):
-        host = FakeHost(service_types=kind(i.REFERENCED, group))
+        host = FakeHost(service_types=kind(events.REFERENCED, group))
         first = host.ask()
-        second = of(i.Connect, host.end(first, i.RESET))[0]
+        second = of(events.Connect, host.end(first, events.RESET))[0]
         assert int(second.server[1:]) % 2 == int(first.server[1:]) % 2
-        assert host.end(second, i.RESET)[-1] == i.Abort(1)
-    host = FakeHost(service_types=kind(i.REFERENCED))
+        assert host.end(second, events.RESET)[-1] == events.Abort(1)
+    host = FakeHost(service_types=kind(events.REFERENCED))
     first = host.ask()
     host.director.held[1].flow = host.director.held[1].flow._replace(due=9000.0)
     host.now = 5000.0
-    assert host.end(first, i.RESET) == [i.Reject(1, 1000.0)]
+    assert host.end(first, events.RESET) == [events.Reject(1, 1000.0)]
 
 
 def test_silent_death_sets_a_server_aside_and_it_returns():
     host = FakeHost()
     dead = host.ask().server
-    host.end(i.Connect(1, dead), i.UNREACHABLE)
+    host.end(events.Connect(1, dead), events.UNREACHABLE)
     assert host.ask().server != dead
     host.now += 6001.0
     assert host.ask().server == dead
@@ -134,26 +134,26 @@
 def test_when_all_are_set_aside_flows_still_go_somewhere():
     host = FakeHost(2)
     first = host.ask()
-    host.end(of(i.Connect, host.end(first, i.UNREACHABLE))[0], i.UNREACHABLE)
-    assert isinstance(host.ask(), i.Connect)
+    host.end(of(events.Connect, host.end(first, events.UNREACHABLE))[0], events.UNREACHABLE)
+    assert isinstance(host.ask(), events.Connect)
 
 
 def test_a_jammed_server_spills_and_all_jammed_reject():
     host = FakeHost(2)
     first = host.ask().server
-    host.tell(i.DelayNoted(first, 500.0))
+    host.tell(events.DelayNoted(first, 500.0))
     assert host.ask().server != first
     for server in ("s0", "s1"):
-        host.tell(i.DelayNoted(server, 500.0))
-    assert isinstance(host.ask(), i.Reject)
+        host.tell(events.DelayNoted(server, 500.0))
+    assert isinstance(host.ask(), events.Reject)
 
 
 def test_spilling_stops_after_four_servers():
     # i7b0290 and ieafd3e: groups scattered over the fleet, and every server paid for every group.
     host = FakeHost(8, tells_delay=True)
     for _ in range(4):
-        host.tell(i.DelayNoted(host.ask().server, 500.0))
-    assert isinstance(host.ask(), i.Reject)
+        host.tell(events.DelayNoted(host.ask().server, 500.0))
+    assert isinstance(host.ask(), events.Reject)
 
 
 def test_spilling_is_shallower_while_the_fleet_is_jammed():
@@ -164,8 +164,8 @@
         host.director.sick[server.id] = server
     host.wait(1000.0)
     for _ in range(2):
-        host.tell(i.DelayNoted(host.ask().server, 500.0))
-    assert isinstance(host.ask(), i.Reject)
+        host.tell(events.DelayNoted(host.ask().server, 500.0))
+    assert isinstance(host.ask(), events.Reject)
 
 
 def test_a_crowd_of_returning_clients_is_let_in_by_turns():
@@ -174,21 +174,21 @@
     for _ in range(10):
         host.open()
         host.wait(1000.0)
-    host.tell(i.DelayNoted("s0", 500.0))
-    host.tell(i.DelayNoted("s0", 20.0))
+    host.tell(events.DelayNoted("s0", 500.0))
+    host.tell(events.DelayNoted("s0", 20.0))
     host.now += 1000.0
     answers = Counter(type(host.ask(returned=True)) for _ in range(100))
-    assert answers[i.Connect] <= 2
+    assert answers[events.Connect] <= 2
 
 
 def test_an_overdriven_server_sheds_its_heaviest_once_in_two_seconds():
     host = FakeHost(2, tells_delay=True)
     server = host.open().server
     heavy = [host.open() for _ in range(9)][4]
-    host.tell(i.LoadNoted(heavy.id, 900.0))
-    host.tell(i.DelayNoted(server, 500.0))
-    moves = of(i.Move, host.wait(2000.0))
-    assert 1 <= len(moves) <= 3 and moves[0] == i.Move(heavy.id)
+    host.tell(events.LoadNoted(heavy.id, 900.0))
+    host.tell(events.DelayNoted(server, 500.0))
+    moves = of(events.Move, host.wait(2000.0))
+    assert 1 <= len(moves) <= 3 and moves[0] == events.Move(heavy.id)
 
 
 def test_a_cold_server_gets_its_budget_over_all_balancers():
@@ -200,7 +200,7 @@
             host.open("warm")
             host.wait(500.0)
         host.now = 20_000.0
-        host.list(i.Server("s9", started=20_000.0))
+        host.list(events.Server("s9", started=20_000.0))
         for at in range(400):
             host.now += 10.0
             sent[host.ask(KEYS[at % 200], returned=True).server] += 1
@@ -213,32 +213,32 @@
 def test_a_returned_server_is_cold_again_and_starts_with_a_clean_name():
     host = FakeHost()
     dead = host.ask().server
-    host.end(i.Connect(1, dead), i.UNREACHABLE)
-    host.list(i.Server(dead, started=1.0))
+    host.end(events.Connect(1, dead), events.UNREACHABLE)
+    host.list(events.Server(dead, started=1.0))
     known = host.director.hosts[dead]
     assert known.aside == 0.0 and host.director._cold(known)
 
 
 def test_a_broken_subscription_is_renewed_with_back_off():
     host = FakeHost(must_ask=True, vip=VIP)
-    host.tell(i.ServerList(i.REFUSED))
-    asked = [of(i.Subscribe, host.wait(1000.0)) for _ in range(3)]
+    host.tell(events.ServerList(events.REFUSED))
+    asked = [of(events.Subscribe, host.wait(1000.0)) for _ in range(3)]
     assert sum(map(len, asked)) == 1
-    host.tell(i.ServerList(i.REFUSED))
-    host.tell(i.ServerList(i.CHANGES))
-    assert of(i.Subscribe, host.wait(20_000.0)) == []
+    host.tell(events.ServerList(events.REFUSED))
+    host.tell(events.ServerList(events.CHANGES))
+    assert of(events.Subscribe, host.wait(20_000.0)) == []
 
 
 def test_open_connections_at_the_start_are_counted_and_tables_empty_again():
     host = FakeHost()
-    host.tell(i.AlreadyOpen(i.Flow(900, "live", "t", None, "k", 0.0), "s1"))
+    host.tell(events.AlreadyOpen(events.Flow(900, "live", "t", None, "k", 0.0), "s1"))
     connects = [host.open(key) for key in KEYS]
     assert 900 in host.director.hosts["s1"].open
-    host.tell(i.Ended(900, "s1", True, i.OK))
+    host.tell(events.Ended(900, "s1", True, events.OK))
     for connect in connects[:100]:
-        host.end(connect, i.OK, True)
+        host.end(connect, events.OK, True)
     for connect in connects[100:]:
-        host.tell(i.Withdrawn(connect.id))
+        host.tell(events.Withdrawn(connect.id))
     assert not host.director.held and not host.director.counts
     assert not any(h.open for h in host.director.hosts.values())
 
@@ -247,12 +247,12 @@
     # zanella-serra-later big-1: 157 balancers, of which most never heard that a server was jammed.
     host = FakeHost(8, siblings=150, tells_delay=True)
     default = host.ask().server
-    host.end(i.Connect(1, default), i.OK, True)
+    host.end(events.Connect(1, default), events.OK, True)
     passed = 0
     for _ in range(40):
         back = host.ask(returned=True)
         passed += back.server != default
-        host.end(back, i.OK, True)
+        host.end(back, events.OK, True)
     assert 10 <= passed <= 30
     host.open(returned=False)
     assert host.ask(returned=True).server == default
@@ -265,8 +265,8 @@
     connects = [host.open(f"key-{at}", group="yard") for at, host in enumerate(fleet)]
     left = connects[0].server
     for host, connect in zip(fleet, connects, strict=True):
-        host.list(i.Server(left, state=i.DRAINING))
-        host.end(connect, i.CANCELLED, True)
+        host.list(events.Server(left, state=events.DRAINING))
+        host.end(connect, events.CANCELLED, True)
         host.now += 500.0
     back = {host.ask(f"key-{39 - at}", "yard", returned=True).server for at, host in enumerate(fleet)}
     assert len(back) == 1 and left not in back
@@ -278,10 +278,10 @@
     groups = [f"g{at}" for at in range(10)]
     for host in fleet:
         connects = {host.open(f"k{at}", group=group).id: group for at, group in enumerate(groups)}
-        host.list(i.Server("new", started=host.now + 1.0))
+        host.list(events.Server("new", started=host.now + 1.0))
     homes = {group for group in groups if fleet[0].default(group) == "new"}
     assert 1 <= len(homes) <= 5
-    early, late = ([of(i.Move, host.wait(ms)) for host in fleet] for ms in (5_000.0, 15_000.0))
+    early, late = ([of(events.Move, host.wait(ms)) for host in fleet] for ms in (5_000.0, 15_000.0))
     moved = [connects[move.id] for moves in early + late for move in moves]
     assert set(moved) == homes and len(moved) > 0.8 * 40 * len(homes)
     # Not as a crowd: under two in five of them in the first five seconds.
@@ -295,18 +295,18 @@
         fleet = [FakeHost(4, seed=at, siblings=200, me=at) for at in range(200)]
         for host in fleet:
             key = next(key for key in KEYS if host.default(key) == "s1")
-            host.list(i.Server("s1", state=i.DRAINING))
+            host.list(events.Server("s1", state=events.DRAINING))
             host.open(key)
-            host.list(i.Server("s1", started=host.now + 1.0))
+            host.list(events.Server("s1", started=host.now + 1.0))
             host.director.crowd, host.director.crowd_at = 1.0 + crowd, 1_000.0
-        moves[crowd] = sum(len(of(i.Move, host.wait(4_000.0))) for host in fleet)
+        moves[crowd] = sum(len(of(events.Move, host.wait(4_000.0))) for host in fleet)
     assert 0 < 3 * moves[40] < moves[0]
 
 
 def test_the_quick_order_of_a_large_fleet_is_the_whole_one():
     # i781c5a: ranking 185 servers for each segment after each list took five times the CPU allowed.
     host, dice = FakeHost(0), random.Random(5)
-    host.list(*(i.Server(f"s{at}", size=dice.choice((0.7, 1.0, 2.0))) for at in range(90)))
+    host.list(*(events.Server(f"s{at}", size=dice.choice((0.7, 1.0, 2.0))) for at in range(90)))
     fleet, quick = host.director, [host.director._order(segment) for segment in range(200)]
     fleet.orders.clear()
     fleet.capacity = 1e-9  # no server is left out now
@@ -320,8 +320,8 @@
     for at in range(40):
         host = FakeHost(2)
         host.director.chance.seed(at)
-        host.tell(i.DelayNoted(host.open().server, 500.0))
-        moved += len(of(i.Move, host.wait(2000.0)))
+        host.tell(events.DelayNoted(host.open().server, 500.0))
+        moved += len(of(events.Move, host.wait(2000.0)))
     assert 12 <= moved <= 28
 
 
@@ -330,28 +330,28 @@
     host, connects = FakeHost(60, warm_after=0.0), 0
     for at in range(60):
         answer = host.ask(f"key-{at}")
-        while isinstance(answer, i.Connect):
+        while isinstance(answer, events.Connect):
             connects += 1
-            answer = host.end(answer, i.ERROR)[-1]
+            answer = host.end(answer, events.ERROR)[-1]
     assert connects <= 20
     host.wait(60_000.0)
-    assert isinstance(host.ask(), i.Connect)
+    assert isinstance(host.ask(), events.Connect)
 
 
 def test_where_a_fleet_has_grown_cold_flows_find_the_warm_servers():
     # i781c5a: of 740 servers 555 were cold; 377 balancers waited for turns and refused half of all flows.
     host = FakeHost(3, siblings=377, me=300)
     host.now = 1000.0
-    host.list(*(i.Server(f"c{at}", started=1000.0) for at in range(5)))
+    host.list(*(events.Server(f"c{at}", started=1000.0) for at in range(5)))
     answers = [host.ask(key, returned=at % 2 > 0) for at, key in enumerate(KEYS)]
-    assert len(of(i.Connect, answers)) == len(KEYS)
+    assert len(of(events.Connect, answers)) == len(KEYS)
     sent = 0
     for me in range(0, 377, 10):
         host = FakeHost(1, siblings=377, me=me)
         for at in range(20):
             host.open(f"key-{at}")
             host.wait(1000.0)
-        host.list(i.Server("cold", started=host.now))
+        host.list(events.Server("cold", started=host.now))
         host.now += 3000.0
         sent += host.ask(f"key-{me}").server == "cold"
     assert 2 <= sent <= 19
@@ -362,13 +362,13 @@
     host = FakeHost(6, tells_delay=True)
     host.open()
     host.wait(20_000.0)
-    host.list(i.Server("cold", started=host.now))
+    host.list(events.Server("cold", started=host.now))
     host.now += 19_000.0
     for at in range(6):
-        host.tell(i.DelayNoted(f"s{at}", 500.0))
+        host.tell(events.DelayNoted(f"s{at}", 500.0))
     for key in KEYS:
         if host.default(key) != "cold":
-            assert isinstance(host.ask(key), i.Reject)
+            assert isinstance(host.ask(key), events.Reject)
 
 
 def test_a_server_whose_set_ups_take_far_longer_than_the_others_is_overdriven():
@@ -378,7 +378,7 @@
     def open_in(ms, key):
         connect = host.ask(key)
         host.now += ms(connect.server)
-        host.tell(i.Established(connect.id, connect.server))
+        host.tell(events.Established(connect.id, connect.server))
         return connect.server
 
     slow = host.ask().server
@@ -386,7 +386,7 @@
         open_in(lambda server: 20.0, key)
     seen = {open_in(lambda server: 90.0 if server == slow else 20.0, key) for key in KEYS[:40]}
     assert slow in seen and slow not in {host.ask(key).server for key in KEYS[:20]}
-    assert of(i.Move, host.wait(2000.0))
+    assert of(events.Move, host.wait(2000.0))
     host.now += 30_000.0
     for key in KEYS:  # a crowd slows all alike; the first two of it may look like overdriven servers
         open_in(lambda server: 200.0, key)
@@ -409,9 +409,9 @@
     large = [host.open(str(at), group=lies[busy][0]).id for at in range(4)]
     lone = host.open("k", group=lies[busy][1])
     host.open("k", group=lies[other][0])
-    host.tell(i.LoadNoted(lone.id, 9_000_000.0))
-    host.tell(i.DelayNoted(busy, 900.0))
-    moved = [move.id for move in of(i.Move, host.wait(2000.0))]
+    host.tell(events.LoadNoted(lone.id, 9_000_000.0))
+    host.tell(events.DelayNoted(busy, 900.0))
+    moved = [move.id for move in of(events.Move, host.wait(2000.0))]
     assert moved and set(moved) <= set(large)
     assert host.ask(group=lies[busy][0]).server == idle
 
@@ -434,10 +434,10 @@
     for at in range(flows):
         action = host.ask(f"key{at}")
         answers[type(action)] += 1
-        if isinstance(action, i.Connect):
+        if isinstance(action, events.Connect):
             host.now += draw(action.server)
-            host.tell(i.Established(action.id, action.server))
-            host.end(action, i.OK, final=True)
+            host.tell(events.Established(action.id, action.server))
+            host.end(action, events.OK, final=True)
         host.now += gap
     return answers
 
@@ -455,7 +455,7 @@
 def test_a_healthy_fleet_refuses_nobody_whatever_its_set_ups(servers, draw):
     # Eight idle servers, set-ups of 1 to 8 ms: 2,247 of 4,000 flows were refused.
     host, chance = FakeHost(servers), random.Random(3)
-    assert set_ups(host, lambda _: draw(chance), 400) == {i.Connect: 400}
+    assert set_ups(host, lambda _: draw(chance), 400) == {events.Connect: 400}
 
 
 def test_standing_connections_of_a_healthy_fleet_are_left_where_they_are():
@@ -464,8 +464,8 @@
     for at in range(600):
         connect = host.ask(f"key{at}")
         host.now += chance.uniform(1.0, 8.0)
-        host.tell(i.Established(connect.id, connect.server))
-        moves += of(i.Move, host.wait(1000.0) if not at % 100 else [])
+        host.tell(events.Established(connect.id, connect.server))
+        moves += of(events.Move, host.wait(1000.0) if not at % 100 else [])
     assert not moves
 
 
@@ -473,10 +473,10 @@
     host, moves = FakeHost(8), []
     for at in range(200):
         connect = host.ask(f"key{at}")
-        assert isinstance(connect, i.Connect)
+        assert isinstance(connect, events.Connect)
         host.now += 3.0 if connect.server == "s0" else 1.0
-        host.tell(i.Established(connect.id, connect.server))
-        moves += of(i.Move, host.wait(1000.0) if not at % 50 else [])
+        host.tell(events.Established(connect.id, connect.server))
+        moves += of(events.Move, host.wait(1000.0) if not at % 50 else [])
     assert not moves
 
 
@@ -485,7 +485,7 @@
     set_ups(host, lambda _: 1.0, 200)
     slow = host.ask("key1").server
     answers = set_ups(host, lambda server: 10.0 if server == slow else 1.0, 120)
-    assert answers == {i.Connect: 120} and slow not in {host.ask(f"key{at}").server for at in range(60)}
+    assert answers == {events.Connect: 120} and slow not in {host.ask(f"key{at}").server for at in range(60)}
 
 
 def test_a_stall_of_ours_amid_many_set_ups_is_no_servers_fault():
@@ -494,9 +494,9 @@
     flying = [host.ask(f"key{at}") for at in range(100)]
     host.now += 50.0
     for connect in flying:
-        host.tell(i.Established(connect.id, connect.server))
-    assert all(isinstance(host.ask(f"key{at}"), i.Connect) for at in range(100))
-    assert not of(i.Move, host.wait(3000.0))
+        host.tell(events.Established(connect.id, connect.server))
+    assert all(isinstance(host.ask(f"key{at}"), events.Connect) for at in range(100))
+    assert not of(events.Move, host.wait(3000.0))
 
 
 def test_one_connect_too_slow_among_many_that_stood_paces_nobody():
@@ -504,11 +504,11 @@
     host = FakeHost(2)
     for at in range(200):
         connect = host.ask(f"key{at}")
-        assert isinstance(connect, i.Connect)
+        assert isinstance(connect, events.Connect)
         host.now += 5.0
         if at % 28 == 27:
-            connect = of(i.Connect, host.end(connect, i.TIMEOUT))[0]
-        host.tell(i.Established(connect.id, connect.server))
+            connect = of(events.Connect, host.end(connect, events.TIMEOUT))[0]
+        host.tell(events.Established(connect.id, connect.server))
 
 
 def test_a_server_that_must_be_paced_still_gets_a_share_of_hundreds_of_flows_a_second():
@@ -520,9 +520,9 @@
     for server in host.director.hosts.values():
         host.director._weaken(server)
     answers = set_ups(host, lambda _: 1.0, 300, gap=2.0)
-    assert 50 <= answers[i.Connect] <= 290
+    assert 50 <= answers[events.Connect] <= 290
     # 12 s of pacing outlasted a trouble over which hundreds of set-ups in time had passed.
-    assert set_ups(host, lambda _: 1.0, 100, gap=2.0) == {i.Connect: 100}
+    assert set_ups(host, lambda _: 1.0, 100, gap=2.0) == {events.Connect: 100}
 
 
 def test_flows_go_beside_their_segments_order_before_they_are_refused():
@@ -530,28 +530,28 @@
     host = FakeHost(8)
     for server in ("s0", "s1", "s2", "s3"):
         host.director.hosts[server].hot = host.now + 1e6
-    assert set_ups(host, lambda _: 1.0, 200) == {i.Connect: 200}
+    assert set_ups(host, lambda _: 1.0, 200) == {events.Connect: 200}
 
 
 def test_a_server_is_slow_from_a_third_of_the_message_target_and_late_from_all_of_it():
     # kranj-works quiet: 28 ms counted as well again beside a target of 50, messages were late for 13 s.
     host = FakeHost(2, tells_delay=True, message_target=60.0)
     slow = host.ask().server
-    host.tell(i.DelayNoted(slow, 28.0))
+    host.tell(events.DelayNoted(slow, 28.0))
     assert {host.ask(key).server for key in KEYS} == {"s0", "s1"} - {slow}
     other = ({"s0", "s1"} - {slow}).pop()
-    host.tell(i.DelayNoted(other, 90.0))
+    host.tell(events.DelayNoted(other, 90.0))
     assert host.ask().server == slow  # slow ones still serve before a flow is refused
-    host.tell(i.DelayNoted(slow, 90.0))
-    assert isinstance(host.ask(), i.Reject)
+    host.tell(events.DelayNoted(slow, 90.0))
+    assert isinstance(host.ask(), events.Reject)
 
 
 def test_a_server_that_is_well_again_is_passed_by_until_what_filled_it_has_left():
     # pasig-main quiet: one server jammed eight times in 45 s, its clients came back at once.
     host = FakeHost(2, tells_delay=True, message_target=60.0)
     slow = host.ask().server
-    host.tell(i.DelayNoted(slow, 28.0))
-    host.tell(i.DelayNoted(slow, 5.0))
+    host.tell(events.DelayNoted(slow, 28.0))
+    host.tell(events.DelayNoted(slow, 5.0))
     host.now += 15_000.0
     assert host.ask().server != slow
     host.now += 6_000.0
@@ -565,15 +565,15 @@
         host = FakeHost(2, tells_delay=True, message_target=60.0)
         host.director.chance.seed(at)
         delay = (65.0, 600.0)[at % 2]
-        host.tell(i.DelayNoted(host.open().server, delay))
-        moved[delay] += len(of(i.Move, host.wait(2000.0)))
+        host.tell(events.DelayNoted(host.open().server, delay))
+        moved[delay] += len(of(events.Move, host.wait(2000.0)))
     assert moved[65.0] <= 30 < 35 <= moved[600.0] <= 65
 
 
 def test_a_server_of_twice_the_size_gets_four_times_the_segments():
     # pasig-main quiet: two-core servers jammed under 3 connections while larger ones stood empty.
     host = FakeHost(0)
-    host.list(*(i.Server(f"s{at}", size=2.0 + 2.0 * (at < 4)) for at in range(8)))
+    host.list(*(events.Server(f"s{at}", size=2.0 + 2.0 * (at < 4)) for at in range(8)))
     got = Counter(host.ask(f"key-{at}").server in ("s0", "s1", "s2", "s3") for at in range(1000))
     assert 720 <= got[True] <= 880
 
@@ -584,9 +584,9 @@
     for me in range(94):
         host = FakeHost(0, siblings=94, me=me, tells_delay=True)
         host.now = 20_000.0
-        host.list(*(i.Server(f"s{at}", size=3.0) for at in range(3)), scope=i.WHOLE)
+        host.list(*(events.Server(f"s{at}", size=3.0) for at in range(3)), scope=events.WHOLE)
         host.director.rate = host.director.asks = 0.35
-        host.list(i.Server("cold", size=size, started=host.now))
+        host.list(events.Server("cold", size=size, started=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default(key) == "cold")
         sent += host.ask(key, returned=returned).server == "cold"
@@ -606,7 +606,7 @@
     host = FakeHost(48, siblings=200, me=0)
     for key in [key for key in KEYS if host.default(key) != "cold"][:5]:
         host.open(key)
-    host.list(i.Server("cold", started=1.0))
+    host.list(events.Server("cold", started=1.0))
     cold = host.director.hosts["cold"]
     spots = host.director.seen
     spots.clear()
@@ -639,7 +639,7 @@
         for me, host in enumerate(hosts):
             host.now = 40_000.0 + 100.0 * step
             if not step:
-                host.list(i.Server("cold", started=38_000.0))
+                host.list(events.Server("cold", started=38_000.0))
             if (step + me) % 5 == 0:
                 sent += host.open(f"key-{me}-{step}").server == "cold"
     # Each holds four at 48 servers: a warm server bears 17, this one by the rule 3 x 14 to 33% of them.
@@ -653,7 +653,7 @@
     spills of jammed servers, second tries, clients that are moved home.
     """
     draw, hosts, came = random.Random(seed), [], 0
-    cold = i.Server("cold", started=38_000.0)
+    cold = events.Server("cold", started=38_000.0)
     probe = FakeHost(59, shares_work=True)
     probe.list(cold)
     hot = next(key for key in map(str, range(seed, 10_000)) if probe.default(key) == "cold")
@@ -675,13 +675,13 @@
         host.now = at
         host.director.hosts[f"s{draw.randrange(59)}"].weak = at + 5_000.0
         actions = [host.ask(str(at), group=group(), returned=True)]
-        if isinstance(actions[0], i.Connect) and draw.random() < 0.1:
+        if isinstance(actions[0], events.Connect) and draw.random() < 0.1:
             came += actions[0].server == "cold"
-            actions = host.end(actions[0], i.UNREACHABLE)
-        came += sum(connect.server == "cold" for connect in of(i.Connect, actions))
+            actions = host.end(actions[0], events.UNREACHABLE)
+        came += sum(connect.server == "cold" for connect in of(events.Connect, actions))
         if draw.random() < 0.3:
-            for move in of(i.Move, host.tell(i.Wake("tick"))):
-                host.end(i.Connect(move.id, ""), i.CANCELLED, final=True)
+            for move in of(events.Move, host.tell(events.Wake("tick"))):
+                host.end(events.Connect(move.id, ""), events.CANCELLED, final=True)
     return came
 
 
@@ -707,7 +707,7 @@
             host.now = now * 1000.0
             if not step % 20:
                 host.wait(0.0)
-                host.tell(i.Wake("tick"))
+                host.tell(events.Wake("tick"))
         back = []
         for at, client, returned in due:
             if at > now:
@@ -716,16 +716,16 @@
             host = draw.choice(hosts)
             asks += 1
             answer = host.ask(f"key-{client}", returned=returned)
-            if isinstance(answer, i.Reject):
+            if isinstance(answer, events.Reject):
                 back.append((now + answer.retry_after / 1000.0, client, True))
                 continue
-            host.tell(i.Established(answer.id, answer.server))
+            host.tell(events.Established(answer.id, answer.server))
             full = stand[answer.server]
             full.append((host, answer, client))
             if len(full) > 20:
                 for _ in range(7):
                     host, connect, client = full.pop(draw.randrange(len(full)))
-                    host.end(connect, i.RESET, final=True)
+                    host.end(connect, events.RESET, final=True)
                     back.append((now + 0.1, client, True))
                     cuts += 1
         due = back
@@ -746,8 +746,10 @@
     def places(groups):
         host, draw = FakeHost(60, siblings=200, shares_work=True), random.Random(1)
         for n in range(20):
-            host.end(host.open(f"c{n}", group=f"g{draw.randrange(groups)}"), i.OK, final=True)
-        found = [host.director._hold(i.Flow(-n, "live", None, f"g{n}", f"c{n}", 0.0)) for n in range(groups)]
+            host.end(host.open(f"c{n}", group=f"g{draw.randrange(groups)}"), events.OK, final=True)
+        found = [
+            host.director._hold(events.Flow(-n, "live", None, f"g{n}", f"c{n}", 0.0)) for n in range(groups)
+        ]
         return sum(held.place > 0 for held in found) / groups
 
     assert places(500) < 0.1 and places(20) > 0.2
@@ -757,7 +759,7 @@
     # ica69c5: a list of 251 servers was made for each of 2,000 moves a second, the day was cut off.
     host = FakeHost(50, tells_delay=True, message_target=60.0, warm_after=0.0)
     server = host.open().server
-    host.tell(i.DelayNoted(server, 900.0))
+    host.tell(events.DelayNoted(server, 900.0))
     asked = []
     host.director._cold = lambda known: asked.append(known) or False
     host.director._move_off(host.director.hosts[server])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,16 +8,16 @@
 from collections import Counter
 
 import pytest
-from fakehost import FakeServer, discovery
+from harness import FakeServer, discovery
 from twisted.internet import task
 from twisted.internet.testing import StringTransport
 
-from lotusroute.fleet import disk, plan
-from lotusroute.fleet.link import Connection, Link
-from lotusroute.rig.hunt import scenario
-from lotusroute.rig.judge import judge
-from lotusroute.rig.processes import Fleet
-from lotusroute.vip import Malformed
+from lotusroute.fault_injection.invariants import judge
+from lotusroute.fault_injection.processes import Fleet
+from lotusroute.fault_injection.random_scenarios import scenario
+from lotusroute.fleet import acceptor_storage, config
+from lotusroute.fleet.transport import Connection, Link
+from lotusroute.service_config import Malformed
 
 TOLD = {
     "name": "f",
@@ -43,29 +43,29 @@
 )
 def test_a_faulty_file_is_named_by_its_key_and_the_mend(change, says, tmp_path):
     with pytest.raises(Malformed, match=says.replace(".", r"\.")):
-        plan.plan({**TOLD, **change})
+        config.plan({**TOLD, **change})
     file = tmp_path / "fleet.toml"
     file.write_text("name = ")
     with pytest.raises(Malformed, match=f"LB_FLEET: {file}"):
-        plan.read(file)
+        config.read(file)
 
 
 def test_what_is_on_disk_is_the_old_number_or_the_new_one_and_a_spoilt_file_starts_no_keeper(tmp_path):
-    assert disk.load(tmp_path) == 0
-    disk.store(tmp_path, 1024)
-    disk.store(tmp_path, 2048)
-    assert disk.load(tmp_path) == 2048
+    assert acceptor_storage.load(tmp_path) == 0
+    acceptor_storage.store(tmp_path, 1024)
+    acceptor_storage.store(tmp_path, 2048)
+    assert acceptor_storage.load(tmp_path) == 2048
     (tmp_path / "promised.new").write_text("40")  # a crash in the middle of the next
-    assert disk.load(tmp_path) == 2048
-    (tmp_path / disk.FILE).write_text("2049 00000000\n")
+    assert acceptor_storage.load(tmp_path) == 2048
+    (tmp_path / acceptor_storage.FILE).write_text("2049 00000000\n")
     with pytest.raises(Malformed, match="spoilt"):
-        disk.load(tmp_path)
+        acceptor_storage.load(tmp_path)
 
 
 def _way(served=lambda peer, kind, body: body):
     """One connection from a peer that has not said who it is."""
     clock, counts = task.Clock(), Counter()
-    connection = Connection(Link(clock, plan.plan(TOLD), "a", random.Random(1), counts, served))
+    connection = Connection(Link(clock, config.plan(TOLD), "a", random.Random(1), counts, served))
     transport = StringTransport()
     transport.setTcpNoDelay = transport.setTcpKeepAlive = lambda _: None
     transport.abortConnection = lambda: setattr(transport, "disconnecting", True)
@@ -195,7 +195,14 @@
 def test_without_the_file_the_program_imports_nothing_of_the_fleet():
     call = [sys.executable, "-c", "import sys, lotusroute.__main__; print(sorted(sys.modules))"]
     loaded = subprocess.run(call, capture_output=True, text=True, timeout=20, check=True).stdout
-    for name in ("lotusroute.fleet", "lotusroute.leases", "lotusroute.rig", "msgspec", "click", "tomllib"):
+    for name in (
+        "lotusroute.fleet",
+        "lotusroute.leases",
+        "lotusroute.fault_injection",
+        "msgspec",
+        "click",
+        "tomllib",
+    ):
         assert f"'{name}'" not in loaded
 
 
--- a/tests/test_endings.py
+++ b/tests/test_flow_completion.py
@@ -13,14 +13,14 @@
 import types
 
 import pytest
-from fakehost import DEADLINE, SETTINGS, Balancer, FakeHost, FakeServer, SlowDoor, soon
+from harness import DEADLINE, SETTINGS, Balancer, FakeHost, FakeServer, SlowDoor, soon
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lotusroute import interface as i
-from lotusroute.net.clients import Asked, Clients
 from lotusroute.net.discovery import Discovery, Listed
+from lotusroute.net.downstream import Asked, Clients
 from lotusroute.net.owner import Owner
+from lotusroute.routing import events
 
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 FIRST = next(key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0")  # s0 first
@@ -534,10 +534,10 @@
             raise OSError("gone")
         done.append(action.id)
 
-    actions = [i.Move(1), i.Move(2)]
-    owner = broken_owner(_do={i.Move: move}, director=types.SimpleNamespace(decide=lambda *_: actions))
+    actions = [events.Move(1), events.Move(2)]
+    owner = broken_owner(_do={events.Move: move}, director=types.SimpleNamespace(decide=lambda *_: actions))
     owner._forget = forgotten.append
-    Owner._decide(owner, i.Wake("tick"))
+    Owner._decide(owner, events.Wake("tick"))
     assert done == [2] and forgotten == [1]
 
 
@@ -552,14 +552,14 @@
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
     owner = broken_owner()
     owner.relist = following.forget
-    Owner._failed(owner, Listed(i.CHANGES, (), {}), 0)
+    Owner._failed(owner, Listed(events.CHANGES, (), {}), 0)
     assert following.seq is None
 
 
 def test_a_referenced_flow_of_an_unknown_group_that_may_have_run_goes_nowhere_else():
-    kind = i.ServiceType(300.0, i.REFERENCED, "shelf", 9_000.0)
-    host = FakeHost(vip=i.Vip({"live": kind}, max_connects=4))
-    assert host.end(host.ask(), i.RESET) == [i.Abort(1)]
+    kind = events.ServiceType(300.0, events.REFERENCED, "shelf", 9_000.0)
+    host = FakeHost(vip=events.Vip({"live": kind}, max_connects=4))
+    assert host.end(host.ask(), events.RESET) == [events.Abort(1)]
 
 
 assert DEADLINE > 4.0  # the longest that a story above waits for its answer
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -14,23 +14,24 @@
 from twisted.internet import defer, task
 from twisted.internet.testing import StringTransport
 
-from lotusroute import interface as i
 from lotusroute.adapter import wire
-from lotusroute.fleet import disk, plan
-from lotusroute.fleet.link import Connection, Failed, Link
-from lotusroute.fleet.part import Part
-from lotusroute.fleet.watch import Watch
-from lotusroute.leases.asker import Asker
-from lotusroute.leases.keeper import Keeper, Kept
-from lotusroute.leases.words import Leave, Want
-from lotusroute.net import lines, startup
-from lotusroute.net.clients import Clients, ClientSide, opening
+from lotusroute.fleet import acceptor_storage, config
+from lotusroute.fleet.lease_service import Part
+from lotusroute.fleet.shared_discovery import Watch
+from lotusroute.fleet.transport import Connection, Failed, Link
+from lotusroute.leases.acceptor import Keeper, Kept
+from lotusroute.leases.messages import Leave, Want
+from lotusroute.leases.proposer import Asker
+from lotusroute.net import config as net_config
+from lotusroute.net import line_protocol
+from lotusroute.net.downstream import Clients, ClientSide, opening
 from lotusroute.net.owner import Owner
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Beat
-from lotusroute.relay.host import Relay
-from lotusroute.relay.news import Delta, Snapshot, Version
-from lotusroute.vip import Malformed
+from lotusroute.relay.server import Relay
+from lotusroute.relay.versioned_store import Delta, Snapshot, Version
+from lotusroute.routing import events
+from lotusroute.service_config import Malformed
 
 NOW = 10_000.0
 PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
@@ -58,7 +59,7 @@
 
 def _part(name, state):
     """A Part at a fixed clock, with a FakeLink; the keeper, if any, speaks and may promise up to 4095."""
-    part = Part(task.Clock(), plan.plan({**FLEET, "state": str(state)}), name, Counter())
+    part = Part(task.Clock(), config.plan({**FLEET, "state": str(state)}), name, Counter())
     part.clock, part.link = lambda: NOW, FakeLink()
     part.asker = Asker(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
     if part.keeper is not None:
@@ -68,7 +69,7 @@
 
 
 def _connection(peer="", serve=None):
-    link = Link(task.Clock(), plan.plan(FLEET), "a", random.Random(1), Counter(), serve)
+    link = Link(task.Clock(), config.plan(FLEET), "a", random.Random(1), Counter(), serve)
     connection, transport = Connection(link, peer), StringTransport()
     transport.setTcpNoDelay = transport.setTcpKeepAlive = lambda _: None
     transport.abortConnection = lambda: setattr(transport, "disconnecting", True)
@@ -305,15 +306,15 @@
 
 
 def test_the_number_on_disk_is_this_file(tmp_path):
-    disk.store(str(tmp_path), 2048)
+    acceptor_storage.store(str(tmp_path), 2048)
     kept = [(file.name, file.read_bytes()) for file in tmp_path.iterdir()]
     assert kept == [("promised", b"2048 cc2541cf\n")]
     (tmp_path / "promised").write_bytes(b"2048 cc2541cf\n")
-    assert disk.load(str(tmp_path)) == 2048
+    assert acceptor_storage.load(str(tmp_path)) == 2048
     for spoilt in (b"2049 cc2541cf\n", b"2048 cc2541ce\n", b"2048\n", b"", b"\xff"):
         (tmp_path / "promised").write_bytes(spoilt)
         with pytest.raises(Malformed):
-            disk.load(str(tmp_path))
+            acceptor_storage.load(str(tmp_path))
 
 
 FLEET_FILE = """name = "example"\nstate = "/var/lib/x"\nkeepers = ["n1", "n2", "n3"]
@@ -336,7 +337,7 @@
 def test_the_operators_files_are_read_to_these_values(tmp_path):
     file = tmp_path / "file"
     file.write_text(FLEET_FILE)
-    name, state, peers, tasks, terms, guests = plan.read(file)
+    name, state, peers, tasks, terms, guests = config.read(file)
     assert (name, state, guests) == ("example", "/var/lib/x", 400)
     assert peers == {f"n{at}": (f"10.0.0.{at}", 9700) for at in (1, 2, 3)}
     assert tasks == ("watch", "cold", "check", "origin")
@@ -344,15 +345,15 @@
     file.write_text(RELAYS_FILE)
     assert subscription.read(file) == ("example", {"r1": ("10.0.0.1", 9800)}, {"r3": ("10.0.0.3", 9800)})
     file.write_text(CONFIG)
-    told = startup.read({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
+    told = net_config.read({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     known = json.loads(CONFIG)["known"]
-    types = {"live": (300.0, i.REFERENCED, "zone", 60000.0), "a": (0.0, i.REPEATABLE, "all", 0.0)}
-    types["b"] = (0.0, i.ONCE_ONLY, "all", 0.0)
+    types = {"live": (300.0, events.REFERENCED, "zone", 60000.0), "a": (0.0, events.REPEATABLE, "all", 0.0)}
+    types["b"] = (0.0, events.ONCE_ONLY, "all", 0.0)
     posting = ("n2", ("127.0.0.1", 9000), ("127.0.0.1", 8500), 0x35656564, 2048, 80.0, {"t1"}, known)
     assert told == (*posting, (types, *VIP), 300.0, 3000.0, 600.0, True, "DEBUG")
     environ = {"LB_FLEET": "x", "LB_RELAYS": "y", "LB_LISTEN": "h:1", "LB_DISCOVERY": "h:2"}
-    assert (startup.fleet_file(environ), startup.relays_file(environ)) == ("x", "y")
-    told = startup.read({**environ, "LB_CONFIG": str(file)})
+    assert (net_config.fleet_file(environ), net_config.relays_file(environ)) == ("x", "y")
+    told = net_config.read({**environ, "LB_CONFIG": str(file)})
     assert (told.listen, told.discovery) == (("h", 1), ("h", 2))
 
 
@@ -379,9 +380,18 @@
 
 
 def test_the_words_of_the_protocol_and_the_line_to_a_server():
-    words = [lines.OPEN, lines.UP, lines.BUSY, lines.ERR, lines.MOVE, lines.BYE, lines.LOAD, lines.PING]
+    words = [
+        line_protocol.OPEN,
+        line_protocol.UP,
+        line_protocol.BUSY,
+        line_protocol.ERR,
+        line_protocol.MOVE,
+        line_protocol.BYE,
+        line_protocol.LOAD,
+        line_protocol.PING,
+    ]
     assert words == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
-    told = SimpleNamespace(posting=SimpleNamespace(vip=i.Vip({}, max_retry_after=900.0)))
+    told = SimpleNamespace(posting=SimpleNamespace(vip=events.Vip({}, max_retry_after=900.0)))
     assert [Owner._busy(told, ms) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
     asked = opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
     assert asked[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
@@ -391,13 +401,13 @@
 @pytest.mark.parametrize(
     "action, line",
     [
-        (i.Connect(7, "s:80", 80.0), "pass_on 7 s:80 80.000"),
-        (i.Reject(7, 2.5), "not_now 7 2.500"),
-        (i.Abort(7), "abort 7"),
-        (i.Move(7), "relocate 7"),
-        (i.WakeMe(1.5, "m"), "remind 1.500 m"),
-        (i.Subscribe(), "listen 1"),
-        (i.Say("a line"), "remark a line"),
+        (events.Connect(7, "s:80", 80.0), "pass_on 7 s:80 80.000"),
+        (events.Reject(7, 2.5), "not_now 7 2.500"),
+        (events.Abort(7), "abort 7"),
+        (events.Move(7), "relocate 7"),
+        (events.WakeMe(1.5, "m"), "remind 1.500 m"),
+        (events.Subscribe(), "listen 1"),
+        (events.Say("a line"), "remark a line"),
     ],
 )
 def test_each_action_is_written_as_this_line(action, line):
@@ -410,30 +420,30 @@
 @pytest.mark.parametrize(
     "line, kind, values",
     [
-        ("ask 7 live t g 0 k 3 1800.5", i.Flow, (7, "live", "t", "g", "k", 1800.5, False, False)),
-        ("ask 7 live - - 8 - 3 9", i.Flow, (7, "live", None, None, None, 9.0, True, False)),
-        ("ask 7 live - - 2 - 3 9", i.Flow, (7, "live", None, None, None, 9.0, False, True)),
-        ("ask 7 live - - 16 - 3 9", i.Flow, (7, "live", None, None, None, 9.0, False, True)),
-        ("already_open 7 live t k 5.5 0 g 0 s", i.AlreadyOpen, (OPEN_FLOW, "s")),
-        ("under_way 7 0 s 1", i.Established, (7, "s")),
-        ("withdrawn 7", i.Withdrawn, (7,)),
-        ("alarm m", i.Wake, ("m",)),
-        ("notice 7 0 s 1 2.5", i.LoadNoted, (7, 2.5)),
-        ("notice 7 0 s 2 2.5", i.DelayNoted, ("s", 2.5)),
+        ("ask 7 live t g 0 k 3 1800.5", events.Flow, (7, "live", "t", "g", "k", 1800.5, False, False)),
+        ("ask 7 live - - 8 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, True, False)),
+        ("ask 7 live - - 2 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
+        ("ask 7 live - - 16 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
+        ("already_open 7 live t k 5.5 0 g 0 s", events.AlreadyOpen, (OPEN_FLOW, "s")),
+        ("under_way 7 0 s 1", events.Established, (7, "s")),
+        ("withdrawn 7", events.Withdrawn, (7,)),
+        ("alarm m", events.Wake, ("m",)),
+        ("notice 7 0 s 1 2.5", events.LoadNoted, (7, 2.5)),
+        ("notice 7 0 s 2 2.5", events.DelayNoted, ("s", 2.5)),
         ("notice 7 0 s 3 2.5", None, ()),
         ("checked 1 2 3 4", None, ()),
         ("from_peer 1 2", None, ()),
         *(
-            (f"resolved 7 1 s 0 0 {code} -", i.Ended, (7, "s", True, result))
+            (f"resolved 7 1 s 0 0 {code} -", events.Ended, (7, "s", True, result))
             for code, result in [
-                ("S", i.OK),
-                ("E", i.ERROR),
-                ("F", i.FULL),
-                ("T", i.TIMEOUT),
-                ("C", i.UNREACHABLE),
-                ("R", i.RESET),
-                ("X", i.CANCELLED),
-                ("N", i.UNSENT),
+                ("S", events.OK),
+                ("E", events.ERROR),
+                ("F", events.FULL),
+                ("T", events.TIMEOUT),
+                ("C", events.UNREACHABLE),
+                ("R", events.RESET),
+                ("X", events.CANCELLED),
+                ("N", events.UNSENT),
             ]
         ),
     ],
@@ -445,9 +455,14 @@
 
 
 def test_rows_scopes_and_the_names_of_messages_are_these():
-    for code, state in (("IN", i.READY), ("LAME", i.DRAINING), ("OUT", i.GONE)):
+    for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.GONE)):
         assert wire.row(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
-    scopes = {"changes": i.CHANGES, "all": i.WHOLE, "remembered": i.REMEMBERED, "refused": i.REFUSED}
+    scopes = {
+        "changes": events.CHANGES,
+        "all": events.WHOLE,
+        "remembered": events.REMEMBERED,
+        "refused": events.REFUSED,
+    }
     assert scopes == wire.SCOPES
     names = "ask already_open under_way notice resolved withdrawn alarm checked from_peer"
     assert " ".join(wire.EVENTS) == names
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lotusroute.leases import asker as asker_module
-from lotusroute.leases import keeper as keeper_module
-from lotusroute.leases.asker import Asker
-from lotusroute.leases.keeper import BLOCK, Keeper
-from lotusroute.leases.words import (
+from lotusroute.fault_injection import lease_model_checker
+from lotusroute.leases import acceptor as acceptor_module
+from lotusroute.leases import proposer as proposer_module
+from lotusroute.leases.acceptor import BLOCK, Keeper
+from lotusroute.leases.messages import (
     HELD,
     LOW,
     SILENT,
@@ -25,7 +25,7 @@
     Told,
     Want,
 )
-from lotusroute.rig import explorer as rig
+from lotusroute.leases.proposer import Asker
 
 TERMS = Terms(("k1", "k2", "k3"))
 
@@ -190,11 +190,11 @@
     keeper = Keeper(TERMS, -10_000.0, 0)
     keeper.reserved(BLOCK)
     assert not keeper.decide(0.0, Prepare("t", 2**62, "a", 1))[0].yes
-    for at in range(keeper_module.TASKS):
+    for at in range(acceptor_module.TASKS):
         assert keeper.decide(0.0, Propose(f"t{at}", 7, "a", 1, 3_000.0))[0].yes
     assert keeper.decide(100.0, Prepare("one more", 8, "a", 2))[0].why == "full"
     assert keeper.decide(7_000.0, Prepare("one more", 8, "a", 3))[0].yes
-    assert len(keeper.kept) == keeper_module.TASKS and keeper.floor == 7
+    assert len(keeper.kept) == acceptor_module.TASKS and keeper.floor == 7
 
 
 def _late_answer(asker):
@@ -236,14 +236,14 @@
 
 def explore(walks, seed=1, **world):
     """Walk as often as that; raises at the first breach."""
-    chance, world = random.Random(seed), rig.Explorer(**world)
-    return sum(rig.walk(world, chance, 120) for _ in range(walks))
+    chance, world = random.Random(seed), lease_model_checker.Explorer(**world)
+    return sum(lease_model_checker.walk(world, chance, 120) for _ in range(walks))
 
 
 def test_no_order_of_messages_crashes_and_stalls_makes_two_holders():
     assert explore(600) > 600
     assert explore(300, askers=3) > 300
-    assert rig.search(rig.Explorer(crashes=0, doubles=0), 20_000)[0] == 20_000
+    assert lease_model_checker.search(lease_model_checker.Explorer(crashes=0, doubles=0), 20_000)[0] == 20_000
 
 
 def _from_the_answer(patch):
@@ -263,9 +263,9 @@
 
 
 def _lower_numbers(patch):
-    real = keeper_module.answer
+    real = acceptor_module.answer
     patch.setattr(
-        keeper_module,
+        acceptor_module,
         "answer",
         lambda kept, now, ask, terms: real(kept._replace(promised=0), now, ask, terms),
     )
@@ -294,14 +294,14 @@
 def test_the_explorer_convicts(name, monkeypatch):
     mutate, world = MUTANTS[name]
     mutate(monkeypatch)
-    with pytest.raises(rig.Breach):
+    with pytest.raises(lease_model_checker.Breach):
         explore(4_000, **world)
 
 
 def test_the_explorers_command_says_what_it_saw_and_refuses_an_empty_call(capsys):
-    assert rig.main(["--walks", "20", "--search", "200"]) == 0
+    assert lease_model_checker.main(["--walks", "20", "--search", "200"]) == 0
     assert "search: 200 states" in capsys.readouterr().out
     with pytest.raises(SystemExit) as ended:
-        rig.main([])
+        lease_model_checker.main([])
     assert ended.value.code == 2 and "give --walks N" in capsys.readouterr().err
-    assert asker_module.TASKS == 64
+    assert proposer_module.TASKS == 64
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -4,11 +4,11 @@
 import os
 
 import pytest
-from fakehost import SETTINGS, Balancer, FakeServer
+from harness import SETTINGS, Balancer, FakeServer
 
 from lotusroute import migrate
-from lotusroute.net import startup
-from lotusroute.vip import Malformed
+from lotusroute.net import config
+from lotusroute.service_config import Malformed
 
 OLD = {
     **SETTINGS,
@@ -127,11 +127,11 @@
     ],
 )
 def test_a_bad_setting_is_named_at_the_start_too(old, path, value):
-    told = startup.load(old)
+    told = config.load(old)
     migrate.put(told, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
     with pytest.raises(Malformed, match=rf"^settings[:.].*{named}"):
-        startup.posting(told, {})
+        config.posting(told, {})
 
 
 def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_a_probe():
--- a/tests/test_net.py
+++ b/tests/test_network.py
@@ -12,18 +12,18 @@
 from collections import Counter
 
 import pytest
-from fakehost import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
+from harness import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
 from twisted.internet import defer
 from twisted.internet.testing import StringTransport
 
-from lotusroute import interface
-from lotusroute.net import log, startup
-from lotusroute.net.clients import Asked, opening
+from lotusroute.net import config, structured_log
 from lotusroute.net.discovery import REFUSAL, Discovery, Failed
-from lotusroute.net.lines import SliceReceiver
+from lotusroute.net.downstream import Asked, opening
+from lotusroute.net.line_protocol import SliceReceiver
 from lotusroute.net.owner import DRAIN_SPREAD, STEP, Owner
-from lotusroute.net.servers import WRITTEN, Link, ServerSide
-from lotusroute.vip import Malformed
+from lotusroute.net.upstream import WRITTEN, Link, ServerSide
+from lotusroute.routing import events
+from lotusroute.service_config import Malformed
 
 
 def test_a_flow_is_served_and_lines_pass_unchanged_both_ways():
@@ -153,7 +153,7 @@
 def test_refused_for_minutes_it_is_never_behind_for_longer_than_a_drain_allows(monkeypatch):
     # Pauses grew to 12 s: what is told 6 s after it is out was sent to for up to 4 s beyond the grace of 2.
     pauses = []
-    following = Discovery(("127.0.0.1", 1), 4, 7, print, log.Counts())
+    following = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counts())
 
     async def refused():
         following.closed = len(pauses) == 200
@@ -607,7 +607,7 @@
     if told is not None:
         file.write_text(json.dumps({**good, **told}))
     with pytest.raises(Malformed, match=f"^{key}"):
-        startup.read({"LB_CONFIG": str(file)})
+        config.read({"LB_CONFIG": str(file)})
 
 
 def test_a_faulty_start_exits_with_2_and_says_why():
@@ -617,8 +617,8 @@
 
 
 def test_settings_of_sockets_and_of_the_bench_give_one_vip():
-    vip = startup.decode_vip(dict(startup.flatten(SETTINGS)))
-    assert vip.service_types == {"live": interface.ServiceType(300.0)} and vip.max_retry_after == 1000.0
+    vip = config.decode_vip(dict(config.flatten(SETTINGS)))
+    assert vip.service_types == {"live": events.ServiceType(300.0)} and vip.max_retry_after == 1000.0
 
 
 def test_lines_are_slices_of_what_was_read_and_only_a_rest_is_copied():
@@ -651,7 +651,7 @@
     file = tmp_path / "told.json"
     good = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     file.write_text(json.dumps(good))
-    owner = Owner(startup.read({"LB_CONFIG": str(file)}), log.Counts())
+    owner = Owner(config.read({"LB_CONFIG": str(file)}), structured_log.Counts())
     for late, flows in (0.0, 1), (70_000.0, 1):
         owner.epoch += late
         side = Side()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,17 +12,28 @@
 
 import msgspec
 import pytest
-from fakehost import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
+from harness import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
 
 from lotusroute.cli import command
+from lotusroute.fault_injection import relay_model_checker
 from lotusroute.relay import fanout as fanout_module
-from lotusroute.relay import follower as follower_module
 from lotusroute.relay import messages, subscription
+from lotusroute.relay import relay_selector as relay_selector_module
 from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, SNAPSHOTS, SPACE, Beat, Drop, FanOut
-from lotusroute.relay.follower import JOIN, SILENT, STALE, Follower, Join, Quit, order
-from lotusroute.relay.news import GAP, OLDER, SAME, SPOILT, TAKEN, Delta, Refused, Snapshot, Store, Version
-from lotusroute.rig import news as explorer
-from lotusroute.vip import Malformed
+from lotusroute.relay.relay_selector import JOIN, SILENT, STALE, Follower, Join, Quit, order
+from lotusroute.relay.versioned_store import (
+    GAP,
+    OLDER,
+    SAME,
+    SPOILT,
+    TAKEN,
+    Delta,
+    Refused,
+    Snapshot,
+    Store,
+    Version,
+)
+from lotusroute.service_config import Malformed
 
 # The store
 
@@ -81,7 +92,7 @@
 
 
 def test_what_has_left_is_told_as_long_as_it_is_remembered_and_then_by_a_snapshot(monkeypatch):
-    monkeypatch.setattr("lotusroute.relay.news.GONE", 3)
+    monkeypatch.setattr("lotusroute.relay.versioned_store.GONE", 3)
     origin = filled()
     origin.publish(1, {f"g{at}": b"x" for at in range(9)})
     early = origin.version
@@ -108,7 +119,7 @@
 
 
 def test_no_order_of_messages_crashes_and_origins_takes_anybody_back():
-    counts = sum((explorer.walk(seed) for seed in range(300)), start=explorer.Counter())
+    counts = sum((relay_model_checker.walk(seed) for seed in range(300)), start=relay_model_checker.Counter())
     assert min(counts[outcome] for outcome in (TAKEN, SAME, OLDER, GAP, SPOILT)) > 10  # all were met
 
 
@@ -166,18 +177,18 @@
     "name", ["older news taken", "no digest", "any delta without a digest", "a deposed origin goes on"]
 )
 def test_the_explorer_of_news_convicts(name, monkeypatch):
-    monkeypatch.setattr(explorer, "Store", _mutants()[name])
-    with pytest.raises(explorer.Breach):
+    monkeypatch.setattr(relay_model_checker, "Store", _mutants()[name])
+    with pytest.raises(relay_model_checker.Breach):
         for seed in range(300):
-            explorer.walk(seed)
+            relay_model_checker.walk(seed)
 
 
 def test_the_explorer_of_news_convicts_a_fan_that_never_gives_up(monkeypatch):
     # A message that was lost is then never sent again.
     monkeypatch.setattr(fanout_module, "GIVE_UP", 1e12)
-    with pytest.raises(explorer.Breach):
+    with pytest.raises(relay_model_checker.Breach):
         for seed in range(300):
-            explorer.walk(seed)
+            relay_model_checker.walk(seed)
 
 
 # The fan
@@ -269,7 +280,7 @@
         now += 100.0
         follower.word(now, third)
         follower.rests(now, 100.0)
-    assert moved == [Quit(third), Join(first)] and now > 5_000.0 + follower_module.HOME[0]
+    assert moved == [Quit(third), Join(first)] and now > 5_000.0 + relay_selector_module.HOME[0]
 
 
 def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_speaks():
@@ -508,7 +519,7 @@
 
 def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_scale_runs():
     seen = (
-        "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'scale' in m "
+        "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'capacity' in m "
         "or m in ('msgspec', 'numpy', 'click')])"
     )
     done = subprocess.run([sys.executable, "-c", seen], capture_output=True, text=True, check=True)
--- a/tests/test_start.py
+++ b/tests/test_startup.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from fakehost import SETTINGS, Balancer, FakeServer, free_port
+from harness import SETTINGS, Balancer, FakeServer, free_port
 
 MANY = 10  # processes at once
 SHARE = 0.1  # of a core, for each
