--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -58,18 +58,20 @@
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case, self.chance = case, random.Random(seed)
-        vip = events.Vip(
+        vip = events.ServiceConfig(
             {"live": events.ServiceType(300.0)},
-            siblings=case.directors,
-            shares_work=case.groups > 0,
-            sizes_hold=False,
-            max_connects=4,
+            instance_count=case.directors,
+            groups_share_work=case.groups > 0,
+            trusts_weights=False,
+            max_attempts=4,
             max_retry_after=1_000.0,
-            cold_from=COLD_FROM,
-            warm_after=WARM,
-            tip_multiple=TIP,
+            slow_start_share=COLD_FROM,
+            slow_start_duration=WARM,
+            slow_start_burst=TIP,
         )
-        self.directors = [Director(vip._replace(me=at), seed * 1_000 + at) for at in range(case.directors)]
+        self.directors = [
+            Director(vip._replace(instance_index=at), seed * 1_000 + at) for at in range(case.directors)
+        ]
         shares = [6.0 if case.skewed and at % 8 == 0 else 1.0 for at in range(case.directors)]
         self.shares = shares
         self.queue: list = []  # (when, order, what, ...)
@@ -90,7 +92,9 @@
         """Play all."""
         names = [f"s{at}" for at in range(self.case.servers)]
         for at in range(len(self.directors)):
-            self.decide(at, events.ServerList(events.WHOLE, tuple(events.Server(name) for name in names)))
+            self.decide(
+                at, events.EndpointList(events.COMPLETE, tuple(events.Server(name) for name in names))
+            )
         self.at(0.0, "client")
         share, span = COLD[self.case.cold]
         count = max(1, round(share * len(names)))
@@ -117,14 +121,14 @@
                     self.at(wait * self.chance.uniform(0.9, 1.3), "ask", client, tries + 1)
                 else:
                     self.counts["lost"] += 1
-            elif isinstance(action, events.Move):
+            elif isinstance(action, events.Migrate):
                 self.counts["moved"] += 1
                 self._close(action.id, events.CANCELLED, self.chance.uniform(50.0, 500.0))
-            elif isinstance(action, events.WakeMe):
+            elif isinstance(action, events.SetTimer):
                 self.at(action.delay, "wake", director, action.mark)
 
     def _wake(self, director: int, mark: str) -> None:
-        self.decide(director, events.Wake(mark))
+        self.decide(director, events.TimerFired(mark))
 
     def _client(self) -> None:
         self.at(self.chance.expovariate(EACH * self.case.servers / 1_000), "client")
@@ -142,7 +146,7 @@
         group = f"g{drawn}" if self.case.groups else None
         self.decide(
             director,
-            events.Flow(flow, "live", None, group, f"k{client}", self.now + 1_800.0, returned=tries > 0),
+            events.Flow(flow, "live", None, group, f"k{client}", self.now + 1_800.0, reconnecting=tries > 0),
         )
 
     def _up(self, director: int, flow: int, server: str) -> None:
@@ -155,19 +159,19 @@
     def _end(self, flow: int) -> None:
         if flow in self.open:
             director, server, _ = self.open.pop(flow)
-            self.decide(director, events.Ended(flow, server, True, events.OK))
+            self.decide(director, events.ConnectionEnded(flow, server, True, events.OK))
 
     def _close(self, flow: int, result: str, back: float) -> None:
         if flow in self.open:
             director, server, client = self.open.pop(flow)
-            self.decide(director, events.Ended(flow, server, True, result))
+            self.decide(director, events.ConnectionEnded(flow, server, True, result))
             self.at(back, "ask", client, 1)
 
     def _replace(self, old: str, new: str) -> None:
         self.started[new], self.sent[new] = self.now, []
         changes = events.Server(old, state=events.DRAINING), events.Server(new, started=self.now)
         for at in range(len(self.directors)):
-            self.decide(at, events.ServerList(events.CHANGES, changes))
+            self.decide(at, events.EndpointList(events.CHANGES, changes))
         for flow, (_, server, _) in list(self.open.items()):
             if server == old:
                 self.at(
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -22,10 +22,10 @@
 def measure(servers: int, standing: int) -> dict[str, float]:
     """Return the us of a whole flow (asked, established, ended) and of a tick, at such a size."""
     chance = random.Random(7)
-    director = Director(events.Vip({"live": events.ServiceType(300.0)}, max_connects=4), 7)
+    director = Director(events.ServiceConfig({"live": events.ServiceType(300.0)}, max_attempts=4), 7)
     now = 0.0
     director.decide(
-        now, events.ServerList(events.WHOLE, tuple(events.Server(f"s{n}") for n in range(servers)))
+        now, events.EndpointList(events.COMPLETE, tuple(events.Server(f"s{n}") for n in range(servers)))
     )
 
     def opened(number: int) -> str:
@@ -44,10 +44,10 @@
         began = time.perf_counter()
         for _ in range(BLOCK):
             number += 1
-            director.decide(now + SETUP, events.Ended(number, opened(number), True, events.OK))
+            director.decide(now + SETUP, events.ConnectionEnded(number, opened(number), True, events.OK))
         flows.append((time.perf_counter() - began) / BLOCK * 1e6)
         began = time.perf_counter()
-        director.decide(now, events.Wake("tick"))
+        director.decide(now, events.TimerFired("tick"))
         ticks.append((time.perf_counter() - began) * 1e6)
     return {"flow_us": statistics.median(flows), "tick_us": statistics.median(ticks)}
 
--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -25,10 +25,10 @@
 
 from lotusroute.routing import events
 from lotusroute.net import config, structured_log
-from lotusroute.net.downstream import Clients, Listener
-from lotusroute.net.discovery import Discovery, listed, version
+from lotusroute.net.downstream import DownstreamFactory, Listener
+from lotusroute.net.discovery import Discovery, parse_endpoint_list, parse_version
 from lotusroute.net.owner import Owner
-from lotusroute.service_config import Malformed
+from lotusroute.errors import InvalidValueError
 
 COLLECT = 5_000, 20, 20  # objects, and younger looks, between looks for garbage: every few hundred flows
 OPENING = 1.0  # s that the listener waits at most for the first word of discovery
@@ -42,16 +42,16 @@
 
         return command(prog_name="lotusroute")
     try:
-        posting = config.read(os.environ)
+        posting = config.load_config(os.environ)
         remembered = _remembered(posting)
-    except Malformed as fault:
+    except InvalidValueError as fault:
         print(f"lotusroute: {fault}", file=sys.stderr)
         return 2
-    structured_log.start(posting.log_level)
-    counts = structured_log.Counts()
-    owner = Owner(posting, counts)
+    structured_log.configure_logging(posting.log_level)
+    counters = structured_log.Counters()
+    owner = Owner(posting, counters)
     owner.put(remembered)
-    clients = Clients(owner.put, owner.clock, owner.ready, posting.sockets, counts)
+    clients = DownstreamFactory(owner.put, owner.clock, owner.ready, posting.sockets, counters)
     listener = Listener(posting.listen[1], clients, BACKLOG, posting.listen[0], reactor)
     try:
         listener.startListening()
@@ -63,11 +63,11 @@
     # first flows went to servers that had drained long ago. They wait for its first word.
     listener.stopReading()
     reactor.callLater(OPENING, listener.startReading)
-    standing = Standing(posting, owner, clients, counts)
+    standing = Standing(posting, owner, clients, counters)
     reactor.callWhenRunning(standing.follow, listener.startReading)
     try:
-        fleet = _fleet(posting, counts, standing)
-    except Malformed as fault:
+        fleet = _fleet(posting, counters, standing)
+    except InvalidValueError as fault:
         print(f"lotusroute: {fault}", file=sys.stderr)
         return 2
 
@@ -89,50 +89,50 @@
         signal.SIGINT: stop,
         # The default end on SIGHUP cut off every client when only the address of discovery had changed.
         signal.SIGHUP: standing.read_anew,
-        signal.SIGUSR1: counts.print,
+        signal.SIGUSR1: counters.print,
     }
     for number in calls:
         signal.signal(number, lambda number, _: reactor.callFromThread(calls[number]))
     for number in EARLY:
         reactor.callWhenRunning(calls[number])
     reactor.run(installSignalHandlers=False)
-    counts.print()
+    counters.print()
     return 0
 
 
-def _fleet(posting: config.Posting, counts: structured_log.Counts, standing: "Standing"):
+def _fleet(posting: config.BalancerConfig, counters: structured_log.Counters, standing: "Standing"):
     """Start the fleet's parts where the operator's file asks for them; else nothing of them is imported."""
-    file = config.fleet_file(os.environ)
+    file = config.fleet_config_path(os.environ)
     if not file:
-        return _relays(posting, counts, standing)
+        return _relays(posting, counters, standing)
     try:
         from lotusroute.fleet import config as fleet_config
         from lotusroute.fleet import lease_service, shared_discovery
     except ImportError as fault:
-        raise Malformed(f"LB_FLEET: {fault}; install lotusroute[fleet]") from None
-    fleet = lease_service.Part(reactor, fleet_config.read(file), posting.name, counts)
+        raise InvalidValueError(f"LB_FLEET: {fault}; install lotusroute[fleet]") from None
+    fleet = lease_service.LeaseService(reactor, fleet_config.load_fleet_config(file), posting.name, counters)
     if shared_discovery.TASK in fleet.plan.tasks:
-        standing.watch = shared_discovery.Watch(fleet)
+        standing.watch = shared_discovery.SharedDiscovery(fleet)
 
     def unheard(reason) -> None:
         # Without its link this balancer is alone, and serves as without the file.
-        structured_log.say("fleet's address not open", logging.WARNING, why=str(reason.value))
+        structured_log.log_event("fleet's address not open", logging.WARNING, why=str(reason.value))
 
     reactor.callWhenRunning(lambda: fleet.start().addErrback(unheard))
     return fleet
 
 
-def _relays(posting: config.Posting, counts: structured_log.Counts, standing: "Standing") -> None:
+def _relays(posting: config.BalancerConfig, counters: structured_log.Counters, standing: "Standing") -> None:
     """Follow a relay where the operator's file asks for it; else nothing of that is imported."""
-    file = config.relays_file(os.environ)
+    file = config.relays_config_path(os.environ)
     if not file:
         return
     try:
         from lotusroute.relay import subscription
     except ImportError as fault:
-        raise Malformed(f"LB_RELAYS: {fault}; install lotusroute[fleet]") from None
+        raise InvalidValueError(f"LB_RELAYS: {fault}; install lotusroute[fleet]") from None
     told = subscription.read(file)
-    standing.watch = subscription.Subscription(reactor, told, posting.name, counts)
+    standing.watch = subscription.Subscription(reactor, told, posting.name, counters)
     reactor.callWhenRunning(standing.watch.start)
 
 
@@ -140,10 +140,14 @@
     """What the running balancer was last told, and the discovery that it follows by it."""
 
     def __init__(
-        self, posting: config.Posting, owner: Owner, clients: Clients, counts: structured_log.Counts
+        self,
+        posting: config.BalancerConfig,
+        owner: Owner,
+        clients: DownstreamFactory,
+        counters: structured_log.Counters,
     ) -> None:
         self.first = self.posting = posting
-        self.owner, self.clients, self.counts = owner, clients, counts
+        self.owner, self.clients, self.counters = owner, clients, counters
         self.discovery: Discovery | None = None
         self.watch = None  # where balancers share what discovery tells
 
@@ -158,7 +162,7 @@
             self.discovery.close()
         told = self.posting
         self.discovery = Discovery(
-            told.discovery, seq, told.seed, self.owner.put, self.counts, told.grace, told.pushed
+            told.discovery, seq, told.seed, self.owner.put, self.counters, told.grace, told.pushed
         )
         self.discovery.heard, self.owner.relist = heard, self.discovery.forget
         if self.watch is not None:
@@ -167,35 +171,37 @@
 
     def read_anew(self) -> None:
         """Read the file again; open flows and all that the decisions know stay as they are."""
-        self.counts["reloads"] += 1
+        self.counters["reloads"] += 1
         try:
-            new = config.read(os.environ, anew=True)
-        except Malformed as fault:
+            new = config.load_config(os.environ, anew=True)
+        except InvalidValueError as fault:
             # A file that was spoilt must not end a balancer that serves.
-            structured_log.say("reload refused", logging.WARNING, why=str(fault))
+            structured_log.log_event("reload refused", logging.WARNING, why=str(fault))
             return
         old, self.posting = self.posting, new
         self.owner.allow(new)
         self.clients.allow(new.sockets)
         if new.discovery != old.discovery:
             self.follow()
-        restart = ",".join(config.needing_restart(self.first, new)) or "nothing"
-        structured_log.say("reloaded", discovery=new.discovery[0], sockets=new.sockets, needs_restart=restart)
+        restart = ",".join(config.settings_needing_restart(self.first, new)) or "nothing"
+        structured_log.log_event(
+            "reloaded", discovery=new.discovery[0], sockets=new.sockets, needs_restart=restart
+        )
 
 
-def _remembered(posting: config.Posting):
+def _remembered(posting: config.BalancerConfig):
     try:
-        return listed(posting.known, events.REMEMBERED)
-    except (KeyError, TypeError, ValueError, AttributeError, Malformed) as fault:
-        raise Malformed(f"known: {type(fault).__name__} {fault}") from None
+        return parse_endpoint_list(posting.known, events.CACHED)
+    except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as fault:
+        raise InvalidValueError(f"known: {type(fault).__name__} {fault}") from None
 
 
-def _remembered_seq(posting: config.Posting) -> int | None:
+def _remembered_seq(posting: config.BalancerConfig) -> int | None:
     """Of a list that is remembered whole; anything else is named, and the whole list asked for."""
     try:
-        return version(posting.known.get("seq")) if posting.known["hosts"] else None
-    except Malformed as fault:
-        structured_log.say("remembered list without a version", logging.WARNING, why=str(fault))
+        return parse_version(posting.known.get("seq")) if posting.known["hosts"] else None
+    except InvalidValueError as fault:
+        structured_log.log_event("remembered list without a version", logging.WARNING, why=str(fault))
         return None
 
 
--- a/lotusroute/adapter/__main__.py
+++ b/lotusroute/adapter/__main__.py
@@ -4,9 +4,10 @@
 from collections.abc import Iterable, Iterator
 
 from lotusroute.adapter import wire
+from lotusroute.errors import InvalidValueError
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
-from lotusroute.service_config import Malformed, number, one_of
+from lotusroute.service_config import look_up, parse_number
 
 
 class Host:
@@ -14,7 +15,7 @@
 
     def __init__(self) -> None:
         self.directors: dict[int, Director] = {}
-        self.vips: dict[int, events.Vip] = {}
+        self.vips: dict[int, events.ServiceConfig] = {}
         self.rosters: dict[int, tuple[events.Server, ...]] = {}  # at most 16, replaced by number
         self.at: int | None = None
         self.now: float | None = None
@@ -28,15 +29,15 @@
         """Take one line; return the reply once the batch is complete."""
         name, *values = text.split(" ")
         if self.rows_due and name != "row":
-            raise Malformed(f"{self.rows_due} rows of roster {self.sheet} are missing")
+            raise InvalidValueError(f"{self.rows_due} rows of roster {self.sheet} are missing")
         if name == "row":
             self._row(values)
         elif name == "mark":
             if self.now is not None or len(values) != 1:
-                raise Malformed("a mark stands at the start of a batch, with the clock")
-            self.now, self.reply, self.speaking, self.at = number(values[0]), [], None, None
+                raise InvalidValueError("a mark stands at the start of a batch, with the clock")
+            self.now, self.reply, self.speaking, self.at = parse_number(values[0]), [], None, None
         elif self.now is None:
-            raise Malformed(f"'{name}' outside of a batch")
+            raise InvalidValueError(f"'{name}' outside of a batch")
         elif name == "your_turn":
             self.now = None
             self.reply.append("finished\n")
@@ -46,10 +47,10 @@
         elif name == "roster":
             self._roster(values)
         elif self.at is None:
-            raise Malformed(f"'{name}' before any 'at'")
+            raise InvalidValueError(f"'{name}' before any 'at'")
         elif name == "attach":
             if not values:
-                raise Malformed("attach has no seed")
+                raise InvalidValueError("attach has no seed")
             self.vips[self.at] = wire.vip(values[1:])
             self.directors[self.at] = Director(self.vips[self.at], wire.integer(values[0]))
         else:
@@ -59,7 +60,7 @@
     def _event(self, name: str, values: list[str]) -> None:
         director = self.directors.get(self.at)
         if director is None:
-            raise Malformed(f"'{name}' for instance {self.at}, which has not been attached")
+            raise InvalidValueError(f"'{name}' for instance {self.at}, which has not been attached")
         if name == "stop":
             del self.directors[self.at], self.vips[self.at]
             return
@@ -68,7 +69,7 @@
             return
         flow = event.flow if name == "already_open" else event
         if name in ("ask", "already_open") and flow.service_type not in self.vips[self.at].service_types:
-            raise Malformed(f"unknown class '{flow.service_type}'")
+            raise InvalidValueError(f"unknown class '{flow.service_type}'")
         actions = director.decide(self.now, event)
         if actions and self.speaking != self.at:
             self.speaking = self.at
@@ -77,7 +78,7 @@
 
     def _row(self, values: list[str]) -> None:
         if not self.rows_due:
-            raise Malformed("a row outside of a roster")
+            raise InvalidValueError("a row outside of a roster")
         self.rows.append(wire.row(values))
         self.rows_due -= 1
         if not self.rows_due:
@@ -85,20 +86,20 @@
 
     def _roster(self, values: list[str]) -> None:
         if len(values) != 2:
-            raise Malformed(f"roster has 2 values, not {len(values)}")
+            raise InvalidValueError(f"roster has 2 values, not {len(values)}")
         self.sheet, self.rows_due, self.rows = wire.integer(values[0]), wire.integer(values[1]), []
         if self.sheet > 15:
-            raise Malformed(f"roster {self.sheet} is not between 0 and 15")
+            raise InvalidValueError(f"roster {self.sheet} is not between 0 and 15")
         if not self.rows_due:
             self.rosters[self.sheet] = ()
 
-    def _registry(self, values: list[str]) -> events.ServerList:
+    def _registry(self, values: list[str]) -> events.EndpointList:
         if len(values) != 3:
-            raise Malformed(f"registry has 3 values, not {len(values)}")
-        scope = one_of(wire.SCOPES, values[2], "scope")
+            raise InvalidValueError(f"registry has 3 values, not {len(values)}")
+        scope = look_up(wire.SCOPES, values[2], "scope")
         if scope == events.REFUSED:
-            return events.ServerList(scope)
-        return events.ServerList(scope, one_of(self.rosters, wire.integer(values[0]), "roster"))
+            return events.EndpointList(scope)
+        return events.EndpointList(scope, look_up(self.rosters, wire.integer(values[0]), "roster"))
 
 
 def replies(lines: Iterable[str]) -> Iterator[str]:
@@ -114,8 +115,8 @@
             continue
         try:
             reply = host.read(text)
-        except (Malformed, ValueError, KeyError, OverflowError) as fault:
-            raise Malformed(f"line {at}: {fault}") from None
+        except (InvalidValueError, ValueError, KeyError, OverflowError) as fault:
+            raise InvalidValueError(f"line {at}: {fault}") from None
         if reply is not None:
             yield reply
 
@@ -127,7 +128,7 @@
         for reply in replies(sys.stdin):
             sys.stdout.write(reply)
             sys.stdout.flush()
-    except Malformed as fault:
+    except InvalidValueError as fault:
         print(f"lotusroute: {fault}", file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -1,14 +1,14 @@
 """The bench's wire: lines of text in, lines of text out, and the names that end here."""
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.routing import events
-from lotusroute.service_config import Malformed, number, one_of
-from lotusroute.service_config import vip as decode_vip
+from lotusroute.service_config import look_up, parse_number, parse_service_config
 
-STATES = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.GONE}
+STATES = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.REMOVED}
 SCOPES = {
     "changes": events.CHANGES,
-    "all": events.WHOLE,
-    "remembered": events.REMEMBERED,
+    "all": events.COMPLETE,
+    "remembered": events.CACHED,
     "refused": events.REFUSED,
 }
 RESULTS = {
@@ -28,14 +28,14 @@
 def integer(text: str) -> int:
     """Read a whole number of 0 or more."""
     if not (text.isascii() and text.isdigit()):
-        raise Malformed(f"'{text}' is not a whole number")
+        raise InvalidValueError(f"'{text}' is not a whole number")
     return int(text)
 
 
 def boolean(text: str) -> bool:
     """Read 1 or 0."""
     if text not in ("1", "0"):
-        raise Malformed(f"'{text}' is neither 1 nor 0")
+        raise InvalidValueError(f"'{text}' is neither 1 nor 0")
     return text == "1"
 
 
@@ -44,25 +44,30 @@
     return None if text == "-" else text
 
 
-def vip(parts: list[str]) -> events.Vip:
+def vip(parts: list[str]) -> events.ServiceConfig:
     """Decode the settings of an instance."""
     env: dict[str, str] = {}
     for part in parts:
         path, equals, value = part.partition("=")
         if not equals:
-            raise Malformed(f"'{part}' is not a setting")
+            raise InvalidValueError(f"'{part}' is not a setting")
         if value not in ("null", "-"):
             env[path] = value
-    return decode_vip(env)
+    return parse_service_config(env)
 
 
 def row(parts: list[str]) -> events.Server:
     """Decode one line of a server list."""
     if len(parts) != 7:
-        raise Malformed(f"a row has 7 values, not {len(parts)}")
+        raise InvalidValueError(f"a row has 7 values, not {len(parts)}")
     server, zone, _, cell, state, size, started = parts
     return events.Server(
-        server, zone, integer(cell), one_of(STATES, state, "lifecycle"), number(size), number(started)
+        server,
+        zone,
+        integer(cell),
+        look_up(STATES, state, "lifecycle"),
+        parse_number(size),
+        parse_number(started),
     )
 
 
@@ -74,28 +79,28 @@
         text_or_none(v[2]),
         text_or_none(v[3]),
         text_or_none(v[5]),
-        number(v[7]),
+        parse_number(v[7]),
         bool(marks & MID_FLOW),
         bool(marks & (REPEAT | RETURNED)),
     )
 
 
-def _already_open(v: list[str]) -> events.AlreadyOpen:
+def _already_open(v: list[str]) -> events.ExistingConnection:
     tenant, key, group = map(text_or_none, (v[2], v[3], v[6]))
-    flow = events.Flow(integer(v[0]), v[1], tenant, group, key, number(v[4]))
-    return events.AlreadyOpen(flow, v[8])
+    flow = events.Flow(integer(v[0]), v[1], tenant, group, key, parse_number(v[4]))
+    return events.ExistingConnection(flow, v[8])
 
 
-def _resolved(v: list[str]) -> events.Ended:
-    number(v[3]), integer(v[4])
-    return events.Ended(integer(v[0]), v[2], boolean(v[1]), one_of(RESULTS, v[5], "outcome"))
+def _resolved(v: list[str]) -> events.ConnectionEnded:
+    parse_number(v[3]), integer(v[4])
+    return events.ConnectionEnded(integer(v[0]), v[2], boolean(v[1]), look_up(RESULTS, v[5], "outcome"))
 
 
-def _notice(v: list[str]) -> events.LoadNoted | events.DelayNoted | None:
-    topic, value = integer(v[3]), number(v[4])
+def _notice(v: list[str]) -> events.LoadReport | events.LatencyReport | None:
+    topic, value = integer(v[3]), parse_number(v[4])
     if topic == LOAD_CHANGED:
-        return events.LoadNoted(integer(v[0]), value)
-    return events.DelayNoted(v[2], value) if topic == MESSAGES_SLOW else None
+        return events.LoadReport(integer(v[0]), value)
+    return events.LatencyReport(v[2], value) if topic == MESSAGES_SLOW else None
 
 
 # name of the message: how many values it has, and how they are read
@@ -105,8 +110,8 @@
     "under_way": (4, lambda v: events.Established(integer(v[0]), v[2])),
     "notice": (5, _notice),
     "resolved": (7, _resolved),
-    "withdrawn": (1, lambda v: events.Withdrawn(integer(v[0]))),
-    "alarm": (1, lambda v: events.Wake(v[0])),
+    "withdrawn": (1, lambda v: events.ClientDisconnected(integer(v[0]))),
+    "alarm": (1, lambda v: events.TimerFired(v[0])),
     "checked": (4, lambda v: None),  # probes and messages of siblings: none are asked for
     "from_peer": (2, lambda v: None),
 }
@@ -116,14 +121,14 @@
     """Decode one event; None for what this balancer has no use for.
 
     >>> event("withdrawn", ["242166553"])
-    Withdrawn(id=242166553)
+    ClientDisconnected(id=242166553)
     """
     try:
         count, read = EVENTS[name]
     except KeyError:
-        raise Malformed(f"unknown message '{name}'") from None
+        raise InvalidValueError(f"unknown message '{name}'") from None
     if len(values) != count:
-        raise Malformed(f"{name} has {count} values, not {len(values)}")
+        raise InvalidValueError(f"{name} has {count} values, not {len(values)}")
     return read(values)
 
 
@@ -131,10 +136,10 @@
     events.Connect: lambda a: f"pass_on {a.id} {a.server} {a.within:.3f}",
     events.Reject: lambda a: f"not_now {a.id} {a.retry_after:.3f}",
     events.Abort: lambda a: f"abort {a.id}",
-    events.Move: lambda a: f"relocate {a.id}",
-    events.WakeMe: lambda a: f"remind {a.delay:.3f} {a.mark}",
+    events.Migrate: lambda a: f"relocate {a.id}",
+    events.SetTimer: lambda a: f"remind {a.delay:.3f} {a.mark}",
     events.Subscribe: lambda a: "listen 1",
-    events.Say: lambda a: f"remark {a.line}",
+    events.LogMessage: lambda a: f"remark {a.line}",
 }
 
 
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -7,10 +7,10 @@
 
 from lotusroute.capacity.stubs import entry
 from lotusroute.fleet.shared_discovery import BEAT as WATCH_BEAT
-from lotusroute.fleet.shared_discovery import Word as WatchWord
+from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import BEAT, Drop, FanOut
-from lotusroute.relay.versioned_store import Store, Version
+from lotusroute.relay.versioned_store import Version, VersionedStore
 
 HOSTS = 20  # servers in the list
 REST = 6_000.0  # ms at rest
@@ -24,11 +24,11 @@
     >>> many["messages"] == 2 * few["messages"], many["bytes"] == 2 * few["bytes"]
     (True, True)
     """
-    store, now, sent, size_sent = Store(), 0.0, 0, 0
+    store, now, sent, size_sent = VersionedStore(), 0.0, 0, 0
     hosts = [entry(f"s-{at}") for at in range(HOSTS)]
     store.publish(1, endpoint_items.changes(store, {"seq": 1, "whole": True, "hosts": hosts}, "d:1"))
     fan = FanOut(store, size)
-    followers = {f"n{at}": Store() for at in range(size)}
+    followers = {f"n{at}": VersionedStore() for at in range(size)}
 
     def carry(actions: list) -> None:
         nonlocal sent, size_sent
@@ -69,8 +69,8 @@
     (True, True)
     """
     where = "http://127.0.0.1:8500/api/targets"
-    told = WatchWord(7, where, 2, 1, False, [entry("s-0", health="DRAINING")])
-    beat = WatchWord(7, where, 2)
+    told = SharedUpdate(7, where, 2, 1, False, [entry("s-0", health="DRAINING")])
+    beat = SharedUpdate(7, where, 2)
     beats = round(REST / 1_000 / WATCH_BEAT)
     each = len(msgspec.msgpack.encode(told)) + beats * len(msgspec.msgpack.encode(beat))
     return {"messages": (1 + beats) * (size - 1), "bytes": each * (size - 1)}
--- a/lotusroute/capacity/direct_followers.py
+++ b/lotusroute/capacity/direct_followers.py
@@ -26,19 +26,19 @@
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    structured_log.start("WARNING")
-    structured_log.LOG.setLevel("INFO")
-    counts = structured_log.Counts()
+    structured_log.configure_logging("WARNING")
+    structured_log.LOGGER.setLevel("INFO")
+    counters = structured_log.Counters()
     host, _, port = told["discovery"].rpartition(":")
 
     def begin(seed: int) -> None:
-        one = Discovery((host, int(port)), 0, seed, lambda news: counts.update(lists_taken=1), counts)
+        one = Discovery((host, int(port)), 0, seed, lambda news: counters.update(lists_taken=1), counters)
         defer.ensureDeferred(one.follow())
 
     for at in range(len(told["names"])):
         reactor.callLater(0.005 * at, begin, at)
-    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counts.print))
-    reactor.callLater(0.005 * len(told["names"]), structured_log.say, "ready")
+    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counters.print))
+    reactor.callLater(0.005 * len(told["names"]), structured_log.log_event, "ready")
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/lotusroute/capacity/hollow.py
+++ b/lotusroute/capacity/hollow.py
@@ -25,16 +25,18 @@
 
 
 def member(
-    told: config.Plan, name: str, where: tuple[str, int], seed: int, counts: structured_log.Counts
+    told: config.FleetConfig, name: str, where: tuple[str, int], seed: int, counters: structured_log.Counters
 ) -> None:
     """Start one hollow balancer."""
-    fleet = lease_service.Part(reactor, told, name, counts)
-    following = Discovery(where, 0, seed, lambda news: counts.update(lists_taken=1), counts, 2_000.0, False)
+    fleet = lease_service.LeaseService(reactor, told, name, counters)
+    following = Discovery(
+        where, 0, seed, lambda news: counters.update(lists_taken=1), counters, 2_000.0, False
+    )
     if told.tasks:
-        following.watch = shared_discovery.Watch(fleet)
+        following.watch = shared_discovery.SharedDiscovery(fleet)
         following.watch.discovery = following
     fleet.start().addErrback(
-        lambda reason: structured_log.say("no address", name=name, why=str(reason.value))
+        lambda reason: structured_log.log_event("no address", name=name, why=str(reason.value))
     )
     defer.ensureDeferred(following.follow())
 
@@ -42,16 +44,16 @@
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    structured_log.start("WARNING")
-    structured_log.LOG.setLevel("INFO")
-    counts = structured_log.Counts()
-    fleet = config.read(told["fleet"])
+    structured_log.configure_logging("WARNING")
+    structured_log.LOGGER.setLevel("INFO")
+    counters = structured_log.Counters()
+    fleet = config.load_fleet_config(told["fleet"])
     host, _, port = told["discovery"].rpartition(":")
     for at, name in enumerate(told["names"]):
         # Not all in one turn: a process that starts a hundred stands still for as long.
-        reactor.callLater(0.01 * at, member, fleet, name, (host, int(port)), at, counts)
-    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counts.print))
-    reactor.callLater(0.01 * len(told["names"]), structured_log.say, "ready")
+        reactor.callLater(0.01 * at, member, fleet, name, (host, int(port)), at, counters)
+    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counters.print))
+    reactor.callLater(0.01 * len(told["names"]), structured_log.log_event, "ready")
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -33,7 +33,7 @@
     """All subscribers of one process."""
 
     def __init__(self, told: dict) -> None:
-        self.told, self.counts = told, structured_log.Counts()
+        self.told, self.counters = told, structured_log.Counters()
         self.came: dict[str, dict[int, float]] = {name: {} for name in told["names"]}  # by name: change, when
         self.subscriptions: dict[str, subscription.Subscription] = {}
         host, _, port = told["discovery"].rpartition(":")
@@ -43,8 +43,8 @@
         """Start one."""
         zone = self.told["zones"][name]
         relays = subscription.relays({"name": "scale", "zone": zone, "relays": self.told["relays"]})
-        one = subscription.Subscription(reactor, relays, name, self.counts)
-        following = Discovery(self.where, 0, seed, lambda news: self.heard(name, news), self.counts, 500.0)
+        one = subscription.Subscription(reactor, relays, name, self.counters)
+        following = Discovery(self.where, 0, seed, lambda news: self.heard(name, news), self.counters, 500.0)
         following.watch, one.discovery = one, following
         self.subscriptions[name] = one
         one.start()
@@ -62,9 +62,9 @@
         stores = {name: f"{one.store.version} {one.store.digest}" for name, one in self.subscriptions.items()}
         file = pathlib.Path(self.told["file"])
         part = file.with_suffix(".part")
-        part.write_text(json.dumps({"came": self.came, "stores": stores, "counts": self.counts}))
+        part.write_text(json.dumps({"came": self.came, "stores": stores, "counts": self.counters}))
         part.rename(file)
-        structured_log.say("written")
+        structured_log.log_event("written")
 
     def restart(self) -> None:
         """All lose what they have and come back at once."""
@@ -81,8 +81,8 @@
 def main(file: str) -> int:
     """Run until killed."""
     told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    structured_log.start("ERROR")
-    structured_log.LOG.setLevel("WARNING")
+    structured_log.configure_logging("ERROR")
+    structured_log.LOGGER.setLevel("WARNING")
     hollow = Hollow(told)
     for at, name in enumerate(told["names"]):
         reactor.callLater(EACH * at, hollow.begin, name, at)
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -20,14 +20,14 @@
     targets = Targets([entry(f"s-{at}") for at in range(hosts)], answers, began + down)
     port = reactor.listenTCP(0, server.Site(targets), interface="127.0.0.1")
     first: dict[int, float] = {}
-    counts, cpu = Counter(), time.process_time()
+    counters, cpu = Counter(), time.process_time()
     for at in range(followers):
         one = Discovery(
             ("127.0.0.1", port.getHost().port),
             0,
             at,
             lambda _, at=at: first.setdefault(at, reactor.seconds() - began - down),
-            counts,
+            counters,
             grace,
             False,
         )
@@ -41,7 +41,7 @@
         "calls_10s": sum(at < 10.0 for at in calls),
         "busiest_second": max(Counter(int(at) for at in calls).values(), default=0),
         "at_rest_a_second": round(sum(at >= seconds - 5.0 for at in calls) / 5.0, 1),
-        **{key: targets.counts[key] for key in ("refused", "given_up", "watches", "answers")},
+        **{key: targets.counters[key] for key in ("refused", "given_up", "watches", "answers")},
         "without_a_list": followers - len(took),
         "first_list_s": {"p50": round(took[len(took) // 2], 2), "last": round(took[-1], 2)} if took else {},
         "cpu_s": round(time.process_time() - cpu, 2),
--- a/lotusroute/capacity/roles.py
+++ b/lotusroute/capacity/roles.py
@@ -227,7 +227,7 @@
     import json
 
     from lotusroute.capacity.stubs import entry
-    from lotusroute.net.discovery import listed
+    from lotusroute.net.discovery import parse_endpoint_list
     from lotusroute.routing import events
     from lotusroute.routing.director import Director
 
@@ -235,7 +235,9 @@
     whole = {"seq": 1, "whole": True, "hosts": [entry(f"s-{at:08x}", 9_000) for at in range(size)]}
     body = json.dumps(whole).encode()
     add(points, "list.bytes", "B", size, len(body))
-    director = Director(events.Vip({"live": events.ServiceType(300.0)}, shares_work=True, max_connects=4), 1)
+    director = Director(
+        events.ServiceConfig({"live": events.ServiceType(300.0)}, groups_share_work=True, max_attempts=4), 1
+    )
 
     def timed(do: Callable[[], object]) -> float:
         best = float("inf")
@@ -245,21 +247,21 @@
             best = min(best, time.process_time() - start)
         return 1000 * best
 
-    news = listed(whole, events.WHOLE)
-    add(points, "list.read", "ms of CPU", size, timed(lambda: listed(json.loads(body), events.WHOLE)))
+    news = parse_endpoint_list(whole, events.COMPLETE)
+    add(points, "list.read", "ms of CPU", size, timed(lambda: parse_endpoint_list(json.loads(body), events.COMPLETE)))
     add(
         points,
         "list.take",
         "ms of CPU",
         size,
-        timed(lambda: director.decide(0.0, events.ServerList(events.WHOLE, news.servers))),
+        timed(lambda: director.decide(0.0, events.EndpointList(events.COMPLETE, news.servers))),
     )
     add(
         points,
         "list.change",
         "ms of CPU",
         size,
-        timed(lambda: director.decide(0.0, events.ServerList(events.CHANGES, news.servers[:1]))),
+        timed(lambda: director.decide(0.0, events.EndpointList(events.CHANGES, news.servers[:1]))),
     )
     number = 0
 
@@ -268,7 +270,7 @@
         for _ in range(200):
             number += 1
             director.decide(1.0, events.Flow(number, "live", None, f"g{number}", f"k{number}", 2_000.0))
-            director.decide(2.0, events.Withdrawn(number))
+            director.decide(2.0, events.ClientDisconnected(number))
 
     add(points, "decisions.flow", "ms of CPU, each in a segment of its own", size, timed(flows) / 200)
 
--- a/lotusroute/capacity/stubs.py
+++ b/lotusroute/capacity/stubs.py
@@ -36,7 +36,7 @@
         self.calls: list[float] = []  # when each came while discovery was up; a run's length bounds it
         self.lost: set = set()  # calls that nobody answers; leave as they are given up
         self.bytes = 0  # of answers
-        self.counts = Counter()
+        self.counters = Counter()
 
     def change(self, hosts: list[dict]) -> None:
         """Tell news: these entries are as they are now."""
@@ -67,7 +67,7 @@
         return server.NOT_DONE_YET
 
     def _refuse(self, call: list) -> None:
-        self.counts["refused"] += 1
+        self.counters["refused"] += 1
         call[0].setResponseCode(503)
         call[0].finish()
 
@@ -75,7 +75,7 @@
         while self.line:
             call = self.line.popleft()
             if not call[2]:
-                self.counts["given_up"] += 1
+                self.counters["given_up"] += 1
             elif reactor.seconds() - call[1] > LINE:
                 self._refuse(call)
             else:
@@ -88,7 +88,7 @@
     def _serve(self, call: list) -> None:
         hold = float(call[0].args.get(b"hold_ms", [b"0"])[0]) / 1000
         since = int(call[0].args.get(b"from", [b"-1"])[0])
-        self.counts["watches" if hold else "answers"] += 1
+        self.counters["watches" if hold else "answers"] += 1
         if since < self.seq:
             self._write(call, None if since < 0 or since < self.seq - 1 else self.hosts)
         elif hold:
--- a/lotusroute/cli.py
+++ b/lotusroute/cli.py
@@ -12,8 +12,8 @@
 import click
 from twisted.internet import defer, reactor
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import config, transport
-from lotusroute.service_config import Malformed
 
 FILE = click.option(
     "--fleet",
@@ -45,11 +45,13 @@
 def _ask(file: str, peers: tuple[str, ...]) -> tuple[dict[str, dict], dict[str, str]]:
     """Ask balancers what they show; returns what came by name, and why nothing did."""
     try:
-        told = config.read(file)
+        told = config.load_fleet_config(file)
         for peer in peers:
             if peer not in told.peers:
-                raise Malformed(f"--peer {peer}: not among the peers of {file}: {', '.join(told.peers)}")
-    except Malformed as fault:
+                raise InvalidValueError(
+                    f"--peer {peer}: not among the peers of {file}: {', '.join(told.peers)}"
+                )
+    except InvalidValueError as fault:
         click.echo(f"lotusroute: {fault}", err=True)
         sys.exit(2)
     names = peers or tuple(told.peers)
@@ -64,7 +66,7 @@
         reactor.stop()
 
     def begin() -> None:
-        calls = [transport.look(reactor, told, name) for name in names]
+        calls = [transport.query_peer(reactor, told, name) for name in names]
         defer.DeferredList(calls, consumeErrors=True).addCallback(done)
 
     reactor.callWhenRunning(begin)
--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -18,9 +18,16 @@
 from collections import deque
 from typing import NamedTuple
 
-from lotusroute.leases.acceptor import NUMBERS, Keeper
-from lotusroute.leases.messages import Freed, Held, Terms, Tick, Told, Want
-from lotusroute.leases.proposer import Asker, Claim
+from lotusroute.leases.acceptor import NUMBERS, Acceptor
+from lotusroute.leases.messages import (
+    LeaseAcquired,
+    LeaseReleased,
+    LeaseTerms,
+    ReplyReceived,
+    RequestLease,
+    Tick,
+)
+from lotusroute.leases.proposer import Proposer, ProposerState
 
 STEP = 500.0  # ms of real time a step: six of them are a lease, so that few steps reach its end
 TASK = "task"
@@ -67,12 +74,12 @@
     ) -> None:
         names = tuple(f"k{n}" for n in range(keepers))
         # As on a fleet, less the figures that would only make more steps.
-        self.terms = Terms(names, drift=known_drift, margin=0.0, patience=2 * STEP, stall=8 * STEP)
+        self.terms = LeaseTerms(names, drift=known_drift, margin=0.0, patience=2 * STEP, stall=8 * STEP)
         self.fast, self.slow = 1 + drift, 1 - drift
         self.first = World(
             0,
             tuple(((), -1.0, 0) for _ in names),
-            tuple((f"a{n}.0", Claim(wants=True), 0.0, 0) for n in range(askers)),
+            tuple((f"a{n}.0", ProposerState(wants=True), 0.0, 0) for n in range(askers)),
             (),
             0,
             "",
@@ -82,23 +89,23 @@
 
     # Machines out of a world, and back
 
-    def _keeper(self, world: World, at: int) -> Keeper:
+    def _keeper(self, world: World, at: int) -> Acceptor:
         kept, open_from, floor = world.keepers[at]
-        keeper = Keeper(self.terms, 0.0, floor)
+        keeper = Acceptor(self.terms, 0.0, floor)
         keeper.open_from, keeper.floor, keeper.under, keeper.kept = open_from, floor, NUMBERS, dict(kept)
         return keeper
 
-    def _asker(self, world: World, at: int) -> Asker:
+    def _asker(self, world: World, at: int) -> Proposer:
         name, claim, looked, count = world.askers[at]
-        asker = Asker(name, self.terms, _Least)
+        asker = Proposer(name, self.terms, _Least)
         asker.claims, asker.looked, asker.round = {TASK: claim}, looked, count
         return asker
 
-    def _put(self, world: World, at: int, asker: Asker, out: list) -> World:
+    def _put(self, world: World, at: int, asker: Proposer, out: list) -> World:
         entry = (asker.name, asker.claims[TASK], asker.looked, asker.round)
         flight = list(world.flight)
         for action in out:
-            if isinstance(action, Held):
+            if isinstance(action, LeaseAcquired):
                 world = self._held(world, asker.name, action.fence)
             elif hasattr(action, "keeper"):
                 flight.append((self.terms.keepers.index(action.keeper), at, action.what))
@@ -152,15 +159,17 @@
             # Its memory is gone; what disk has is not. It is back at once, which is the worst.
             kept, _, floor = world.keepers[move[1]]
             promised = max([floor, *(entry.promised for _, entry in kept)])
-            keeper = Keeper(self.terms, world.now * STEP * self.fast, promised)
+            keeper = Acceptor(self.terms, world.now * STEP * self.fast, promised)
             entry = ((), keeper.open_from, keeper.floor)
             keepers = world.keepers[: move[1]] + (entry,) + world.keepers[move[1] + 1 :]
             world = world._replace(keepers=keepers, crashes=world.crashes - 1)
         else:
             name, start = world.askers[move[1]][0].split(".")
-            asker = Asker(f"{name}.{int(start) + 1}", self.terms, _Least)
+            asker = Proposer(f"{name}.{int(start) + 1}", self.terms, _Least)
             world = world._replace(crashes=world.crashes - 1)
-            world = self._put(world, move[1], asker, asker.decide(world.now * STEP * self.slow, Want(TASK)))
+            world = self._put(
+                world, move[1], asker, asker.decide(world.now * STEP * self.slow, RequestLease(TASK))
+            )
         self.judge(world)
         return world
 
@@ -174,9 +183,9 @@
             entry = (tuple(keeper.kept.items()), keeper.open_from, keeper.floor)
             keepers = world.keepers[:to] + (entry,) + world.keepers[to + 1 :]
             # A reply to one that has crashed since finds nobody.
-            told = [(sender, to, (words.asker, Told(self.terms.keepers[to], reply)))]
+            told = [(sender, to, (words.asker, ReplyReceived(self.terms.keepers[to], reply)))]
             told += [
-                (at, to, (entry[0], Freed(TASK)))
+                (at, to, (entry[0], LeaseReleased(TASK)))
                 for at, entry in enumerate(world.askers)
                 if entry[0] in freed
             ]
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -14,8 +14,8 @@
 import sys
 from collections import Counter
 
-from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, Beat, Drop, FanOut, Send
-from lotusroute.relay.versioned_store import SPOILT, Delta, Refused, Store, Version
+from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, Drop, FanOut, Heartbeat, Send
+from lotusroute.relay.versioned_store import SPOILT, Delta, PublishRejected, Version, VersionedStore
 
 RELAYS, SUBSCRIBERS = ("r1", "r2", "r3"), ("s1", "s2")
 KEYS = tuple("abcd")
@@ -35,7 +35,7 @@
         self.fence = 0
         self.origins: dict[str, int] = {}  # who thinks itself the origin, under which fence
         self.highest = dict.fromkeys(RELAYS, 0)  # the highest fence that each relay heard of
-        self.stores = {name: Store() for name in RELAYS + SUBSCRIBERS}
+        self.stores = {name: VersionedStore() for name in RELAYS + SUBSCRIBERS}
         self.fans = {name: FanOut(self.stores[name], 8) for name in RELAYS}
         self.follows: dict[str, str] = {}
         self.flight: list[tuple] = []  # (kind, from, to, what)
@@ -64,7 +64,7 @@
         store = self.stores[name]
         try:
             made = store.publish(self.origins[name], changed)
-        except Refused:
+        except PublishRejected:
             self.origins.pop(name)
             return
         if made:
@@ -91,7 +91,7 @@
     def crash(self) -> None:
         """A process dies and starts from nothing; what was on its way to it is lost."""
         name = self.chance.choice(RELAYS + SUBSCRIBERS)
-        self.stores[name] = Store()
+        self.stores[name] = VersionedStore()
         self.seen[name] = Version()
         self.flight = [one for one in self.flight if one[2] != name]
         if name in RELAYS:
@@ -148,7 +148,7 @@
             return
         store = self.stores[to]
         at = store.version
-        if not isinstance(what, Beat):
+        if not isinstance(what, Heartbeat):
             outcome = store.take(what)
             self.counts[outcome] += 1
             if outcome == SPOILT:
--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -8,13 +8,13 @@
 import pathlib
 import zlib
 
-from lotusroute.service_config import Malformed
+from lotusroute.errors import InvalidValueError
 
 FILE = "promised"  # in the state folder
 
 
 def load(folder: str) -> int:
-    """Read the number; 0 where there is no file yet. Raises Malformed where the file is spoilt.
+    """Read the number; 0 where there is no file yet. Raises InvalidValueError where the file is spoilt.
 
     A keeper that took a spoilt file for none could promise a number again.
     """
@@ -24,10 +24,12 @@
     except FileNotFoundError:
         return 0
     except (OSError, ValueError) as fault:
-        raise Malformed(f"{path}: {fault}") from None
+        raise InvalidValueError(f"{path}: {fault}") from None
     number, _, check = text.strip().partition(" ")
     if not number.isdecimal() or check != f"{zlib.crc32(number.encode()):08x}":
-        raise Malformed(f"{path}: spoilt; put back a copy, or remove it while no balancer of the fleet runs")
+        raise InvalidValueError(
+            f"{path}: spoilt; put back a copy, or remove it while no balancer of the fleet runs"
+        )
     return int(number)
 
 
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -14,57 +14,67 @@
 import msgspec
 from twisted.internet import threads
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage
-from lotusroute.fleet.config import Plan
-from lotusroute.fleet.transport import LOOKER, Failed, Link
-from lotusroute.leases.acceptor import BLOCK, Keeper, Reserve
+from lotusroute.fleet.config import FleetConfig
+from lotusroute.fleet.transport import LOOKER, CallFailed, PeerTransport
+from lotusroute.leases.acceptor import BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
-    Ask,
-    Freed,
-    Held,
-    Leave,
-    Lost,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseReleased,
     Prepare,
     Propose,
     Release,
+    ReleaseLease,
     Reply,
+    ReplyReceived,
+    RequestLease,
+    SendRequest,
     Tick,
-    Told,
-    Want,
 )
-from lotusroute.leases.proposer import Asker
-from lotusroute.net.structured_log import say
-from lotusroute.service_config import Malformed
+from lotusroute.leases.proposer import Proposer
+from lotusroute.net.structured_log import log_event
 
 WORDS = {"prepare": Prepare, "propose": Propose, "release": Release}  # calls to a keeper, by kind
 SOONEST = 5.0  # ms between two looks at the clock
 
 
-class Part:
+class LeaseService:
     """The fleet's part of one balancer."""
 
     def __init__(
-        self, reactor, plan: Plan, name: str, counts, changed: Callable = lambda task, fence: None
+        self, reactor, plan: FleetConfig, name: str, counters, changed: Callable = lambda task, fence: None
     ) -> None:
         """`changed(task, fence)` is called as a task becomes this balancer's, and with 0 as it ends."""
         if name not in plan.peers:
-            raise Malformed(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
-        self.reactor, self.plan, self.name, self.counts, self.changed = reactor, plan, name, counts, changed
+            raise InvalidValueError(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
+        self.reactor, self.plan, self.name, self.counters, self.changed = (
+            reactor,
+            plan,
+            name,
+            counters,
+            changed,
+        )
         chance = random.Random(os.urandom(16))
         # A process that comes back under its name is not the one that held.
-        self.asker = Asker(f"{name}#{os.urandom(4).hex()}", plan.terms, chance)
+        self.asker = Proposer(f"{name}#{os.urandom(4).hex()}", plan.terms, chance)
         self.serves: dict[str, Callable[[str, bytes], bytes]] = {}  # further calls, by kind; set at the start
         self.shows: dict[str, Callable[[], object]] = {}  # what further parts show, by name; set at the start
         self.left: Callable[[str], object] = str  # called as a peer's last connection here ends
-        self.link = Link(reactor, plan, name, chance, counts, self._serve, left=lambda peer: self.left(peer))
-        self.keeper: Keeper | None = None
+        self.link = PeerTransport(
+            reactor, plan, name, chance, counters, self._serve, left=lambda peer: self.left(peer)
+        )
+        self.keeper: Acceptor | None = None
         self.reserving = False
         self.timer = None
         self.stopped = False
         if name in plan.terms.keepers:
             if not plan.state or not os.path.isdir(plan.state):
-                raise Malformed(f"LB_FLEET: state: '{plan.state}' is no folder, and a keeper needs one")
-            self.keeper = Keeper(plan.terms, self.clock(), acceptor_storage.load(plan.state))
+                raise InvalidValueError(
+                    f"LB_FLEET: state: '{plan.state}' is no folder, and a keeper needs one"
+                )
+            self.keeper = Acceptor(plan.terms, self.clock(), acceptor_storage.load(plan.state))
 
     @staticmethod
     def clock() -> float:
@@ -77,11 +87,13 @@
             if keeper != self.name:
                 self.link.dial(keeper)
         if self.keeper is not None:
-            self._reserve(Reserve(self.keeper.floor + BLOCK))
+            self._reserve(PersistBallots(self.keeper.floor + BLOCK))
             silent = self.keeper.open_from - self.clock()
-            self.reactor.callLater(max(0.0, silent) / 1000, say, "keeper speaks", floor=self.keeper.floor)
+            self.reactor.callLater(
+                max(0.0, silent) / 1000, log_event, "keeper speaks", floor=self.keeper.floor
+            )
         for task in self.plan.tasks:
-            self._decide(Want(task))
+            self._decide(RequestLease(task))
         return self.link.listen()
 
     def stop(self) -> None:
@@ -90,7 +102,7 @@
             return
         self.stopped = True
         for task in list(self.asker.claims):
-            self._decide(Leave(task))
+            self._decide(ReleaseLease(task))
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
@@ -106,15 +118,15 @@
 
     def _decide(self, event) -> None:
         for action in self.asker.decide(self.clock(), event):
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 self._ask(action)
-            elif isinstance(action, Held):
-                self.counts["leases_held"] += 1
-                say("lease held", task=action.task, fence=action.fence)
+            elif isinstance(action, LeaseAcquired):
+                self.counters["leases_held"] += 1
+                log_event("lease held", task=action.task, fence=action.fence)
                 self.changed(action.task, action.fence)
-            elif isinstance(action, Lost):
-                self.counts[f"leases_lost_{action.why.replace(' ', '_')}"] += 1
-                say("lease lost", task=action.task, why=action.why)
+            elif isinstance(action, LeaseLost):
+                self.counters[f"leases_lost_{action.why.replace(' ', '_')}"] += 1
+                log_event("lease lost", task=action.task, why=action.why)
                 self.changed(action.task, 0)
         self._again()
 
@@ -127,7 +139,7 @@
         if due < math.inf:
             self.timer = self.reactor.callLater(max(SOONEST, due) / 1000, self._decide, Tick())
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: SendRequest) -> None:
         if ask.keeper == self.name:
             # In a turn of its own: the asker is in the middle of deciding.
             self.reactor.callLater(0, lambda: self._told(self.name, self._keep(ask.what)))
@@ -139,12 +151,12 @@
 
     def _told(self, keeper: str, reply: Reply | None) -> None:
         if reply is not None and not self.stopped:
-            self._decide(Told(keeper, reply))
+            self._decide(ReplyReceived(keeper, reply))
 
     def _no_answer(self, reason) -> None:
         """A keeper that is away says nothing, and time does the rest."""
-        reason.trap(Failed, msgspec.MsgspecError)
-        self.counts["leases_unanswered"] += 1
+        reason.trap(CallFailed, msgspec.MsgspecError)
+        self.counters["leases_unanswered"] += 1
 
     # The keeper
 
@@ -152,22 +164,22 @@
         if kind == "show":
             return msgspec.json.encode(self.show())
         if peer == LOOKER:
-            raise Failed("a command may only look")
+            raise CallFailed("a command may only look")
         if kind == "freed":
-            self._decide(msgspec.msgpack.decode(body, type=Freed))
+            self._decide(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
         if kind in self.serves:
             return self.serves[kind](peer, body)
         if kind not in WORDS or self.keeper is None:
-            raise Failed(f"no keeper, or no call '{kind[:32]}'")
+            raise CallFailed(f"no keeper, or no call '{kind[:32]}'")
         try:
             ask = msgspec.msgpack.decode(body, type=WORDS[kind])
         except msgspec.MsgspecError as fault:
-            self.counts["link_garbled"] += 1
-            raise Failed(f"{kind}: {fault}") from None
+            self.counters["link_garbled"] += 1
+            raise CallFailed(f"{kind}: {fault}") from None
         if ask.asker.partition("#")[0] != peer:
-            self.counts["leases_strangers"] += 1
-            raise Failed(f"{kind}: asked for another")
+            self.counters["leases_strangers"] += 1
+            raise CallFailed(f"{kind}: asked for another")
         return msgspec.msgpack.encode(self._keep(ask))
 
     def _keep(self, ask: Prepare | Propose | Release) -> Reply | None:
@@ -175,7 +187,7 @@
             return None
         reply, reserve, freed = self.keeper.decide(self.clock(), ask)
         if not reply.yes:
-            self.counts[f"keeper_{reply.why}"] += 1
+            self.counters[f"keeper_{reply.why}"] += 1
         if reserve is not None:
             self._reserve(reserve)
         for waiting in freed:
@@ -185,12 +197,12 @@
     def _free(self, asker: str, task: str) -> None:
         peer = asker.partition("#")[0]
         if peer == self.name:
-            self.reactor.callLater(0, lambda: self.stopped or self._decide(Freed(task)))
+            self.reactor.callLater(0, lambda: self.stopped or self._decide(LeaseReleased(task)))
             return
-        call = self.link.call_back(peer, "freed", msgspec.msgpack.encode(Freed(task)))
+        call = self.link.call_back(peer, "freed", msgspec.msgpack.encode(LeaseReleased(task)))
         call.addErrback(self._no_answer)
 
-    def _reserve(self, reserve: Reserve) -> None:
+    def _reserve(self, reserve: PersistBallots) -> None:
         if self.reserving:
             return
         self.reserving = True
@@ -203,8 +215,8 @@
         def failed(reason) -> None:
             # Nothing above what disk has is promised: the fleet goes on with the other keepers.
             self.reserving = False
-            self.counts["keeper_disk_failed"] += 1
-            say("keeper's disk failed", why=str(reason.value)[:200])
+            self.counters["keeper_disk_failed"] += 1
+            log_event("keeper's disk failed", why=str(reason.value)[:200])
 
         writing.addCallbacks(stored, failed)
 
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -8,10 +8,10 @@
 import msgspec
 from twisted.internet import defer
 
-from lotusroute.fleet.lease_service import Part
-from lotusroute.fleet.transport import BODY, Failed
+from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.fleet.transport import BODY, CallFailed
 from lotusroute.net.discovery import HOLD
-from lotusroute.net.structured_log import say
+from lotusroute.net.structured_log import log_event
 
 TASK = "watch"
 BEAT = 0.4  # s between a holder's words: three fit into STALE, one lost is nothing
@@ -20,7 +20,7 @@
 LONGEST = 50.0  # ms that handing on takes at most: so much of the lease must be left
 
 
-class Word(msgspec.Struct, array_like=True):
+class SharedUpdate(msgspec.Struct, array_like=True):
     """What a holder tells: that it listens, and a list or changes where there are any."""
 
     fence: int
@@ -31,11 +31,11 @@
     hosts: list | None = None
 
 
-class Watch:
+class SharedDiscovery:
     """This balancer's part in the task; what `Discovery` asks before it calls."""
 
-    def __init__(self, part: Part) -> None:
-        self.part, self.reactor, self.counts = part, part.reactor, part.counts
+    def __init__(self, part: LeaseService) -> None:
+        self.part, self.reactor, self.counters = part, part.reactor, part.counters
         self.discovery = None  # the one that follows now; another after a reload
         self.fence = 0  # while this balancer holds the task
         self.highest = 0  # the highest fence under which a word was taken
@@ -59,7 +59,7 @@
             await self.waiting
             if timer.active():
                 timer.cancel()
-        self.counts["watch_own_calls"] += 1
+        self.counters["watch_own_calls"] += 1
 
     def age(self) -> float:
         """How long ago a holder's word was last taken, in s: so old is the list at most."""
@@ -69,7 +69,7 @@
         """Discovery has answered this balancer; a holder hands it on."""
         self.answered_at = self.part.clock()
         if self.part.fence(TASK, LONGEST) and (told["hosts"] or told["whole"]):
-            word = Word(self.fence, self.discovery.base, told["seq"], -1 if since is None else since)
+            word = SharedUpdate(self.fence, self.discovery.base, told["seq"], -1 if since is None else since)
             word.whole, word.hosts = told["whole"], told["hosts"]
             self._tell(word)
 
@@ -97,39 +97,41 @@
         known = self.discovery is not None and self.discovery.seq is not None
         fresh = self.part.clock() - self.answered_at < FRESH
         if known and fresh and self.part.fence(TASK, LONGEST):
-            self._tell(Word(fence, self.discovery.base, self.discovery.seq))
+            self._tell(SharedUpdate(fence, self.discovery.base, self.discovery.seq))
 
-    def _tell(self, word: Word) -> None:
+    def _tell(self, word: SharedUpdate) -> None:
         body = msgspec.msgpack.encode(word)
         if len(body) > BODY:
             # Too long for one call: the version in the next beat tells them to call.
-            self.counts["watch_too_long"] += 1
+            self.counters["watch_too_long"] += 1
             return
-        self.counts["watch_told"] += 1
+        self.counters["watch_told"] += 1
         for peer in self.part.others():
             self.part.link.call(peer, "watch", body).addErrback(self._untold)
 
     def _untold(self, reason) -> None:
         """One that was not reached calls by itself."""
-        reason.trap(Failed)
-        self.counts["watch_untold"] += 1
+        reason.trap(CallFailed)
+        self.counters["watch_untold"] += 1
 
     # The others
 
     def word(self, peer: str, body: bytes) -> bytes:
         """A holder's word came."""
-        word = msgspec.msgpack.decode(body, type=Word)
+        word = msgspec.msgpack.decode(body, type=SharedUpdate)
         if word.fence < self.highest:
-            self.counts["watch_fenced"] += 1
-            raise Failed("a later holder has spoken")
+            self.counters["watch_fenced"] += 1
+            raise CallFailed("a later holder has spoken")
         if self.discovery is None or word.where != self.discovery.base or self.fence:
-            raise Failed("not followed here")
+            raise CallFailed("not followed here")
         if word.fence > self.highest:
-            say("watch followed", holder=peer, fence=word.fence)
+            log_event("watch followed", holder=peer, fence=word.fence)
         self.highest, self.heard_at, self.said = word.fence, self.part.clock(), word.seq
         if word.hosts is not None:
             told = {"seq": word.seq, "whole": word.whole, "hosts": word.hosts}
-            self.counts["watch_taken"] += self.discovery.handed(told, None if word.since < 0 else word.since)
+            self.counters["watch_taken"] += self.discovery.handed(
+                told, None if word.since < 0 else word.since
+            )
         if self._behind():
             self.wake()
         return b""
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -16,8 +16,8 @@
 from twisted.protocols import amp
 from twisted.python import failure
 
-from lotusroute.fleet.config import Plan
-from lotusroute.net.structured_log import say
+from lotusroute.fleet.config import FleetConfig
+from lotusroute.net.structured_log import log_event
 
 FORM = 1  # of what is said on the link: who speaks another is let go
 BODY = 60_000  # bytes of one call or answer: AMP carries 65,535
@@ -33,7 +33,7 @@
 EACH = 4  # connections that one peer may have here: one, and those that died without a word
 
 
-class Failed(Exception):
+class CallFailed(Exception):
     """A call that brought nothing; says why: unreachable, crowded, late, stranger, large."""
 
 
@@ -49,15 +49,15 @@
 
     arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]
     response = [(b"body", amp.String())]
-    errors = {Failed: b"FAILED"}
+    errors = {CallFailed: b"FAILED"}
 
 
-class Connection(amp.AMP):
+class PeerConnection(amp.AMP):
     """One connection, whoever dialled it."""
 
     noisy = False
 
-    def __init__(self, link: "Link", peer: str = "") -> None:
+    def __init__(self, link: "PeerTransport", peer: str = "") -> None:
         super().__init__()
         self.link, self.peer = link, peer  # empty until a newcomer has said it
         self.calls = self.bytes = self.unanswered = 0
@@ -73,20 +73,20 @@
 
     def sendBox(self, box: amp.Box) -> None:
         data = box.serialize()
-        self.link.counts["link_bytes_out"] += len(data)
+        self.link.counters["link_bytes_out"] += len(data)
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:
-        self.link.counts["link_bytes_in"] += len(data)
+        self.link.counters["link_bytes_in"] += len(data)
         try:
             super().dataReceived(data)
         except Exception:  # whatever a peer sends ends its connection, and nothing else
-            self.link.counts["link_garbled"] += 1
+            self.link.counters["link_garbled"] += 1
             self.transport.abortConnection()
 
     def unhandledError(self, reason: failure.Failure) -> None:
         """A call that nobody here knows, or an answer that does not fit."""
-        self.link.counts["link_garbled"] += 1
+        self.link.counters["link_garbled"] += 1
         self.transport.abortConnection()
 
     def connectionLost(self, reason: failure.Failure) -> None:
@@ -101,8 +101,8 @@
 
     def _stranger(self, why: str) -> None:
         self._quiet()
-        self.link.counts["link_strangers"] += 1
-        say("stranger let go", why=why)
+        self.link.counters["link_strangers"] += 1
+        log_event("stranger let go", why=why)
         self.transport.abortConnection()
 
     @Hello.responder
@@ -123,15 +123,15 @@
         """A peer calls."""
         if not self.greeted:
             self.link.reactor.callLater(0, self._stranger, "called before it said who it is")
-            raise Failed("stranger")
-        self.link.counts["link_calls_in"] += 1
+            raise CallFailed("stranger")
+        self.link.counters["link_calls_in"] += 1
         answer = defer.maybeDeferred(self.link.serve, self.peer, kind, body)
         answer.addCallbacks(lambda back: {"body": back}, self._refused)
         return answer
 
     def _refused(self, reason: failure.Failure) -> None:
-        self.link.counts["link_refused"] += 1
-        raise Failed(str(reason.value)[:200])
+        self.link.counters["link_refused"] += 1
+        raise CallFailed(str(reason.value)[:200])
 
     def greet(self, fleet: str, name: str) -> defer.Deferred:
         """Say who we are; brings who the other is."""
@@ -140,14 +140,14 @@
 
     def ask(self, kind: str, body: bytes) -> defer.Deferred:
         """Call the peer, within the bounds."""
-        counts, reactor = self.link.counts, self.link.reactor
+        counters, reactor = self.link.counters, self.link.reactor
         if len(body) > BODY:
-            return defer.fail(Failed("large"))
+            return defer.fail(CallFailed("large"))
         if self.calls >= CALLS or self.bytes + len(body) > BYTES:
-            counts["link_crowded"] += 1
-            return defer.fail(Failed("crowded"))
+            counters["link_crowded"] += 1
+            return defer.fail(CallFailed("crowded"))
         self.calls, self.bytes = self.calls + 1, self.bytes + len(body)
-        counts["link_calls"] += 1
+        counters["link_calls"] += 1
         told: defer.Deferred = defer.Deferred()
 
         def ended(result: object) -> None:
@@ -157,17 +157,17 @@
             if told.called:
                 return
             if isinstance(result, failure.Failure):
-                if not result.check(Failed):
-                    result = failure.Failure(Failed("unreachable"))
+                if not result.check(CallFailed):
+                    result = failure.Failure(CallFailed("unreachable"))
                 told.errback(result)
             else:
                 self.unanswered = 0
                 told.callback(result["body"])
 
         def late() -> None:
-            counts["link_late"] += 1
+            counters["link_late"] += 1
             self.unanswered += 1
-            told.errback(Failed("late"))
+            told.errback(CallFailed("late"))
             if self.unanswered >= STALLED:
                 # It takes our bytes and answers nothing: another connection may do better.
                 self.transport.abortConnection()
@@ -180,27 +180,29 @@
 LOOKER = "-"  # the name of a command that only looks
 
 
-class Link:
+class PeerTransport:
     """All connections of one balancer; those to peers are dialled when first called, and kept up then."""
 
     def __init__(
         self,
         reactor,
-        plan: Plan,
+        plan: FleetConfig,
         name: str,
         chance: random.Random,
-        counts,
+        counters,
         serve: Callable[[str, str, bytes], object],
         up: Callable[[str], object] = str,
         left: Callable[[str], object] = str,
     ) -> None:
         """`up(peer)`: one that we dialled is greeted; `left(peer)`: that, or the last from there, ended."""
-        self.reactor, self.plan, self.name, self.chance, self.counts = reactor, plan, name, chance, counts
+        self.reactor, self.plan, self.name, self.chance, self.counters = reactor, plan, name, chance, counters
         self.up, self.left = up, left
         self.kept: set[str] = set()  # peers to which a connection is kept up; leave with `drop`
         self.serve = serve  # (peer, kind, body) to bytes or a Deferred of them; raises Failed to refuse
-        self.out: dict[str, Connection] = {}  # by peer, greeted; leave when lost
-        self.came_in: dict[str, list[Connection]] = {}  # by peer, EACH at most, newest last; leave when lost
+        self.out: dict[str, PeerConnection] = {}  # by peer, greeted; leave when lost
+        self.came_in: dict[
+            str, list[PeerConnection]
+        ] = {}  # by peer, EACH at most, newest last; leave when lost
         self.dialling: dict[str, float] = {}  # peers that are dialled, and the pause after the next failure
         self.redials: dict[str, object] = {}  # by peer, the next try; leave as it begins or is taken back
         self.port = None
@@ -209,7 +211,7 @@
     def listen(self) -> defer.Deferred:
         """Take connections at the own address."""
         host, port = self.plan.peers[self.name]
-        factory = Factory.forProtocol(lambda: Connection(self))
+        factory = Factory.forProtocol(lambda: PeerConnection(self))
         factory.noisy = False
         found = endpoints.TCP4ServerEndpoint(self.reactor, port, BACKLOG, host).listen(factory)
         return found.addCallback(lambda port: setattr(self, "port", port))
@@ -227,13 +229,13 @@
         connection = self.out.get(peer)
         if connection is None:
             self.dial(peer)
-            return defer.fail(Failed("unreachable"))
+            return defer.fail(CallFailed("unreachable"))
         return connection.ask(kind, body)
 
     def call_back(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
         """Call one that has dialled us, on its own connection."""
         connections = self.came_in.get(peer)
-        return connections[-1].ask(kind, body) if connections else defer.fail(Failed("unreachable"))
+        return connections[-1].ask(kind, body) if connections else defer.fail(CallFailed("unreachable"))
 
     def guest(self, name: str) -> bool:
         """Whether one that no file names may come in: as many as the plan has room for."""
@@ -263,7 +265,7 @@
             return
         host, port = self.plan.peers[peer]
         point = endpoints.TCP4ClientEndpoint(self.reactor, host, port, timeout=DIAL)
-        connection = Connection(self, peer)
+        connection = PeerConnection(self, peer)
         trying = endpoints.connectProtocol(point, connection)
         trying.addCallback(lambda connection: connection.greet(self.plan.name, self.name))
         trying.addTimeout(DIAL + HELLO, self.reactor)
@@ -271,23 +273,23 @@
             lambda name: self._up(peer, connection, name), lambda _: self._down(peer, connection)
         )
 
-    def _up(self, peer: str, connection: Connection, name: str) -> None:
+    def _up(self, peer: str, connection: PeerConnection, name: str) -> None:
         unfit = connection.transport is None or connection.transport.disconnecting
         if name != peer or unfit or self.closed or peer not in self.dialling:
-            self.counts["link_strangers"] += name != peer
+            self.counters["link_strangers"] += name != peer
             self._down(peer, connection)
             return
         connection.greeted = True
         del self.dialling[peer]
         self.out[peer] = connection
-        self.counts["link_up"] += 1
-        say("link up", peer=peer)
+        self.counters["link_up"] += 1
+        log_event("link up", peer=peer)
         self.up(peer)
 
-    def _down(self, peer: str, connection: Connection) -> None:
+    def _down(self, peer: str, connection: PeerConnection) -> None:
         if connection.transport is not None:
             connection.transport.abortConnection()
-        self.counts["link_dials_failed"] += 1
+        self.counters["link_dials_failed"] += 1
         if peer not in self.dialling or peer in self.redials:
             return  # taken back, or dialled anew meanwhile
         pause = self.dialling[peer]
@@ -296,20 +298,20 @@
         self.redials[peer] = later
         self.left(peer)
 
-    def came(self, connection: Connection) -> None:
+    def came(self, connection: PeerConnection) -> None:
         """A newcomer has said who it is."""
         connections = self.came_in.setdefault(connection.peer, [])
         connections.append(connection)
         if len(connections) > EACH:
-            self.counts["link_too_many"] += 1
+            self.counters["link_too_many"] += 1
             connections[0].transport.abortConnection()
 
-    def lost(self, connection: Connection) -> None:
+    def lost(self, connection: PeerConnection) -> None:
         """A connection is over."""
         if self.out.get(connection.peer) is connection:
             del self.out[connection.peer]
-            self.counts["link_lost"] += 1
-            say("link lost", peer=connection.peer)
+            self.counters["link_lost"] += 1
+            log_event("link lost", peer=connection.peer)
             if connection.peer in self.kept:
                 self.dial(connection.peer)
             self.left(connection.peer)
@@ -320,10 +322,10 @@
             self.left(connection.peer)
 
 
-def look(reactor, plan: Plan, peer: str) -> defer.Deferred:
+def query_peer(reactor, plan: FleetConfig, peer: str) -> defer.Deferred:
     """Ask one balancer once what it shows, for a command; brings its bytes."""
-    link = Link(reactor, plan, LOOKER, random.Random(), Counter(), lambda *_: b"")
-    connection = Connection(link, peer)
+    link = PeerTransport(reactor, plan, LOOKER, random.Random(), Counter(), lambda *_: b"")
+    connection = PeerConnection(link, peer)
     point = endpoints.TCP4ClientEndpoint(reactor, *plan.peers[peer], timeout=DIAL)
     asked = endpoints.connectProtocol(point, connection)
     asked.addCallback(lambda connection: connection.greet(plan.name, LOOKER))
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -13,11 +13,11 @@
     LONG,
     LOW,
     SILENT,
+    LeaseTerms,
     Prepare,
     Propose,
     Release,
     Reply,
-    Terms,
 )
 
 WAITING = 8  # who are told when a holder lets go: one of them will have it, the others find it by time
@@ -26,7 +26,7 @@
 NUMBERS = 2**62  # a number beyond this is a liar's: a fence has to grow on after it
 
 
-class Kept(NamedTuple):
+class AcceptorState(NamedTuple):
     """What a keeper remembers of one task; times by its own clock."""
 
     promised: int = 0  # the highest number that it gave its word to
@@ -42,7 +42,9 @@
     return Reply(ask.task, ask.number, type(ask).__name__.lower(), ask.round, yes, *rest, **more)
 
 
-def answer(kept: Kept, now: float, ask: Prepare | Propose | Release, terms: Terms) -> tuple[Kept, Reply]:
+def answer(
+    kept: AcceptorState, now: float, ask: Prepare | Propose | Release, terms: LeaseTerms
+) -> tuple[AcceptorState, Reply]:
     """Answer one asker about one task.
 
     The number of a majority of promises is the fence: each keeper promises a number once, two majorities
@@ -77,16 +79,16 @@
     return kept, reply(ask, True, seen=ask.number, wanted=wanted)
 
 
-class Reserve(NamedTuple):
+class PersistBallots(NamedTuple):
     """Write to disk, before any answer that needs it, that numbers under this one may have been promised."""
 
     under: int
 
 
-class Keeper:
+class Acceptor:
     """One keeper: all tasks, its silence after a start, and the numbers that it may promise."""
 
-    def __init__(self, terms: Terms, now: float, floor: int) -> None:
+    def __init__(self, terms: LeaseTerms, now: float, floor: int) -> None:
         """Start with what disk says: no number under `floor` is promised again.
 
         What it promised and granted before is forgotten. Numbers start over the floor; grants are waited out
@@ -96,9 +98,13 @@
         self.open_from = now + terms.lease + terms.margin
         self.floor = floor  # promised before the start, at most
         self.under = floor  # numbers under it are on disk
-        self.kept: dict[str, Kept] = {}  # TASKS at most; a task whose lease has long ended makes room
+        self.kept: dict[
+            str, AcceptorState
+        ] = {}  # TASKS at most; a task whose lease has long ended makes room
 
-    def decide(self, now: float, ask: Prepare | Propose | Release) -> tuple[Reply, Reserve | None, tuple]:
+    def decide(
+        self, now: float, ask: Prepare | Propose | Release
+    ) -> tuple[Reply, PersistBallots | None, tuple]:
         """Answer; say what has to be on disk before the next answer of that kind can be a yes, and who are to
         be told that the holder has let go."""
         if now < self.open_from:
@@ -107,12 +113,12 @@
             return reply(ask, False, LONG, self.floor), None, ()
         if ask.number >= self.under:
             # The number has to outlive us before anybody counts on it; the asker comes again.
-            return reply(ask, False, SILENT, self.floor), Reserve(ask.number + BLOCK), ()
+            return reply(ask, False, SILENT, self.floor), PersistBallots(ask.number + BLOCK), ()
         kept = self.kept.get(ask.task)
         if kept is None:
             if len(self.kept) >= TASKS and not self._make_room(now):
                 return reply(ask, False, FULL, self.floor), None, ()
-            kept = Kept(promised=self.floor)
+            kept = AcceptorState(promised=self.floor)
         after, answered = answer(kept, now, ask, self.terms)
         self.kept[ask.task] = after
         return answered, None, () if after.waiting else kept.waiting
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -21,7 +21,7 @@
 SILENT, HELD, LOW, LONG, FULL = "silent", "held", "low", "long", "full"
 
 
-class Terms(NamedTuple):
+class LeaseTerms(NamedTuple):
     """What all of a fleet agree on, from the operator's file."""
 
     keepers: tuple[str, ...]
@@ -36,7 +36,7 @@
     def majority(self) -> int:
         """How many keepers must say yes: any two such sets share one.
 
-        >>> Terms(("a", "b", "c")).majority, Terms(tuple("abcde")).majority
+        >>> LeaseTerms(("a", "b", "c")).majority, LeaseTerms(tuple("abcde")).majority
         (2, 3)
         """
         return len(self.keepers) // 2 + 1
@@ -49,7 +49,7 @@
         no sooner than lease / (1 + drift). The asker's clock may run slow, so that what it counts as h lasts
         up to h / (1 - drift) (Gray and Cheriton 1989, section 5).
 
-        >>> round(Terms(("a",), lease=3_000.0, drift=0.01, margin=50.0).held, 1)
+        >>> round(LeaseTerms(("a",), lease=3_000.0, drift=0.01, margin=50.0).held, 1)
         2890.6
         """
         return self.lease * (1 - self.drift) / (1 + self.drift) - self.margin
@@ -97,26 +97,26 @@
     wanted: bool = False  # another has asked for the task within a lease
 
 
-class Want(NamedTuple):
+class RequestLease(NamedTuple):
     """This balancer would do the task."""
 
     task: str
 
 
-class Leave(NamedTuple):
+class ReleaseLease(NamedTuple):
     """It would do it no longer."""
 
     task: str
 
 
-class Told(NamedTuple):
+class ReplyReceived(NamedTuple):
     """A keeper has answered."""
 
     keeper: str
     reply: Reply
 
 
-class Freed(NamedTuple):
+class LeaseReleased(NamedTuple):
     """A keeper tells those who asked that the holder has let go."""
 
     task: str
@@ -126,21 +126,21 @@
     """Time has passed."""
 
 
-class Ask(NamedTuple):
+class SendRequest(NamedTuple):
     """Say this to a keeper."""
 
     keeper: str
     what: Prepare | Propose | Release
 
 
-class Held(NamedTuple):
+class LeaseAcquired(NamedTuple):
     """The task is this balancer's; every act of it carries the fence."""
 
     task: str
     fence: int
 
 
-class Lost(NamedTuple):
+class LeaseLost(NamedTuple):
     """The task is this balancer's no longer."""
 
     task: str
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -12,26 +12,26 @@
     HELD,
     PAUSE,
     RENEW,
-    Ask,
-    Freed,
-    Held,
-    Leave,
-    Lost,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseReleased,
+    LeaseTerms,
     Prepare,
     Propose,
     Release,
+    ReleaseLease,
     Reply,
-    Terms,
+    ReplyReceived,
+    RequestLease,
+    SendRequest,
     Tick,
-    Told,
-    Want,
 )
 
 IDLE, PREPARE, PROPOSE = "idle", "prepare", "propose"
 TASKS = 64  # tasks that one asks for: names come from the program
 
 
-class Claim(NamedTuple):
+class ProposerState(NamedTuple):
     """What an asker knows of one task; times by its own clock."""
 
     wants: bool = False
@@ -52,20 +52,22 @@
         return now < self.until
 
 
-class Asker:
+class Proposer:
     """One balancer's claims on all tasks.
 
     `name` has to be new with each start: what a process that died holds is not its successor's.
     """
 
-    def __init__(self, name: str, terms: Terms, chance: random.Random) -> None:
+    def __init__(self, name: str, terms: LeaseTerms, chance: random.Random) -> None:
         self.name, self.terms, self.chance = name, terms, chance
-        self.claims: dict[str, Claim] = {}  # TASKS at most; a task leaves when it is wanted no more
+        self.claims: dict[str, ProposerState] = {}  # TASKS at most; a task leaves when it is wanted no more
         self.looked = -math.inf  # at the clock, last
         self.round = 0  # of all steps begun
         self.out: list = []
 
-    def decide(self, now: float, event: Want | Leave | Told | Freed | Tick) -> list[Ask | Held | Lost]:
+    def decide(
+        self, now: float, event: RequestLease | ReleaseLease | ReplyReceived | LeaseReleased | Tick
+    ) -> list[SendRequest | LeaseAcquired | LeaseLost]:
         """Take what happened and return what is to be said and what has changed."""
         self.out = []
         stalled = now - self.looked > self.terms.stall and self.looked > -math.inf
@@ -74,18 +76,18 @@
             # Whoever stood still for so long serves no fleet: the task is better off elsewhere.
             for task in self.claims:
                 self._let_go(task, now, "stalled", self.terms.lease)
-        if isinstance(event, Want):
+        if isinstance(event, RequestLease):
             if event.task in self.claims or len(self.claims) < TASKS:
-                self.claims[event.task] = self.claims.get(event.task, Claim())._replace(wants=True)
+                self.claims[event.task] = self.claims.get(event.task, ProposerState())._replace(wants=True)
                 self._look(event.task, now)
-        elif isinstance(event, Leave):
+        elif isinstance(event, ReleaseLease):
             if event.task in self.claims:
                 self._let_go(event.task, now, "left")
                 del self.claims[event.task]
-        elif isinstance(event, Told):
+        elif isinstance(event, ReplyReceived):
             if event.reply.task in self.claims and event.keeper in self.terms.keepers:
                 self._told(event.keeper, event.reply, now)
-        elif isinstance(event, Freed):
+        elif isinstance(event, LeaseReleased):
             claim = self.claims.get(event.task)
             if claim is not None and claim.step == IDLE and not claim.holds(now):
                 # Drawn, for others were told too: who asks first has it.
@@ -124,9 +126,9 @@
     # The steps
 
     def _say(self, words: Prepare | Propose | Release) -> None:
-        self.out += [Ask(keeper, words) for keeper in self.terms.keepers]
+        self.out += [SendRequest(keeper, words) for keeper in self.terms.keepers]
 
-    def _begin(self, task: str, claim: Claim, step: str, now: float) -> Claim:
+    def _begin(self, task: str, claim: ProposerState, step: str, now: float) -> ProposerState:
         """Ask all keepers. An answer from an earlier renewal under the same number must not count in this
         round: its keeper lets go a lease after that one."""
         self.round += 1
@@ -138,7 +140,7 @@
             step=step, round=self.round, began=now, yes=frozenset(), no=frozenset(), wanted=False
         )
 
-    def _renewal(self, claim: Claim) -> float:
+    def _renewal(self, claim: ProposerState) -> float:
         return max(claim.at, claim.until - self.terms.held * (1 - RENEW))
 
     def _look(self, task: str, now: float) -> None:
@@ -177,7 +179,7 @@
             claim = self._give_up(task, claim, now, reply.left if reply.why == HELD else 0.0)
         self.claims[task] = claim
 
-    def _agreed(self, task: str, claim: Claim, now: float) -> Claim:
+    def _agreed(self, task: str, claim: ProposerState, now: float) -> ProposerState:
         terms = self.terms
         if claim.step == PREPARE:
             # The lease counts from here, before the proposal leaves: keepers count from when it comes.
@@ -187,24 +189,24 @@
             return self._give_up(task, claim, now)
         claim = claim._replace(step=IDLE, until=until, since=claim.since if held else now)
         if not held:
-            self.out.append(Held(task, claim.number))
+            self.out.append(LeaseAcquired(task, claim.number))
         elif claim.wanted and now - claim.since >= terms.term:
             self.claims[task] = claim
             claim = self._let_go(task, now, "term over", terms.lease)
         return claim
 
-    def _give_up(self, task: str, claim: Claim, now: float, left: float = 0.0) -> Claim:
+    def _give_up(self, task: str, claim: ProposerState, now: float, left: float = 0.0) -> ProposerState:
         """The step in hand came to nothing; what it holds from before goes on to its end."""
         if claim.step == PROPOSE and not claim.holds(now):
             # Those that said yes would keep all others out for a whole lease.
             self._say(Release(task, claim.number, self.name, claim.round))
         return claim._replace(step=IDLE, at=now + left + self.chance.uniform(*PAUSE))
 
-    def _let_go(self, task: str, now: float, why: str, rest: float = 0.0) -> Claim:
+    def _let_go(self, task: str, now: float, why: str, rest: float = 0.0) -> ProposerState:
         """Hold the task no longer, and ask for it again after a rest at the soonest."""
         claim = self.claims[task]
         if claim.until > -math.inf:
-            self.out.append(Lost(task, why))
+            self.out.append(LeaseLost(task, why))
         if claim.until > -math.inf or claim.step == PROPOSE:
             self._say(Release(task, claim.number, self.name, claim.round))
         claim = claim._replace(step=IDLE, until=-math.inf, at=max(claim.at, now + rest))
--- a/lotusroute/migrate.py
+++ b/lotusroute/migrate.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.net import config
-from lotusroute.service_config import Malformed
 
 EXAMPLE = """example:
   python -m lotusroute.migrate old.json new.json --location hall-a --dry-run
@@ -106,7 +106,7 @@
     for part in outer:
         told = told.setdefault(part, {})
         if not isinstance(told, dict):
-            raise Malformed(f"{path}: {part} is not a JSON object")
+            raise InvalidValueError(f"{path}: {part} is not a JSON object")
     told[last] = value
 
 
@@ -147,7 +147,7 @@
         instead("settings.my_zone", location)
     hosts = get(old, "known.hosts") or []
     if not all(isinstance(host, dict) for host in hosts):
-        raise Malformed("known.hosts: not a list of JSON objects")
+        raise InvalidValueError("known.hosts: not a list of JSON objects")
     sites = sorted({str(host["site"]) for host in hosts if "site" in host})
     elsewhere = sites not in ([], [location])
     if keep_known and elsewhere:
@@ -182,7 +182,7 @@
     """Write a file whole or not at all, as readable as its model; one that exists only where asked."""
     folder = os.path.dirname(target) or "."
     if not os.path.isdir(folder):
-        raise Malformed(f"{target}: there is no folder {folder}; make it first")
+        raise InvalidValueError(f"{target}: there is no folder {folder}; make it first")
     with tempfile.TemporaryDirectory(dir=folder) as own:
         spare = os.path.join(own, "whole")
         with open(spare, "w", encoding="utf-8") as file:
@@ -200,19 +200,19 @@
     """Do what the command line asks for."""
     if os.path.exists(asked.new):
         if os.path.samefile(asked.old, asked.new):
-            raise Malformed(f"{asked.new}: is the old file, which is never touched; name another")
+            raise InvalidValueError(f"{asked.new}: is the old file, which is never touched; name another")
         if not (asked.force or asked.dry_run):
-            raise Malformed(f"{asked.new}: exists; name another, or say --force")
+            raise InvalidValueError(f"{asked.new}: exists; name another, or say --force")
     try:
-        old = config.load(asked.old)
-        config.posting(old, os.environ)
-    except Malformed as fault:
-        raise Malformed(f"{asked.old}: {fault}") from None
+        old = config.read_json_object(asked.old)
+        config.parse_config(old, os.environ)
+    except InvalidValueError as fault:
+        raise InvalidValueError(f"{asked.old}: {fault}") from None
     try:
         new, report = migrate(old, asked.location, dict(asked.set), asked.keep_known)
-        config.posting(new, os.environ)
-    except Malformed as fault:
-        raise Malformed(f"{asked.new}, as it would be: {fault}") from None
+        config.parse_config(new, os.environ)
+    except InvalidValueError as fault:
+        raise InvalidValueError(f"{asked.new}, as it would be: {fault}") from None
     if not asked.dry_run:
         if new == old:
             with open(asked.old, encoding="utf-8") as file:
@@ -249,7 +249,7 @@
     asked = parser.parse_args(argv)
     try:
         report = run(asked)
-    except (Malformed, OSError) as fault:
+    except (InvalidValueError, OSError) as fault:
         print(f"lotusroute.migrate: {fault}", file=sys.stderr)
         return 2
     for line in report.lines():
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from lotusroute.routing.events import Vip
-from lotusroute.service_config import Malformed, flatten, number
-from lotusroute.service_config import vip as decode_vip
+from lotusroute.errors import InvalidValueError
+from lotusroute.routing.events import ServiceConfig
+from lotusroute.service_config import flatten, parse_number, parse_service_config
 
 SOCKETS = 1024.0  # descriptors, where no limit is told: what a process usually may hold
 MEMORY = 1024.0  # MB, where no limit is told: more than all descriptors can fill
@@ -24,7 +24,7 @@
 FRESH = {"seed", "known"}  # new at each start, and nothing to one that runs
 
 
-class Posting(NamedTuple):
+class BalancerConfig(NamedTuple):
     """Where this balancer stands and what it serves."""
 
     name: str
@@ -35,7 +35,7 @@
     memory_mb: float
     tenants: frozenset[str]  # those that may ask; empty where none are told
     known: dict  # the server list as last held, in discovery's form
-    vip: Vip
+    vip: ServiceConfig
     come_up: float  # ms for a connection to a server to come up
     longest: float  # connect timeout of the most patient service type
     grace: float  # ms after news of a drain until nothing may be sent to the server any more
@@ -43,19 +43,19 @@
     log_level: str
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Read host:port.
 
-    >>> address("10.0.0.4:9000")
+    >>> parse_address("10.0.0.4:9000")
     ('10.0.0.4', 9000)
     """
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise Malformed(f"'{text}' is not host:port")
+        raise InvalidValueError(f"'{text}' is not host:port")
     return host, int(port)
 
 
-def read(environ: Mapping[str, str], anew: bool = False) -> Posting:
+def load_config(environ: Mapping[str, str], anew: bool = False) -> BalancerConfig:
     """Read all that the balancer is told; a key that is missing or bad is named.
 
     Read `anew`, the file goes before the environment: that is still the one of the start, and following its
@@ -63,89 +63,89 @@
     """
     path = environ.get("LB_CONFIG")
     if not path:
-        raise Malformed("LB_CONFIG: not set")
+        raise InvalidValueError("LB_CONFIG: not set")
     try:
-        told = load(path)
-    except Malformed as fault:
-        raise Malformed(f"LB_CONFIG: {fault}") from None
-    return posting(told, environ, anew)
+        told = read_json_object(path)
+    except InvalidValueError as fault:
+        raise InvalidValueError(f"LB_CONFIG: {fault}") from None
+    return parse_config(told, environ, anew)
 
 
-def fleet_file(environ: Mapping[str, str]) -> str:
+def fleet_config_path(environ: Mapping[str, str]) -> str:
     """The operator's file on the fleet; empty where the fleet's parts are off, as on the platform."""
     return environ.get("LB_FLEET", "")
 
 
-def relays_file(environ: Mapping[str, str]) -> str:
+def relays_config_path(environ: Mapping[str, str]) -> str:
     """The operator's file on relays; empty where they are off, as on the platform."""
     return environ.get("LB_RELAYS", "")
 
 
-def load(path: str | os.PathLike) -> dict:
+def read_json_object(path: str | os.PathLike) -> dict:
     """Read the file, as far as that it is a JSON object."""
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError) as fault:
-        raise Malformed(str(fault)) from None
+        raise InvalidValueError(str(fault)) from None
     if not isinstance(told, dict):
-        raise Malformed("not a JSON object")
+        raise InvalidValueError("not a JSON object")
     return told
 
 
-def posting(told: dict, environ: Mapping[str, str], anew: bool = False) -> Posting:
+def parse_config(told: dict, environ: Mapping[str, str], anew: bool = False) -> BalancerConfig:
     """Check what a file tells, beside what the environment does."""
     settings = told.get("settings") or {}
     if not isinstance(settings, dict):
-        raise Malformed("settings: not a JSON object")
+        raise InvalidValueError("settings: not a JSON object")
     env = dict(flatten(settings))
 
     def text(key: str) -> str:
         said = environ.get(f"LB_{key.upper()}"), told.get(key)
         value = (said[1] or said[0]) if anew else (said[0] or said[1])
         if not isinstance(value, str):
-            raise Malformed(f"LB_{key.upper()}: not set, and no {key} in LB_CONFIG")
+            raise InvalidValueError(f"LB_{key.upper()}: not set, and no {key} in LB_CONFIG")
         return value
 
     def checked(key: str, read, value: object):
         try:
             return read(value)
-        except Malformed as fault:
-            raise Malformed(f"{key}: {fault}") from None
+        except InvalidValueError as fault:
+            raise InvalidValueError(f"{key}: {fault}") from None
 
     def figure(key: str, value: object, default: float, none: bool = False) -> float:
-        value = default if value is None else checked(key, number, str(value))
+        value = default if value is None else checked(key, parse_number, str(value))
         if value < 0 or not (value or none):
-            raise Malformed(f"{key}: {value:g} is not above 0")
+            raise InvalidValueError(f"{key}: {value:g} is not above 0")
         return value
 
-    vip = checked("settings", decode_vip, env)
+    vip = checked("settings", parse_service_config, env)
     types = settings.get("service_types")
     if not (vip.service_types and isinstance(types, list)):
-        raise Malformed("settings.service_types: none given")
+        raise InvalidValueError("settings.service_types: none given")
     if "" in vip.service_types or len(vip.service_types) < len(types):
-        raise Malformed("settings.service_types: each needs a name of its own")
+        raise InvalidValueError("settings.service_types: each needs a name of its own")
     deadlines = (f"service_types.{at}.deadline" for at in range(len(types)))
     known = told.get("known") or {"seq": 0, "hosts": []}
     if not (isinstance(known, dict) and isinstance(known.get("hosts"), list)):
-        raise Malformed("known: not a server list")
+        raise InvalidValueError("known: not a server list")
     limits = told.get("limits") or {}
     if not isinstance(limits, dict):
-        raise Malformed("limits: not a JSON object")
+        raise InvalidValueError("limits: not a JSON object")
     level = environ.get("LB_LOG", "INFO").upper()
     if level not in LEVELS:
-        raise Malformed(f"LB_LOG: '{level}' is none of {', '.join(LEVELS)}")
-    return Posting(
+        raise InvalidValueError(f"LB_LOG: '{level}' is none of {', '.join(LEVELS)}")
+    return BalancerConfig(
         name=text("name"),
-        listen=checked("LB_LISTEN", address, text("listen")),
-        discovery=checked("LB_DISCOVERY", address, text("discovery")),
+        listen=checked("LB_LISTEN", parse_address, text("listen")),
+        discovery=checked("LB_DISCOVERY", parse_address, text("discovery")),
         seed=int.from_bytes(str(told.get("seed", "")).encode()),
         sockets=int(figure("limits.sockets", limits.get("sockets"), SOCKETS)),
         memory_mb=figure("limits.memory_mb", limits.get("memory_mb"), MEMORY),
         tenants=frozenset(env[key] for key in env if re.fullmatch(r"tenants\.\d+\.name", key)),
         known=known,
         # The protocol has no frame in which a server says it is slow.
-        vip=vip._replace(tells_delay=False),
+        vip=vip._replace(reports_latency=False),
         come_up=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"), COME_UP),
         longest=max(figure(f"settings.{path}", env.get(path), LONGEST) for path in deadlines),
         grace=figure(
@@ -156,7 +156,7 @@
     )
 
 
-def needing_restart(old: Posting, new: Posting) -> list[str]:
+def settings_needing_restart(old: BalancerConfig, new: BalancerConfig) -> list[str]:
     """Name what has changed and cannot be taken over by a balancer that runs."""
-    changed = (name for name in Posting._fields if getattr(old, name) != getattr(new, name))
+    changed = (name for name in BalancerConfig._fields if getattr(old, name) != getattr(new, name))
     return [name for name in changed if name not in APPLIED | FRESH]
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -17,12 +17,13 @@
 from twisted.internet import defer, reactor, task
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
-from lotusroute.net.config import address
-from lotusroute.net.structured_log import say
+from lotusroute.errors import InvalidValueError
+from lotusroute.net.config import parse_address
+from lotusroute.net.structured_log import log_event
 from lotusroute.routing import events
-from lotusroute.service_config import Malformed, number, one_of
+from lotusroute.service_config import look_up, parse_number
 
-STATES = {"SERVING": events.READY, "DRAINING": events.DRAINING, "DELETED": events.GONE}
+STATES = {"SERVING": events.READY, "DRAINING": events.DRAINING, "DELETED": events.REMOVED}
 # One clock for all: whatever becomes of the calls, a change counts as told LATEST after discovery had it.
 # Each call, wait and pause has to fit into what is left of that, and of the grace of a drain, since the last
 # whole answer. Counted each by itself, a silent watch and a refusal after it passed both by up to 4 s.
@@ -39,11 +40,11 @@
 SLACK = 0.15  # s for a busy core and the way of an answer
 SPREAD = 0.2  # share of a pause that is waited at least; the rest is drawn, that 40 refused come one by one
 CALL, ANSWER, REFUSAL, BODY = "no answer", "an answer in part", "a refusal", "an answer that is no list"
-UNREADABLE = KeyError, TypeError, ValueError, AttributeError, Malformed  # what a spoilt answer raises
+UNREADABLE = KeyError, TypeError, ValueError, AttributeError, InvalidValueError  # what a spoilt answer raises
 REFUSALS = 429, 502, 503, 504  # statuses that say nothing of the version asked from
 
 
-class Listed(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """What discovery told: a list or changes to it, with where each server is dialled."""
 
     scope: str
@@ -51,20 +52,20 @@
     dials: dict[str, tuple[str, int]]
 
 
-class Failed(NamedTuple):
+class DiscoveryFailed(NamedTuple):
     """A call that brought nothing, and how far it had come."""
 
     reached: str
     why: str
 
 
-def listed(told: dict, scope: str, counts: Counter | None = None) -> Listed:
+def parse_endpoint_list(told: dict, scope: str, counters: Counter | None = None) -> EndpointUpdate:
     """Decode a list in discovery's form. Its clock is Unix time in ms, and so is the owner's. Entries that
     cannot be read are counted and named, the others used: one spoilt server had all drains go unheard. Raises
-    Malformed where there are entries and none can be read.
+    InvalidValueError where there are entries and none can be read.
 
     >>> told = {"hosts": [{"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}, 7]}
-    >>> listed(told, events.WHOLE).dials
+    >>> parse_endpoint_list(told, events.COMPLETE).dials
     {'s-1': ('10.1.0.18', 9000)}
     """
     servers, dials, unread = [], {}, []
@@ -78,38 +79,38 @@
         if dial is not None:
             dials[server.id] = dial
     if unread:
-        if counts is not None:
-            counts["entries_unread"] += len(unread)
-        say("list entries unread", logging.WARNING, entries=len(unread), first=unread[0])
+        if counters is not None:
+            counters["entries_unread"] += len(unread)
+        log_event("list entries unread", logging.WARNING, entries=len(unread), first=unread[0])
         if not servers:
-            raise Malformed(unread[0])
-    return Listed(scope, tuple(servers), dials)
+            raise InvalidValueError(unread[0])
+    return EndpointUpdate(scope, tuple(servers), dials)
 
 
 def _entry(entry: dict) -> tuple[events.Server, tuple[str, int] | None]:
     """Decode one entry; where it is dialled is None for a server that is gone."""
-    state, server = one_of(STATES, entry["health"], "health"), entry["host"]
+    state, server = look_up(STATES, entry["health"], "health"), entry["host"]
     if not (isinstance(server, str) and server):
-        raise Malformed(f"host: {server!r} is no name")
-    dial = None if state == events.GONE else address(entry["dial"])
+        raise InvalidValueError(f"host: {server!r} is no name")
+    dial = None if state == events.REMOVED else parse_address(entry["dial"])
     return events.Server(
         server,
         str(entry.get("site", "")),
         int(entry.get("block") or 0),
         state,
-        number(str(entry.get("share", 1.0))),
-        number(str(entry.get("born_ms") or 0)),
+        parse_number(str(entry.get("share", 1.0))),
+        parse_number(str(entry.get("born_ms") or 0)),
     ), dial
 
 
-def version(seq: object) -> int:
+def parse_version(seq: object) -> int:
     """Check a list's version.
 
-    >>> version(41)
+    >>> parse_version(41)
     41
     """
     if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0:
-        raise Malformed(f"seq: {seq!r} is no version")
+        raise InvalidValueError(f"seq: {seq!r} is no version")
     return seq
 
 
@@ -122,13 +123,13 @@
         seq: int | None,
         seed: int,
         put: Callable,
-        counts,
+        counters,
         grace: float = 2_000.0,
         pushed: bool = False,
     ) -> None:
         """`grace`: ms after news of a drain until nothing may be sent; `pushed`: an agent has the list."""
         self.base = f"http://{where[0]}:{where[1]}/api/targets"
-        self.put, self.counts = put, counts
+        self.put, self.counters = put, counters
         self.chance = random.Random(seed)
         self.within = LATEST + grace / 1000 - SLACK  # s from one whole answer in which the next has to be in
         self.as_of = reactor.seconds()  # when the list was last known: the last whole answer, or the start
@@ -179,7 +180,7 @@
                 self.as_of = max(self.as_of, reactor.seconds() - self.watch.age())
             begun, was = reactor.seconds(), self.silent
             news = await self._call()
-            self.silent = isinstance(news, Failed) and news.reached in (CALL, ANSWER)
+            self.silent = isinstance(news, DiscoveryFailed) and news.reached in (CALL, ANSWER)
             if was and self.silent:
                 # Twice in a row: discovery is away, and what it gets counts from its return on.
                 self.as_of = max(self.as_of, begun)
@@ -187,16 +188,16 @@
                 # What the old address still told is not put behind news from the new one.
                 return
             self._first_word()
-            if isinstance(news, Listed):
+            if isinstance(news, EndpointUpdate):
                 pause, refusals = 0.0, 0
-                if news.servers or news.scope == events.WHOLE:
+                if news.servers or news.scope == events.COMPLETE:
                     self.put(news)
                 continue
-            self.counts["discovery_failed"] += 1
+            self.counters["discovery_failed"] += 1
             if self.watch is not None:
                 self.watch.failed()
             if not pause:
-                say("discovery failed", reached=news.reached, why=news.why)
+                log_event("discovery failed", reached=news.reached, why=news.why)
             if news.reached == REFUSAL:
                 refusals += 1
                 pause = self._after_refusal(refusals == 1)
@@ -220,7 +221,7 @@
             return max(min(whole / 2, left - self.line), min(REFUSED, left))
         return whole  # late whatever comes, and the oftener all call the fewer are served
 
-    async def _call(self) -> Listed | Failed:
+    async def _call(self) -> EndpointUpdate | DiscoveryFailed:
         """Ask once; whatever goes wrong comes back as a value."""
         url, hold, begun = self.base, 0.0, reactor.seconds()
         wait = self.patience if self.stands or self.silent else self.prompt
@@ -234,7 +235,7 @@
             hold = 0.0 if self.silent else max(0.0, min(self.most_hold / 1000, room))
             url, wait = f"{url}?from={self.seq}&hold_ms={int(1000 * hold)}", wait + hold
         reached = CALL
-        self.counts["discovery_calls"] += 1
+        self.counters["discovery_calls"] += 1
         self._time(wait, max(SLACK, self._left() - wait - self.patience))
         try:
             self.waiting = self.agent.request(b"GET", url.encode())
@@ -246,9 +247,9 @@
             reached = BODY
             if answer.code in REFUSALS:
                 # Forty that were refused a watch asked for all lines instead, and none got a list all day.
-                return Failed(REFUSAL, f"status {answer.code}")
+                return DiscoveryFailed(REFUSAL, f"status {answer.code}")
             if answer.code != 200:
-                raise Malformed(f"status {answer.code}")
+                raise InvalidValueError(f"status {answer.code}")
             told, since = json.loads(body), self.seq
             news = self._checked(told)
             now = reactor.seconds()
@@ -260,9 +261,9 @@
             return news
         except UNREADABLE as fault:
             self.seq = None
-            return Failed(reached, f"{type(fault).__name__}: {fault}")
+            return DiscoveryFailed(reached, f"{type(fault).__name__}: {fault}")
         except Exception as fault:  # the HTTP client has dozens, and none may stop the following
-            return Failed(reached, f"{type(fault).__name__}: {fault}"[:200])
+            return DiscoveryFailed(reached, f"{type(fault).__name__}: {fault}"[:200])
         finally:
             if self.alarm.active():
                 self.alarm.cancel()
@@ -280,12 +281,12 @@
 
         self.alarm = reactor.callLater(seconds, over)
 
-    def _checked(self, told: dict) -> Listed:
+    def _checked(self, told: dict) -> EndpointUpdate:
         """Decode what was told and take its version; raises where it is no list or does not follow ours."""
-        news = listed(told, events.WHOLE if told["whole"] else events.CHANGES, self.counts)
-        seq = version(told["seq"])
+        news = parse_endpoint_list(told, events.COMPLETE if told["whole"] else events.CHANGES, self.counters)
+        seq = parse_version(told["seq"])
         if news.scope == events.CHANGES and (self.seq is None or seq < self.seq):
-            raise Malformed(f"changes up to {seq} of a list held at {self.seq}")
+            raise InvalidValueError(f"changes up to {seq} of a list held at {self.seq}")
         self.seq = seq
         return news
 
@@ -296,14 +297,14 @@
             if (
                 self.closed
                 or self.seq is not None
-                and version(told["seq"]) < self.seq
+                and parse_version(told["seq"]) < self.seq
                 or (not told["whole"] and since != self.seq)
             ):
                 return False
             news = self._checked(told)
         except UNREADABLE:
             return False
-        if news.servers or news.scope == events.WHOLE:
+        if news.servers or news.scope == events.COMPLETE:
             self.put(news)
         self._first_word()
         return True
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -14,8 +14,8 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from lotusroute.net.line_protocol import BUSY, END, ERR, LINE, MOVE, PING, PONG, SliceReceiver
-from lotusroute.service_config import Malformed
+from lotusroute.errors import InvalidValueError
+from lotusroute.net.line_protocol import BUSY, END, ERR, LINE, MOVE, PING, PONG, LineProtocol
 
 FIRST_LINE = 2.0  # s from connecting to a whole first line, however it trickles; a close is owed within 3
 CHECKS = 16  # PINGs on one connection; a front sends one, and those that send them without end cost our core
@@ -51,7 +51,7 @@
 class Asked(NamedTuple):
     """A client asks for a connection."""
 
-    side: "ClientSide"
+    side: "DownstreamConnection"
     opening: Opening
     at: float
 
@@ -67,29 +67,29 @@
     number: int
 
 
-def opening(line: bytes) -> Opening:
+def parse_opening(line: bytes) -> Opening:
     """Read a client's first line; the copy taken of it outlives its buffer, for further connects.
 
-    >>> opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f" + END).rewritten(1500.0)
+    >>> parse_opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f" + END).rewritten(1500.0)
     b'OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\\r\\n'
     """
     asked = ASK.fullmatch(line)
     if asked is None:
-        raise Malformed("not OPEN, id, key and a list")
+        raise InvalidValueError("not OPEN, id, key and a list")
     said, figure, start = {}, (0, 0), asked.start(3)
     for text in asked[3].split(b","):
         pair = PAIR.fullmatch(text)
         if pair is None or pair[1] in said:
-            raise Malformed("no pair, or one too many")
+            raise InvalidValueError("no pair, or one too many")
         said[pair[1]] = pair[2].decode()
         if pair[1] == b"d":
             if not WAIT.fullmatch(pair[2]):
-                raise Malformed("d is no time")
+                raise InvalidValueError("d is no time")
             figure = start + len(b"d="), start + len(text)
         start += len(text) + 1
     wait = float(said.get(b"d", 0))
     if wait <= 0 or not said.get(b"c"):
-        raise Malformed("no c, or no time in d")
+        raise InvalidValueError("no c, or no time in d")
     key = None if asked[2] == b"-" else asked[2].decode()
     returned = said.get(b"r") == "1" or said.get(b"again") == "1"
     return Opening(
@@ -105,10 +105,10 @@
     )
 
 
-class ClientSide(SliceReceiver):
+class DownstreamConnection(LineProtocol):
     """One connection from a client or the front."""
 
-    factory: "Clients"
+    factory: "DownstreamFactory"
     HELD = 4 * LINE  # of one that should wait for its answer; what stands in its way hides that it leaves
 
     def __init__(self) -> None:
@@ -147,20 +147,20 @@
     def _open(self, line: memoryview) -> None:
         now, factory = self.factory.clock(), self.factory
         try:
-            asked = Asked(self, opening(bytes(line)), now)
-        except Malformed:
+            asked = Asked(self, parse_opening(bytes(line)), now)
+        except InvalidValueError:
             self.refuse()
             return
         # Lines that a hasty client sends before its answer wait for the server's side.
         self.held = True
         self.setTimeout(None)
         factory.idle.pop(self, None)
-        factory.counts["flows"] += 1
+        factory.counters["flows"] += 1
         factory.put(asked)
 
     def refuse(self) -> None:
         """Answer what cannot be read or used."""
-        self.factory.counts["malformed_lines"] += 1
+        self.factory.counters["malformed_lines"] += 1
         self.answer(ERR)
 
     def overrun(self) -> None:
@@ -169,7 +169,7 @@
         if self.answered:
             super().overrun()
             return
-        self.factory.counts["overran"] += 1
+        self.factory.counters["overran"] += 1
         self.gone = True  # to the owner, who may not have taken it yet
         self.refuse()
         self._tell_left()
@@ -214,7 +214,7 @@
 
     def lineLengthExceeded(self, line: bytes) -> None:
         if self.link is not None:
-            self.factory.counts["malformed_lines"] += 1
+            self.factory.counters["malformed_lines"] += 1
             self.transport.abortConnection()
         else:
             self.refuse()
@@ -265,7 +265,7 @@
     def timeoutConnection(self) -> None:
         if not self.answered and self._has_asked():
             return
-        self.factory.counts["said_nothing"] += not self.answered
+        self.factory.counters["said_nothing"] += not self.answered
         if self.answered:
             super().timeoutConnection()
         else:
@@ -280,7 +280,7 @@
         elif self.unwritten():
             # Its last words, a MOVE perhaps, are still owed; it lingers for a second at most.
             return
-        self.factory.counts["ended_early"] += 1
+        self.factory.counters["ended_early"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
 
     def lost(self, clean: bool) -> None:
@@ -292,16 +292,16 @@
         self._tell_left()
 
 
-class Clients(ServerFactory):
+class DownstreamFactory(ServerFactory):
     """Takes connections in."""
 
     noisy = False
-    protocol = ClientSide
+    protocol = DownstreamConnection
 
-    def __init__(self, put: Callable, clock: Callable, ready: Callable, sockets: int, counts) -> None:
-        self.put, self.clock, self.ready, self.counts = put, clock, ready, counts
-        self.sides: set[ClientSide] = set()  # open connections; each leaves as it is lost
-        self.idle: dict[ClientSide, None] = {}  # those of them that have no flow, the oldest first
+    def __init__(self, put: Callable, clock: Callable, ready: Callable, sockets: int, counters) -> None:
+        self.put, self.clock, self.ready, self.counters = put, clock, ready, counters
+        self.sides: set[DownstreamConnection] = set()  # open connections; each leaves as it is lost
+        self.idle: dict[DownstreamConnection, None] = {}  # those of them that have no flow, the oldest first
         self.most = 1
         self.allow(sockets)
 
@@ -309,7 +309,7 @@
         """Take connections for so many descriptors."""
         self.most = max(1, sockets - max(OWN[1], sockets // OWN[0]) - ACCEPTS)
 
-    def take_in(self, side: ClientSide) -> None:
+    def take_in(self, side: DownstreamConnection) -> None:
         """Count a newcomer in. Descriptors that have no flow go, the oldest first, to one that may bring one:
         hundreds that connected and said nothing had the usual clients turned away."""
         self.sides.add(side)
@@ -321,21 +321,21 @@
                     break
         if self._taken() > self.most:
             # Accepting until no descriptor is left would lose flows unanswered.
-            self.counts["turned_away"] += 1
+            self.counters["turned_away"] += 1
             side.answer(BUSY)
 
     def sweep(self, listener: "Listener") -> bool:
         """Take in who waits to be accepted, and read what lies in the sockets of those without a flow, before
         all is closed; whether one of them is still owed something."""
         taken = -1
-        while taken != self.counts["connections"]:
-            taken = self.counts["connections"]
+        while taken != self.counters["connections"]:
+            taken = self.counters["connections"]
             listener.doRead()
         for side in list(self.idle):
             side.look()
         return any(side.owed() for side in self.sides)
 
-    def let_go(self, side: ClientSide) -> None:
+    def let_go(self, side: DownstreamConnection) -> None:
         """A connection has its last line and only lingers."""
         if side in self.sides:
             self.idle.pop(side, None)
@@ -345,8 +345,8 @@
         """Descriptors in use: two for each connection that has asked."""
         return 2 * len(self.sides) - len(self.idle)
 
-    def buildProtocol(self, addr) -> ClientSide:
-        self.counts["connections"] += 1
+    def buildProtocol(self, addr) -> DownstreamConnection:
+        self.counters["connections"] += 1
         return super().buildProtocol(addr)
 
 
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -5,7 +5,7 @@
 do I/O but look at its own client's socket, or choose a server.
 """
 
-from lotusroute.net.downstream import ClientSide, Opening
+from lotusroute.net.downstream import DownstreamConnection, Opening
 from lotusroute.net.line_protocol import ERR
 from lotusroute.net.upstream import Link
 from lotusroute.routing import events
@@ -13,7 +13,7 @@
 LEAST_GRACE = 50.0  # ms: by so much the protocol lengthens each time limit, also a grace of none
 
 
-class Held:
+class ActiveFlow:
     """A flow in hand."""
 
     __slots__ = (
@@ -33,7 +33,12 @@
     )
 
     def __init__(
-        self, number: int, opening: Opening, kind: events.ServiceType, due: float, client: ClientSide
+        self,
+        number: int,
+        opening: Opening,
+        kind: events.ServiceType,
+        due: float,
+        client: DownstreamConnection,
     ) -> None:
         self.number, self.opening, self.kind, self.due, self.client = number, opening, kind, due, client
         self.link: Link | None = None  # the connect in flight, or the connection; one at a time
@@ -49,7 +54,7 @@
 
     def refusal(self, busy: bytes) -> bytes:
         """The last word where nothing more is tried: `busy` where to come again is harmless, else ERR."""
-        return busy if self.kind.harmless(self.ran_at is not None) else ERR
+        return busy if self.kind.safe_to_retry(self.ran_at is not None) else ERR
 
     def wanted(self, now: float, grace: float) -> bool:
         """Whether the line may be sent now that its connection is up. Not when the client has left meanwhile,
@@ -60,6 +65,6 @@
         if self.opening.at:
             return True  # it stood there before the run
         kind, ran_at = self.kind, self.ran_at
-        if kind.kind == events.REFERENCED and ran_at is not None and now >= ran_at + kind.window:
+        if kind.effect == events.IDEMPOTENCY_KEY and ran_at is not None and now >= ran_at + kind.dedup_window:
             return False
         return now < self.began + max(grace, LEAST_GRACE)
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -11,7 +11,7 @@
 from twisted.protocols.policies import TimeoutMixin
 from zope.interface import implementer
 
-from lotusroute.net.structured_log import fault
+from lotusroute.net.structured_log import log_exception
 
 LINE = 4096  # bytes of a line with its ending, by the protocol
 SIP = 8_192  # bytes read at once, and that may wait to be written: 64 KiB each way made a full house 90 MB
@@ -40,7 +40,7 @@
 
 
 @implementer(IHalfCloseableProtocol)
-class SliceReceiver(LineReceiver, TimeoutMixin):
+class LineProtocol(LineReceiver, TimeoutMixin):
     """A LineReceiver whose `lineReceived` gets slices, each with its ending, ready to be passed on."""
 
     MAX_LENGTH = LINE
@@ -72,7 +72,7 @@
                 self.lineReceived(view[start:at])
         except Exception:
             # Whatever a line set off ends with its connection, not with the balancer.
-            fault("connection failed", kind=type(self).__name__)
+            log_exception("connection failed", kind=type(self).__name__)
             self.transport.abortConnection()
             return
         finally:
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -15,12 +15,12 @@
 
 from twisted.internet import reactor
 
-from lotusroute.net.config import Posting
-from lotusroute.net.discovery import Listed
-from lotusroute.net.downstream import Asked, ClientSide, Left, Opening
-from lotusroute.net.flow import Held
+from lotusroute.net.config import BalancerConfig
+from lotusroute.net.discovery import EndpointUpdate
+from lotusroute.net.downstream import Asked, DownstreamConnection, Left, Opening
+from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.line_protocol import BUSY, ERR
-from lotusroute.net.structured_log import LOG, fault, say
+from lotusroute.net.structured_log import LOGGER, log_event, log_exception
 from lotusroute.net.upstream import CONNECTING, REACHES, STANDING, Answered, Fell, Link, Loaded, Timed
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
@@ -35,7 +35,9 @@
 BASE = 32  # MB that the program takes by itself: 24 measured, and the interpreter's growth
 FLOW = 1 / 16  # MB that a flow may take: what both its sides may hold, read and unwritten, and its objects
 QUEUE = 4096  # events that may wait before newcomers are rejected unseen: some 100 ms of work
-REMEMBERED = 60_000.0  # ms that an id stays known after its flow: servers hold it open as long as any client
+CLOSED_FLOW_ID_TTL = (
+    60_000.0  # ms that an id stays known after its flow: servers hold it open as long as any client
+)
 IDS = 20_000  # ended flows whose ids are known at most: some 3 MB
 AGAIN = 1_000.0  # ms before a standing connection that found no server is tried again
 STAND = 8_000.0  # ms that its server has to take it back; the start is the busiest time of all
@@ -83,8 +85,8 @@
 class Owner:
     """The task that owns the Director."""
 
-    def __init__(self, posting: Posting, counts) -> None:
-        self.posting, self.counts = posting, counts
+    def __init__(self, posting: BalancerConfig, counters) -> None:
+        self.posting, self.counters = posting, counters
         self.director = Director(posting.vip, posting.seed)
         self.chance = random.Random(posting.seed + 1)  # its own row: what is drawn here shifts no decision
         # Unix time, as servers' starts are told in it and balancers take turns by it, but steady.
@@ -92,7 +94,7 @@
         self.began = self.clock()
         self.queue: deque = deque()  # bounded: newcomers are rejected beyond QUEUE, others are few a flow
         self.running = False
-        self.flows: dict[int, Held] = {}  # in hand; each leaves with its answer or its connection's end
+        self.flows: dict[int, ActiveFlow] = {}  # in hand; each leaves with its answer or its connection's end
         self.ids: set[str] = set()  # of the flows in hand and those ended lately; leave with `ended`
         self.ended: deque[tuple[float, str]] = deque()  # ids with their ends; each leaves after REMEMBERED
         self.next = 0
@@ -118,7 +120,7 @@
         """Whether flows can be taken."""
         return bool(self.dials) and not self.stopping
 
-    def allow(self, posting: Posting) -> None:
+    def allow(self, posting: BalancerConfig) -> None:
         """Take flows for the descriptors and the memory that are told."""
         sockets = (posting.sockets - max(RESERVE[1], posting.sockets // RESERVE[0])) // 2
         self.room = max(1, min(sockets, int((posting.memory_mb - BASE) / FLOW)))
@@ -143,15 +145,15 @@
         self.running = False
 
     def _failed(self, event: object, number: int) -> None:
-        self.counts["faults"] += 1
-        fault("event failed", kind=type(event).__name__)
+        self.counters["faults"] += 1
+        log_exception("event failed", kind=type(event).__name__)
         self._forget(number)
-        if isinstance(event, events.Wake | Step):
+        if isinstance(event, events.TimerFired | Step):
             # Without its next one the upkeep, or our end, would stand still for good.
             self._later(STEP if isinstance(event, Step) else LOOK, event)
         elif isinstance(event, Asked) and not event.number:
             event.side.answer(ERR)
-        elif isinstance(event, Listed) and self.relist is not None:
+        elif isinstance(event, EndpointUpdate) and self.relist is not None:
             # Half of it may have been taken, a drain not: it does not come again by itself.
             self.relist()
 
@@ -165,9 +167,9 @@
                 held.client.move()
             else:
                 held.client.answer(ERR)
-            self.put(events.Withdrawn(number))
+            self.put(events.ClientDisconnected(number))
 
-    def _drop(self, held: Held) -> None:
+    def _drop(self, held: ActiveFlow) -> None:
         """A flow is answered, or its connection over. Only those who copied its id use it again."""
         del self.flows[held.number]
         self.ended.append((self.clock(), held.opening.id))
@@ -189,7 +191,7 @@
         opening, side = event.opening, event.side
         if side.gone or side.left():
             # Nothing is begun for it: hundreds who had left unread filled a server's queue.
-            self.counts["withdrawn"] += 1
+            self.counters["withdrawn"] += 1
         elif self._unusable(opening) or (opening.at and self.clock() > self.began + STAND_FROM):
             side.refuse()
         elif self.stopping:
@@ -201,7 +203,7 @@
             self.ids.add(opening.id)
             due = event.at + opening.wait - min(MARGIN, MARGIN_SHARE * opening.wait)
             kind = self.posting.vip.service_types[opening.service_type]
-            held = self.flows[self.next] = Held(self.next, opening, kind, due, side)
+            held = self.flows[self.next] = ActiveFlow(self.next, opening, kind, due, side)
             side.number = held.number
             self._trace(
                 "asked",
@@ -224,14 +226,14 @@
         unknown = opening.service_type not in self.posting.vip.service_types
         return unknown or opening.id in self.ids or bool(tenants and tenant and tenant not in tenants)
 
-    def _flow(self, held: Held) -> events.Flow:
+    def _flow(self, held: ActiveFlow) -> events.Flow:
         o = held.opening
         return events.Flow(
-            held.number, o.service_type, o.tenant, o.group, o.key, held.due, returned=o.returned
+            held.number, o.service_type, o.tenant, o.group, o.key, held.due, reconnecting=o.returned
         )
 
-    def _turn_away(self, side: ClientSide, advice: float) -> None:
-        self.counts["turned_away"] += 1
+    def _turn_away(self, side: DownstreamConnection, advice: float) -> None:
+        self.counters["turned_away"] += 1
         side.answer(self._busy(advice))
 
     def _busy(self, advice: float) -> bytes:
@@ -239,7 +241,7 @@
         advice = round(min(advice, self.posting.vip.max_retry_after))
         return b"%b %d" % (BUSY, advice) if advice > 0 else BUSY
 
-    def _stand(self, held: Held) -> None:
+    def _stand(self, held: ActiveFlow) -> None:
         """A connection that stood before we started goes to its server, undecided."""
         if held.opening.at in self.dials:
             held.tries += 1
@@ -247,9 +249,9 @@
         else:
             self._stand_again(held)
 
-    def _stand_again(self, held: Held) -> None:
-        if held.tries >= self.posting.vip.max_connects or self.clock() + AGAIN >= held.due:
-            self.counts["standing_lost"] += 1
+    def _stand_again(self, held: ActiveFlow) -> None:
+        if held.tries >= self.posting.vip.max_attempts or self.clock() + AGAIN >= held.due:
+            self.counters["standing_lost"] += 1
             self._answer(held, ERR)
         else:
             self._later(AGAIN * max(1, held.tries), Again(held.number))
@@ -259,7 +261,7 @@
         if held is not None and not held.up:
             self._stand(held)
 
-    def _begin(self, held: Held, server: str, until: float) -> None:
+    def _begin(self, held: ActiveFlow, server: str, until: float) -> None:
         if held.client.left():
             # Its end lay unread behind its own lines when an earlier connect failed: the next was begun.
             self._left(Left(held.number))
@@ -272,20 +274,20 @@
             held.opening.rewritten(wait),
             self.put,
             self.clock,
-            self.counts,
+            self.counters,
             wanted=lambda: held.wanted(self.clock(), self.posting.grace),
         )
         limit = self.posting.come_up
         held.until = until
         link.start(self.dials[server], wait < limit)
         held.timer = self._later(min(limit, wait), Overdue(held.number, link))
-        self.counts["connects"] += 1
+        self.counters["connects"] += 1
         self._trace("connect", held, server=server, wait=wait)
 
     def _answered(self, event: Answered) -> None:
         held = self.flows.get(event.number)
         if held is None or held.link is not event.link:
-            self.counts["late_answers"] += 1
+            self.counters["late_answers"] += 1
             event.link.abandon()
             return
         if held.client.gone:
@@ -294,14 +296,14 @@
             return
         self._quiet(held)
         held.up = True
-        self.counts["established"] += 1
+        self.counters["established"] += 1
         server = event.link.server
         self._trace("up", held, server=server, ms=self.clock() - held.began)
         held.client.join(event.link, event.receipt)
         if server in self.draining:
             self._step_on()
         if held.opening.at:
-            self._decide(events.AlreadyOpen(self._flow(held), server))
+            self._decide(events.ExistingConnection(self._flow(held), server))
         else:
             self._decide(events.Established(held.number, server))
 
@@ -323,25 +325,25 @@
         else:
             self._ended(held, link.abandon())
 
-    def _ended(self, held: Held, result: str) -> None:
+    def _ended(self, held: ActiveFlow, result: str) -> None:
         """A connect, or the connection that came of it, is over."""
         self._quiet(held)
         server, came, held.link = held.link.server, REACHES[held.link.came], None
-        self.counts[f"ended_{result}"] += 1
+        self.counters[f"ended_{result}"] += 1
         self._trace("ended", held, server=server, result=result, came=came)
         if held.up:
             self._drop(held)
-            self._decide(events.Ended(held.number, server, True, result))
+            self._decide(events.ConnectionEnded(held.number, server, True, result))
             return
         held.over(result)
         if held.opening.at:
-            if result in events.NEVER_RAN or held.kind.kind == events.REPEATABLE:
+            if result in events.NEVER_RAN or held.kind.effect == events.IDEMPOTENT:
                 self._stand_again(held)
             else:
-                self.counts["standing_lost"] += 1
+                self.counters["standing_lost"] += 1
                 self._answer(held, ERR)
         else:
-            self._decide(events.Ended(held.number, server, False, result))
+            self._decide(events.ConnectionEnded(held.number, server, False, result))
             if held.link is None and held.number in self.flows:
                 raise RuntimeError("flow left without a connect or an answer")
 
@@ -355,13 +357,13 @@
                 held.left = self.clock()
                 held.timer = self._later(GOING, Gone(held.number))
             return
-        self.counts["withdrawn"] += 1
+        self.counters["withdrawn"] += 1
         self._trace("left", held, server=held.link and held.link.server)
         self._drop(held)
         self._hang_up(held)
         held.client.answer(ERR)
         if not held.opening.at:
-            self._decide(events.Withdrawn(held.number))
+            self._decide(events.ClientDisconnected(held.number))
 
     def _gone(self, event: Gone) -> None:
         held = self.flows.get(event.number)
@@ -371,20 +373,20 @@
             self._ended(held, events.CANCELLED)
 
     def _loaded(self, event: Loaded) -> None:
-        if LOG.isEnabledFor(logging.DEBUG):
-            say("load", logging.DEBUG, flow=event.number, load=event.load)
+        if LOGGER.isEnabledFor(logging.DEBUG):
+            log_event("load", logging.DEBUG, flow=event.number, load=event.load)
         if event.number in self.flows:
-            self._decide(events.LoadNoted(event.number, event.load))
+            self._decide(events.LoadReport(event.number, event.load))
 
     def _timed(self, event: Timed) -> None:
         self.delays.setdefault(event.server, []).append(event.delay)
 
-    def _listed(self, event: Listed) -> None:
-        self.counts["lists"] += 1
+    def _listed(self, event: EndpointUpdate) -> None:
+        self.counters["lists"] += 1
         if event.scope != events.CHANGES:
             self.dials.clear()
         for server in event.servers:
-            if server.state == events.GONE:
+            if server.state == events.REMOVED:
                 self.dials.pop(server.id, None)
             if server.state != events.DRAINING:
                 self.draining.pop(server.id, None)
@@ -395,9 +397,9 @@
         self.dials.update(event.dials)
         self.slow &= self.dials.keys()
         self.draining = {s: until for s, until in self.draining.items() if s in self.dials}
-        if LOG.isEnabledFor(logging.DEBUG):
+        if LOGGER.isEnabledFor(logging.DEBUG):
             for server in event.servers:
-                say(
+                log_event(
                     "listed",
                     logging.DEBUG,
                     scope=event.scope,
@@ -406,7 +408,7 @@
                     at=server.started,
                     cell=server.cell,
                 )
-        self._decide(events.ServerList(event.scope, event.servers))
+        self._decide(events.EndpointList(event.scope, event.servers))
         self._withdraw()
 
     def _withdraw(self) -> None:
@@ -417,7 +419,7 @@
             if link is None or link.reach != CONNECTING or held.opening.at:
                 continue
             if link.server in self.draining or link.server not in self.dials:
-                self.counts["withdrawn_connects"] += 1
+                self.counters["withdrawn_connects"] += 1
                 link.abandon()
                 self._ended(held, events.UNSENT)
 
@@ -427,7 +429,7 @@
         """Note slow servers, as the decisions expect it: once a second while it lasts, and once after."""
         self._later(LOOK, Look())
         now, silent, quiet = self.clock(), [], []
-        while self.ended and (self.ended[0][0] < now - REMEMBERED or len(self.ended) > IDS):
+        while self.ended and (self.ended[0][0] < now - CLOSED_FLOW_ID_TTL or len(self.ended) > IDS):
             self.ids.discard(self.ended.popleft()[1])
         for held in self.flows.values():
             if not held.up or held.link is None:
@@ -447,15 +449,15 @@
                 self.slow.discard(server)
             else:
                 continue
-            self.counts["slow_notes"] += 1
-            say("server slow", logging.DEBUG, server=server, delay=delay, of=len(delays))
-            self._decide(events.DelayNoted(server, delay))
+            self.counters["slow_notes"] += 1
+            log_event("server slow", logging.DEBUG, server=server, delay=delay, of=len(delays))
+            self._decide(events.LatencyReport(server, delay))
         self.delays = {}
         for held in quiet:
-            self._move(events.Move(held.number))
+            self._move(events.Migrate(held.number))
         for held in silent:
             # A machine that vanished says nothing, and TCP does not notice.
-            self.counts["silent"] += 1
+            self.counters["silent"] += 1
             held.link.abandon()
             held.client.move()
             self._ended(held, events.RESET)
@@ -474,51 +476,51 @@
     def _reject(self, action: events.Reject) -> None:
         held = self.flows.get(action.id)
         if held is not None and not held.up:
-            self.counts["rejected"] += 1
+            self.counters["rejected"] += 1
             self._answer(held, self._busy(action.retry_after))
 
     def _abort(self, action: events.Abort) -> None:
         held = self.flows.get(action.id)
         if held is not None and not held.up:
-            self.counts["aborted"] += 1
+            self.counters["aborted"] += 1
             self._answer(held, ERR)
 
-    def _move(self, action: events.Move) -> None:
+    def _move(self, action: events.Migrate) -> None:
         held = self.flows.get(action.id)
         if held is not None and held.up and not held.left:
-            self.counts["moved"] += 1
+            self.counters["moved"] += 1
             self._trace("moved", held, server=held.link.server)
             held.client.move()
             held.link.leave()
             self._ended(held, events.CANCELLED)
 
-    def _wake_me(self, action: events.WakeMe) -> None:
-        self._later(action.delay, events.Wake(action.mark))
+    def _wake_me(self, action: events.SetTimer) -> None:
+        self._later(action.delay, events.TimerFired(action.mark))
 
-    def _say(self, action: events.Say) -> None:
-        say(action.line)
+    def _say(self, action: events.LogMessage) -> None:
+        log_event(action.line)
 
     def _nothing(self, action: events.Action) -> None:
         """Discovery watches by itself."""
 
-    def _answer(self, held: Held, words: bytes) -> None:
+    def _answer(self, held: ActiveFlow, words: bytes) -> None:
         self._drop(held)
         self._hang_up(held)
         self._trace("answered", held, words=words.decode())
         held.client.answer(words)
 
     @staticmethod
-    def _trace(event: str, held: Held, **fields: object) -> None:
+    def _trace(event: str, held: ActiveFlow, **fields: object) -> None:
         """Name a step of a flow by its client's id, the same at every balancer, where asked to."""
-        if LOG.isEnabledFor(logging.DEBUG):
-            say(event, logging.DEBUG, id=held.opening.id, flow=held.number, **fields)
+        if LOGGER.isEnabledFor(logging.DEBUG):
+            log_event(event, logging.DEBUG, id=held.opening.id, flow=held.number, **fields)
 
-    def _quiet(self, held: Held) -> None:
+    def _quiet(self, held: ActiveFlow) -> None:
         if held.timer is not None and held.timer.active():
             held.timer.cancel()
         held.timer = None
 
-    def _hang_up(self, held: Held) -> None:
+    def _hang_up(self, held: ActiveFlow) -> None:
         self._quiet(held)
         if held.link is not None:
             held.link.abandon()
@@ -529,7 +531,7 @@
         """Finish what is in hand and send all clients away; call `stopped` when they are gone."""
         if not self.stopping:
             self.stopping, self.stopped = self.clock(), stopped
-            say("stopping", flows=len(self.flows))
+            log_event("stopping", flows=len(self.flows))
             self._step_on()
 
     def _step_on(self) -> None:
@@ -547,16 +549,16 @@
         elif any(held.link.server in self.draining for held in self.flows.values() if held.link):
             self._step_on()
 
-    def _standing(self) -> list[Held]:
+    def _standing(self) -> list[ActiveFlow]:
         return [held for held in self.flows.values() if held.up and not held.left]
 
-    def _send_away(self, up: list[Held], left: float) -> None:
+    def _send_away(self, up: list[ActiveFlow], left: float) -> None:
         """Move as many of them as brings all away in the time left, so that the others see no crowd. Parts of
         one are drawn: two hundred that rounded up their one or two were a crowd in the first step."""
         for held in up[: int(len(up) / max(1.0, left / STEP) + self.chance.random())]:
-            self._move(events.Move(held.number))
+            self._move(events.Migrate(held.number))
 
-    def _stop_on(self, gone: float, up: list[Held]) -> None:
+    def _stop_on(self, gone: float, up: list[ActiveFlow]) -> None:
         last = min(self.posting.longest, STOP_LONGEST) + STOP_REST
         if gone >= STOP_MOVES:
             # Where all connect timeouts are short the kill comes before the spread is over.
@@ -576,7 +578,7 @@
         else:
             self._step_on()
 
-    def _cut(self, held: Held) -> None:
+    def _cut(self, held: ActiveFlow) -> None:
         if held.up or held.link is not None and held.link.reach == STANDING:
             return  # its receipt stands in the queue
         if held.link is not None:
@@ -591,20 +593,20 @@
         Left: _left,
         Loaded: _loaded,
         Timed: _timed,
-        Listed: _listed,
+        EndpointUpdate: _listed,
         Again: _again,
         Gone: _gone,
         Look: _look,
         Step: _step,
-        events.Wake: _decide,
-        events.Withdrawn: _decide,
+        events.TimerFired: _decide,
+        events.ClientDisconnected: _decide,
     }
     _do = {
         events.Connect: _connect,
         events.Reject: _reject,
         events.Abort: _abort,
-        events.Move: _move,
-        events.WakeMe: _wake_me,
-        events.Say: _say,
+        events.Migrate: _move,
+        events.SetTimer: _wake_me,
+        events.LogMessage: _say,
         events.Subscribe: _nothing,
     }
--- a/lotusroute/net/structured_log.py
+++ b/lotusroute/net/structured_log.py
@@ -11,15 +11,15 @@
 
 from twisted.python import log as twisted_log
 
-LOG = logging.getLogger("lotusroute")
+LOGGER = logging.getLogger("lotusroute")
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Writes a record as key=value pairs; texts with spaces stand in quotes.
 
     >>> fields = {"server": "s-1", "ms": 4.25}
     >>> record = logging.makeLogRecord({"msg": "set aside", "levelname": "INFO", "fields": fields})
-    >>> KeyValue().format(record).split(" ", 2)[2]
+    >>> KeyValueFormatter().format(record).split(" ", 2)[2]
     'event="set aside" server=s-1 ms=4.250'
     """
 
@@ -41,27 +41,27 @@
         return text if plain else '"' + text.replace('"', "'").replace("\n", " | ") + '"'
 
 
-class Counts(Counter):
+class Counters(Counter):
     """What happened since the start, by name; `print` writes them all in one line."""
 
     def print(self) -> None:
-        say("counters", **dict(sorted(self.items())))
+        log_event("counters", **dict(sorted(self.items())))
 
 
-def say(event: str, level: int = logging.INFO, **fields: object) -> None:
+def log_event(event: str, level: int = logging.INFO, **fields: object) -> None:
     """Log one event with its fields."""
-    LOG.log(level, event, extra={"fields": fields})
+    LOGGER.log(level, event, extra={"fields": fields})
 
 
-def fault(event: str, **fields: object) -> None:
+def log_exception(event: str, **fields: object) -> None:
     """Log the exception being handled: it stops here."""
-    LOG.error(event, extra={"fields": fields}, exc_info=True)
+    LOGGER.error(event, extra={"fields": fields}, exc_info=True)
 
 
-def start(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Send all lines, Twisted's warnings among them, to standard error."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=logging.WARNING)
-    LOG.setLevel(level)
+    LOGGER.setLevel(level)
     twisted_log.PythonLoggingObserver("twisted").start()
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -13,9 +13,10 @@
 from twisted.internet import error, reactor
 from twisted.internet.protocol import ClientFactory
 
-from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, SliceReceiver, word
+from lotusroute.errors import InvalidValueError
+from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, word
 from lotusroute.routing import events
-from lotusroute.service_config import Malformed, number
+from lotusroute.service_config import parse_number
 
 UNANSWERED = 64  # client lines whose answers are timed at once; those of two minutes
 
@@ -60,7 +61,7 @@
     """Pull producer that writes what a socket did not take of a connect's line at once, and learns when its
     last byte is written."""
 
-    def __init__(self, side: "ServerSide") -> None:
+    def __init__(self, side: "UpstreamConnection") -> None:
         self.side = side
 
     def resumeProducing(self) -> None:
@@ -77,7 +78,7 @@
         """The transport is gone; `lost` tells the rest."""
 
 
-class ServerSide(SliceReceiver):
+class UpstreamConnection(LineProtocol):
     """The connection of one connect."""
 
     def __init__(self, link: "Link") -> None:
@@ -129,9 +130,9 @@
 
     def _load(self, line: memoryview) -> None:
         try:
-            self.link.put(Loaded(self.link.number, number(str(line[len(LOAD) :], "ascii").strip())))
-        except (Malformed, UnicodeDecodeError):
-            self.link.counts["loads_unread"] += 1
+            self.link.put(Loaded(self.link.number, parse_number(str(line[len(LOAD) :], "ascii").strip())))
+        except (InvalidValueError, UnicodeDecodeError):
+            self.link.counters["loads_unread"] += 1
 
     def pass_on(self, line: memoryview) -> None:
         """Take a client's line."""
@@ -171,14 +172,14 @@
         line: bytes,
         put: Callable,
         clock: Callable,
-        counts,
+        counters,
         wanted: Callable[[], bool] = lambda: True,
     ) -> None:
         self.number, self.server, self.line = number, server, line
         self.wanted = wanted  # whether the line may be sent; asked once, as the connection is up
-        self.put, self.clock, self.counts = put, clock, counts
+        self.put, self.clock, self.counters = put, clock, counters
         self.reach = self.came = CONNECTING  # how far it is, and how far it came before it was over
-        self.side: ServerSide | None = None
+        self.side: UpstreamConnection | None = None
         self.connector = None
         self.hurried = False  # the time to come up was cut short: a time-out says little of the server
 
@@ -187,8 +188,8 @@
         self.hurried = hurried
         self.connector = reactor.connectTCP(*address, self, timeout=None)
 
-    def buildProtocol(self, addr) -> ServerSide:
-        self.side = ServerSide(self)
+    def buildProtocol(self, addr) -> UpstreamConnection:
+        self.side = UpstreamConnection(self)
         return self.side
 
     def clientConnectionFailed(self, connector, reason) -> None:
--- a/lotusroute/relay/command.py
+++ b/lotusroute/relay/command.py
@@ -11,10 +11,10 @@
 from twisted.internet import reactor
 
 from lotusroute.cli import FILE, JSON, PEER, _ask, _finish
+from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import config, lease_service
 from lotusroute.net import structured_log
-from lotusroute.net.config import address
-from lotusroute.service_config import Malformed
+from lotusroute.net.config import parse_address
 
 
 @click.group()
@@ -31,24 +31,24 @@
 
     Example: lotusroute relay run --fleet deploy/relays.toml --name r1 --discovery 10.2.0.1:8500
     """
-    from lotusroute.relay.server import Relay
+    from lotusroute.relay.server import RelayServer
 
-    structured_log.start("WARNING")
-    structured_log.LOG.setLevel("INFO")
-    counts = structured_log.Counts()
+    structured_log.configure_logging("WARNING")
+    structured_log.LOGGER.setLevel("INFO")
+    counters = structured_log.Counters()
     try:
-        told, where = config.read(file), address(discovery)
-        fleet = lease_service.Part(reactor, told, name, counts)
-    except Malformed as fault:
+        told, where = config.load_fleet_config(file), parse_address(discovery)
+        fleet = lease_service.LeaseService(reactor, told, name, counters)
+    except InvalidValueError as fault:
         click.echo(f"lotusroute: {fault}", err=True)
         sys.exit(2)
-    carried = Relay(fleet, where, counts)
+    carried = RelayServer(fleet, where, counters)
 
     def stop() -> None:
         fleet.stop()
         reactor.callLater(0.1, reactor.stop)
 
-    for number, call in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGUSR1, counts.print)):
+    for number, call in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGUSR1, counters.print)):
         signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
 
     def unheard(reason) -> None:
@@ -56,9 +56,9 @@
         reactor.stop()
 
     reactor.callWhenRunning(lambda: carried.start().addErrback(unheard))
-    reactor.callWhenRunning(structured_log.say, "relay ready", name=name)
+    reactor.callWhenRunning(structured_log.log_event, "relay ready", name=name)
     reactor.run(installSignalHandlers=False)
-    counts.print()
+    counters.print()
 
 
 @relay.command("show")
--- a/lotusroute/relay/endpoint_items.py
+++ b/lotusroute/relay/endpoint_items.py
@@ -6,15 +6,15 @@
 
 import json
 
-from lotusroute.relay.versioned_store import Store
+from lotusroute.relay.versioned_store import VersionedStore
 
 ABOUT = "#list"  # the item that says where the list is from and which version of discovery's it is
 
 
-def changes(store: Store, told: dict, where: str) -> dict[str, bytes | None]:
+def changes(store: VersionedStore, told: dict, where: str) -> dict[str, bytes | None]:
     """What an answer of discovery changes: the whole list, or some entries.
 
-    >>> store = Store()
+    >>> store = VersionedStore()
     >>> told = {"seq": 4, "whole": True, "hosts": [{"host": "a"}, {"host": "b"}]}
     >>> store.publish(1, changes(store, told, "d"))
     True
@@ -34,7 +34,7 @@
     return changed
 
 
-def about(store: Store) -> tuple[str, int | None]:
+def about(store: VersionedStore) -> tuple[str, int | None]:
     """Where the list held is from, and its version there; none where nothing is held."""
     if ABOUT not in store.items:
         return "", None
@@ -42,7 +42,7 @@
     return told["where"], told["seq"]
 
 
-def answer(store: Store, changed: dict[str, bytes | None] | None) -> dict:
+def answer(store: VersionedStore, changed: dict[str, bytes | None] | None) -> dict:
     """What is held, or what has changed in it, as an answer of discovery."""
     _, seq = about(store)
     items = store.items if changed is None else changed
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -10,7 +10,7 @@
 import math
 from typing import NamedTuple
 
-from lotusroute.relay.versioned_store import Delta, Snapshot, Store, Version
+from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
 BEAT = 600.0  # ms between words to one who lacks nothing: who hears none for 1.5 s goes elsewhere
 GIVE_UP = 2_500.0  # ms without an acknowledgement after which one is let go: it has left by then
@@ -19,7 +19,7 @@
 SNAPSHOTS = 8  # in flight at once: what a returning zone may take of us; the others stand in line
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A word that nothing has changed: the version, and how old in ms what it rests on is."""
 
     version: Version
@@ -30,7 +30,7 @@
     """Send this to a subscriber, and say when it is acknowledged."""
 
     to: str
-    news: Snapshot | Delta | Beat
+    news: Snapshot | Delta | Heartbeat
 
 
 class Drop(NamedTuple):
@@ -55,7 +55,7 @@
 class FanOut:
     """All subscribers of one process."""
 
-    def __init__(self, store: Store, most: int) -> None:
+    def __init__(self, store: VersionedStore, most: int) -> None:
         self.store, self.most = store, most
         self.followers: dict[str, _Follower] = {}  # `most` at most; leave when lost, dropped, or let go
         self.waiting: dict[str, None] = {}  # those who stand in line for a snapshot; leave with their turn
@@ -143,4 +143,4 @@
         follower.sent_at = follower.told_at = now
         if news is not None:
             follower.news_at = now
-        return [Send(name, news or Beat(self.store.version, age))]
+        return [Send(name, news or Heartbeat(self.store.version, age))]
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lotusroute.relay.fanout import Beat
+from lotusroute.relay.fanout import Heartbeat
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, parts
 
 PART = 40_000  # bytes of items in one call: the link takes 60,000
@@ -25,10 +25,10 @@
     items: dict[str, bytes | None] = {}
 
 
-def written(news: Snapshot | Delta | Beat, age: float) -> list[bytes]:
+def written(news: Snapshot | Delta | Heartbeat, age: float) -> list[bytes]:
     """The calls that carry news, in order; none where a delta is too large for one: tell a snapshot then."""
     version = tuple(news.version)
-    if isinstance(news, Beat):
+    if isinstance(news, Heartbeat):
         return [msgspec.msgpack.encode(Message(version, age))]
     if isinstance(news, Delta):
         size = sum(len(key) + len(value or b"") + 8 for key, value in news.changed.items())
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -43,7 +43,7 @@
     return sorted(own, key=rank) + sorted(others, key=rank)
 
 
-class Follower:
+class RelaySelector:
     """One process's choice of a relay."""
 
     def __init__(self, name: str, own: list[str], others: list[str], chance: random.Random) -> None:
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -10,13 +10,21 @@
 import msgspec
 from twisted.internet import defer
 
-from lotusroute.fleet.lease_service import Part
-from lotusroute.fleet.transport import Failed
+from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.fleet.transport import CallFailed
 from lotusroute.net.discovery import Discovery
-from lotusroute.net.structured_log import say
+from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import Drop, FanOut, Send
-from lotusroute.relay.versioned_store import OLDER, SPOILT, TAKEN, Refused, Snapshot, Store, Version
+from lotusroute.relay.versioned_store import (
+    OLDER,
+    SPOILT,
+    TAKEN,
+    PublishRejected,
+    Snapshot,
+    Version,
+    VersionedStore,
+)
 
 TASK = "origin"
 HOLD = 500  # ms that the origin's watch waits: it alone calls, and its silence is noticed so much sooner
@@ -24,14 +32,14 @@
 NEVER = 1e9  # ms: the age of what rests on nothing
 
 
-class Relay:
+class RelayServer:
     """One relay."""
 
-    def __init__(self, part: Part, where: tuple[str, int], counts, seed: int = 0) -> None:
+    def __init__(self, part: LeaseService, where: tuple[str, int], counters, seed: int = 0) -> None:
         """`where`: discovery's address, which the origin calls."""
-        self.part, self.reactor, self.counts, self.seed = part, part.reactor, counts, seed
+        self.part, self.reactor, self.counters, self.seed = part, part.reactor, counters, seed
         self.where = where
-        self.store = Store()
+        self.store = VersionedStore()
         self.fan = FanOut(self.store, part.plan.guests + len(part.plan.peers))
         self.assembly = messages.Assembly()
         self.fence = 0  # while this relay is the origin
@@ -78,10 +86,10 @@
     def _act(self, actions: list[Send | Drop]) -> None:
         for action in actions:
             if isinstance(action, Drop):
-                self.counts[f"news_dropped_{action.why}"] += 1
+                self.counters[f"news_dropped_{action.why}"] += 1
             else:
-                self.counts["news_sent"] += 1
-                self.counts[f"news_{type(action.news).__name__.lower()}s"] += 1
+                self.counters["news_sent"] += 1
+                self.counters[f"news_{type(action.news).__name__.lower()}s"] += 1
                 self._send(action.to, action.news)
 
     def _send(self, to: str, news) -> None:
@@ -97,11 +105,11 @@
         call = link.call if self.taken.get(to) == "peer" else link.call_back
         try:
             for body in calls:
-                self.counts["news_bytes"] += len(body)
+                self.counters["news_bytes"] += len(body)
                 told = await call(to, "news", body)
             at = messages.at(told)
-        except (Failed, msgspec.MsgspecError):
-            self.counts["news_unacknowledged"] += 1
+        except (CallFailed, msgspec.MsgspecError):
+            self.counters["news_unacknowledged"] += 1
             self.fan.leave(to)
             return
         self._act(self.fan.acknowledged(self.part.clock(), to, at, self.old()))
@@ -115,10 +123,10 @@
     def _follow(self, peer: str, body: bytes) -> bytes:
         """A subscriber wants to follow, from a version."""
         if self.old() > NEVER / 2:
-            raise Failed("nothing to tell yet")
+            raise CallFailed("nothing to tell yet")
         if peer not in self.taken and len(self.fan.followers) >= self.fan.most:
-            self.counts["news_dropped_full"] += 1
-            raise Failed("full")
+            self.counters["news_dropped_full"] += 1
+            raise CallFailed("full")
         self.taken[peer] = "guest"
         version = messages.at(body)
         self.reactor.callLater(0, self._begin, peer, version)
@@ -133,23 +141,23 @@
         word = messages.read(body)
         fence = word.version[0]
         if peer not in self.part.plan.peers or fence < self.highest or self.fence >= fence:
-            self.counts["news_fenced"] += 1
-            raise Failed("a later origin has spoken")
+            self.counters["news_fenced"] += 1
+            raise CallFailed("a later origin has spoken")
         if fence > self.highest:
-            say("origin followed", origin=peer, fence=fence)
+            log_event("origin followed", origin=peer, fence=fence)
         self.highest = fence
         now = self.part.clock()
         if word.parts or word.since is not None:
             news = self.assembly.take(word)
             if news is not None:
                 outcome = self.store.take(news)
-                self.counts[f"news_{outcome}"] += 1
+                self.counters[f"news_{outcome}"] += 1
                 if outcome == TAKEN:
                     self._told(now)
                 elif outcome == SPOILT:
                     return messages.acknowledged(Version())
                 elif outcome == OLDER:
-                    raise Failed("a later origin has spoken")
+                    raise CallFailed("a later origin has spoken")
         if self.store.version == word.version:
             self.known_at = max(self.known_at, now - word.age)
         return messages.acknowledged(self.store.version)
@@ -173,7 +181,7 @@
             self.part.link.dial(peer)
         where, seq = endpoint_items.about(self.store)
         same = where == self._base()
-        self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counts)
+        self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counters)
         self.discovery.watch, self.discovery.most_hold = self, HOLD
         defer.ensureDeferred(self.discovery.follow())
 
@@ -205,11 +213,11 @@
         now = self.part.clock()
         try:
             if self.store.publish(self.fence, endpoint_items.changes(self.store, told, self._base())):
-                self.counts["news_published"] += 1
+                self.counters["news_published"] += 1
                 self._told(now)
-        except Refused as fault:
-            self.counts["news_fenced"] += 1
-            say("not published", why=str(fault))
+        except PublishRejected as fault:
+            self.counters["news_fenced"] += 1
+            log_event("not published", why=str(fault))
             return
         self.known_at = now
 
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -15,23 +15,23 @@
 
 from twisted.internet import defer
 
-from lotusroute.fleet.config import Plan
-from lotusroute.fleet.transport import Failed, Link
-from lotusroute.leases.messages import Terms
-from lotusroute.net.config import address
+from lotusroute.errors import InvalidValueError
+from lotusroute.fleet.config import FleetConfig
+from lotusroute.fleet.transport import CallFailed, PeerTransport
+from lotusroute.leases.messages import LeaseTerms
+from lotusroute.net.config import parse_address
 from lotusroute.net.discovery import LINE, REFUSED
-from lotusroute.net.structured_log import say
+from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
-from lotusroute.relay.relay_selector import Follower, Join, Quit
-from lotusroute.relay.versioned_store import SPOILT, TAKEN, Store, Version
-from lotusroute.service_config import Malformed
+from lotusroute.relay.relay_selector import Join, Quit, RelaySelector
+from lotusroute.relay.versioned_store import SPOILT, TAKEN, Version, VersionedStore
 
 TICK = 0.1  # s between looks at the clock
 FIRST = 0.8  # s that a new process waits for its first news before it calls discovery itself
 KEYS = {"name", "zone", "relays"}
 
 
-class Relays(NamedTuple):
+class RelaysConfig(NamedTuple):
     """The relays, as one balancer is told of them."""
 
     fleet: str
@@ -39,16 +39,16 @@
     others: dict[str, tuple[str, int]]
 
 
-def read(path: str | os.PathLike) -> Relays:
+def read(path: str | os.PathLike) -> RelaysConfig:
     """Read the operator's file; an error names file, key and mend."""
     try:
         told = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
         return relays(told)
-    except (OSError, ValueError, Malformed) as fault:
-        raise Malformed(f"LB_RELAYS: {path}: {fault}") from None
+    except (OSError, ValueError, InvalidValueError) as fault:
+        raise InvalidValueError(f"LB_RELAYS: {path}: {fault}") from None
 
 
-def relays(told: dict) -> Relays:
+def relays(told: dict) -> RelaysConfig:
     """Check what the file tells.
 
     >>> tables = {"a": {"r1": "127.0.0.1:1"}, "b": {"r2": "127.0.0.1:2"}}
@@ -57,37 +57,39 @@
     """
     unknown = sorted(set(told) - KEYS)
     if unknown:
-        raise Malformed(f"{unknown[0]}: no such key; there are {', '.join(sorted(KEYS))}")
+        raise InvalidValueError(f"{unknown[0]}: no such key; there are {', '.join(sorted(KEYS))}")
     name, zone, zones = (told.get(key) for key in ("name", "zone", "relays"))
     if not isinstance(name, str) or not name:
-        raise Malformed("name: not set; give the fleet's")
+        raise InvalidValueError("name: not set; give the fleet's")
     if not isinstance(zone, str):
-        raise Malformed("zone: give this balancer's")
+        raise InvalidValueError("zone: give this balancer's")
     tables = zones.values() if isinstance(zones, dict) else ()
     if not tables or not all(isinstance(table, dict) and table for table in tables):
-        raise Malformed('relays: give a table for each zone, as [relays.a] with r1 = "HOST:PORT"')
+        raise InvalidValueError('relays: give a table for each zone, as [relays.a] with r1 = "HOST:PORT"')
     own, others = {}, {}
     for where, table in zones.items():
         for relay, at in table.items():
             if relay in own or relay in others:
-                raise Malformed(f"relays.{where}.{relay}: the name stands twice")
+                raise InvalidValueError(f"relays.{where}.{relay}: the name stands twice")
             try:
-                (own if where == zone else others)[relay] = address(str(at))
-            except Malformed as fault:
-                raise Malformed(f"relays.{where}.{relay}: {fault}") from None
-    return Relays(name, own, others)
+                (own if where == zone else others)[relay] = parse_address(str(at))
+            except InvalidValueError as fault:
+                raise InvalidValueError(f"relays.{where}.{relay}: {fault}") from None
+    return RelaysConfig(name, own, others)
 
 
 class Subscription:
     """One balancer's; what `Discovery` asks before it calls."""
 
-    def __init__(self, reactor, told: Relays, name: str, counts: Counter) -> None:
-        self.reactor, self.counts, self.name = reactor, counts, name
+    def __init__(self, reactor, told: RelaysConfig, name: str, counters: Counter) -> None:
+        self.reactor, self.counters, self.name = reactor, counters, name
         self.chance = random.Random(os.urandom(16))
-        plan = Plan(told.fleet, "", {**told.own, **told.others}, (), Terms(()))
-        self.follower = Follower(name, list(told.own), list(told.others), self.chance)
-        self.link = Link(reactor, plan, name, self.chance, counts, self._serve, self._up, self._lost)
-        self.store, self.assembly = Store(), messages.Assembly()
+        plan = FleetConfig(told.fleet, "", {**told.own, **told.others}, (), LeaseTerms(()))
+        self.follower = RelaySelector(name, list(told.own), list(told.others), self.chance)
+        self.link = PeerTransport(
+            reactor, plan, name, self.chance, counters, self._serve, self._up, self._lost
+        )
+        self.store, self.assembly = VersionedStore(), messages.Assembly()
         self.discovery = None  # the one that follows now; another after a reload
         self.began = self.clock()
         self.waiting: defer.Deferred | None = None
@@ -106,7 +108,7 @@
     def _act(self, actions: list[Join | Quit]) -> None:
         for action in actions:
             if isinstance(action, Quit):
-                self.counts["relay_left"] += 1
+                self.counters["relay_left"] += 1
                 self.link.drop(action.relay)
             elif action.relay in self.link.out:
                 self._up(action.relay)
@@ -125,28 +127,28 @@
     def _taken_in(self, relay: str) -> None:
         self.follower.taken_in(self.clock(), relay)
         if self.follower.followed == relay:
-            self.counts["relay_followed"] += 1
-            say("relay followed", relay=relay, version=self.store.version.number)
+            self.counters["relay_followed"] += 1
+            log_event("relay followed", relay=relay, version=self.store.version.number)
 
     def _refused(self, relay: str, reason) -> None:
-        reason.trap(Failed)
+        reason.trap(CallFailed)
         self._lost(relay)
 
     # What comes
 
     def _serve(self, peer: str, kind: str, body: bytes) -> bytes:
         if kind != "news":
-            raise Failed(f"no call '{kind[:32]}'")
+            raise CallFailed(f"no call '{kind[:32]}'")
         word, now = messages.read(body), self.clock()
         if not self.follower.word(now, peer):
-            raise Failed("not followed here")
+            raise CallFailed("not followed here")
         if word.parts or word.since is not None:
-            self.counts["news_in"] += 1
+            self.counters["news_in"] += 1
             news = self.assembly.take(word)
             if news is not None:
                 _, seq = endpoint_items.about(self.store)
                 outcome = self.store.take(news)
-                self.counts[f"news_{outcome}"] += 1
+                self.counters[f"news_{outcome}"] += 1
                 if outcome == SPOILT:
                     return messages.acknowledged(Version())
                 if outcome == TAKEN:
@@ -160,13 +162,13 @@
     def _hand(self, news, seq: int | None) -> None:
         """Give the list to what follows discovery, which checks it as discovery's own."""
         if self.discovery is None or not self._same(self.discovery):
-            self.counts["news_of_another"] += 1
+            self.counters["news_of_another"] += 1
             return
         changed = getattr(news, "changed", None)
         if changed is not None and self.discovery.handed(endpoint_items.answer(self.store, changed), seq):
             return
         if not self.discovery.handed(endpoint_items.answer(self.store, None), None):
-            self.counts["news_not_handed"] += 1
+            self.counters["news_not_handed"] += 1
 
     def _same(self, discovery) -> bool:
         """Whether what relays carry is this discovery's."""
@@ -178,7 +180,7 @@
         """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
         if not self._same(discovery) and self.clock() >= self.began + 1000 * FIRST:
             # After a reload: what relays carry says nothing of another discovery's list.
-            self.counts["relay_own_calls"] += 1
+            self.counters["relay_own_calls"] += 1
             return
         while not discovery.closed and not self.calling:
             now = self.clock()
@@ -192,9 +194,9 @@
             await self._wait(room * self.chance.random())
             if not self.follower.fresh(self.clock()):
                 self.calling = True
-                self.counts["relay_stale"] += 1
+                self.counters["relay_stale"] += 1
         if self.calling:
-            self.counts["relay_own_calls"] += 1
+            self.counters["relay_own_calls"] += 1
 
     def _wait(self, seconds: float) -> defer.Deferred:
         self.waiting = defer.Deferred()
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -43,7 +43,7 @@
     changed: dict[str, bytes | None]
 
 
-class Refused(Exception):
+class PublishRejected(Exception):
     """An origin may not publish: it was told of a higher fence."""
 
 
@@ -57,7 +57,7 @@
     return int.from_bytes(blake2b(b"%d:%b%b" % (len(name), name, value), digest_size=8).digest())
 
 
-class Store:
+class VersionedStore:
     """What one process holds."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         """An origin's: make a version of what differs; whether there is one. A new fence makes one all the
         same: its holder's word that these are the news. Raises Refused under a lower fence than one seen."""
         if fence < self.version.fence:
-            raise Refused(f"fence {fence} after {self.version.fence}")
+            raise PublishRejected(f"fence {fence} after {self.version.fence}")
         differs = {key: value for key, value in changed.items() if self.items.get(key) != value}
         if not differs and fence == self.version.fence:
             return False
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -55,8 +55,7 @@
 LAST_LOOK = 8  # servers beside the segment's own that are looked at before a flow is refused
 PATIENCE = 2.0  # setup targets: how long one connect may take while others could follow
 WAIT = 0.8  # of the time left, where no server says it is slow: the rest serves for one more
-FAILING = 0.5  # failed connects per one that stands: as many as a cut zone brings, more and flows wait
-SPARE = 4.0  # failed connects: so few say nothing yet
+FAILING, SPARE = 0.5, 4.0  # failed connects per one that stands, as a cut zone brings; so few say nothing
 CUT, CUT_SPARE = 0.25, 1.0  # the same of those failed or cut, for who returns: one in five is a jam
 MOVE_EVERY = 2_000.0  # ms: until notes can show what the last moves did
 AFTER = 20_000.0  # ms: half of what connections live; filled again at once it jammed again and again
@@ -105,7 +104,7 @@
 
     def __init__(self, line: events.Server, now: float) -> None:
         self.id, self.started, self.listed = line.id, line.started, now
-        self.state = events.GONE  # until its line is read
+        self.state = events.REMOVED  # until its line is read
         self.word = _word(line.id)
         self.open: dict[int, _Held] = {}  # own connections, emptied as each ends
         self.bad = self.aside = self.hot = self.weak = self.moved = self.delay = 0.0
@@ -136,13 +135,13 @@
 class Director:
     """One balancer of one virtual ip."""
 
-    def __init__(self, vip: events.Vip, seed: int) -> None:
+    def __init__(self, vip: events.ServiceConfig, seed: int) -> None:
         self.vip = vip
-        self.untold = not vip.tells_delay  # no server says that its messages are slow, as on sockets
+        self.untold = not vip.reports_latency  # no server says that its messages are slow, as on sockets
         self.chance = random.Random(seed)
         self.target = min((t.setup_target for t in vip.service_types.values()), default=0.0)
         # By the set-up target where none is told: 28 ms counted as well again beside messages wanted in 50.
-        self.slow = (self.target if self.untold else vip.message_target or self.target) / 3
+        self.slow = (self.target if self.untold else vip.latency_objective or self.target) / 3
         self.late = self.slow * (1 if self.untold else LATE)
         self.now = 0.0
         self.out: list[events.Action] = []
@@ -176,27 +175,27 @@
 
     # The server list
 
-    def _server_list(self, event: events.ServerList) -> None:
+    def _server_list(self, event: events.EndpointList) -> None:
         if event.scope == events.REFUSED:
             # A broken subscription goes unnoticed unless renewed; all renewing at once breaks it again.
             self.subscribed = False
             self.refusals += 1
-            wait = min(self.vip.ask_every / 2, BACK_OFF * 2**self.refusals)
+            wait = min(self.vip.poll_interval / 2, BACK_OFF * 2**self.refusals)
             self.ask_at = self.now + self.chance.uniform(0.2, 1.0) * wait
             return
         if not self.ticks:
             self.ticks = 1
-            self.out.append(events.WakeMe(self.chance.uniform(0.0, TICK), "tick"))
-        elif self.vip.must_ask:
+            self.out.append(events.SetTimer(self.chance.uniform(0.0, TICK), "tick"))
+        elif self.vip.polls_discovery:
             self.subscribed, self.refusals = True, 0
         if event.scope != events.CHANGES:
             listed = {line.id for line in event.servers}
             for host in self.hosts.values():
                 if host.id not in listed:
-                    host.state = events.GONE
+                    host.state = events.REMOVED
         for line in event.servers:
             self._listed(line)
-        for host in [h for h in self.hosts.values() if h.state == events.GONE and not h.open]:
+        for host in [h for h in self.hosts.values() if h.state == events.REMOVED and not h.open]:
             del self.hosts[host.id]
         before, self.ready = self.ready, [h for h in self.hosts.values() if h.state == events.READY]
         if self.untold and (not before or any(h.state != events.READY for h in before)):
@@ -210,7 +209,7 @@
     def _listed(self, line: events.Server) -> None:
         host = self.hosts.get(line.id)
         if host is None:
-            if line.state == events.GONE:
+            if line.state == events.REMOVED:
                 return
             # On sockets those of the first list are not new: one stood idle for 10 s beside 29 connections.
             first = self.untold and self.ticks <= 1
@@ -225,12 +224,12 @@
             host.turn, host.own_turn, host.turns = -math.inf, self.now, 0
         host.zone, host.cell, host.state = line.zone, line.cell, line.state
         # Squared: a heavy connection and its group's cost are little to a large server, half of a small one.
-        host.size = line.size**2 if self.vip.sizes_hold and line.size > 0 else 1.0
+        host.size = line.size**2 if self.vip.trusts_weights and line.size > 0 else 1.0
 
     # The design: segments, defaults and moves
 
     def _segment(self, flow: events.Flow) -> int:
-        shared = flow.group if self.vip.shares_work else None
+        shared = flow.group if self.vip.groups_share_work else None
         return crc32((shared or flow.key or str(flow.id)).encode()) >> (32 - P)
 
     def _places(self, segment: int) -> int:
@@ -295,7 +294,7 @@
     def _flow(self, flow: events.Flow) -> None:
         self.asked += 1
         self.crowd, self.crowd_at = 1 + self._came(), self.now
-        self.arrived += not (flow.returned or flow.mid_flow)
+        self.arrived += not (flow.reconnecting or flow.mid_flow)
         self._connect(self._hold(flow))
 
     def _hold(self, flow: events.Flow) -> _Held:
@@ -331,21 +330,21 @@
                 hot = host
             elif host.mild > self.now and not held.flow.mid_flow:
                 mild = mild or host
-            elif (held.flow.returned and not held.flow.mid_flow and not host.open and not cold
+            elif (held.flow.reconnecting and not held.flow.mid_flow and not host.open and not cold
                   and self.now >= self.explained and self.chance.random() < DOUBT):
                 # Where siblings are many, clients cut off by a jammed server are the only news of it. Not
                 # when one has left the list: forty that each held next to nothing passed by the defaults of
                 # all who came from draining servers, and groups stood on twice as many servers.
                 doubted = host
-            elif self._turn_taken(host, held.flow.returned):
+            elif self._turn_taken(host, held.flow.reconnecting):
                 return host
-        if doubted is not None and self._turn_taken(doubted, held.flow.returned):
+        if doubted is not None and self._turn_taken(doubted, held.flow.reconnecting):
             return doubted
         if self.untold and (beside := self._beside(held)) is not None:
             return beside
-        if mild is not None and self._turn_taken(mild, held.flow.returned):
+        if mild is not None and self._turn_taken(mild, held.flow.reconnecting):
             return mild
-        if aside is not None and hot is None and self._turn_taken(aside, held.flow.returned):
+        if aside is not None and hot is None and self._turn_taken(aside, held.flow.reconnecting):
             return aside
         return None
 
@@ -364,7 +363,7 @@
         """Where most connects fail whatever the server, something that all share is down, and further
         tries keep it down: at a jammed session store 36 connects a flow were made, all day."""
         bad, good, part, spare = self.failed, self.stood, FAILING, SPARE
-        blind = self.untold and flow.returned and len(self.held) < len(self.ready)
+        blind = self.untold and flow.reconnecting and len(self.held) < len(self.ready)
         if blind:  # What was cut came back at once and was cut elsewhere: 370 connects a second, not 105.
             bad, good, part, spare = bad + self.cut, max(0.0, good - self.cut), CUT, CUT_SPARE
         excess = bad - part * good - spare
@@ -378,20 +377,21 @@
         if held.ran is None:
             return True
         kind = self.vip.service_types[held.flow.service_type]
-        if kind.kind != events.REFERENCED:
-            return kind.kind != events.ONCE_ONLY
+        if kind.effect != events.IDEMPOTENCY_KEY:
+            return kind.effect != events.NON_IDEMPOTENT
         same = {"zone": host.zone == held.ran.zone, "cell": host.cell == held.ran.cell}
-        return self.now < held.ran_at + kind.window and same.get(kind.group, kind.group == "all")
+        known = same.get(kind.dedup_scope, kind.dedup_scope == "all")
+        return self.now < held.ran_at + kind.dedup_window and known
 
     def _connect(self, held: _Held) -> None:
         flow, host = held.flow, None
-        if len(held.tried) < self.vip.max_connects and self.now < flow.due and not self._throttled(flow):
+        if len(held.tried) < self.vip.max_attempts and self.now < flow.deadline and not self._throttled(flow):
             host = self._pick(held)
         if host is None:
             self._give_up(held)
             return
-        left = flow.due - self.now
-        if len(held.tried) + 1 >= self.vip.max_connects:
+        left = flow.deadline - self.now
+        if len(held.tried) + 1 >= self.vip.max_attempts:
             within = 0.0
         elif self.untold:
             # A shared store that took 1.5 s had all give up and call again: it never emptied, none was up.
@@ -406,7 +406,7 @@
 
     def _give_up(self, held: _Held) -> None:
         kind = self.vip.service_types[held.flow.service_type]
-        if kind.harmless(held.ran is not None):
+        if kind.safe_to_retry(held.ran is not None):
             self.out.append(events.Reject(held.flow.id, min(self.vip.max_retry_after, ADVICE)))
         else:
             self.out.append(events.Abort(held.flow.id))
@@ -421,13 +421,13 @@
         if held.host is not None:
             held.host.open.pop(held.flow.id, None)
 
-    def _already_open(self, event: events.AlreadyOpen) -> None:
+    def _already_open(self, event: events.ExistingConnection) -> None:
         held = self._hold(event.flow)
         host = held.host = self.hosts.get(event.server)
         held.up = True
         if host is not None:
             host.open[event.flow.id] = held
-            if self.vip.shares_work and host.state == events.READY:
+            if self.vip.groups_share_work and host.state == events.READY:
                 # Groups that stood elsewhere than their defaults were paid for twice: 12 places became 25.
                 self.moved[held.segment, held.place] = host
 
@@ -438,7 +438,7 @@
             if held.host is not None:
                 self._set_up(held.host, held)
 
-    def _ended(self, event: events.Ended) -> None:
+    def _ended(self, event: events.ConnectionEnded) -> None:
         held = self.held.get(event.id)
         if held is None:
             return
@@ -535,13 +535,13 @@
         host.bad += weight * (1 - host.bad)
         if host.bad >= BAD and host.aside <= self.now:
             host.aside = self.now + ASIDE + self.chance.uniform(0.0, ASIDE / 2)
-            self.out.append(events.Say(f"set aside {host.id}"))
+            self.out.append(events.LogMessage(f"set aside {host.id}"))
 
-    def _load_noted(self, event: events.LoadNoted) -> None:
+    def _load_noted(self, event: events.LoadReport) -> None:
         if (held := self.held.get(event.id)) is not None:
             held.load = event.load
 
-    def _delay_noted(self, event: events.DelayNoted) -> None:
+    def _delay_noted(self, event: events.LatencyReport) -> None:
         """Slow steers new flows past while others serve, late refuses and moves: with one grade for both a
         full fleet moved all day. One that is well again stays slow to us while what filled it leaves."""
         if (host := self.hosts.get(event.server)) is None:
@@ -558,9 +558,9 @@
         """Its own part of the budget, which with few balancers is most of what a crowd leaves, or a turn."""
         if self.untold:
             return self._turn(host, self._filling(host, returned))
-        bears = self.vip.tip_multiple * self._share(host)
-        pace = self.rate * self.vip.siblings / TICK * bears * host.size / max(self.capacity, host.size)
-        number = self.vip.siblings if host.turns else self.vip.me + 1
+        bears = self.vip.slow_start_burst * self._share(host)
+        pace = self.rate * self.vip.instance_count / TICK * bears * host.size / max(self.capacity, host.size)
+        number = self.vip.instance_count if host.turns else self.vip.instance_index + 1
         if self.now >= host.own_turn + number / max(pace, 1e-9):
             host.own_turn = self.now
             host.turns += 1
@@ -576,9 +576,9 @@
         coldest what fills a mean server over the warm-up, more the warmer it is. However fast flows come, a
         balancer adds up to its part of that within a ROUND: the part falls as they do. What a server that
         leaves held may be one group, back at once: by 20 balancers, with a flow each, its home fell."""
-        warm, even = max(self.vip.cold_from, COLDEST) * max(self.vip.warm_after, 1.0), self._even(host)
-        bears = self.vip.tip_multiple * self._share(host) * ROUND / warm
-        whole = returned and self.vip.shares_work and self.now < self.explained
+        warm = max(self.vip.slow_start_share, COLDEST) * max(self.vip.slow_start_duration, 1.0)
+        even, bears = self._even(host), self.vip.slow_start_burst * self._share(host) * ROUND / warm
+        whole = returned and self.vip.groups_share_work and self.now < self.explained
         most = bears / LUMP * min(1.0, even * max(1.0, len(self.ready) / len(self.seen))) if whole else 1.0
         return min(1.0, most, bears * len(self.held) / max(1.0, self._came()) * even)
 
@@ -601,7 +601,7 @@
         return entry if entry is None or self._cold(entry) else next(homes, None)
 
     def _jammed_turn(self, host: _Host) -> bool:
-        """One flow a turn is a crumb of hundreds a second: where the pace brings several, it alone counts."""
+        """One flow a turn is a crumb of hundreds a second: where the pace brings several it alone counts."""
         bears = PACE * 2 ** ((self.now + RECOVERY - host.weak) / DOUBLING)
         own = max(self.rate, self.arrived) / TICK * bears * host.size / self.capacity
         if own * ROUND <= CROWD:
@@ -614,14 +614,14 @@
     def _turn(self, host: _Host, turn: float) -> bool:
         """One flow while the turn is this balancer's. Turns pass by own number, each such a part of a round
         as the server bears, in multiples of what a warm one gets. 377 that waited for all left 555 idle."""
-        passed = (self.vip.me / self.vip.siblings + self.now / ROUND) % 1
+        passed = (self.vip.instance_index / self.vip.instance_count + self.now / ROUND) % 1
         if passed >= turn or self.now < host.turn + turn * ROUND:
             return False
         host.turn = self.now
         return True
 
     def _cold(self, host: _Host) -> bool:
-        return host.started > 0 and self.now < host.started + self.vip.warm_after
+        return host.started > 0 and self.now < host.started + self.vip.slow_start_duration
 
     def _turn_taken(self, host: _Host, returned: bool) -> bool:
         """Pace what goes to a cold or jammed server: under several balancers that each think themselves
@@ -638,15 +638,15 @@
 
     # Upkeep
 
-    def _wake(self, event: events.Wake) -> None:
-        self.out.append(events.WakeMe(TICK, "tick"))
+    def _wake(self, event: events.TimerFired) -> None:
+        self.out.append(events.SetTimer(TICK, "tick"))
         gain = max(RATE_GAIN, 1 / self.ticks)
         self.rate += gain * (self.arrived - self.rate)
         self.asks += gain * (self.asked - self.asks)
         self.ticks, self.arrived, self.asked = self.ticks + 1, 0, 0
         self.failed, self.stood, self.cut = (x * (1 - RATE_GAIN) for x in (self.failed, self.stood, self.cut))
-        if self.vip.must_ask and not self.subscribed and self.now >= self.ask_at:
-            self.ask_at = self.now + self.vip.ask_every / 2
+        if self.vip.polls_discovery and not self.subscribed and self.now >= self.ask_at:
+            self.ask_at = self.now + self.vip.poll_interval / 2
             self.out.append(events.Subscribe())
         self.sick = {h.id: h for h in self.sick.values()
                      if max(h.weak, h.mild) > self.now and h.state == events.READY}  # fmt: skip
@@ -675,18 +675,18 @@
             if drawn < chance and (not self._cold(host) or drawn < chance * self._filling(host, True)):
                 self.moved.pop((held.segment, held.place), None)
                 held.up = False
-                self.out.append(events.Move(held.flow.id))
+                self.out.append(events.Migrate(held.flow.id))
 
     def _share(self, host: _Host) -> float:
         """What part of its full capacity a server that has started has at least."""
-        warm = min(1.0, max(0.0, self.now - host.started) / max(self.vip.warm_after, 1.0))
-        return self.vip.cold_from + (1 - self.vip.cold_from) * warm
+        warm = min(1.0, max(0.0, self.now - host.started) / max(self.vip.slow_start_duration, 1.0))
+        return self.vip.slow_start_share + (1 - self.vip.slow_start_share) * warm
 
     def _move_off(self, host: _Host) -> None:
         host.moved = self.now
         able = [h for h in host.open.values() if h.up]
         # A group torn apart is paid for twice: where it can be told in time, the largest leave whole.
-        groups = Counter(h.segment for h in able if self.vip.shares_work and self.untold)
+        groups = Counter(h.segment for h in able if self.vip.groups_share_work and self.untold)
         able.sort(key=lambda h: (-groups[h.segment], bool(groups) * h.segment, -h.load, h.flow.id))
         share = 1 / (1 + len(able))
         if self.untold:
@@ -699,14 +699,14 @@
             # ica69c5: looked for at each of 2,000 moves a second among 251 servers, a third of the CPU.
             fit = [h for h in self.ready if max(h.aside, h.hot) <= self.now and not self._cold(h)]
         for held in able[: int(len(able) * share + self.chance.random())]:
-            self.out.append(events.Move(held.flow.id))
+            self.out.append(events.Migrate(held.flow.id))
             held.up = False
             if fit and self._entry(held.segment, held.place) is host:
                 self.moved[held.segment, held.place] = min(fit, key=lambda h: (len(h.open) / h.size, h.id))
 
     _on = {
-        events.ServerList: _server_list, events.Flow: _flow, events.AlreadyOpen: _already_open,
-        events.Established: _established, events.Ended: _ended, events.Wake: _wake,
-        events.LoadNoted: _load_noted, events.DelayNoted: _delay_noted,
-        events.Withdrawn: lambda me, event: me._finish(me.held.get(event.id)),
+        events.EndpointList: _server_list, events.Flow: _flow, events.ExistingConnection: _already_open,
+        events.Established: _established, events.ConnectionEnded: _ended, events.TimerFired: _wake,
+        events.LoadReport: _load_noted, events.LatencyReport: _delay_noted,
+        events.ClientDisconnected: lambda me, event: me._finish(me.held.get(event.id)),
     }  # fmt: skip
