--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -5,9 +5,9 @@
 
 from typing import NamedTuple
 
-REPEATABLE, REFERENCED, ONCE_ONLY = "repeatable", "referenced", "once-only"
-READY, DRAINING, GONE = "ready", "draining", "gone"
-CHANGES, WHOLE, REMEMBERED, REFUSED = "changes", "whole", "remembered", "refused"
+IDEMPOTENT, IDEMPOTENCY_KEY, NON_IDEMPOTENT = "repeatable", "referenced", "once-only"
+READY, DRAINING, REMOVED = "ready", "draining", "gone"
+CHANGES, COMPLETE, CACHED, REFUSED = "changes", "whole", "remembered", "refused"
 
 # How a connect ended. The first three prove that it never ran.
 FULL, UNREACHABLE, UNSENT = "full", "unreachable", "unsent"
@@ -19,32 +19,33 @@
     """One service type of a virtual ip."""
 
     setup_target: float
-    kind: str = REPEATABLE
-    group: str = "all"  # who drops the repeats of a referenced flow: "all", "zone" or "cell"
-    window: float = 0.0  # and for how long they remember it
+    effect: str = IDEMPOTENT
+    dedup_scope: str = "all"  # who drops the repeats of a referenced flow: "all", "zone" or "cell"
+    dedup_window: float = 0.0  # and for how long they remember it
 
-    def harmless(self, ran: bool) -> bool:
+    def safe_to_retry(self, ran: bool) -> bool:
         """Whether a client may be told that to come again is harmless, where the flow may have `ran`."""
-        return not ran or self.kind == REPEATABLE or (self.kind, self.group) == (REFERENCED, "all")
+        deduplicated_everywhere = self.effect == IDEMPOTENCY_KEY and self.dedup_scope == "all"
+        return not ran or self.effect == IDEMPOTENT or deduplicated_everywhere
 
 
-class Vip(NamedTuple):
+class ServiceConfig(NamedTuple):
     """The virtual ip that a director serves: all that is known of it at the start."""
 
     service_types: dict[str, ServiceType]
-    me: int = 0
-    siblings: int = 1
-    shares_work: bool = False  # connections of one group share work on a server
-    sizes_hold: bool = True  # listed sizes stay the same between lists
-    tells_delay: bool = False  # servers say when their messages are slow
-    message_target: float = 0.0  # ms, the least within which a service type wants its messages; 0 untold
-    must_ask: bool = False  # the server list comes only when asked for
-    ask_every: float = 10_000.0
-    max_connects: int = 1
+    instance_index: int = 0
+    instance_count: int = 1
+    groups_share_work: bool = False  # connections of one group share work on a server
+    trusts_weights: bool = True  # listed sizes stay the same between lists
+    reports_latency: bool = False  # servers say when their messages are slow
+    latency_objective: float = 0.0  # ms, the least within which a service type wants its messages; 0 untold
+    polls_discovery: bool = False  # the server list comes only when asked for
+    poll_interval: float = 10_000.0
+    max_attempts: int = 1
     max_retry_after: float = 0.0  # 0 where clients take no advice
-    cold_from: float = 1.0
-    warm_after: float = 0.0
-    tip_multiple: float = 1.0
+    slow_start_share: float = 1.0
+    slow_start_duration: float = 0.0
+    slow_start_burst: float = 1.0
 
 
 class Server(NamedTuple):
@@ -58,7 +59,7 @@
     started: float = 0.0
 
 
-class ServerList(NamedTuple):
+class EndpointList(NamedTuple):
     """The list service has spoken; `scope` says how much of the list this is."""
 
     scope: str
@@ -73,12 +74,12 @@
     tenant: str | None
     group: str | None
     key: str | None
-    due: float
+    deadline: float
     mid_flow: bool = False
-    returned: bool = False  # the client has asked before
+    reconnecting: bool = False  # the client has asked before
 
 
-class AlreadyOpen(NamedTuple):
+class ExistingConnection(NamedTuple):
     """A connection that already runs through this balancer when it starts."""
 
     flow: Flow
@@ -86,13 +87,13 @@
 
 
 class Established(NamedTuple):
-    """A connect succeeded; the connection stays open until its `Ended`."""
+    """A connect succeeded; the connection stays open until its `ConnectionEnded`."""
 
     id: int
     server: str
 
 
-class Ended(NamedTuple):
+class ConnectionEnded(NamedTuple):
     """A connect, or the connection that came of it, is over; `final` when nothing more is owed."""
 
     id: int
@@ -101,27 +102,27 @@
     result: str
 
 
-class Withdrawn(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client has left."""
 
     id: int
 
 
-class LoadNoted(NamedTuple):
+class LoadReport(NamedTuple):
     """An open connection now asks for this much work a second."""
 
     id: int
     load: float
 
 
-class DelayNoted(NamedTuple):
+class LatencyReport(NamedTuple):
     """A message on this server now takes so many milliseconds."""
 
     server: str
     delay: float
 
 
-class Wake(NamedTuple):
+class TimerFired(NamedTuple):
     """A wake-up asked for earlier."""
 
     mark: str
@@ -148,14 +149,14 @@
     id: int
 
 
-class Move(NamedTuple):
+class Migrate(NamedTuple):
     """Ask the client of an open connection to leave and come again."""
 
     id: int
 
 
-class WakeMe(NamedTuple):
-    """Ask for a `Wake` after `delay`."""
+class SetTimer(NamedTuple):
+    """Ask for a `TimerFired` after `delay`."""
 
     delay: float
     mark: str
@@ -165,11 +166,21 @@
     """Ask the list service for changes from now on."""
 
 
-class Say(NamedTuple):
+class LogMessage(NamedTuple):
     """Leave a line for on-call staff."""
 
     line: str
 
 
-Event = ServerList | Flow | AlreadyOpen | Established | Ended | Withdrawn | LoadNoted | DelayNoted | Wake
-Action = Connect | Reject | Abort | Move | WakeMe | Subscribe | Say
+Event = (
+    EndpointList
+    | Flow
+    | ExistingConnection
+    | Established
+    | ConnectionEnded
+    | ClientDisconnected
+    | LoadReport
+    | LatencyReport
+    | TimerFired
+)
+Action = Connect | Reject | Abort | Migrate | SetTimer | Subscribe | LogMessage
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -6,25 +6,22 @@
 import math
 from collections.abc import Iterator, Mapping
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.routing import events
 
 FLAGS = {"true": True, "false": False}
 UNTOLD = "non_idempotent"  # the effect where none is told: the one that is never repeated in error
 KINDS = {
-    "read_like": events.REPEATABLE,
-    "idempotency_key": events.REFERENCED,
-    "non_idempotent": events.ONCE_ONLY,
+    "read_like": events.IDEMPOTENT,
+    "idempotency_key": events.IDEMPOTENCY_KEY,
+    "non_idempotent": events.NON_IDEMPOTENT,
 }
 
 
-class Malformed(Exception):
-    """A text that does not belong where it was read; says where and why."""
-
-
-def number(text: str) -> float:
+def parse_number(text: str) -> float:
     """Read a finite number; `-` is 0.
 
-    >>> number("8652.25"), number("-")
+    >>> parse_number("8652.25"), parse_number("-")
     (8652.25, 0.0)
     """
     if text == "-":
@@ -34,16 +31,16 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise Malformed(f"'{text}' is not a number")
+        raise InvalidValueError(f"'{text}' is not a number")
     return value
 
 
-def one_of(table: Mapping, text: str, what: str):
+def look_up(table: Mapping, text: str, what: str):
     """Translate a word by a table."""
     try:
         return table[text]
     except KeyError:
-        raise Malformed(f"unknown {what} '{text}'") from None
+        raise InvalidValueError(f"unknown {what} '{text}'") from None
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
@@ -65,27 +62,27 @@
         yield from flatten(item, f"{path}.{key}" if path else str(key))
 
 
-def vip(env: Mapping[str, str]) -> events.Vip:
+def parse_service_config(env: Mapping[str, str]) -> events.ServiceConfig:
     """Decode the settings; unknown ones are passed over, a bad one is named.
 
-    >>> vip({"service_types.count": "1", "service_types.0.name": "live"}).service_types
-    {'live': ServiceType(setup_target=0.0, kind='once-only', group='all', window=0.0)}
+    >>> parse_service_config({"service_types.count": "1", "service_types.0.name": "live"}).service_types
+    {'live': ServiceType(setup_target=0.0, effect='once-only', dedup_scope='all', dedup_window=0.0)}
     """
 
     def figure(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
         try:
-            value = number(text)
-        except Malformed as fault:
-            raise Malformed(f"{path}: {fault}") from None
+            value = parse_number(text)
+        except InvalidValueError as fault:
+            raise InvalidValueError(f"{path}: {fault}") from None
         if not least <= value <= most:
-            raise Malformed(f"{path}: {value:g} is not between {least:g} and {most:g}")
+            raise InvalidValueError(f"{path}: {value:g} is not between {least:g} and {most:g}")
         return value
 
     def get(path: str, default: float = 0.0, **bounds: float) -> float:
         return figure(path, env[path], **bounds) if path in env else default
 
     def flag(path: str) -> bool:
-        return one_of(FLAGS, env.get(path, "false"), f"{path}, which is true or false:")
+        return look_up(FLAGS, env.get(path, "false"), f"{path}, which is true or false:")
 
     # One figure a service type: the wire joins them with commas, nested JSON tells their number.
     path = "family_info.message_aim"
@@ -97,23 +94,23 @@
         path = f"service_types.{at}."
         service_types[env.get(path + "name", "")] = events.ServiceType(
             setup_target=get(path + "setup_target"),
-            kind=one_of(KINDS, env.get(path + "effect", UNTOLD), path + "effect"),
-            group=env.get(path + "group", "all"),
-            window=get(path + "window"),
+            effect=look_up(KINDS, env.get(path + "effect", UNTOLD), path + "effect"),
+            dedup_scope=env.get(path + "group", "all"),
+            dedup_window=get(path + "window"),
         )
-    return events.Vip(
+    return events.ServiceConfig(
         service_types=service_types,
-        me=int(get("me")),
-        siblings=int(get("siblings", 1, least=1)),
-        shares_work=flag("family_info.groups"),
-        sizes_hold=env.get("weights", "silent") in ("nominal", "rough"),
-        tells_delay=flag("family_info.tells_delay"),
-        message_target=message_target,
-        must_ask=env.get("discovery") == "ask",
-        ask_every=get("rules.ask_every", 10_000.0),
-        max_connects=int(get("limits.max_connects", 1, least=1)),
+        instance_index=int(get("me")),
+        instance_count=int(get("siblings", 1, least=1)),
+        groups_share_work=flag("family_info.groups"),
+        trusts_weights=env.get("weights", "silent") in ("nominal", "rough"),
+        reports_latency=flag("family_info.tells_delay"),
+        latency_objective=message_target,
+        polls_discovery=env.get("discovery") == "ask",
+        poll_interval=get("rules.ask_every", 10_000.0),
+        max_attempts=int(get("limits.max_connects", 1, least=1)),
         max_retry_after=get("limits.max_retry_after") if flag("limits.retry_after") else 0.0,
-        cold_from=get("rules.cold_from", 1.0, most=1.0),
-        warm_after=get("rules.warm_after"),
-        tip_multiple=get("rules.tip_multiple", 1.0),
+        slow_start_share=get("rules.cold_from", 1.0, most=1.0),
+        slow_start_duration=get("rules.warm_after"),
+        slow_start_burst=get("rules.tip_multiple", 1.0),
     )
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -19,13 +19,13 @@
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
-VIP = events.Vip(
+VIP = events.ServiceConfig(
     {"live": events.ServiceType(300.0)},
-    max_connects=4,
+    max_attempts=4,
     max_retry_after=1000.0,
-    cold_from=0.2,
-    warm_after=20_000.0,
-    tip_multiple=3.0,
+    slow_start_share=0.2,
+    slow_start_duration=20_000.0,
+    slow_start_burst=3.0,
 )
 
 
@@ -37,14 +37,14 @@
         self.now, self.next = 0.0, 0
         self.list(
             *(events.Server(f"s{n}", zone=f"z{n % 2}", cell=n % 2) for n in range(servers)),
-            scope=events.WHOLE,
+            scope=events.COMPLETE,
         )
 
     def tell(self, event):
         return self.director.decide(self.now, event)
 
     def list(self, *servers, scope=events.CHANGES):
-        return self.tell(events.ServerList(scope, servers))
+        return self.tell(events.EndpointList(scope, servers))
 
     def ask(self, key="k", group=None, tenant=None, **more):
         """A new flow; returns its first action."""
@@ -63,14 +63,14 @@
         return connect
 
     def end(self, connect, result, final=False):
-        return self.tell(events.Ended(connect.id, connect.server, final, result))
+        return self.tell(events.ConnectionEnded(connect.id, connect.server, final, result))
 
     def wait(self, ms):
         """Let time pass, waking the director each second; returns all it asked for."""
         out, until = [], self.now + ms
         while self.now + 1000.0 <= until:
             self.now += 1000.0
-            out += self.tell(events.Wake("tick"))
+            out += self.tell(events.TimerFired("tick"))
         self.now = until
         return out
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lotusroute.adapter.__main__ import replies
-from lotusroute.service_config import Malformed
+from lotusroute.errors import InvalidValueError
 
 ATTACH = "attach 5 service_types.count=1 service_types.0.name=c service_types.0.setup_target=300 odd.key=1"
 START = ["mark 1.0", "at 3", ATTACH, "roster 0 1", "row a:1 z k 0 IN 1 -", "registry 0 1 remembered"]
@@ -40,5 +40,5 @@
 )
 def test_a_malformed_line_is_named_with_its_fault(bad):
     lines = [*START, *bad.split("\n")]
-    with pytest.raises(Malformed, match=rf"^line {len(lines)}: ."):
+    with pytest.raises(InvalidValueError, match=rf"^line {len(lines)}: ."):
         list(replies(lines))
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -16,10 +16,10 @@
 
 
 def test_two_balancers_share_defaults_and_a_lost_server_remaps_only_its_own():
-    one, two = FakeHost(), FakeHost(me=1)
+    one, two = FakeHost(), FakeHost(instance_index=1)
     before = {key: one.ask(key).server for key in KEYS}
     assert before == {key: two.ask(key).server for key in KEYS}
-    one.list(events.Server("s2", state=events.GONE))
+    one.list(events.Server("s2", state=events.REMOVED))
     after = {key: one.ask(key).server for key in KEYS}
     assert all(after[key] == before[key] for key in KEYS if before[key] != "s2")
     assert "s2" in before.values() and "s2" not in after.values()
@@ -27,7 +27,7 @@
 
 def test_a_small_group_stays_together_and_a_large_one_spreads_over_the_first_of_its_order():
     # graos-sul-later: a group with a tenth of all flows was sent to one of 80 servers.
-    host = FakeHost(40, shares_work=True)
+    host = FakeHost(40, groups_share_work=True)
     for at in range(60):
         host.open(f"key-{at}", group=f"yard-{at}")
     assert len({host.open(key, group="silo").server for key in KEYS[:2]}) == 1
@@ -38,7 +38,7 @@
 def test_one_segment_a_check_leaves_the_busiest_and_mid_flow_keeps_the_default():
     host = FakeHost(2)
     mine = [key for key in KEYS if host.ask(key).server == "s0"]
-    host = FakeHost(2, tells_delay=True)
+    host = FakeHost(2, reports_latency=True)
     for key in mine[:20]:
         host.open(key)
     host.wait(15_000.0)
@@ -62,11 +62,11 @@
 
 def test_a_group_goes_on_where_its_standing_connections_are():
     # Groups stood on one server each, their defaults were others: each was soon paid for on two.
-    host = FakeHost(shares_work=True)
+    host = FakeHost(groups_share_work=True)
     default = host.ask(group="yard").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
-    host = FakeHost(shares_work=True)
-    host.tell(events.AlreadyOpen(events.Flow(99, "live", None, "yard", "k", 1800.0), other))
+    host = FakeHost(groups_share_work=True)
+    host.tell(events.ExistingConnection(events.Flow(99, "live", None, "yard", "k", 1800.0), other))
     assert host.ask(group="yard").server == other
     host.list(events.Server(other, state=events.DRAINING))
     assert host.ask(group="yard").server != other
@@ -87,7 +87,7 @@
     connect, seen = host.ask(), []
     while isinstance(connect, events.Connect):
         seen.append(connect.server)
-        actions = [a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.Say)]
+        actions = [a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.LogMessage)]
         assert len(actions) == 1
         connect = actions[0]
     assert connect == events.Reject(1, 1000.0) and len(set(seen)) == len(seen) == 4
@@ -103,21 +103,21 @@
 
 
 def test_once_only_is_not_sent_twice_unless_it_never_ran():
-    host = FakeHost(service_types=kind(events.ONCE_ONLY))
+    host = FakeHost(service_types=kind(events.NON_IDEMPOTENT))
     second = of(events.Connect, host.end(host.ask(), events.FULL))[0]
     assert host.end(second, events.TIMEOUT) == [events.Abort(1)]
 
 
 def test_referenced_goes_again_only_where_and_while_repeats_are_known():
     for group in ("zone", "cell"):
-        host = FakeHost(service_types=kind(events.REFERENCED, group))
+        host = FakeHost(service_types=kind(events.IDEMPOTENCY_KEY, group))
         first = host.ask()
         second = of(events.Connect, host.end(first, events.RESET))[0]
         assert int(second.server[1:]) % 2 == int(first.server[1:]) % 2
         assert host.end(second, events.RESET)[-1] == events.Abort(1)
-    host = FakeHost(service_types=kind(events.REFERENCED))
+    host = FakeHost(service_types=kind(events.IDEMPOTENCY_KEY))
     first = host.ask()
-    host.director.held[1].flow = host.director.held[1].flow._replace(due=9000.0)
+    host.director.held[1].flow = host.director.held[1].flow._replace(deadline=9000.0)
     host.now = 5000.0
     assert host.end(first, events.RESET) == [events.Reject(1, 1000.0)]
 
@@ -141,30 +141,30 @@
 def test_a_jammed_server_spills_and_all_jammed_reject():
     host = FakeHost(2)
     first = host.ask().server
-    host.tell(events.DelayNoted(first, 500.0))
+    host.tell(events.LatencyReport(first, 500.0))
     assert host.ask().server != first
     for server in ("s0", "s1"):
-        host.tell(events.DelayNoted(server, 500.0))
+        host.tell(events.LatencyReport(server, 500.0))
     assert isinstance(host.ask(), events.Reject)
 
 
 def test_spilling_stops_after_four_servers():
     # i7b0290 and ieafd3e: groups scattered over the fleet, and every server paid for every group.
-    host = FakeHost(8, tells_delay=True)
+    host = FakeHost(8, reports_latency=True)
     for _ in range(4):
-        host.tell(events.DelayNoted(host.ask().server, 500.0))
+        host.tell(events.LatencyReport(host.ask().server, 500.0))
     assert isinstance(host.ask(), events.Reject)
 
 
 def test_spilling_is_shallower_while_the_fleet_is_jammed():
     # i44d241, i60ba31: with every server jammed, spilled groups jammed the next ones.
-    host = FakeHost(8, tells_delay=True)
+    host = FakeHost(8, reports_latency=True)
     for server in list(host.director.hosts.values())[:7]:
         server.mild = 90_000.0
         host.director.sick[server.id] = server
     host.wait(1000.0)
     for _ in range(2):
-        host.tell(events.DelayNoted(host.ask().server, 500.0))
+        host.tell(events.LatencyReport(host.ask().server, 500.0))
     assert isinstance(host.ask(), events.Reject)
 
 
@@ -174,28 +174,28 @@
     for _ in range(10):
         host.open()
         host.wait(1000.0)
-    host.tell(events.DelayNoted("s0", 500.0))
-    host.tell(events.DelayNoted("s0", 20.0))
+    host.tell(events.LatencyReport("s0", 500.0))
+    host.tell(events.LatencyReport("s0", 20.0))
     host.now += 1000.0
-    answers = Counter(type(host.ask(returned=True)) for _ in range(100))
+    answers = Counter(type(host.ask(reconnecting=True)) for _ in range(100))
     assert answers[events.Connect] <= 2
 
 
 def test_an_overdriven_server_sheds_its_heaviest_once_in_two_seconds():
-    host = FakeHost(2, tells_delay=True)
+    host = FakeHost(2, reports_latency=True)
     server = host.open().server
     heavy = [host.open() for _ in range(9)][4]
-    host.tell(events.LoadNoted(heavy.id, 900.0))
-    host.tell(events.DelayNoted(server, 500.0))
-    moves = of(events.Move, host.wait(2000.0))
-    assert 1 <= len(moves) <= 3 and moves[0] == events.Move(heavy.id)
+    host.tell(events.LoadReport(heavy.id, 900.0))
+    host.tell(events.LatencyReport(server, 500.0))
+    moves = of(events.Migrate, host.wait(2000.0))
+    assert 1 <= len(moves) <= 3 and moves[0] == events.Migrate(heavy.id)
 
 
 def test_a_cold_server_gets_its_budget_over_all_balancers():
     # iab64fb: returning clients counted as arrivals, and a fresh server was pushed over.
     sent = Counter()
     for me in range(3):
-        host = FakeHost(2, me=me, siblings=3)
+        host = FakeHost(2, instance_index=me, instance_count=3)
         for _ in range(30):
             host.open("warm")
             host.wait(500.0)
@@ -203,7 +203,7 @@
         host.list(events.Server("s9", started=20_000.0))
         for at in range(400):
             host.now += 10.0
-            sent[host.ask(KEYS[at % 200], returned=True).server] += 1
+            sent[host.ask(KEYS[at % 200], reconnecting=True).server] += 1
     # 6 arrivals a second over 3 servers: 4 s of a share from 0.2 to 0.36, times 3, is under 7 flows
     assert sent["s9"] <= 7
     host.now = 40_001.0
@@ -220,68 +220,72 @@
 
 
 def test_a_broken_subscription_is_renewed_with_back_off():
-    host = FakeHost(must_ask=True, vip=VIP)
-    host.tell(events.ServerList(events.REFUSED))
+    host = FakeHost(polls_discovery=True, vip=VIP)
+    host.tell(events.EndpointList(events.REFUSED))
     asked = [of(events.Subscribe, host.wait(1000.0)) for _ in range(3)]
     assert sum(map(len, asked)) == 1
-    host.tell(events.ServerList(events.REFUSED))
-    host.tell(events.ServerList(events.CHANGES))
+    host.tell(events.EndpointList(events.REFUSED))
+    host.tell(events.EndpointList(events.CHANGES))
     assert of(events.Subscribe, host.wait(20_000.0)) == []
 
 
 def test_open_connections_at_the_start_are_counted_and_tables_empty_again():
     host = FakeHost()
-    host.tell(events.AlreadyOpen(events.Flow(900, "live", "t", None, "k", 0.0), "s1"))
+    host.tell(events.ExistingConnection(events.Flow(900, "live", "t", None, "k", 0.0), "s1"))
     connects = [host.open(key) for key in KEYS]
     assert 900 in host.director.hosts["s1"].open
-    host.tell(events.Ended(900, "s1", True, events.OK))
+    host.tell(events.ConnectionEnded(900, "s1", True, events.OK))
     for connect in connects[:100]:
         host.end(connect, events.OK, True)
     for connect in connects[100:]:
-        host.tell(events.Withdrawn(connect.id))
+        host.tell(events.ClientDisconnected(connect.id))
     assert not host.director.held and not host.director.counts
     assert not any(h.open for h in host.director.hosts.values())
 
 
 def test_returning_clients_pass_by_a_server_of_which_nothing_is_known():
     # zanella-serra-later big-1: 157 balancers, of which most never heard that a server was jammed.
-    host = FakeHost(8, siblings=150, tells_delay=True)
+    host = FakeHost(8, instance_count=150, reports_latency=True)
     default = host.ask().server
     host.end(events.Connect(1, default), events.OK, True)
     passed = 0
     for _ in range(40):
-        back = host.ask(returned=True)
+        back = host.ask(reconnecting=True)
         passed += back.server != default
         host.end(back, events.OK, True)
     assert 10 <= passed <= 30
-    host.open(returned=False)
-    assert host.ask(returned=True).server == default
+    host.open(reconnecting=False)
+    assert host.ask(reconnecting=True).server == default
 
 
 def test_forty_balancers_that_hold_next_to_nothing_keep_a_group_whole_when_its_server_drains():
     # join+vast: 16 groups stood on 30 servers' places after the first wave of drains, which cost as much as
     # their connections, and two servers of five were overdriven.
-    fleet = [FakeHost(8, seed=at, shares_work=True, siblings=40, me=at) for at in range(40)]
+    fleet = [
+        FakeHost(8, seed=at, groups_share_work=True, instance_count=40, instance_index=at) for at in range(40)
+    ]
     connects = [host.open(f"key-{at}", group="yard") for at, host in enumerate(fleet)]
     left = connects[0].server
     for host, connect in zip(fleet, connects, strict=True):
         host.list(events.Server(left, state=events.DRAINING))
         host.end(connect, events.CANCELLED, True)
         host.now += 500.0
-    back = {host.ask(f"key-{39 - at}", "yard", returned=True).server for at, host in enumerate(fleet)}
+    back = {host.ask(f"key-{39 - at}", "yard", reconnecting=True).server for at, host in enumerate(fleet)}
     assert len(back) == 1 and left not in back
 
 
 def test_connections_come_home_to_a_server_that_joins_the_sooner_the_warmer_it_is():
     # join+vast: seven servers of twelve were replaced; five old ones held everything, two were overdriven.
-    fleet = [FakeHost(4, seed=at, siblings=40, me=at, shares_work=True) for at in range(40)]
+    fleet = [
+        FakeHost(4, seed=at, instance_count=40, instance_index=at, groups_share_work=True) for at in range(40)
+    ]
     groups = [f"g{at}" for at in range(10)]
     for host in fleet:
         connects = {host.open(f"k{at}", group=group).id: group for at, group in enumerate(groups)}
         host.list(events.Server("new", started=host.now + 1.0))
     homes = {group for group in groups if fleet[0].default(group) == "new"}
     assert 1 <= len(homes) <= 5
-    early, late = ([of(events.Move, host.wait(ms)) for host in fleet] for ms in (5_000.0, 15_000.0))
+    early, late = ([of(events.Migrate, host.wait(ms)) for host in fleet] for ms in (5_000.0, 15_000.0))
     moved = [connects[move.id] for moves in early + late for move in moves]
     assert set(moved) == homes and len(moved) > 0.8 * 40 * len(homes)
     # Not as a crowd: under two in five of them in the first five seconds.
@@ -292,14 +296,14 @@
     # roll+mass: while many came back, clients were moved home, not let in, placed elsewhere, moved again.
     moves = {}
     for crowd in 0, 40:
-        fleet = [FakeHost(4, seed=at, siblings=200, me=at) for at in range(200)]
+        fleet = [FakeHost(4, seed=at, instance_count=200, instance_index=at) for at in range(200)]
         for host in fleet:
             key = next(key for key in KEYS if host.default(key) == "s1")
             host.list(events.Server("s1", state=events.DRAINING))
             host.open(key)
             host.list(events.Server("s1", started=host.now + 1.0))
             host.director.crowd, host.director.crowd_at = 1.0 + crowd, 1_000.0
-        moves[crowd] = sum(len(of(events.Move, host.wait(4_000.0))) for host in fleet)
+        moves[crowd] = sum(len(of(events.Migrate, host.wait(4_000.0))) for host in fleet)
     assert 0 < 3 * moves[40] < moves[0]
 
 
@@ -320,14 +324,14 @@
     for at in range(40):
         host = FakeHost(2)
         host.director.chance.seed(at)
-        host.tell(events.DelayNoted(host.open().server, 500.0))
-        moved += len(of(events.Move, host.wait(2000.0)))
+        host.tell(events.LatencyReport(host.open().server, 500.0))
+        moved += len(of(events.Migrate, host.wait(2000.0)))
     assert 12 <= moved <= 28
 
 
 def test_where_most_connects_fail_everywhere_few_are_made():
     # zanella-serra-later: a jammed session store got 36 connects a flow and never recovered.
-    host, connects = FakeHost(60, warm_after=0.0), 0
+    host, connects = FakeHost(60, slow_start_duration=0.0), 0
     for at in range(60):
         answer = host.ask(f"key-{at}")
         while isinstance(answer, events.Connect):
@@ -340,14 +344,14 @@
 
 def test_where_a_fleet_has_grown_cold_flows_find_the_warm_servers():
     # i781c5a: of 740 servers 555 were cold; 377 balancers waited for turns and refused half of all flows.
-    host = FakeHost(3, siblings=377, me=300)
+    host = FakeHost(3, instance_count=377, instance_index=300)
     host.now = 1000.0
     host.list(*(events.Server(f"c{at}", started=1000.0) for at in range(5)))
-    answers = [host.ask(key, returned=at % 2 > 0) for at, key in enumerate(KEYS)]
+    answers = [host.ask(key, reconnecting=at % 2 > 0) for at, key in enumerate(KEYS)]
     assert len(of(events.Connect, answers)) == len(KEYS)
     sent = 0
     for me in range(0, 377, 10):
-        host = FakeHost(1, siblings=377, me=me)
+        host = FakeHost(1, instance_count=377, instance_index=me)
         for at in range(20):
             host.open(f"key-{at}")
             host.wait(1000.0)
@@ -359,13 +363,13 @@
 
 def test_a_cold_server_gets_no_spilled_flow():
     # ibceb3c: all jammed servers of 142 spilled a crowd over 33 cold ones, three of which fell over.
-    host = FakeHost(6, tells_delay=True)
+    host = FakeHost(6, reports_latency=True)
     host.open()
     host.wait(20_000.0)
     host.list(events.Server("cold", started=host.now))
     host.now += 19_000.0
     for at in range(6):
-        host.tell(events.DelayNoted(f"s{at}", 500.0))
+        host.tell(events.LatencyReport(f"s{at}", 500.0))
     for key in KEYS:
         if host.default(key) != "cold":
             assert isinstance(host.ask(key), events.Reject)
@@ -386,7 +390,7 @@
         open_in(lambda server: 20.0, key)
     seen = {open_in(lambda server: 90.0 if server == slow else 20.0, key) for key in KEYS[:40]}
     assert slow in seen and slow not in {host.ask(key).server for key in KEYS[:20]}
-    assert of(events.Move, host.wait(2000.0))
+    assert of(events.Migrate, host.wait(2000.0))
     host.now += 30_000.0
     for key in KEYS:  # a crowd slows all alike; the first two of it may look like overdriven servers
         open_in(lambda server: 200.0, key)
@@ -400,18 +404,18 @@
 
 def test_on_sockets_the_largest_group_leaves_a_hot_server_whole_and_goes_to_the_idlest():
     # The heaviest connections left, whatever their group: three groups on one server became twelve on four.
-    host = FakeHost(3, shares_work=True)
+    host = FakeHost(3, groups_share_work=True)
     lies = {}
     for at in range(30):
         lies.setdefault(host.ask(group=f"g{at}").server, []).append(f"g{at}")
     busy, idle, other = sorted(lies)
-    host = FakeHost(3, shares_work=True)
+    host = FakeHost(3, groups_share_work=True)
     large = [host.open(str(at), group=lies[busy][0]).id for at in range(4)]
     lone = host.open("k", group=lies[busy][1])
     host.open("k", group=lies[other][0])
-    host.tell(events.LoadNoted(lone.id, 9_000_000.0))
-    host.tell(events.DelayNoted(busy, 900.0))
-    moved = [move.id for move in of(events.Move, host.wait(2000.0))]
+    host.tell(events.LoadReport(lone.id, 9_000_000.0))
+    host.tell(events.LatencyReport(busy, 900.0))
+    moved = [move.id for move in of(events.Migrate, host.wait(2000.0))]
     assert moved and set(moved) <= set(large)
     assert host.ask(group=lies[busy][0]).server == idle
 
@@ -421,7 +425,7 @@
     for tells, taken in (False, True), (True, False):
         host = FakeHost(2)
         mine = [key for key in KEYS if host.ask(key).server == "s0"]
-        host = FakeHost(2, tells_delay=tells)
+        host = FakeHost(2, reports_latency=tells)
         for key in mine[:20]:
             host.open(key)
         host.wait(5_000.0)
@@ -465,7 +469,7 @@
         connect = host.ask(f"key{at}")
         host.now += chance.uniform(1.0, 8.0)
         host.tell(events.Established(connect.id, connect.server))
-        moves += of(events.Move, host.wait(1000.0) if not at % 100 else [])
+        moves += of(events.Migrate, host.wait(1000.0) if not at % 100 else [])
     assert not moves
 
 
@@ -476,7 +480,7 @@
         assert isinstance(connect, events.Connect)
         host.now += 3.0 if connect.server == "s0" else 1.0
         host.tell(events.Established(connect.id, connect.server))
-        moves += of(events.Move, host.wait(1000.0) if not at % 50 else [])
+        moves += of(events.Migrate, host.wait(1000.0) if not at % 50 else [])
     assert not moves
 
 
@@ -496,7 +500,7 @@
     for connect in flying:
         host.tell(events.Established(connect.id, connect.server))
     assert all(isinstance(host.ask(f"key{at}"), events.Connect) for at in range(100))
-    assert not of(events.Move, host.wait(3000.0))
+    assert not of(events.Migrate, host.wait(3000.0))
 
 
 def test_one_connect_too_slow_among_many_that_stood_paces_nobody():
@@ -535,23 +539,23 @@
 
 def test_a_server_is_slow_from_a_third_of_the_message_target_and_late_from_all_of_it():
     # kranj-works quiet: 28 ms counted as well again beside a target of 50, messages were late for 13 s.
-    host = FakeHost(2, tells_delay=True, message_target=60.0)
+    host = FakeHost(2, reports_latency=True, latency_objective=60.0)
     slow = host.ask().server
-    host.tell(events.DelayNoted(slow, 28.0))
+    host.tell(events.LatencyReport(slow, 28.0))
     assert {host.ask(key).server for key in KEYS} == {"s0", "s1"} - {slow}
     other = ({"s0", "s1"} - {slow}).pop()
-    host.tell(events.DelayNoted(other, 90.0))
+    host.tell(events.LatencyReport(other, 90.0))
     assert host.ask().server == slow  # slow ones still serve before a flow is refused
-    host.tell(events.DelayNoted(slow, 90.0))
+    host.tell(events.LatencyReport(slow, 90.0))
     assert isinstance(host.ask(), events.Reject)
 
 
 def test_a_server_that_is_well_again_is_passed_by_until_what_filled_it_has_left():
     # pasig-main quiet: one server jammed eight times in 45 s, its clients came back at once.
-    host = FakeHost(2, tells_delay=True, message_target=60.0)
+    host = FakeHost(2, reports_latency=True, latency_objective=60.0)
     slow = host.ask().server
-    host.tell(events.DelayNoted(slow, 28.0))
-    host.tell(events.DelayNoted(slow, 5.0))
+    host.tell(events.LatencyReport(slow, 28.0))
+    host.tell(events.LatencyReport(slow, 5.0))
     host.now += 15_000.0
     assert host.ask().server != slow
     host.now += 6_000.0
@@ -562,11 +566,11 @@
     # kranj-works quiet: each of 16 balancers moved its only connection with a chance of a half.
     moved = Counter()
     for at in range(200):
-        host = FakeHost(2, tells_delay=True, message_target=60.0)
+        host = FakeHost(2, reports_latency=True, latency_objective=60.0)
         host.director.chance.seed(at)
         delay = (65.0, 600.0)[at % 2]
-        host.tell(events.DelayNoted(host.open().server, delay))
-        moved[delay] += len(of(events.Move, host.wait(2000.0)))
+        host.tell(events.LatencyReport(host.open().server, delay))
+        moved[delay] += len(of(events.Migrate, host.wait(2000.0)))
     assert moved[65.0] <= 30 < 35 <= moved[600.0] <= 65
 
 
@@ -582,14 +586,14 @@
     """How many of 94 balancers with a flow every third second send one to a cold server in its fifth."""
     sent = 0
     for me in range(94):
-        host = FakeHost(0, siblings=94, me=me, tells_delay=True)
+        host = FakeHost(0, instance_count=94, instance_index=me, reports_latency=True)
         host.now = 20_000.0
-        host.list(*(events.Server(f"s{at}", size=3.0) for at in range(3)), scope=events.WHOLE)
+        host.list(*(events.Server(f"s{at}", size=3.0) for at in range(3)), scope=events.COMPLETE)
         host.director.rate = host.director.asks = 0.35
         host.list(events.Server("cold", size=size, started=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default(key) == "cold")
-        sent += host.ask(key, returned=returned).server == "cold"
+        sent += host.ask(key, reconnecting=returned).server == "cold"
     return sent
 
 
@@ -603,7 +607,7 @@
 
 def test_a_cold_server_that_many_want_gets_its_even_share_of_what_wants_it():
     # join+mass: one that was home to two large groups got 21 of 60 connects in 1.2 s and fell over.
-    host = FakeHost(48, siblings=200, me=0)
+    host = FakeHost(48, instance_count=200, instance_index=0)
     for key in [key for key in KEYS if host.default(key) != "cold"][:5]:
         host.open(key)
     host.list(events.Server("cold", started=1.0))
@@ -623,7 +627,7 @@
 def test_an_accepted_connect_is_waited_for_where_no_server_says_that_it_is_slow():
     # join+mass: set-ups of 1.5 s everywhere were given up after 0.6 s and called again, which kept them so.
     assert FakeHost(4).ask().within == pytest.approx(0.8 * 1800.0)
-    assert FakeHost(4, tells_delay=True).ask().within == 600.0
+    assert FakeHost(4, reports_latency=True).ask().within == 600.0
 
 
 def test_two_hundred_balancers_together_fill_a_cold_server_no_faster_than_it_warms():
@@ -631,7 +635,14 @@
     # balancer of which gave every new server one flow a turn: one 14% warm got 31 and fell over.
     hosts, sent = [], 0
     for me in range(200):
-        host = FakeHost(47, seed=me, siblings=200, me=me, warm_after=24_000.0, cold_from=0.14)
+        host = FakeHost(
+            47,
+            seed=me,
+            instance_count=200,
+            instance_index=me,
+            slow_start_duration=24_000.0,
+            slow_start_share=0.14,
+        )
         for n in range(4 * (me % 10 < 3)):
             host.open(f"held-{me}-{n}")
         hosts.append(host)
@@ -654,7 +665,7 @@
     """
     draw, hosts, came = random.Random(seed), [], 0
     cold = events.Server("cold", started=38_000.0)
-    probe = FakeHost(59, shares_work=True)
+    probe = FakeHost(59, groups_share_work=True)
     probe.list(cold)
     hot = next(key for key in map(str, range(seed, 10_000)) if probe.default(key) == "cold")
 
@@ -663,7 +674,13 @@
 
     for me in range(200):
         host = FakeHost(
-            59, seed=me, siblings=200, me=me, warm_after=24_000.0, cold_from=0.14, shares_work=True
+            59,
+            seed=me,
+            instance_count=200,
+            instance_index=me,
+            slow_start_duration=24_000.0,
+            slow_start_share=0.14,
+            groups_share_work=True,
         )
         host.now = 39_900.0
         for n in range(4):
@@ -674,13 +691,13 @@
         host = draw.choice(hosts)
         host.now = at
         host.director.hosts[f"s{draw.randrange(59)}"].weak = at + 5_000.0
-        actions = [host.ask(str(at), group=group(), returned=True)]
+        actions = [host.ask(str(at), group=group(), reconnecting=True)]
         if isinstance(actions[0], events.Connect) and draw.random() < 0.1:
             came += actions[0].server == "cold"
             actions = host.end(actions[0], events.UNREACHABLE)
         came += sum(connect.server == "cold" for connect in of(events.Connect, actions))
         if draw.random() < 0.3:
-            for move in of(events.Move, host.tell(events.Wake("tick"))):
+            for move in of(events.Migrate, host.tell(events.TimerFired("tick"))):
                 host.end(events.Connect(move.id, ""), events.CANCELLED, final=True)
     return came
 
@@ -698,7 +715,7 @@
 def _jam(seed):
     """A hundred balancers, 20 servers that cut a third of what they hold once it is over 20, 520 clients."""
     draw = random.Random(seed)
-    hosts = [FakeHost(20, seed=me, siblings=100, me=me) for me in range(100)]
+    hosts = [FakeHost(20, seed=me, instance_count=100, instance_index=me) for me in range(100)]
     stand, due = {f"s{n}": [] for n in range(20)}, [(draw.random(), n, False) for n in range(520)]
     asks = cuts = held = 0
     for step in range(240):
@@ -707,7 +724,7 @@
             host.now = now * 1000.0
             if not step % 20:
                 host.wait(0.0)
-                host.tell(events.Wake("tick"))
+                host.tell(events.TimerFired("tick"))
         back = []
         for at, client, returned in due:
             if at > now:
@@ -715,7 +732,7 @@
                 continue
             host = draw.choice(hosts)
             asks += 1
-            answer = host.ask(f"key-{client}", returned=returned)
+            answer = host.ask(f"key-{client}", reconnecting=returned)
             if isinstance(answer, events.Reject):
                 back.append((now + answer.retry_after / 1000.0, client, True))
                 continue
@@ -744,7 +761,7 @@
     # join+mass 90019: 36 groups on 60 servers; of the four flows that a balancer held none was of the same
     # group, so each group had one place, and two of three servers none at all.
     def places(groups):
-        host, draw = FakeHost(60, siblings=200, shares_work=True), random.Random(1)
+        host, draw = FakeHost(60, instance_count=200, groups_share_work=True), random.Random(1)
         for n in range(20):
             host.end(host.open(f"c{n}", group=f"g{draw.randrange(groups)}"), events.OK, final=True)
         found = [
@@ -757,9 +774,9 @@
 
 def test_where_servers_tell_none_is_looked_for_when_connections_leave():
     # ica69c5: a list of 251 servers was made for each of 2,000 moves a second, the day was cut off.
-    host = FakeHost(50, tells_delay=True, message_target=60.0, warm_after=0.0)
+    host = FakeHost(50, reports_latency=True, latency_objective=60.0, slow_start_duration=0.0)
     server = host.open().server
-    host.tell(events.DelayNoted(server, 900.0))
+    host.tell(events.LatencyReport(server, 900.0))
     asked = []
     host.director._cold = lambda known: asked.append(known) or False
     host.director._move_off(host.director.hosts[server])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,12 +12,12 @@
 from twisted.internet import task
 from twisted.internet.testing import StringTransport
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.fault_injection.invariants import judge
 from lotusroute.fault_injection.processes import Fleet
 from lotusroute.fault_injection.random_scenarios import scenario
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.transport import Connection, Link
-from lotusroute.service_config import Malformed
+from lotusroute.fleet.transport import PeerConnection, PeerTransport
 
 TOLD = {
     "name": "f",
@@ -42,12 +42,12 @@
     ],
 )
 def test_a_faulty_file_is_named_by_its_key_and_the_mend(change, says, tmp_path):
-    with pytest.raises(Malformed, match=says.replace(".", r"\.")):
-        config.plan({**TOLD, **change})
+    with pytest.raises(InvalidValueError, match=says.replace(".", r"\.")):
+        config.parse_fleet_config({**TOLD, **change})
     file = tmp_path / "fleet.toml"
     file.write_text("name = ")
-    with pytest.raises(Malformed, match=f"LB_FLEET: {file}"):
-        config.read(file)
+    with pytest.raises(InvalidValueError, match=f"LB_FLEET: {file}"):
+        config.load_fleet_config(file)
 
 
 def test_what_is_on_disk_is_the_old_number_or_the_new_one_and_a_spoilt_file_starts_no_keeper(tmp_path):
@@ -58,19 +58,21 @@
     (tmp_path / "promised.new").write_text("40")  # a crash in the middle of the next
     assert acceptor_storage.load(tmp_path) == 2048
     (tmp_path / acceptor_storage.FILE).write_text("2049 00000000\n")
-    with pytest.raises(Malformed, match="spoilt"):
+    with pytest.raises(InvalidValueError, match="spoilt"):
         acceptor_storage.load(tmp_path)
 
 
 def _way(served=lambda peer, kind, body: body):
     """One connection from a peer that has not said who it is."""
-    clock, counts = task.Clock(), Counter()
-    connection = Connection(Link(clock, config.plan(TOLD), "a", random.Random(1), counts, served))
+    clock, counters = task.Clock(), Counter()
+    connection = PeerConnection(
+        PeerTransport(clock, config.parse_fleet_config(TOLD), "a", random.Random(1), counters, served)
+    )
     transport = StringTransport()
     transport.setTcpNoDelay = transport.setTcpKeepAlive = lambda _: None
     transport.abortConnection = lambda: setattr(transport, "disconnecting", True)
     connection.makeConnection(transport)
-    return connection, transport, clock, counts
+    return connection, transport, clock, counters
 
 
 def _box(**pairs):
@@ -90,7 +92,7 @@
     draw = random.Random(3)
     call = _box(ask=b"2", command=b"Call", kind=b"show", body=b"x")
     for at in range(400):
-        connection, transport, clock, counts = _way()
+        connection, transport, clock, counters = _way()
         data = bytearray(HELLO + call)
         if at % 3 == 0:
             data = bytearray(draw.randbytes(draw.randrange(1, 300)))
@@ -100,7 +102,7 @@
             data[draw.randrange(len(data))] = draw.randrange(256)
         connection.dataReceived(bytes(data))
         clock.advance(10.0)
-        assert transport.disconnecting or b"show" not in data or counts["link_calls_in"] <= 1
+        assert transport.disconnecting or b"show" not in data or counters["link_calls_in"] <= 1
 
 
 def test_a_stranger_a_silent_one_and_one_that_calls_before_it_says_who_it_is_are_let_go():
@@ -110,27 +112,27 @@
         b"",
         _box(ask=b"1", command=b"Call", kind=b"show", body=b""),
     ):
-        connection, transport, clock, counts = _way()
+        connection, transport, clock, counters = _way()
         connection.dataReceived(first) if first else None
         clock.advance(2.1)
-        assert transport.disconnecting and counts["link_strangers"] == 1
-    connection, transport, clock, counts = _way()
+        assert transport.disconnecting and counters["link_strangers"] == 1
+    connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     clock.advance(2.1)
     assert not transport.disconnecting and connection.link.came_in == {"b": [connection]}
 
 
 def test_a_stalled_peer_holds_bounded_calls_and_bytes_and_is_given_up():
-    connection, transport, clock, counts = _way()
+    connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     failed = []
     for _ in range(70):
         connection.ask("k", b"x" * 100).addErrback(lambda reason: failed.append(str(reason.value)))
-    assert failed == ["crowded"] * 6 and counts["link_crowded"] == 6
+    assert failed == ["crowded"] * 6 and counters["link_crowded"] == 6
     clock.advance(1.1)
     assert failed.count("late") == 64 and transport.disconnecting
     assert connection.calls == 64  # late ones still take their places with the peer
-    connection, transport, clock, counts = _way()
+    connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     for _ in range(5):
         connection.ask("k", b"x" * 59_000).addErrback(lambda reason: failed.append(str(reason.value)))
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -17,8 +17,8 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lotusroute.net.discovery import Discovery, Listed
-from lotusroute.net.downstream import Asked, Clients
+from lotusroute.net.discovery import Discovery, EndpointUpdate
+from lotusroute.net.downstream import Asked, DownstreamFactory
 from lotusroute.net.owner import Owner
 from lotusroute.routing import events
 
@@ -251,15 +251,15 @@
 
 def test_a_flood_that_is_found_as_its_flow_is_taken_is_refused_and_lingers():
     # Closed at once over what it still sends, it would be sent a reset that may overtake its last line.
-    events, counts = [], collections.Counter()
-    clients = Clients(events.append, lambda: 0.0, lambda: True, 1_024, counts)
+    events, counters = [], collections.Counter()
+    clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
     side = clients.buildProtocol(None)
     side.callLater = Clock().callLater
     side.transport = Socket()
     side.transport.protocol = side
     side.makeConnection(side.transport)
     side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
-    assert side.left() and side.transport.value() == b"ERR\r\n" and counts["overran"] == 1
+    assert side.left() and side.transport.value() == b"ERR\r\n" and counters["overran"] == 1
     assert not side.transport.closed and len(events) == 1
 
 
@@ -520,7 +520,7 @@
 
 def broken_owner(**parts):
     """An owner of which only what a story needs works."""
-    owner = types.SimpleNamespace(counts=collections.Counter(), relist=None, clock=lambda: 0.0, **parts)
+    owner = types.SimpleNamespace(counters=collections.Counter(), relist=None, clock=lambda: 0.0, **parts)
     owner._failed = lambda event, number: Owner._failed(owner, event, number)
     owner._forget = parts.get("_forget", lambda number: None)
     return owner
@@ -534,10 +534,12 @@
             raise OSError("gone")
         done.append(action.id)
 
-    actions = [events.Move(1), events.Move(2)]
-    owner = broken_owner(_do={events.Move: move}, director=types.SimpleNamespace(decide=lambda *_: actions))
+    actions = [events.Migrate(1), events.Migrate(2)]
+    owner = broken_owner(
+        _do={events.Migrate: move}, director=types.SimpleNamespace(decide=lambda *_: actions)
+    )
     owner._forget = forgotten.append
-    Owner._decide(owner, events.Wake("tick"))
+    Owner._decide(owner, events.TimerFired("tick"))
     assert done == [2] and forgotten == [1]
 
 
@@ -552,13 +554,13 @@
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
     owner = broken_owner()
     owner.relist = following.forget
-    Owner._failed(owner, Listed(events.CHANGES, (), {}), 0)
+    Owner._failed(owner, EndpointUpdate(events.CHANGES, (), {}), 0)
     assert following.seq is None
 
 
 def test_a_referenced_flow_of_an_unknown_group_that_may_have_run_goes_nowhere_else():
-    kind = events.ServiceType(300.0, events.REFERENCED, "shelf", 9_000.0)
-    host = FakeHost(vip=events.Vip({"live": kind}, max_connects=4))
+    kind = events.ServiceType(300.0, events.IDEMPOTENCY_KEY, "shelf", 9_000.0)
+    host = FakeHost(vip=events.ServiceConfig({"live": kind}, max_attempts=4))
     assert host.end(host.ask(), events.RESET) == [events.Abort(1)]
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -15,23 +15,23 @@
 from twisted.internet.testing import StringTransport
 
 from lotusroute.adapter import wire
+from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.lease_service import Part
-from lotusroute.fleet.shared_discovery import Watch
-from lotusroute.fleet.transport import Connection, Failed, Link
-from lotusroute.leases.acceptor import Keeper, Kept
-from lotusroute.leases.messages import Leave, Want
-from lotusroute.leases.proposer import Asker
+from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.fleet.shared_discovery import SharedDiscovery
+from lotusroute.fleet.transport import CallFailed, PeerConnection, PeerTransport
+from lotusroute.leases.acceptor import Acceptor, AcceptorState
+from lotusroute.leases.messages import ReleaseLease, RequestLease
+from lotusroute.leases.proposer import Proposer
 from lotusroute.net import config as net_config
 from lotusroute.net import line_protocol
-from lotusroute.net.downstream import Clients, ClientSide, opening
+from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_opening
 from lotusroute.net.owner import Owner
 from lotusroute.relay import messages, subscription
-from lotusroute.relay.fanout import Beat
-from lotusroute.relay.server import Relay
+from lotusroute.relay.fanout import Heartbeat
+from lotusroute.relay.server import RelayServer
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version
 from lotusroute.routing import events
-from lotusroute.service_config import Malformed
 
 NOW = 10_000.0
 PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
@@ -59,18 +59,22 @@
 
 def _part(name, state):
     """A Part at a fixed clock, with a FakeLink; the keeper, if any, speaks and may promise up to 4095."""
-    part = Part(task.Clock(), config.plan({**FLEET, "state": str(state)}), name, Counter())
+    part = LeaseService(
+        task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
+    )
     part.clock, part.link = lambda: NOW, FakeLink()
-    part.asker = Asker(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
+    part.asker = Proposer(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
     if part.keeper is not None:
-        part.keeper = Keeper(part.plan.terms, 0.0, 0)
+        part.keeper = Acceptor(part.plan.terms, 0.0, 0)
         part.keeper.reserved(4096)
     return part
 
 
 def _connection(peer="", serve=None):
-    link = Link(task.Clock(), config.plan(FLEET), "a", random.Random(1), Counter(), serve)
-    connection, transport = Connection(link, peer), StringTransport()
+    link = PeerTransport(
+        task.Clock(), config.parse_fleet_config(FLEET), "a", random.Random(1), Counter(), serve
+    )
+    connection, transport = PeerConnection(link, peer), StringTransport()
     transport.setTcpNoDelay = transport.setTcpKeepAlive = lambda _: None
     transport.abortConnection = lambda: setattr(transport, "disconnecting", True)
     connection.makeConnection(transport)
@@ -104,12 +108,12 @@
     assert asked.result == b"\0back"
     refused = connection.ask("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
     _exchange(connection, transport, REFUSED.replace(b"\x012", b"\x013"))
-    assert type(refused.result) is Failed and str(refused.result) == "low"
+    assert type(refused.result) is CallFailed and str(refused.result) == "low"
     assert not transport.disconnecting
 
 
 def test_the_link_answers_these_boxes():
-    heard, answers = [], iter([b"\0back", defer.fail(Failed("low"))])
+    heard, answers = [], iter([b"\0back", defer.fail(CallFailed("low"))])
 
     def serve(*said):
         heard.append(said)
@@ -137,7 +141,7 @@
 def test_an_asker_says_these_calls_and_reads_these_answers(tmp_path):
     part, keepers = _part("d", tmp_path), ["a", "b", "c"]
     tail = b"\xa5watch\x01\xaad#0a1b2c3d"
-    part._decide(Want("watch"))
+    part._decide(RequestLease("watch"))
     assert part.link.taken() == [("call", at, "prepare", b"\x94" + tail + b"\x01") for at in keepers]
     for answer in part.link.answers[:2]:
         answer.callback(b"\x99\xa5watch\x01\xa7prepare\x01\xc3\xa0\x01" + ZERO + b"\xc2")
@@ -146,7 +150,7 @@
     for answer in part.link.answers[3:5]:
         answer.callback(b"\x99\xa5watch\x01\xa7propose\x02\xc3\xa0\x01" + ZERO + b"\xc2")
     assert part.fence("watch", 0.0) == 1
-    part._decide(Leave("watch"))
+    part._decide(ReleaseLease("watch"))
     assert part.link.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
 
 
@@ -175,9 +179,9 @@
 
 def test_a_keeper_that_is_silent_or_full_answers_these_bytes(tmp_path):
     part = _part("a", tmp_path)
-    part.keeper.kept = {str(at): Kept(until=NOW) for at in range(256)}
+    part.keeper.kept = {str(at): AcceptorState(until=NOW) for at in range(256)}
     assert part._serve(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
-    part.keeper = Keeper(part.plan.terms, NOW - 1000.0, 7)
+    part.keeper = Acceptor(part.plan.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
     assert part._serve("b", "release", FROM_B) == REPLY + silent
 
@@ -210,7 +214,7 @@
 
 
 def _watch(state):
-    watch = Watch(_part("d", state))
+    watch = SharedDiscovery(_part("d", state))
     watch.discovery = FakeDiscovery()
     return watch
 
@@ -252,7 +256,7 @@
 def _relay(state):
     """A relay that is the origin under fence 3 and has published 250 ms ago."""
     part = _part("a", state)
-    relay = Relay(part, ("10.0.0.9", 8500), Counter())
+    relay = RelayServer(part, ("10.0.0.9", 8500), Counter())
     relay.fence, part.fence = 3, lambda *_: 3
     relay.answered({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     part.clock = lambda: NOW + 250.0
@@ -274,7 +278,7 @@
     relay._act(relay.fan.tick(part.clock() + 1000.0, relay.old()))
     assert link.taken() == [("back", "n1", "news", DELTA)]
 
-    relays = subscription.Relays("f", {"r1": ("10.0.0.1", 1)}, {})
+    relays = subscription.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
     balancer = subscription.Subscription(task.Clock(), relays, "n1", Counter())
     balancer.link, balancer.discovery = FakeLink(), FakeDiscovery()
     balancer.follower.asked = "r1"
@@ -293,7 +297,7 @@
     delta = Delta(Version(3, 1), Version(3, 2), 0x2BD98F5510662E89, left)
     assert messages.written(snapshot, 250.0) == [WHOLE]
     assert messages.written(delta, 250.0) == [DELTA]
-    assert messages.written(Beat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
+    assert messages.written(Heartbeat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
     monkeypatch.setattr(messages, "PART", 1)
     assert messages.written(snapshot, 250.0) == CUT
     for bodies, news in ((CUT, snapshot), ([WHOLE], snapshot), ([DELTA], delta)):
@@ -313,7 +317,7 @@
     assert acceptor_storage.load(str(tmp_path)) == 2048
     for spoilt in (b"2049 cc2541cf\n", b"2048 cc2541ce\n", b"2048\n", b"", b"\xff"):
         (tmp_path / "promised").write_bytes(spoilt)
-        with pytest.raises(Malformed):
+        with pytest.raises(InvalidValueError):
             acceptor_storage.load(str(tmp_path))
 
 
@@ -337,7 +341,7 @@
 def test_the_operators_files_are_read_to_these_values(tmp_path):
     file = tmp_path / "file"
     file.write_text(FLEET_FILE)
-    name, state, peers, tasks, terms, guests = config.read(file)
+    name, state, peers, tasks, terms, guests = config.load_fleet_config(file)
     assert (name, state, guests) == ("example", "/var/lib/x", 400)
     assert peers == {f"n{at}": (f"10.0.0.{at}", 9700) for at in (1, 2, 3)}
     assert tasks == ("watch", "cold", "check", "origin")
@@ -345,15 +349,18 @@
     file.write_text(RELAYS_FILE)
     assert subscription.read(file) == ("example", {"r1": ("10.0.0.1", 9800)}, {"r3": ("10.0.0.3", 9800)})
     file.write_text(CONFIG)
-    told = net_config.read({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
+    told = net_config.load_config({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     known = json.loads(CONFIG)["known"]
-    types = {"live": (300.0, events.REFERENCED, "zone", 60000.0), "a": (0.0, events.REPEATABLE, "all", 0.0)}
-    types["b"] = (0.0, events.ONCE_ONLY, "all", 0.0)
+    types = {
+        "live": (300.0, events.IDEMPOTENCY_KEY, "zone", 60000.0),
+        "a": (0.0, events.IDEMPOTENT, "all", 0.0),
+    }
+    types["b"] = (0.0, events.NON_IDEMPOTENT, "all", 0.0)
     posting = ("n2", ("127.0.0.1", 9000), ("127.0.0.1", 8500), 0x35656564, 2048, 80.0, {"t1"}, known)
     assert told == (*posting, (types, *VIP), 300.0, 3000.0, 600.0, True, "DEBUG")
     environ = {"LB_FLEET": "x", "LB_RELAYS": "y", "LB_LISTEN": "h:1", "LB_DISCOVERY": "h:2"}
-    assert (net_config.fleet_file(environ), net_config.relays_file(environ)) == ("x", "y")
-    told = net_config.read({**environ, "LB_CONFIG": str(file)})
+    assert (net_config.fleet_config_path(environ), net_config.relays_config_path(environ)) == ("x", "y")
+    told = net_config.load_config({**environ, "LB_CONFIG": str(file)})
     assert (told.listen, told.discovery) == (("h", 1), ("h", 2))
 
 
@@ -366,8 +373,8 @@
     ],
 )
 def test_a_client_is_told_these_lines(ready, said, told):
-    side, transport = ClientSide(), StringTransport()
-    side.factory = Clients(None, lambda: NOW, lambda: ready, 1024, Counter())
+    side, transport = DownstreamConnection(), StringTransport()
+    side.factory = DownstreamFactory(None, lambda: NOW, lambda: ready, 1024, Counter())
     side.callLater = task.Clock().callLater
     transport.dataBuffer, transport._tempDataBuffer = b"", []
     transport.setTcpNoDelay = transport.loseWriteConnection = transport.unregisterProducer = lambda *_: None
@@ -391,9 +398,9 @@
         line_protocol.PING,
     ]
     assert words == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
-    told = SimpleNamespace(posting=SimpleNamespace(vip=events.Vip({}, max_retry_after=900.0)))
+    told = SimpleNamespace(posting=SimpleNamespace(vip=events.ServiceConfig({}, max_retry_after=900.0)))
     assert [Owner._busy(told, ms) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
-    asked = opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
+    asked = parse_opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
     assert asked[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
     assert asked.rewritten(1499.9) == b"OPEN 9b1f 7f3a c=chat,t=acme,d=1499,g=5c0f,r=1,at=s-1\r\n"
 
@@ -404,10 +411,10 @@
         (events.Connect(7, "s:80", 80.0), "pass_on 7 s:80 80.000"),
         (events.Reject(7, 2.5), "not_now 7 2.500"),
         (events.Abort(7), "abort 7"),
-        (events.Move(7), "relocate 7"),
-        (events.WakeMe(1.5, "m"), "remind 1.500 m"),
+        (events.Migrate(7), "relocate 7"),
+        (events.SetTimer(1.5, "m"), "remind 1.500 m"),
         (events.Subscribe(), "listen 1"),
-        (events.Say("a line"), "remark a line"),
+        (events.LogMessage("a line"), "remark a line"),
     ],
 )
 def test_each_action_is_written_as_this_line(action, line):
@@ -424,17 +431,17 @@
         ("ask 7 live - - 8 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, True, False)),
         ("ask 7 live - - 2 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
         ("ask 7 live - - 16 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
-        ("already_open 7 live t k 5.5 0 g 0 s", events.AlreadyOpen, (OPEN_FLOW, "s")),
+        ("already_open 7 live t k 5.5 0 g 0 s", events.ExistingConnection, (OPEN_FLOW, "s")),
         ("under_way 7 0 s 1", events.Established, (7, "s")),
-        ("withdrawn 7", events.Withdrawn, (7,)),
-        ("alarm m", events.Wake, ("m",)),
-        ("notice 7 0 s 1 2.5", events.LoadNoted, (7, 2.5)),
-        ("notice 7 0 s 2 2.5", events.DelayNoted, ("s", 2.5)),
+        ("withdrawn 7", events.ClientDisconnected, (7,)),
+        ("alarm m", events.TimerFired, ("m",)),
+        ("notice 7 0 s 1 2.5", events.LoadReport, (7, 2.5)),
+        ("notice 7 0 s 2 2.5", events.LatencyReport, ("s", 2.5)),
         ("notice 7 0 s 3 2.5", None, ()),
         ("checked 1 2 3 4", None, ()),
         ("from_peer 1 2", None, ()),
         *(
-            (f"resolved 7 1 s 0 0 {code} -", events.Ended, (7, "s", True, result))
+            (f"resolved 7 1 s 0 0 {code} -", events.ConnectionEnded, (7, "s", True, result))
             for code, result in [
                 ("S", events.OK),
                 ("E", events.ERROR),
@@ -455,12 +462,12 @@
 
 
 def test_rows_scopes_and_the_names_of_messages_are_these():
-    for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.GONE)):
+    for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.REMOVED)):
         assert wire.row(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
     scopes = {
         "changes": events.CHANGES,
-        "all": events.WHOLE,
-        "remembered": events.REMEMBERED,
+        "all": events.COMPLETE,
+        "remembered": events.CACHED,
         "refused": events.REFUSED,
     }
     assert scopes == wire.SCOPES
@@ -470,7 +477,7 @@
 
 def test_what_is_shown_has_these_keys(tmp_path):
     relay = _relay(tmp_path)
-    relay.part._decide(Want("watch"))
+    relay.part._decide(RequestLease("watch"))
     relay.part._serve("b", "propose", PROPOSE_B)
     shown = json.loads(relay.part._serve("-", "show", b""))
     assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,27 +7,27 @@
 from lotusroute.fault_injection import lease_model_checker
 from lotusroute.leases import acceptor as acceptor_module
 from lotusroute.leases import proposer as proposer_module
-from lotusroute.leases.acceptor import BLOCK, Keeper
+from lotusroute.leases.acceptor import BLOCK, Acceptor
 from lotusroute.leases.messages import (
     HELD,
     LOW,
     SILENT,
-    Ask,
-    Freed,
-    Held,
-    Leave,
-    Lost,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseReleased,
+    LeaseTerms,
     Prepare,
     Propose,
     Release,
-    Terms,
+    ReleaseLease,
+    ReplyReceived,
+    RequestLease,
+    SendRequest,
     Tick,
-    Told,
-    Want,
 )
-from lotusroute.leases.proposer import Asker
+from lotusroute.leases.proposer import Proposer
 
-TERMS = Terms(("k1", "k2", "k3"))
+TERMS = LeaseTerms(("k1", "k2", "k3"))
 
 
 class Fleet:
@@ -37,26 +37,29 @@
         self.now, self.terms, self.cut = 0.0, terms, set()
         self.keepers = {}
         for name in terms.keepers:
-            keeper = self.keepers[name] = Keeper(terms, -10_000.0, 0)
+            keeper = self.keepers[name] = Acceptor(terms, -10_000.0, 0)
             keeper.reserved(BLOCK)
-        self.askers = {name: Asker(name, terms, random.Random(at)) for at, name in enumerate(askers)}
+        self.askers = {name: Proposer(name, terms, random.Random(at)) for at, name in enumerate(askers)}
         self.log = []
 
     def tell(self, name, event):
         """Give an asker an event, and all that follows from it."""
         asks = self.askers[name].decide(self.now, event)
         for action in asks:
-            if not isinstance(action, Ask):
+            if not isinstance(action, SendRequest):
                 self.log.append((name, action))
         for action in asks:
-            if isinstance(action, Ask) and not {(name, action.keeper), (action.keeper, name)} & self.cut:
+            if (
+                isinstance(action, SendRequest)
+                and not {(name, action.keeper), (action.keeper, name)} & self.cut
+            ):
                 keeper = self.keepers[action.keeper]
                 reply, reserve, freed = keeper.decide(self.now, action.what)
                 if reserve:
                     keeper.reserved(reserve.under)
-                self.tell(name, Told(action.keeper, reply))
+                self.tell(name, ReplyReceived(action.keeper, reply))
                 for waiting in freed:
-                    self.tell(waiting, Freed("t"))
+                    self.tell(waiting, LeaseReleased("t"))
 
     def wait(self, ms, *names):
         """Let time pass, in steps; those named look at their clocks."""
@@ -72,39 +75,39 @@
 
 def test_one_asker_holds_and_renews_and_another_takes_over_at_once_when_it_leaves():
     fleet = Fleet("a", "b")
-    fleet.tell("a", Want("t"))
-    fleet.tell("b", Want("t"))
-    assert fleet.holders() == ["a"] and fleet.log == [("a", Held("t", 1))]
+    fleet.tell("a", RequestLease("t"))
+    fleet.tell("b", RequestLease("t"))
+    assert fleet.holders() == ["a"] and fleet.log == [("a", LeaseAcquired("t", 1))]
     fleet.wait(10_000.0)
     assert fleet.holders() == ["a"] and len(fleet.log) == 1
-    fleet.tell("a", Leave("t"))
+    fleet.tell("a", ReleaseLease("t"))
     fleet.wait(200.0)  # told by the keepers; by time alone it would ask again after a lease
     fence = fleet.askers["b"].fence("t", fleet.now)
-    assert fleet.holders() == ["b"] and fleet.log[-1] == ("b", Held("t", fence)) and fence > 1
+    assert fleet.holders() == ["b"] and fleet.log[-1] == ("b", LeaseAcquired("t", fence)) and fence > 1
 
 
 def test_a_holder_that_is_cut_off_ends_before_its_keepers_let_go():
     fleet = Fleet("a", "b")
-    fleet.tell("a", Want("t"))
-    fleet.tell("b", Want("t"))
+    fleet.tell("a", RequestLease("t"))
+    fleet.tell("b", RequestLease("t"))
     fleet.cut = {("a", keeper) for keeper in fleet.keepers}
     fleet.wait(2_800.0)
     assert fleet.holders() == ["a"]
     fleet.wait(100.0)
-    assert fleet.holders() == [] and fleet.log[-1] == ("a", Lost("t", "lapsed"))
+    assert fleet.holders() == [] and fleet.log[-1] == ("a", LeaseLost("t", "lapsed"))
     fleet.wait(500.0)
     assert fleet.holders() == ["b"]
 
 
 def test_a_holder_that_stood_still_gives_way_and_its_act_must_not_begin_near_the_end():
     fleet = Fleet("a", "b")
-    fleet.tell("a", Want("t"))
+    fleet.tell("a", RequestLease("t"))
     asker = fleet.askers["a"]
     assert asker.fence("t", 0.0, longest=2_800.0) == 1 and asker.fence("t", 0.0, longest=2_900.0) == 0
-    fleet.tell("b", Want("t"))
+    fleet.tell("b", RequestLease("t"))
     fleet.wait(1_500.0, "b")
     fleet.tell("a", Tick())
-    assert fleet.log[-1] == ("a", Lost("t", "stalled")) and fleet.holders() == []
+    assert fleet.log[-1] == ("a", LeaseLost("t", "stalled")) and fleet.holders() == []
     fleet.wait(200.0, "b")
     assert fleet.holders() == ["b"]
 
@@ -113,8 +116,8 @@
     # Found by three processes: woken when its time had come, after 1.1 s, it took the quiet for a stall of
     # its own, rested for a lease, and so for good.
     fleet = Fleet("a", "b")
-    fleet.tell("a", Want("t"))
-    fleet.tell("b", Want("t"))
+    fleet.tell("a", RequestLease("t"))
+    fleet.tell("b", RequestLease("t"))
     fleet.cut = {("a", keeper) for keeper in fleet.keepers}
     for _ in range(30):
         fleet.now += max(5.0, fleet.askers["b"].due(fleet.now))
@@ -125,8 +128,8 @@
 def test_two_that_split_the_keepers_draw_apart():
     fleet = Fleet("a", "b")
     fleet.cut = {("a", "k3"), ("b", "k1")}
-    fleet.tell("a", Want("t"))
-    fleet.tell("b", Want("t"))
+    fleet.tell("a", RequestLease("t"))
+    fleet.tell("b", RequestLease("t"))
     fleet.cut = set()
     fleet.wait(5_000.0)
     assert len(fleet.holders()) == 1
@@ -134,20 +137,20 @@
 
 def test_a_holder_gives_way_after_its_term_where_another_asks_and_else_goes_on():
     fleet = Fleet("a", terms=TERMS._replace(term=5_000.0))
-    fleet.tell("a", Want("t"))
+    fleet.tell("a", RequestLease("t"))
     fleet.wait(20_000.0)
     assert len(fleet.log) == 1
-    fleet.askers["b"] = Asker("b", fleet.terms, random.Random(9))
-    fleet.tell("b", Want("t"))
+    fleet.askers["b"] = Proposer("b", fleet.terms, random.Random(9))
+    fleet.tell("b", RequestLease("t"))
     fleet.wait(10_000.0)
-    assert fleet.log[1] == ("a", Lost("t", "term over")) and fleet.log[2][0] == "b"
-    assert isinstance(fleet.log[2][1], Held) and len(fleet.holders()) == 1
+    assert fleet.log[1] == ("a", LeaseLost("t", "term over")) and fleet.log[2][0] == "b"
+    assert isinstance(fleet.log[2][1], LeaseAcquired) and len(fleet.holders()) == 1
 
 
 def test_a_keeper_that_restarts_is_silent_for_the_longest_lease_and_its_numbers_never_fall():
     fleet = Fleet("a")
-    fleet.tell("a", Want("t"))
-    back = Keeper(TERMS, 100.0, BLOCK)
+    fleet.tell("a", RequestLease("t"))
+    back = Acceptor(TERMS, 100.0, BLOCK)
     reply, reserve, _ = back.decide(3_000.0, Prepare("t", 5, "b", 1))
     assert (reply.yes, reply.why, reply.seen, reserve) == (False, SILENT, BLOCK, None)
     assert back.decide(3_200.0, Prepare("t", 5, "b", 2))[0].why == LOW  # it may have been promised before
@@ -159,11 +162,11 @@
 
 def test_all_keepers_killed_at_once_let_no_fence_fall():
     fleet = Fleet("a", "b")
-    fleet.tell("a", Want("t"))
+    fleet.tell("a", RequestLease("t"))
     fence = fleet.askers["a"].fence("t", 0.0)
-    fleet.keepers = {name: Keeper(TERMS, fleet.now, BLOCK) for name in TERMS.keepers}
-    fleet.askers = {"c": Asker("c", TERMS, random.Random(1))}
-    fleet.tell("c", Want("t"))
+    fleet.keepers = {name: Acceptor(TERMS, fleet.now, BLOCK) for name in TERMS.keepers}
+    fleet.askers = {"c": Proposer("c", TERMS, random.Random(1))}
+    fleet.tell("c", RequestLease("t"))
     fleet.wait(3_000.0)
     assert fleet.holders() == []
     fleet.wait(2_000.0)
@@ -171,7 +174,7 @@
 
 
 def test_a_keeper_refuses_a_lower_number_a_longer_lease_and_another_while_one_holds():
-    keeper = Keeper(TERMS, -10_000.0, 0)
+    keeper = Acceptor(TERMS, -10_000.0, 0)
     keeper.reserved(BLOCK)
     assert keeper.decide(0.0, Prepare("t", 3, "a", 1))[0].yes
     assert keeper.decide(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].why == LOW
@@ -187,7 +190,7 @@
 
 
 def test_a_liars_numbers_and_names_take_no_room_for_good():
-    keeper = Keeper(TERMS, -10_000.0, 0)
+    keeper = Acceptor(TERMS, -10_000.0, 0)
     keeper.reserved(BLOCK)
     assert not keeper.decide(0.0, Prepare("t", 2**62, "a", 1))[0].yes
     for at in range(acceptor_module.TASKS):
@@ -199,17 +202,17 @@
 
 def _late_answer(asker):
     """Three keepers say yes at once, one of them late; then one is cut off and the asker renews."""
-    ask = next(action.what for action in asker.decide(0.0, Want("t")))
-    keepers = {name: Keeper(TERMS, -10_000.0, 0) for name in TERMS.keepers}
+    ask = next(action.what for action in asker.decide(0.0, RequestLease("t")))
+    keepers = {name: Acceptor(TERMS, -10_000.0, 0) for name in TERMS.keepers}
     for keeper in keepers.values():
         keeper.reserved(BLOCK)
 
     def told(now, name, ask):
-        return asker.decide(now, Told(name, keepers[name].decide(now, ask)[0]))
+        return asker.decide(now, ReplyReceived(name, keepers[name].decide(now, ask)[0]))
 
     told(0.0, "k1", ask)
     propose = told(0.0, "k2", ask)[0].what
-    late = Told("k3", keepers["k3"].decide(0.0, propose)[0])
+    late = ReplyReceived("k3", keepers["k3"].decide(0.0, propose)[0])
     told(0.0, "k1", propose)
     told(0.0, "k2", propose)
     asker.decide(900.0, Tick())
@@ -222,16 +225,16 @@
 def test_an_answer_from_an_earlier_round_does_not_make_the_lease_longer(monkeypatch):
     # Found by thought when the explorer was written: both rounds have one number, the keeper lets go a lease
     # after the first. The mutant that counts it would act for half a second beside the next holder.
-    assert _late_answer(Asker("a", TERMS, random.Random(1))) == 0
-    real = Asker._told
+    assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 0
+    real = Proposer._told
     monkeypatch.setattr(
-        Asker,
+        Proposer,
         "_told",
         lambda me, keeper, reply, now: real(
             me, keeper, reply._replace(round=me.claims[reply.task].round), now
         ),
     )
-    assert _late_answer(Asker("a", TERMS, random.Random(1))) == 1
+    assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 1
 
 
 def explore(walks, seed=1, **world):
@@ -247,9 +250,9 @@
 
 
 def _from_the_answer(patch):
-    real = Asker._agreed
+    real = Proposer._agreed
     patch.setattr(
-        Asker, "_agreed", lambda me, task, claim, now: real(me, task, claim._replace(began=now), now)
+        Proposer, "_agreed", lambda me, task, claim, now: real(me, task, claim._replace(began=now), now)
     )
 
 
@@ -258,8 +261,8 @@
         real(me, terms, now, floor)
         me.open_from = now
 
-    real = Keeper.__init__
-    patch.setattr(Keeper, "__init__", start)
+    real = Acceptor.__init__
+    patch.setattr(Acceptor, "__init__", start)
 
 
 def _lower_numbers(patch):
@@ -272,12 +275,12 @@
 
 
 def _no_disk(patch):
-    real = Keeper.__init__
-    patch.setattr(Keeper, "__init__", lambda me, terms, now, floor: real(me, terms, now, 0))
+    real = Acceptor.__init__
+    patch.setattr(Acceptor, "__init__", lambda me, terms, now, floor: real(me, terms, now, 0))
 
 
 def _half(patch):
-    patch.setattr(Terms, "majority", property(lambda terms: len(terms.keepers) // 2))
+    patch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.keepers) // 2))
 
 
 MUTANTS = {
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -7,8 +7,8 @@
 from harness import SETTINGS, Balancer, FakeServer
 
 from lotusroute import migrate
+from lotusroute.errors import InvalidValueError
 from lotusroute.net import config
-from lotusroute.service_config import Malformed
 
 OLD = {
     **SETTINGS,
@@ -127,11 +127,11 @@
     ],
 )
 def test_a_bad_setting_is_named_at_the_start_too(old, path, value):
-    told = config.load(old)
+    told = config.read_json_object(old)
     migrate.put(told, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
-    with pytest.raises(Malformed, match=rf"^settings[:.].*{named}"):
-        config.posting(told, {})
+    with pytest.raises(InvalidValueError, match=rf"^settings[:.].*{named}"):
+        config.parse_config(told, {})
 
 
 def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_a_probe():
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -16,14 +16,14 @@
 from twisted.internet import defer
 from twisted.internet.testing import StringTransport
 
+from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
-from lotusroute.net.discovery import REFUSAL, Discovery, Failed
-from lotusroute.net.downstream import Asked, opening
-from lotusroute.net.line_protocol import SliceReceiver
+from lotusroute.net.discovery import REFUSAL, Discovery, DiscoveryFailed
+from lotusroute.net.downstream import Asked, parse_opening
+from lotusroute.net.line_protocol import LineProtocol
 from lotusroute.net.owner import DRAIN_SPREAD, STEP, Owner
-from lotusroute.net.upstream import WRITTEN, Link, ServerSide
+from lotusroute.net.upstream import WRITTEN, Link, UpstreamConnection
 from lotusroute.routing import events
-from lotusroute.service_config import Malformed
 
 
 def test_a_flow_is_served_and_lines_pass_unchanged_both_ways():
@@ -153,11 +153,11 @@
 def test_refused_for_minutes_it_is_never_behind_for_longer_than_a_drain_allows(monkeypatch):
     # Pauses grew to 12 s: what is told 6 s after it is out was sent to for up to 4 s beyond the grace of 2.
     pauses = []
-    following = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counts())
+    following = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
 
     async def refused():
         following.closed = len(pauses) == 200
-        return Failed(REFUSAL, "status 503")
+        return DiscoveryFailed(REFUSAL, "status 503")
 
     following._call = refused
     monkeypatch.setattr("twisted.internet.task.deferLater", lambda _, s: defer.succeed(pauses.append(s)))
@@ -291,7 +291,7 @@
 def test_only_a_client_that_used_to_speak_counts_as_gone_when_it_says_nothing():
     # Standing connections that only listen were moved each minute.
     link = Link(1, "s1", b"", None, lambda: 5_000.0, None)
-    side = link.side = ServerSide(link)
+    side = link.side = UpstreamConnection(link)
     assert link.quiet(90_000.0) == 0.0
     side.transport = Partial(0)
     side.pass_on(memoryview(b"M 1\r\n"))
@@ -303,7 +303,7 @@
     line = b"OPEN 1 k c=live,d=900\r\n"
     for taken in range(len(line) + 1):
         link = Link(1, "s1", line, None, lambda: 0.0, None)
-        side, transport = ServerSide(link), Partial(taken)
+        side, transport = UpstreamConnection(link), Partial(taken)
         side.makeConnection(transport)
         assert (link.reach == WRITTEN) == (taken == len(line))
         for _ in range(2):
@@ -606,8 +606,8 @@
     file = tmp_path / "told.json"
     if told is not None:
         file.write_text(json.dumps({**good, **told}))
-    with pytest.raises(Malformed, match=f"^{key}"):
-        config.read({"LB_CONFIG": str(file)})
+    with pytest.raises(InvalidValueError, match=f"^{key}"):
+        config.load_config({"LB_CONFIG": str(file)})
 
 
 def test_a_faulty_start_exits_with_2_and_says_why():
@@ -617,12 +617,12 @@
 
 
 def test_settings_of_sockets_and_of_the_bench_give_one_vip():
-    vip = config.decode_vip(dict(config.flatten(SETTINGS)))
+    vip = config.parse_service_config(dict(config.flatten(SETTINGS)))
     assert vip.service_types == {"live": events.ServiceType(300.0)} and vip.max_retry_after == 1000.0
 
 
 def test_lines_are_slices_of_what_was_read_and_only_a_rest_is_copied():
-    class Kept(SliceReceiver):
+    class Kept(LineProtocol):
         def lineReceived(self, line):
             kept.append(line)
 
@@ -651,11 +651,11 @@
     file = tmp_path / "told.json"
     good = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     file.write_text(json.dumps(good))
-    owner = Owner(config.read({"LB_CONFIG": str(file)}), structured_log.Counts())
+    owner = Owner(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
     for late, flows in (0.0, 1), (70_000.0, 1):
         owner.epoch += late
         side = Side()
-        line = opening(f"OPEN id{late:.0f} k c=live,d=4294967,at=s9\r\n".encode())
+        line = parse_opening(f"OPEN id{late:.0f} k c=live,d=4294967,at=s9\r\n".encode())
         owner._asked(Asked(side, line, owner.clock()))
         assert len(owner.flows) == flows
     assert side.said == b"ERR"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,12 +15,13 @@
 from harness import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
 
 from lotusroute.cli import command
+from lotusroute.errors import InvalidValueError
 from lotusroute.fault_injection import relay_model_checker
 from lotusroute.relay import fanout as fanout_module
 from lotusroute.relay import messages, subscription
 from lotusroute.relay import relay_selector as relay_selector_module
-from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, SNAPSHOTS, SPACE, Beat, Drop, FanOut
-from lotusroute.relay.relay_selector import JOIN, SILENT, STALE, Follower, Join, Quit, order
+from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, SNAPSHOTS, SPACE, Drop, FanOut, Heartbeat
+from lotusroute.relay.relay_selector import JOIN, SILENT, STALE, Join, Quit, RelaySelector, order
 from lotusroute.relay.versioned_store import (
     GAP,
     OLDER,
@@ -28,25 +29,24 @@
     SPOILT,
     TAKEN,
     Delta,
-    Refused,
+    PublishRejected,
     Snapshot,
-    Store,
     Version,
+    VersionedStore,
 )
-from lotusroute.service_config import Malformed
 
 # The store
 
 
 def filled(fence=1, versions=3):
-    store = Store()
+    store = VersionedStore()
     for number in range(versions):
         store.publish(fence, {"a": b"%d" % number, f"k{number}": b"x"})
     return store
 
 
 def test_a_follower_gets_from_any_version_to_the_newest_by_one_message_and_ends_with_the_same_bytes():
-    origin, follower = filled(), Store()
+    origin, follower = filled(), VersionedStore()
     first = origin.since(follower.version)
     assert isinstance(first, Snapshot) and follower.take(first) == TAKEN and follower.items == origin.items
     for _ in range(50):
@@ -60,7 +60,7 @@
 
 
 def test_what_is_older_has_a_gap_or_is_spoilt_is_not_taken_even_in_part():
-    origin, follower = filled(), Store()
+    origin, follower = filled(), VersionedStore()
     old = origin.since(Version())
     origin.publish(1, {"a": b"9"})
     follower.take(origin.since(Version()))
@@ -77,7 +77,7 @@
 
 
 def test_a_deposed_origin_publishes_nothing_and_what_it_told_a_few_is_replaced():
-    one, two, follower = filled(fence=3), Store(), Store()
+    one, two, follower = filled(fence=3), VersionedStore(), VersionedStore()
     two.take(one.since(Version()))
     two.publish(4, {})  # it has the lease now
     one.publish(3, {"a": b"too late"})
@@ -87,7 +87,7 @@
     assert follower.take(news) == TAKEN and follower.items == two.items
     assert follower.take(one.since(Version())) == OLDER
     assert one.take(two.since(one.version)) == TAKEN
-    with pytest.raises(Refused):
+    with pytest.raises(PublishRejected):
         one.publish(3, {"a": b"still"})
 
 
@@ -128,14 +128,14 @@
         store.items = dict(news.items) if isinstance(news, Snapshot) else store.items
         store.version, store.digest = news.version, news.digest
         return TAKEN
-    return Store.take(store, news)
+    return VersionedStore.take(store, news)
 
 
 def _any(store, news):
-    return Store.take(store, news._replace(since=store.version) if isinstance(news, Delta) else news)
+    return VersionedStore.take(store, news._replace(since=store.version) if isinstance(news, Delta) else news)
 
 
-class Unproved(Store):
+class Unproved(VersionedStore):
     def take(self, news):
         digest = self._digest
         self._digest = lambda changed: news.digest
@@ -146,7 +146,7 @@
 
 
 def _mutants():
-    older = type("Older", (Store,), {"take": _older})
+    older = type("Older", (VersionedStore,), {"take": _older})
     unfit = type(
         "Unfit",
         (Unproved,),
@@ -158,9 +158,9 @@
     )
     lineage = type(
         "Lineage",
-        (Store,),
+        (VersionedStore,),
         {
-            "publish": lambda self, fence, changed: Store.publish(
+            "publish": lambda self, fence, changed: VersionedStore.publish(
                 self, max(fence, self.version.fence), changed
             )
         },
@@ -177,7 +177,7 @@
     "name", ["older news taken", "no digest", "any delta without a digest", "a deposed origin goes on"]
 )
 def test_the_explorer_of_news_convicts(name, monkeypatch):
-    monkeypatch.setattr(relay_model_checker, "Store", _mutants()[name])
+    monkeypatch.setattr(relay_model_checker, "VersionedStore", _mutants()[name])
     with pytest.raises(relay_model_checker.Breach):
         for seed in range(300):
             relay_model_checker.walk(seed)
@@ -235,7 +235,7 @@
             if isinstance(action, Drop):
                 dropped.append((action.to, action.why, now))
             else:
-                assert action.to == "well" and isinstance(action.news, Beat)
+                assert action.to == "well" and isinstance(action.news, Heartbeat)
                 told += 1
                 fan.acknowledged(now, "well", store.version, 0.0)
     assert [drop[:2] for drop in dropped] == [("mute", "slow")] and dropped[0][2] <= GIVE_UP + 200.0
@@ -264,7 +264,7 @@
 
 def test_a_silent_relay_is_left_in_time_and_the_own_zones_come_first_and_home_is_tried_again():
     chance = random.Random(1)
-    follower = Follower("n1", ["a1", "a2"], ["b1"], chance)
+    follower = RelaySelector("n1", ["a1", "a2"], ["b1"], chance)
     first, second, third = order("n1", ["a1", "a2"], ["b1"])
     assert third == "b1" and follower.tick(0.0) == [Join(first)]
     follower.taken_in(10.0, first)
@@ -284,7 +284,7 @@
 
 
 def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_speaks():
-    follower = Follower("n1", ["a1"], ["b1"], random.Random(1))
+    follower = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     follower.tick(0.0)
     follower.taken_in(0.0, "a1")
     now = 0.0
@@ -296,7 +296,7 @@
 
 
 def test_where_all_relays_are_gone_the_tries_are_paced_and_those_of_a_dead_one_spread_over_the_others():
-    follower = Follower("n1", ["a1"], ["b1"], random.Random(1))
+    follower = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     tries, now = 0, 0.0
     actions = follower.tick(now)
     while now < 20_000.0:
@@ -317,7 +317,7 @@
 # Processes
 
 
-class Relays:
+class RelaysConfig:
     """Some relays of the real program, three of which keep the lease."""
 
     def __init__(self, where, count=3, zones=("a", "b")):
@@ -394,7 +394,7 @@
     """Discovery, relays and balancers that follow them; yields (discovery, relays, balancers)."""
     told = discovery(*servers)
     where = f"127.0.0.1:{told.server_port}"
-    with Relays(where, count) as relays, contextlib.ExitStack() as stack:
+    with RelaysConfig(where, count) as relays, contextlib.ExitStack() as stack:
         soon(relays.origin)
         started = []
         for at in range(balancers):
@@ -511,9 +511,9 @@
         ("relays", {"a": {"r": "127.0.0.1:1"}, "b": {"r": "127.0.0.1:2"}}, "b.r: the name stands twice"),
         ("relay", 1, "relay: no such key"),
     ]:
-        with pytest.raises(Malformed, match=says):
+        with pytest.raises(InvalidValueError, match=says):
             subscription.relays({**good, key: value})
-    with pytest.raises(Malformed, match="LB_RELAYS: .*gone.toml"):
+    with pytest.raises(InvalidValueError, match="LB_RELAYS: .*gone.toml"):
         subscription.read(tmp_path / "gone.toml")
 
 
