--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -178,12 +178,13 @@
 
     async def turn(self, discovery) -> None:
         """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
-        if not self._same(discovery) and self.clock() >= self.began + 1000 * FIRST:
-            # After a reload: what relays carry says nothing of another discovery's list.
-            self.counters["relay_own_calls"] += 1
-            return
         while not discovery.closed and not self.calling:
             now = self.clock()
+            if not self._same(discovery) and now >= self.began + 1000 * FIRST:
+                # After a reload: what relays carry says nothing of another discovery's list. Looked at in each
+                # turn, for a reload may come within the first moments, in which nothing is called yet.
+                self.counters["relay_own_calls"] += 1
+                return
             if self.follower.fresh(now) or now < self.began + 1000 * FIRST:
                 if discovery.seq is None and self._same(discovery):
                     discovery.handed(endpoint_items.answer(self.store, None), None)
