--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -58,7 +58,7 @@
     except error.CannotListenError as fault:
         print(f"lotusroute: LB_LISTEN: {fault}", file=sys.stderr)
         return 2
-    owner.owing = lambda: clients.sweep(listener)
+    owner.owing = lambda: clients.accept_pending(listener)
     # What discovery has counts as told from our first moment on, and the remembered list may be an old one:
     # first flows went to servers that had drained long ago. They wait for its first word.
     listener.stopReading()
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -30,7 +30,7 @@
 WAIT = re.compile(rb"[0-9]{1,7}(\.[0-9]{1,9})?")  # under three hours; standing connections say 4294967
 
 
-class Opening(NamedTuple):
+class OpenRequest(NamedTuple):
     """What a client's first line asks for; `line` is that line around the figure of `d`."""
 
     id: str
@@ -48,11 +48,11 @@
         return b"%b%d%b" % (self.line[0], max(1, int(wait)), self.line[1])
 
 
-class Asked(NamedTuple):
+class FlowRequested(NamedTuple):
     """A client asks for a connection."""
 
     side: "DownstreamConnection"
-    opening: Opening
+    opening: OpenRequest
     at: float
 
     @property
@@ -61,16 +61,16 @@
         return self.side.number
 
 
-class Left(NamedTuple):
+class DownstreamClosed(NamedTuple):
     """A client has ended its connection, or its sending on it."""
 
     number: int
 
 
-def parse_opening(line: bytes) -> Opening:
+def parse_open_request(line: bytes) -> OpenRequest:
     """Read a client's first line; the copy taken of it outlives its buffer, for further connects.
 
-    >>> parse_opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f" + END).rewritten(1500.0)
+    >>> parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f" + END).rewritten(1500.0)
     b'OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\\r\\n'
     """
     asked = ASK.fullmatch(line)
@@ -92,7 +92,7 @@
         raise InvalidValueError("no c, or no time in d")
     key = None if asked[2] == b"-" else asked[2].decode()
     returned = said.get(b"r") == "1" or said.get(b"again") == "1"
-    return Opening(
+    return OpenRequest(
         asked[1].decode(),
         said[b"c"],
         said.get(b"t"),
@@ -147,9 +147,9 @@
     def _open(self, line: memoryview) -> None:
         now, factory = self.factory.clock(), self.factory
         try:
-            asked = Asked(self, parse_opening(bytes(line)), now)
+            asked = FlowRequested(self, parse_open_request(bytes(line)), now)
         except InvalidValueError:
-            self.refuse()
+            self.reject_malformed()
             return
         # Lines that a hasty client sends before its answer wait for the server's side.
         self.held = True
@@ -158,20 +158,20 @@
         factory.counters["flows"] += 1
         factory.put(asked)
 
-    def refuse(self) -> None:
+    def reject_malformed(self) -> None:
         """Answer what cannot be read or used."""
         self.factory.counters["malformed_lines"] += 1
         self.answer(ERR)
 
-    def overrun(self) -> None:
+    def buffer_overflowed(self) -> None:
         """A client that does not wait for its answer, as the protocol has it, is refused: read no further,
         its leaving was not seen and its flow was sent on; read on, it would fill our memory."""
         if self.answered:
-            super().overrun()
+            super().buffer_overflowed()
             return
         self.factory.counters["early_data_overflows"] += 1
         self.gone = True  # to the owner, who may not have taken it yet
-        self.refuse()
+        self.reject_malformed()
         self._tell_left()
 
     def look(self) -> bool:
@@ -206,26 +206,26 @@
 
     def _tell_left(self) -> None:
         if self.number:
-            self.factory.put(Left(self.number))
+            self.factory.put(DownstreamClosed(self.number))
 
-    def owed(self) -> bool:
+    def awaits_answer(self) -> bool:
         """Whether it has begun to ask and has no answer, or has not been written its last words."""
-        return self.unwritten() or not self.answered and bool(self._buffer)
+        return self.has_unsent_data() or not self.answered and bool(self._buffer)
 
     def lineLengthExceeded(self, line: bytes) -> None:
         if self.link is not None:
             self.factory.counters["malformed_lines"] += 1
             self.transport.abortConnection()
         else:
-            self.refuse()
+            self.reject_malformed()
 
     def answer(self, words: bytes) -> None:
         """Write the one final line, then close."""
         if self.answered:
             return
         self.answered, self.held = True, False
-        self.put_out(words + END)
-        self.halfClose()
+        self.write_all(words + END)
+        self.half_close()
 
     def join(self, link, receipt: memoryview) -> None:
         """Pass on the server's receipt and, from now on, all lines."""
@@ -240,11 +240,11 @@
     def move(self) -> None:
         """Send the client away, after the last whole line."""
         self.link = None
-        self.put_out(MOVE + END)
-        self.halfClose()
+        self.write_all(MOVE + END)
+        self.half_close()
 
-    def halfClose(self) -> None:
-        super().halfClose()
+    def half_close(self) -> None:
+        super().half_close()
         self._buffer = b""
         self.factory.let_go(self)
         # What a client sends now has nobody to go to; it is read, so that our close does not turn into a
@@ -255,7 +255,7 @@
         else:
             self.transport.resumeProducing()
 
-    def otherEnded(self) -> None:
+    def peer_half_closed(self) -> None:
         if self.link is not None:
             self.link.client_ended(self.clearLineBuffer())
             self._tell_left()
@@ -271,13 +271,13 @@
         else:
             self.transport.loseConnection()
 
-    def end_early(self) -> None:
+    def evict(self) -> None:
         """Make room at once, not a turn later: until then a flood takes the descriptors that others need."""
         if not self.answered:
             if self._has_asked():
                 return
             self.transport.writeSomeData(BUSY + END)
-        elif self.unwritten():
+        elif self.has_unsent_data():
             # Its last words, a MOVE perhaps, are still owed; it lingers for a second at most.
             return
         self.factory.counters["idle_connections_evicted"] += 1
@@ -316,7 +316,7 @@
         self.idle[side] = None
         if self._taken() > self.most:
             for oldest in [other for other in self.idle if other is not side]:
-                oldest.end_early()
+                oldest.evict()
                 if self._taken() <= self.most:
                     break
         if self._taken() > self.most:
@@ -324,7 +324,7 @@
             self.counters["load_shed"] += 1
             side.answer(BUSY)
 
-    def sweep(self, listener: "Listener") -> bool:
+    def accept_pending(self, listener: "Listener") -> bool:
         """Take in who waits to be accepted, and read what lies in the sockets of those without a flow, before
         all is closed; whether one of them is still owed something."""
         taken = -1
@@ -333,7 +333,7 @@
             listener.doRead()
         for side in list(self.idle):
             side.look()
-        return any(side.owed() for side in self.sides)
+        return any(side.awaits_answer() for side in self.sides)
 
     def let_go(self, side: DownstreamConnection) -> None:
         """A connection has its last line and only lingers."""
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -5,9 +5,9 @@
 do I/O but look at its own client's socket, or choose a server.
 """
 
-from lotusroute.net.downstream import DownstreamConnection, Opening
+from lotusroute.net.downstream import DownstreamConnection, OpenRequest
 from lotusroute.net.line_protocol import ERR
-from lotusroute.net.upstream import Link
+from lotusroute.net.upstream import UpstreamAttempt
 from lotusroute.routing import events
 
 LEAST_GRACE = 50.0  # ms: by so much the protocol lengthens each time limit, also a grace of none
@@ -35,13 +35,13 @@
     def __init__(
         self,
         number: int,
-        opening: Opening,
+        opening: OpenRequest,
         kind: events.ServiceType,
         due: float,
         client: DownstreamConnection,
     ) -> None:
         self.number, self.opening, self.kind, self.due, self.client = number, opening, kind, due, client
-        self.link: Link | None = None  # the connect in flight, or the connection; one at a time
+        self.link: UpstreamAttempt | None = None  # the connect in flight, or the connection; one at a time
         self.timer = None
         self.up, self.left, self.tries, self.began, self.until = False, 0.0, 0, 0.0, 0.0
         self.ran_at: float | None = None  # when the first connect that may have run was begun
@@ -56,7 +56,7 @@
         """The last word where nothing more is tried: `busy` where to come again is harmless, else ERR."""
         return busy if self.kind.safe_to_retry(self.ran_at is not None) else ERR
 
-    def wanted(self, now: float, grace: float) -> bool:
+    def may_send(self, now: float, grace: float) -> bool:
         """Whether the line may be sent now that its connection is up. Not when the client has left meanwhile,
         its time or the window of its repeats is over, or so long has passed that a drain may have been told
         just after the connect was begun, and not been read by a balancer that was held up."""
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -81,15 +81,15 @@
                 self._buffer = data[at:] + self._buffer
         if self.held or self.paused:
             if len(self._buffer) > self.HELD:
-                self.overrun()
+                self.buffer_overflowed()
         elif len(self._buffer) >= LINE and not self.transport.disconnecting:
             self.lineLengthExceeded(self._buffer)
 
-    def overrun(self) -> None:
+    def buffer_overflowed(self) -> None:
         """More has come than may be held: read on when it is let go."""
         self.transport.pauseProducing()
 
-    def unwritten(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Whether something waits to be written, or our end to be told."""
         return bool(self.transport.dataBuffer or self.transport._tempDataBuffer)
 
@@ -97,13 +97,13 @@
         """Write at once what the socket takes, and return the rest; the transport has nothing waiting. A turn
         of the reactor with two calls to epoll for each small write was a third of the delay of a line."""
         transport = self.transport
-        if not transport.connected or self.unwritten():
+        if not transport.connected or self.has_unsent_data():
             return data
         sent = transport.writeSomeData(data)
         # A broken connection is an exception here; writing the rest has the transport find out by itself.
         return data[sent:] if isinstance(sent, int) else data
 
-    def put_out(self, data: bytes) -> None:
+    def write_all(self, data: bytes) -> None:
         """Write, now or behind what waits already."""
         if rest := self.write(data):
             self.transport.write(rest)
@@ -111,7 +111,7 @@
     def send(self, line: memoryview) -> None:
         """Write a slice. Twisted's transports take nothing but bytes and keep them until written, so this is
         where a line is copied, unless it is all that its buffer holds, as nearly always."""
-        self.put_out(line.obj if len(line) == len(line.obj) else bytes(line))
+        self.write_all(line.obj if len(line) == len(line.obj) else bytes(line))
 
     def release(self) -> None:
         """Let go the lines held back."""
@@ -122,7 +122,7 @@
 
     def readConnectionLost(self) -> None:
         self.ended = True
-        self.otherEnded()
+        self.peer_half_closed()
         if self.closing:
             self.transport.loseConnection()
 
@@ -130,7 +130,7 @@
         if self.ended:
             self.transport.loseConnection()
 
-    def halfClose(self) -> None:
+    def half_close(self) -> None:
         """Stop sending, once all is written; the rest closes when the other end has stopped too."""
         if not self.closing and self.transport is not None and self.transport.connected:
             self.closing = True
@@ -144,7 +144,7 @@
     def timeoutConnection(self) -> None:
         self.transport.abortConnection()
 
-    def otherEnded(self) -> None:
+    def peer_half_closed(self) -> None:
         """Called when the other end has stopped sending."""
 
     def lost(self, clean: bool) -> None:
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -17,11 +17,20 @@
 
 from lotusroute.net.config import BalancerConfig
 from lotusroute.net.discovery import EndpointUpdate
-from lotusroute.net.downstream import Asked, DownstreamConnection, Left, Opening
+from lotusroute.net.downstream import DownstreamClosed, DownstreamConnection, FlowRequested, OpenRequest
 from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.line_protocol import BUSY, ERR
 from lotusroute.net.structured_log import LOGGER, log_event, log_exception
-from lotusroute.net.upstream import CONNECTING, REACHES, STANDING, Answered, Fell, Link, Loaded, Timed
+from lotusroute.net.upstream import (
+    CONNECTING,
+    REACHES,
+    STANDING,
+    AttemptEnded,
+    LoadReported,
+    ReceiptReceived,
+    ReplyTimed,
+    UpstreamAttempt,
+)
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
@@ -55,30 +64,30 @@
 STOP_ADVICE = 400.0  # ms after which a newcomer meets the others: the front has heard by then
 
 
-class Overdue(NamedTuple):
+class AttemptTimedOut(NamedTuple):
     """A connect's time is up."""
 
     number: int
-    link: Link
+    link: UpstreamAttempt
 
 
-class Again(NamedTuple):
+class RetryExisting(NamedTuple):
     """A standing connection is to be tried once more."""
 
     number: int
 
 
-class Gone(NamedTuple):
+class CloseGraceExpired(NamedTuple):
     """A server has had its time to end a connection whose client has left."""
 
     number: int
 
 
-class Look(NamedTuple):
+class PeriodicCheck(NamedTuple):
     """It is time to look at the open connections."""
 
 
-class Step(NamedTuple):
+class DrainStep(NamedTuple):
     """It is time to move the next clients whose server, or whose balancer, leaves."""
 
 
@@ -110,7 +119,7 @@
         self.stopped = None  # called when all are gone
         self.owing = bool  # whether clients without a flow are owed something yet
         self.relist = None  # asks discovery for the whole list again
-        self._later(LOOK, Look())
+        self._later(LOOK, PeriodicCheck())
 
     def clock(self) -> float:
         """Milliseconds of Unix time, never going back."""
@@ -148,10 +157,10 @@
         self.counters["internal_errors"] += 1
         log_exception("event failed", kind=type(event).__name__)
         self._forget(number)
-        if isinstance(event, events.TimerFired | Step):
+        if isinstance(event, events.TimerFired | DrainStep):
             # Without its next one the upkeep, or our end, would stand still for good.
-            self._later(STEP if isinstance(event, Step) else LOOK, event)
-        elif isinstance(event, Asked) and not event.number:
+            self._later(STEP if isinstance(event, DrainStep) else LOOK, event)
+        elif isinstance(event, FlowRequested) and not event.number:
             event.side.answer(ERR)
         elif isinstance(event, EndpointUpdate) and self.relist is not None:
             # Half of it may have been taken, a drain not: it does not come again by itself.
@@ -187,13 +196,13 @@
 
     # What comes in
 
-    def _asked(self, event: Asked) -> None:
+    def _asked(self, event: FlowRequested) -> None:
         opening, side = event.opening, event.side
         if side.gone or side.left():
             # Nothing is begun for it: hundreds who had left unread filled a server's queue.
             self.counters["client_disconnects"] += 1
         elif self._unusable(opening) or (opening.at and self.clock() > self.began + STAND_FROM):
-            side.refuse()
+            side.reject_malformed()
         elif self.stopping:
             self._turn_away(side, STOP_ADVICE)
         elif not opening.at and (len(self.flows) >= self.room or len(self.queue) > QUEUE):
@@ -219,7 +228,7 @@
             else:
                 self._decide(self._flow(held))
 
-    def _unusable(self, opening: Opening) -> bool:
+    def _unusable(self, opening: OpenRequest) -> bool:
         """Whether no server could use it. The id of an open flow, sent by another client, had servers answer
         ERR to healthy flows' namesakes, and the servers set aside for it."""
         tenants, tenant = self.posting.tenants, opening.tenant
@@ -254,9 +263,9 @@
             self.counters["existing_connections_lost"] += 1
             self._answer(held, ERR)
         else:
-            self._later(AGAIN * max(1, held.tries), Again(held.number))
+            self._later(AGAIN * max(1, held.tries), RetryExisting(held.number))
 
-    def _again(self, event: Again) -> None:
+    def _again(self, event: RetryExisting) -> None:
         held = self.flows.get(event.number)
         if held is not None and not held.up:
             self._stand(held)
@@ -264,35 +273,35 @@
     def _begin(self, held: ActiveFlow, server: str, until: float) -> None:
         if held.client.left():
             # Its end lay unread behind its own lines when an earlier connect failed: the next was begun.
-            self._left(Left(held.number))
+            self._left(DownstreamClosed(held.number))
             return
         now = held.began = self.clock()
         wait = until - now
-        link = held.link = Link(
+        link = held.link = UpstreamAttempt(
             held.number,
             server,
             held.opening.rewritten(wait),
             self.put,
             self.clock,
             self.counters,
-            wanted=lambda: held.wanted(self.clock(), self.posting.grace),
+            may_send=lambda: held.may_send(self.clock(), self.posting.grace),
         )
         limit = self.posting.come_up
         held.until = until
         link.start(self.dials[server], wait < limit)
-        held.timer = self._later(min(limit, wait), Overdue(held.number, link))
+        held.timer = self._later(min(limit, wait), AttemptTimedOut(held.number, link))
         self.counters["connects"] += 1
         self._trace("connect started", held, server=server, wait=wait)
 
-    def _answered(self, event: Answered) -> None:
+    def _answered(self, event: ReceiptReceived) -> None:
         held = self.flows.get(event.number)
         if held is None or held.link is not event.link:
             self.counters["late_receipts"] += 1
-            event.link.abandon()
+            event.link.abort()
             return
         if held.client.gone:
-            # It broke off in the turn in which the receipt came, and its `Left` stands behind this.
-            self._left(Left(held.number))
+            # It broke off in the turn in which the receipt came; its `DownstreamClosed` is queued behind this.
+            self._left(DownstreamClosed(held.number))
             return
         self._quiet(held)
         held.up = True
@@ -307,13 +316,13 @@
         else:
             self._decide(events.Established(held.number, server))
 
-    def _fell(self, event: Fell) -> None:
+    def _fell(self, event: AttemptEnded) -> None:
         held = self.flows.get(event.number)
         if held is None or held.link is not event.link:
             return
         self._ended(held, event.result)
 
-    def _overdue(self, event: Overdue) -> None:
+    def _overdue(self, event: AttemptTimedOut) -> None:
         """The time to come up, or all time, has passed. That comes through the queue, behind whatever the
         sockets brought while we were held up: a stall of ours must not have healthy servers set aside."""
         held, link = self.flows.get(event.number), event.link
@@ -323,7 +332,7 @@
         if link.reach > CONNECTING and left > 0:
             held.timer = self._later(left, event)
         else:
-            self._ended(held, link.abandon())
+            self._ended(held, link.abort())
 
     def _ended(self, held: ActiveFlow, result: str) -> None:
         """A connect, or the connection that came of it, is over."""
@@ -347,7 +356,7 @@
             if held.link is None and held.number in self.flows:
                 raise RuntimeError("flow left without a connect or an answer")
 
-    def _left(self, event: Left) -> None:
+    def _left(self, event: DownstreamClosed) -> None:
         held = self.flows.get(event.number)
         if held is None:
             return
@@ -355,7 +364,7 @@
             # Its server ends it now, or has ended it; one that is gone never will.
             if not held.left:
                 held.left = self.clock()
-                held.timer = self._later(GOING, Gone(held.number))
+                held.timer = self._later(GOING, CloseGraceExpired(held.number))
             return
         self.counters["client_disconnects"] += 1
         self._trace("client disconnected", held, server=held.link and held.link.server)
@@ -365,20 +374,20 @@
         if not held.opening.at:
             self._decide(events.ClientDisconnected(held.number))
 
-    def _gone(self, event: Gone) -> None:
+    def _gone(self, event: CloseGraceExpired) -> None:
         held = self.flows.get(event.number)
         if held is not None:
-            held.link.abandon()
-            held.client.halfClose()
+            held.link.abort()
+            held.client.half_close()
             self._ended(held, events.CANCELLED)
 
-    def _loaded(self, event: Loaded) -> None:
+    def _loaded(self, event: LoadReported) -> None:
         if LOGGER.isEnabledFor(logging.DEBUG):
             log_event("load report", logging.DEBUG, flow=event.number, load=event.load)
         if event.number in self.flows:
             self._decide(events.LoadReport(event.number, event.load))
 
-    def _timed(self, event: Timed) -> None:
+    def _timed(self, event: ReplyTimed) -> None:
         self.delays.setdefault(event.server, []).append(event.delay)
 
     def _listed(self, event: EndpointUpdate) -> None:
@@ -420,26 +429,26 @@
                 continue
             if link.server in self.draining or link.server not in self.dials:
                 self.counters["connects_cancelled"] += 1
-                link.abandon()
+                link.abort()
                 self._ended(held, events.UNSENT)
 
     # The look at open connections
 
-    def _look(self, _: Look) -> None:
+    def _look(self, _: PeriodicCheck) -> None:
         """Note slow servers, as the decisions expect it: once a second while it lasts, and once after."""
-        self._later(LOOK, Look())
+        self._later(LOOK, PeriodicCheck())
         now, silent, quiet = self.clock(), [], []
         while self.ended and (self.ended[0][0] < now - CLOSED_FLOW_ID_TTL or len(self.ended) > IDS):
             self.ids.discard(self.ended.popleft()[1])
         for held in self.flows.values():
             if not held.up or held.link is None:
                 continue
-            waited = held.link.waited(now)
+            waited = held.link.oldest_wait(now)
             if waited >= self.director.slow:
                 self.delays.setdefault(held.link.server, []).append(waited)
-            if held.link.silent(now) >= SILENT:
+            if held.link.server_silence(now) >= SILENT:
                 silent.append(held)
-            elif held.link.quiet(now) >= QUIET:
+            elif held.link.client_idle_time(now) >= QUIET:
                 quiet.append(held)
         for server, delays in self.delays.items():
             delay = median(delays)
@@ -458,7 +467,7 @@
         for held in silent:
             # A machine that vanished says nothing, and TCP does not notice.
             self.counters["unresponsive_connections"] += 1
-            held.link.abandon()
+            held.link.abort()
             held.client.move()
             self._ended(held, events.RESET)
 
@@ -523,7 +532,7 @@
     def _hang_up(self, held: ActiveFlow) -> None:
         self._quiet(held)
         if held.link is not None:
-            held.link.abandon()
+            held.link.abort()
 
     # Those who leave: a draining server, or this balancer
 
@@ -537,9 +546,9 @@
     def _step_on(self) -> None:
         if not self.stepping:
             self.stepping = True
-            self._later(STEP, Step())
+            self._later(STEP, DrainStep())
 
-    def _step(self, _: Step) -> None:
+    def _step(self, _: DrainStep) -> None:
         self.stepping, now = False, self.clock()
         for server, until in self.draining.items():
             # Looked up anew for each: the first of two that drained at once had left none to the second.
@@ -582,22 +591,22 @@
         if held.up or held.link is not None and held.link.reach == STANDING:
             return  # its receipt stands in the queue
         if held.link is not None:
-            held.over(held.link.abandon())
+            held.over(held.link.abort())
         self._answer(held, held.refusal(self._busy(STOP_ADVICE)))
 
     _on = {
-        Asked: _asked,
-        Answered: _answered,
-        Fell: _fell,
-        Overdue: _overdue,
-        Left: _left,
-        Loaded: _loaded,
-        Timed: _timed,
+        FlowRequested: _asked,
+        ReceiptReceived: _answered,
+        AttemptEnded: _fell,
+        AttemptTimedOut: _overdue,
+        DownstreamClosed: _left,
+        LoadReported: _loaded,
+        ReplyTimed: _timed,
         EndpointUpdate: _listed,
-        Again: _again,
-        Gone: _gone,
-        Look: _look,
-        Step: _step,
+        RetryExisting: _again,
+        CloseGraceExpired: _gone,
+        PeriodicCheck: _look,
+        DrainStep: _step,
         events.TimerFired: _decide,
         events.ClientDisconnected: _decide,
     }
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -27,30 +27,30 @@
 REACHES = "connecting", "writing", "written", "standing"  # their names in the log
 
 
-class Answered(NamedTuple):
+class ReceiptReceived(NamedTuple):
     """A server gave its receipt for a flow."""
 
     number: int
-    link: "Link"
+    link: "UpstreamAttempt"
     receipt: memoryview
 
 
-class Fell(NamedTuple):
+class AttemptEnded(NamedTuple):
     """A connect, or the connection that came of it, is over."""
 
     number: int
-    link: "Link"
+    link: "UpstreamAttempt"
     result: str
 
 
-class Loaded(NamedTuple):
+class LoadReported(NamedTuple):
     """A server told the load of a connection."""
 
     number: int
     load: float
 
 
-class Timed(NamedTuple):
+class ReplyTimed(NamedTuple):
     """A client's line was answered after so many milliseconds."""
 
     server: str
@@ -81,7 +81,7 @@
 class UpstreamConnection(LineProtocol):
     """The connection of one connect."""
 
-    def __init__(self, link: "Link") -> None:
+    def __init__(self, link: "UpstreamAttempt") -> None:
         self.link = link
         self.client = None  # where lines are passed on to, once the connection stands
         self.asked: deque[float] = deque(maxlen=UNANSWERED)  # when lines went out; each answer takes one
@@ -91,7 +91,7 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         link = self.link
-        if not link.wanted():
+        if not link.may_send():
             link.fell(events.UNSENT)
             self.transport.abortConnection()
             return
@@ -112,7 +112,7 @@
         elif first in (BYE, MOVE):
             self.last = events.OK if first == BYE else events.CANCELLED
         elif self.asked:
-            self.link.put(Timed(self.link.server, now - self.asked.popleft()))
+            self.link.put(ReplyTimed(self.link.server, now - self.asked.popleft()))
         self.client.send(line)
 
     def _first(self, line: memoryview) -> None:
@@ -122,7 +122,7 @@
             self.held = True
             link.reach = STANDING
             self.last = events.RESET
-            link.put(Answered(link.number, link, line))
+            link.put(ReceiptReceived(link.number, link, line))
         else:
             # An UP without a receipt, or before our line was whole, is no answer that a server made for it.
             link.fell({BUSY: events.FULL, MOVE: events.CANCELLED}.get(first, events.ERROR))
@@ -130,7 +130,9 @@
 
     def _load(self, line: memoryview) -> None:
         try:
-            self.link.put(Loaded(self.link.number, parse_number(str(line[len(LOAD) :], "ascii").strip())))
+            self.link.put(
+                LoadReported(self.link.number, parse_number(str(line[len(LOAD) :], "ascii").strip()))
+            )
         except (InvalidValueError, UnicodeDecodeError):
             self.link.counters["malformed_load_reports"] += 1
 
@@ -140,11 +142,11 @@
         self.asked.append(self.spoke)
         self.send(line)
 
-    def otherEnded(self) -> None:
+    def peer_half_closed(self) -> None:
         if self.client is not None:
             # A line without its ending is passed on as it is: nothing more will come.
             self.client.transport.write(self.clearLineBuffer())
-            self.client.halfClose()
+            self.client.half_close()
             self.link.fell(self.last)
         elif self.link.reach < STANDING:
             self.link.fell(self.link.broken())
@@ -160,7 +162,7 @@
         self.transport.abortConnection()
 
 
-class Link(ClientFactory):
+class UpstreamAttempt(ClientFactory):
     """One connect of one flow to one server, and the connection that comes of it."""
 
     noisy = False
@@ -173,19 +175,21 @@
         put: Callable,
         clock: Callable,
         counters,
-        wanted: Callable[[], bool] = lambda: True,
+        may_send: Callable[[], bool] = lambda: True,
     ) -> None:
         self.number, self.server, self.line = number, server, line
-        self.wanted = wanted  # whether the line may be sent; asked once, as the connection is up
+        self.may_send = may_send  # whether the line may be sent; asked once, as the connection is up
         self.put, self.clock, self.counters = put, clock, counters
         self.reach = self.came = CONNECTING  # how far it is, and how far it came before it was over
         self.side: UpstreamConnection | None = None
         self.connector = None
-        self.hurried = False  # the time to come up was cut short: a time-out says little of the server
+        self.timeout_shortened = (
+            False  # the time to come up was cut short: a time-out says little of the server
+        )
 
-    def start(self, address: tuple[str, int], hurried: bool) -> None:
+    def start(self, address: tuple[str, int], timeout_shortened: bool) -> None:
         """Begin; the owner keeps the time, so that a stall of ours is not taken for the server's."""
-        self.hurried = hurried
+        self.timeout_shortened = timeout_shortened
         self.connector = reactor.connectTCP(*address, self, timeout=None)
 
     def buildProtocol(self, addr) -> UpstreamConnection:
@@ -204,7 +208,7 @@
     def fell(self, result: str) -> None:
         """Report the end, once."""
         if self._over():
-            self.put(Fell(self.number, self, result))
+            self.put(AttemptEnded(self.number, self, result))
 
     def _over(self) -> bool:
         """Keep how far it came; whether it was not over yet."""
@@ -213,10 +217,14 @@
         self.came, self.reach = self.reach, OVER
         return True
 
-    def abandon(self) -> str:
+    def abort(self) -> str:
         """Stop waiting, close at once and return how far it had come; nothing is reported any more."""
         result = (
-            events.TIMEOUT if self.reach >= WRITTEN else events.UNSENT if self.hurried else events.UNREACHABLE
+            events.TIMEOUT
+            if self.reach >= WRITTEN
+            else events.UNSENT
+            if self.timeout_shortened
+            else events.UNREACHABLE
         )
         self._over()
         if self.side is not None and self.side.transport is not None:
@@ -237,13 +245,13 @@
         side.transport.registerProducer(client.transport, streaming=True)
         side.release()
         if side.ended:
-            side.otherEnded()
+            side.peer_half_closed()
 
     def client_ended(self, rest: bytes) -> None:
         """The client has stopped sending: so do we, and whatever end comes now is not the server's doing."""
         self.side.last = events.CANCELLED
         self.side.transport.write(rest)
-        self.side.halfClose()
+        self.side.half_close()
 
     def client_lost(self) -> None:
         """The client's connection broke: so does its server's, which is not to be blamed for it."""
@@ -257,15 +265,15 @@
         self.side.transport.unregisterProducer()
         self.side.transport.loseConnection()
 
-    def waited(self, now: float) -> float:
+    def oldest_wait(self, now: float) -> float:
         """How long the oldest unanswered line of the client has waited, in ms."""
         return now - self.side.asked[0] if self.side.asked else 0.0
 
-    def quiet(self, now: float) -> float:
+    def client_idle_time(self, now: float) -> float:
         """For how long a client that has spoken before has said nothing, in ms: those that only listen were
         moved each minute."""
         return now - self.side.spoke if self.side.spoke else 0.0
 
-    def silent(self, now: float) -> float:
+    def server_silence(self, now: float) -> float:
         """For how long the server has brought nothing though a line waits, in ms."""
         return now - max(self.side.asked[0], self.side.heard) if self.side.asked else 0.0
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -18,7 +18,7 @@
 from twisted.internet.testing import StringTransport
 
 from lotusroute.net.discovery import Discovery, EndpointUpdate
-from lotusroute.net.downstream import Asked, DownstreamFactory
+from lotusroute.net.downstream import DownstreamFactory, FlowRequested
 from lotusroute.net.owner import Owner
 from lotusroute.routing import events
 
@@ -546,7 +546,7 @@
 def test_a_line_over_which_something_broke_before_it_was_a_flow_is_answered():
     said = []
     side = types.SimpleNamespace(number=0, answer=said.append)
-    Owner._failed(broken_owner(), Asked(side, None, 0.0), 0)
+    Owner._failed(broken_owner(), FlowRequested(side, None, 0.0), 0)
     assert said == [b"ERR"]
 
 
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -20,10 +20,10 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
 from lotusroute.net.discovery import REFUSAL, Discovery, DiscoveryFailed
-from lotusroute.net.downstream import Asked, parse_opening
+from lotusroute.net.downstream import FlowRequested, parse_open_request
 from lotusroute.net.line_protocol import LineProtocol
 from lotusroute.net.owner import DRAIN_SPREAD, STEP, Owner
-from lotusroute.net.upstream import WRITTEN, Link, UpstreamConnection
+from lotusroute.net.upstream import WRITTEN, UpstreamAttempt, UpstreamConnection
 from lotusroute.routing import events
 
 
@@ -291,19 +291,19 @@
 
 def test_only_a_client_that_used_to_speak_counts_as_gone_when_it_says_nothing():
     # Standing connections that only listen were moved each minute.
-    link = Link(1, "s1", b"", None, lambda: 5_000.0, None)
+    link = UpstreamAttempt(1, "s1", b"", None, lambda: 5_000.0, None)
     side = link.side = UpstreamConnection(link)
-    assert link.quiet(90_000.0) == 0.0
+    assert link.client_idle_time(90_000.0) == 0.0
     side.transport = Partial(0)
     side.pass_on(memoryview(b"M 1\r\n"))
-    assert link.quiet(90_000.0) == 85_000.0
+    assert link.client_idle_time(90_000.0) == 85_000.0
 
 
 def test_what_a_socket_takes_in_part_is_written_in_order_and_to_the_last_byte():
     # A connect's line counts as written with its last byte; each part that the socket takes ends elsewhere.
     line = b"OPEN 1 k c=live,d=900\r\n"
     for taken in range(len(line) + 1):
-        link = Link(1, "s1", line, None, lambda: 0.0, None)
+        link = UpstreamAttempt(1, "s1", line, None, lambda: 0.0, None)
         side, transport = UpstreamConnection(link), Partial(taken)
         side.makeConnection(transport)
         assert (link.reach == WRITTEN) == (taken == len(line))
@@ -645,7 +645,7 @@
         def left(self):
             return False
 
-        def refuse(self):
+        def reject_malformed(self):
             self.said = b"ERR"
 
         def answer(self, words):
@@ -658,7 +658,7 @@
     for late, flows in (0.0, 1), (70_000.0, 1):
         owner.epoch += late
         side = Side()
-        line = parse_opening(f"OPEN id{late:.0f} k c=live,d=4294967,at=s9\r\n".encode())
-        owner._asked(Asked(side, line, owner.clock()))
+        line = parse_open_request(f"OPEN id{late:.0f} k c=live,d=4294967,at=s9\r\n".encode())
+        owner._asked(FlowRequested(side, line, owner.clock()))
         assert len(owner.flows) == flows
     assert side.said == b"ERR"
