--- a/lotusroute/cli.py
+++ b/lotusroute/cli/__init__.py
@@ -103,9 +103,9 @@
 
 
 command.add_command(
-    Later("lotusroute.capacity.command", "scale", help="Measure what each role costs by size.")
+    Later("lotusroute.cli.capacity", "scale", help="Measure what each role costs by size.")
 )
-command.add_command(Later("lotusroute.relay.command", "relay", help="Carry the list to those that follow."))
+command.add_command(Later("lotusroute.cli.relay", "relay", help="Carry the list to those that follow."))
 
 
 @command.group()
