--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -38,9 +38,9 @@
 def main() -> int:
     """Run until told to stop; 0 after an orderly end, 2 where the start is faulty. Words are a command."""
     if len(sys.argv) > 1:
-        from lotusroute.cli import command
+        from lotusroute.cli import root_group
 
-        return command(prog_name="lotusroute")
+        return root_group(prog_name="lotusroute")
     try:
         posting = config.load_config(os.environ)
         remembered = _remembered(posting)
--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -1,9 +1,6 @@
-"""The commands of `lotusroute scale`.
-
-Owns what may be asked and how it is printed. Exit 0 where all was measured (or nothing grew), 1 where
-something grew, 2 on wrong use or what does not fit.
-"""
+"""The commands of `lotusroute capacity`."""
 
+import functools
 import json
 import pathlib
 import sys
@@ -11,61 +8,71 @@
 import click
 
 from lotusroute.capacity.processes import TooLarge
-from lotusroute.capacity.regression_line import SIZES, grown, line
+from lotusroute.capacity.regression_line import SIZES, Line, grown, line
 from lotusroute.capacity.target import Target
+from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
 
 
-@click.group()
-def scale() -> None:
-    """Measure what each role costs by size, and hold it against the target."""
-
-
-@scale.command("measure")
+@click.command()
 @click.argument("role", type=click.Choice(["fleet", "followers", "list", "plane", "relays"]))
-@click.option("--sizes", default="", help="as 8,30,65,125; two at least, four for a line to trust")
-@click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="how long each is counted")
-@click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the list")
-@click.option("--json", "file", type=click.Path(dir_okay=False), help="keep the points here, for `compare`")
-@click.option("--plot", type=click.Path(dir_okay=False), help="draw them here (needs matplotlib)")
+@click.option("--sizes", default="", help="as 8,30,65,125; at least two, four for a line to rely on")
+@click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="measured at each size")
+@click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the endpoint list")
+@click.option("--json", "file", type=click.Path(dir_okay=False), help="write the points here, for `compare`")
+@click.option("--plot", type=click.Path(dir_okay=False), help="plot them here (needs matplotlib)")
 def measure(role: str, sizes: str, seconds: float, hosts: int, file: str | None, plot: str | None) -> None:
     """Measure one role at several sizes and fit lines.
 
-    Example: lotusroute scale measure fleet --sizes 8,30,65,125 --json fleet.json
+    Example: lotusroute capacity measure fleet --sizes 8,30,65,125 --json fleet.json
     """
     from lotusroute.capacity import update_propagation
     from lotusroute.capacity.roles import ROLES
 
-    do, usual = {**ROLES, "relays": (update_propagation.relays, (20, 50, 100, 150))}[role]
-    try:
-        asked = [int(size) for size in sizes.split(",")] if sizes else list(usual)
-    except ValueError:
-        raise click.UsageError(f"--sizes {sizes}: give whole numbers, as 8,30,65,125") from None
-    if len(set(asked)) < 2 or min(asked) < 1:
-        raise click.UsageError(f"--sizes {sizes}: give two or more, each above 0")
+    roles = {**ROLES, "relays": (update_propagation.relays, (20, 50, 100, 150))}
+    measure_role, default_sizes = roles[role]
+    size_list = _parse_sizes(sizes) if sizes else list(default_sizes)
     points: dict = {}
     try:
-        for size in asked:
-            told = f"{role} {size}: "
-            do(size, seconds, hosts, points, lambda said, told=told: click.echo(told + said, err=True))
-    except TooLarge as fault:
-        click.echo(f"lotusroute: {role}: {fault}", err=True)
-        sys.exit(2)
-    told = [{"name": name, "unit": unit, "points": found} for name, (unit, found) in points.items()]
-    lines = [line(one["name"], one["unit"], one["points"]) for one in told]
-    for one in lines:
-        few = "" if len(asked) >= SIZES else f"  (only {len(asked)} sizes)"
-        found = " ".join(f"{x:g}:{y:.4g}" for x, y in one.points)
-        click.echo(
-            f"{one.name}: {one.slope:.5g} +- {one.error:.2g} {one.unit} by one, "
-            f"{one.start:.4g} at none; {found}{few}"
-        )
+        for size in size_list:
+            report = functools.partial(_report, prefix=f"{role} {size}: ")
+            measure_role(size, seconds, hosts, points, report)
+    except TooLarge as error:
+        exit_with_wrong_use(f"{role}: {error}")
+    documents = [{"name": name, "unit": unit, "points": found} for name, (unit, found) in points.items()]
+    lines = [line(document["name"], document["unit"], document["points"]) for document in documents]
+    for fitted in lines:
+        click.echo(_line_summary(fitted, len(size_list)))
     if file:
-        pathlib.Path(file).write_text(json.dumps({"role": role, "seconds": seconds, "lines": told}, indent=1))
+        run = {"role": role, "seconds": seconds, "lines": documents}
+        pathlib.Path(file).write_text(json.dumps(run, indent=1))
     if plot:
         _plot(lines, plot)
 
 
-def _plot(lines: list, file: str) -> None:
+def _parse_sizes(text: str) -> list[int]:
+    try:
+        sizes = [int(size) for size in text.split(",")]
+    except ValueError:
+        raise click.UsageError(f"--sizes {text}: give whole numbers, as 8,30,65,125") from None
+    if len(set(sizes)) < 2 or min(sizes) < 1:
+        raise click.UsageError(f"--sizes {text}: give two or more, each above 0")
+    return sizes
+
+
+def _report(text: str, prefix: str = "") -> None:
+    click.echo(prefix + text, err=True)
+
+
+def _line_summary(fitted: Line, size_count: int) -> str:
+    points = " ".join(f"{size:g}:{value:.4g}" for size, value in fitted.points)
+    caution = "" if size_count >= SIZES else f"  (only {size_count} sizes)"
+    return (
+        f"{fitted.name}: {fitted.slope:.5g} +- {fitted.error:.2g} {fitted.unit} by one, "
+        f"{fitted.start:.4g} at none; {points}{caution}"
+    )
+
+
+def _plot(lines: list[Line], file: str) -> None:
     try:
         import matplotlib
     except ImportError:
@@ -74,48 +81,49 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(len(lines), 1, figsize=(7, 2.4 * len(lines)), squeeze=False)
-    for one, (axis,) in zip(lines, axes, strict=True):
-        axis.plot(*zip(*one.points, strict=True), "o")
-        ends = [0, max(size for size, _ in one.points)]
-        axis.plot(ends, [one.at(size) for size in ends])
-        axis.set_title(one.name, fontsize=8)
-        axis.set_ylabel(one.unit, fontsize=7)
+    for fitted, (axis,) in zip(lines, axes, strict=True):
+        axis.plot(*zip(*fitted.points, strict=True), "o")
+        ends = [0, max(size for size, _ in fitted.points)]
+        axis.plot(ends, [fitted.at(size) for size in ends])
+        axis.set_title(fitted.name, fontsize=8)
+        axis.set_ylabel(fitted.unit, fontsize=7)
     figure.tight_layout()
     figure.savefig(file)
 
 
-@scale.command("compare")
+@click.command()
 @click.argument("before", type=click.Path(exists=True, dir_okay=False))
 @click.argument("after", type=click.Path(exists=True, dir_okay=False))
 def compare(before: str, after: str) -> None:
-    """Exit 1 where a line of the second run grew by over a quarter.
+    """Compare two runs of `measure --json`; exit 1 where a line of the second grew by over a quarter.
 
-    Example: lotusroute scale compare kept.json fleet.json
+    Example: lotusroute capacity compare before.json after.json
     """
     try:
         runs = [json.loads(pathlib.Path(file).read_text())["lines"] for file in (before, after)]
-        found = grown(*runs)
-    except (ValueError, KeyError, TypeError) as fault:
-        click.echo(f"lotusroute: {before}, {after}: no runs of `scale measure --json`: {fault}", err=True)
-        sys.exit(2)
-    for one in found:
-        click.echo(one)
-    sys.exit(int(bool(found)))
+        findings = grown(*runs)
+    except (ValueError, KeyError, TypeError) as error:
+        exit_with_wrong_use(f"{before}, {after}: no runs of `capacity measure --json`: {error}")
+    for finding in findings:
+        click.echo(finding)
+    sys.exit(ExitCode.FAILED if findings else ExitCode.OK)
 
 
-@scale.command("news")
+@click.command()
 @click.option("--relays", type=click.IntRange(3, 64), default=6, help="real relays; one becomes the origin")
 @click.option("--real", type=click.IntRange(0, 64), default=3, help="balancers that are the program itself")
-@click.option("--hollow", type=click.IntRange(1, 20_000), default=160, help="hollow ones beside them")
-@click.option("--zones", type=click.IntRange(1, 64), default=3, help="over which all are spread")
-@click.option("--hosts", type=click.IntRange(1, 20_000), default=60, help="servers in the list")
+@click.option("--hollow", type=click.IntRange(1, 20_000), default=160, help="hollow balancers beside them")
+@click.option("--zones", type=click.IntRange(1, 64), default=3, help="zones that all are spread over")
+@click.option("--hosts", type=click.IntRange(1, 20_000), default=60, help="servers in the endpoint list")
 @click.option("--scenario", "scenarios", multiple=True, help="calm, burst, kill, stop, two, origin, zone")
-@click.option("--within", type=click.FloatRange(0.1), default=4.0, help="s for a change to be in force")
-@click.option("--json", "as_json", is_flag=True, help="print JSON")
-def news(scenarios: tuple[str, ...], within: float, as_json: bool, **sizes: int) -> None:
-    """How long a change of the list takes to be in force everywhere; exit 1 where one took too long.
+@click.option("--within", type=click.FloatRange(0.1), default=4.0, help="s for an update to be in force")
+@JSON_OPTION
+def propagation(scenarios: tuple[str, ...], within: float, as_json: bool, **sizes: int) -> None:
+    """Measure how long an update of the endpoint list takes to be in force everywhere.
+
+    Exit 1 where one took longer than `--within`.
 
-    Example: lotusroute scale news --relays 40 --real 20 --hollow 6140 --zones 19
+    Example: lotusroute capacity propagation --relays 40 --real 20 --hollow 6140 --zones 19
     """
     from lotusroute.capacity.update_propagation import SCENARIOS, play
 
@@ -123,44 +131,65 @@
         if scenario not in SCENARIOS:
             raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
     try:
-        out = play(**sizes, scenarios=scenarios or SCENARIOS, say=lambda said: click.echo(said, err=True))
-    except TooLarge as fault:
-        click.echo(f"lotusroute: news: {fault}", err=True)
-        sys.exit(2)
-    click.echo(json.dumps(out) if as_json else "\n".join(f"{key} {value}" for key, value in out.items()))
-    late = [key for key, value in out.items() if value.get("lack") or value.get("worst_s", 0.0) > within]
-    sys.exit(int(bool(late)))
-
-
-@scale.command("herd")
+        figures = play(**sizes, scenarios=scenarios or SCENARIOS, say=_report)
+    except TooLarge as error:
+        exit_with_wrong_use(f"propagation: {error}")
+    if as_json:
+        click.echo(json.dumps(figures))
+    else:
+        click.echo("\n".join(f"{scenario} {result}" for scenario, result in figures.items()))
+    late = any(result.get("lack") or result.get("worst_s", 0.0) > within for result in figures.values())
+    sys.exit(ExitCode.FAILED if late else ExitCode.OK)
+
+
+@click.command()
 @click.option("--followers", type=click.IntRange(1, 2_000), default=200, help="hollow balancers")
-@click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="that discovery gives a second")
-@click.option("--hosts", type=click.IntRange(1, 100_000), default=60, help="servers in the list")
-@click.option("--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s that nobody is answered first")
-@click.option("--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="how long after that")
-@click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="ms, that of a drain")
-@click.option("--json", "as_json", is_flag=True, help="print JSON")
-def herd(as_json: bool, **sizes: float) -> None:
-    """Many call discovery as it comes back; exit 1 where one has no list at the end.
-
-    Example: lotusroute scale herd --followers 200 --answers 150 --down 8
+@click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="of discovery, a second")
+@click.option("--hosts", type=click.IntRange(1, 100_000), default=60, help="servers in the endpoint list")
+@click.option("--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s without any answer at first")
+@click.option("--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="duration after that")
+@click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="ms, grace period of a drain")
+@JSON_OPTION
+def reconnect_storm(as_json: bool, **sizes: float) -> None:
+    """Let many balancers poll discovery as it comes back; exit 1 where one has no endpoint list at the end.
+
+    Example: lotusroute capacity reconnect-storm --followers 200 --answers 150 --down 8
     """
     from lotusroute.net import epoll_reactor
 
+    # The next import loads Twisted's reactor, which has to be the one that balancers use.
     epoll_reactor.install()
     from lotusroute.capacity.reconnect_storm import run
 
     figures = run(**sizes)
-    click.echo(json.dumps(figures) if as_json else " ".join(f"{k}={v}" for k, v in figures.items()))
-    sys.exit(int(figures["without_a_list"] > 0))
+    if as_json:
+        click.echo(json.dumps(figures))
+    else:
+        click.echo(" ".join(f"{key}={value}" for key, value in figures.items()))
+    sys.exit(ExitCode.FAILED if figures["without_a_list"] > 0 else ExitCode.OK)
 
 
-@scale.command("target")
-@click.option("--json", "as_json", is_flag=True, help="print JSON")
+@click.command()
+@JSON_OPTION
 def target(as_json: bool) -> None:
-    """Print the target and what follows from it by division.
+    """Print the capacity target and the figures that follow from it by division.
 
-    Example: lotusroute scale target --json
+    Example: lotusroute capacity target --json
     """
     figures = {**Target()._asdict(), **Target().worked_out()}
-    click.echo(json.dumps(figures) if as_json else "\n".join(f"{k} {v:.6g}" for k, v in figures.items()))
+    if as_json:
+        click.echo(json.dumps(figures))
+    else:
+        click.echo("\n".join(f"{key} {value:.6g}" for key, value in figures.items()))
+
+
+COMMANDS = {
+    "compare": compare,
+    "measure": measure,
+    "propagation": propagation,
+    "reconnect-storm": reconnect_storm,
+    "target": target,
+    # Older names of two commands, which operators' scripts use.
+    "herd": hidden_alias(reconnect_storm),
+    "news": hidden_alias(propagation),
+}
--- /dev/null
+++ b/lotusroute/cli/options.py
@@ -0,0 +1,41 @@
+"""What the commands share: options, exit codes and the report of wrong use. It needs nothing but click."""
+
+import copy
+import enum
+import sys
+from typing import NoReturn
+
+import click
+
+
+class ExitCode(enum.IntEnum):
+    """The exit codes of all commands."""
+
+    OK = 0
+    FAILED = 1  # a peer did not answer, an invariant was violated, a figure grew or a limit was exceeded
+    WRONG_USE = 2  # as click's own; also a configuration file that cannot be used
+
+
+FLEET_FILE_OPTION = click.option(
+    "--fleet",
+    "file",
+    required=True,
+    envvar="LB_FLEET",
+    type=click.Path(),
+    help="the fleet's configuration file; default: LB_FLEET",
+)
+PEER_OPTION = click.option("--peer", "peers", multiple=True, help="only this peer; may be repeated")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print JSON")
+
+
+def hidden_alias(command: click.Command) -> click.Command:
+    """Return the same command for an older name of it, which `--help` does not list."""
+    alias = copy.copy(command)
+    alias.hidden = True
+    return alias
+
+
+def exit_with_wrong_use(message: str) -> NoReturn:
+    """Print why the command cannot be carried out as given, and exit."""
+    click.echo(f"lotusroute: {message}", err=True)
+    sys.exit(ExitCode.WRONG_USE)
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -1,33 +1,28 @@
-"""The commands of `lotusroute relay`.
-
-Owns how a relay is started from a terminal and how what relays show is printed. Exit 0 where all is well, 1
-where a relay did not answer, 2 on wrong use.
-"""
+"""The commands of `lotusroute relay`."""
 
 import signal
-import sys
+from collections.abc import Callable
 
 import click
 from twisted.internet import reactor
+from twisted.python.failure import Failure
 
-from lotusroute.cli import FILE, JSON, PEER, _ask, _finish
+from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_wrong_use
+from lotusroute.cli.peer_query import print_and_exit, query_peers
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import config, lease_service
 from lotusroute.net import structured_log
 from lotusroute.net.config import parse_address
 
-
-@click.group()
-def relay() -> None:
-    """Carry the server list from discovery to balancers that follow."""
+SHUTDOWN_DELAY = 0.1  # s for the release of a lease to be sent
 
 
-@relay.command("run")
-@FILE
-@click.option("--name", required=True, help="of this relay, as the file has it")
-@click.option("--discovery", required=True, help="HOST:PORT, called while this relay is the origin")
+@click.command()
+@FLEET_FILE_OPTION
+@click.option("--name", required=True, help="this relay's name in the file")
+@click.option("--discovery", required=True, help="HOST:PORT, polled while this relay is the origin")
 def run(file: str, name: str, discovery: str) -> None:
-    """Run one relay until it is told to end.
+    """Run one relay until SIGTERM or SIGINT; SIGUSR1 prints its counters.
 
     Example: lotusroute relay run --fleet deploy/relays.toml --name r1 --discovery 10.2.0.1:8500
     """
@@ -37,50 +32,59 @@
     structured_log.LOGGER.setLevel("INFO")
     counters = structured_log.Counters()
     try:
-        told, where = config.load_fleet_config(file), parse_address(discovery)
-        fleet = lease_service.LeaseService(reactor, told, name, counters)
-    except InvalidValueError as fault:
-        click.echo(f"lotusroute: {fault}", err=True)
-        sys.exit(2)
-    carried = RelayServer(fleet, where, counters)
+        fleet_config = config.load_fleet_config(file)
+        discovery_address = parse_address(discovery)
+        leases = lease_service.LeaseService(reactor, fleet_config, name, counters)
+    except InvalidValueError as error:
+        exit_with_wrong_use(str(error))
+    server = RelayServer(leases, discovery_address, counters)
 
     def stop() -> None:
-        fleet.stop()
-        reactor.callLater(0.1, reactor.stop)
+        leases.stop()
+        reactor.callLater(SHUTDOWN_DELAY, reactor.stop)
 
-    for number, call in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGUSR1, counters.print)):
-        signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
-
-    def unheard(reason) -> None:
+    def report_start_failure(reason: Failure) -> None:
         click.echo(f"lotusroute: {file}: peers.{name}: {reason.value}", err=True)
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: carried.start().addErrback(unheard))
+    handlers: dict[int, Callable[[], None]] = {
+        signal.SIGTERM: stop,
+        signal.SIGINT: stop,
+        signal.SIGUSR1: counters.print,
+    }
+    for number in handlers:
+        signal.signal(number, lambda number, _: reactor.callFromThread(handlers[number]))
+    reactor.callWhenRunning(lambda: server.start().addErrback(report_start_failure))
     reactor.callWhenRunning(structured_log.log_event, "relay ready", name=name)
     reactor.run(installSignalHandlers=False)
     counters.print()
 
 
-@relay.command("show")
-@FILE
-@PEER
-@JSON
+@click.command()
+@FLEET_FILE_OPTION
+@PEER_OPTION
+@JSON_OPTION
 def show(file: str, peers: tuple[str, ...], as_json: bool) -> None:
-    """Show which version each relay has, and how many of its subscribers lack it.
+    """Show which version of the endpoint list each relay has, and how many subscribers lack it.
 
     Example: lotusroute relay show --fleet deploy/relays.toml
     """
-    shown, missing = _ask(file, peers)
-    lines = []
-    for name, state in shown.items():
-        news = state.get("news")
-        if news is None:
-            lines.append(f"{name}: no relay")
-            continue
-        origin = f", origin under {news['origin']}" * bool(news["origin"])
-        lines.append(
-            f"{name}: version {news['version'][0]}.{news['version'][1]}, {news['age_ms']} ms old, "
-            f"{news['items']} items, {news['subscribers']} subscribers, {news['lack']} lack it, "
-            f"oldest {news['oldest'][0]}.{news['oldest'][1]}{origin}"
-        )
-    _finish(shown, missing, as_json, lines)
+    answers = query_peers(file, peers)
+    lines = [_version_line(name, state.get("news")) for name, state in answers.states.items()]
+    print_and_exit(answers, as_json, lines)
+
+
+def _version_line(name: str, versions: dict | None) -> str:
+    if versions is None:
+        return f"{name}: no relay"
+    fence, number = versions["version"]
+    oldest_fence, oldest_number = versions["oldest"]
+    origin = f", origin under {versions['origin']}" if versions["origin"] else ""
+    return (
+        f"{name}: version {fence}.{number}, {versions['age_ms']} ms old, {versions['items']} items, "
+        f"{versions['subscribers']} subscribers, {versions['lack']} lack it, "
+        f"oldest {oldest_fence}.{oldest_number}{origin}"
+    )
+
+
+COMMANDS = {"run": run, "show": show}
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -12,7 +12,7 @@
 
 
 def scale(*words):
-    call = [sys.executable, "-m", "lotusroute", "scale", *words]
+    call = [sys.executable, "-m", "lotusroute", "capacity", *words]
     return subprocess.run(call, capture_output=True, text=True, timeout=60, check=False)
 
 
@@ -51,9 +51,12 @@
         (("measure", "list", "--sizes", "50"), "give two or more"),
         (("measure", "list", "--sizes", "many"), "give whole numbers"),
         (("measure", "all"), "'fleet', 'followers', 'list', 'plane', 'relays'"),
-        (("news", "--scenario", "flood"), "there are calm, burst"),
-        (("news", "--relays", "64", "--real", "64", "--hollow", "20000"), "254 processes, 200 at most"),
-        (("compare", __file__, __file__), "no runs of `scale measure --json`"),
+        (("propagation", "--scenario", "flood"), "there are calm, burst"),
+        (
+            ("propagation", "--relays", "64", "--real", "64", "--hollow", "20000"),
+            "254 processes, 200 at most",
+        ),
+        (("compare", __file__, __file__), "no runs of `capacity measure --json`"),
     ],
 )
 def test_wrong_use_and_what_does_not_fit_are_refused_with_the_mend(words, says):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -14,7 +14,7 @@
 import pytest
 from harness import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
 
-from lotusroute.cli import command
+from lotusroute.cli import root_group
 from lotusroute.errors import InvalidValueError
 from lotusroute.fault_injection import relay_model_checker
 from lotusroute.relay import fanout as fanout_module
@@ -524,4 +524,4 @@
     )
     done = subprocess.run([sys.executable, "-c", seen], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
-    assert command.get_command(None, "relay") is not None
+    assert root_group.get_command(None, "relay") is not None
