--- a/lotusroute/fault_injection/__init__.py
+++ b/lotusroute/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: tries the fleet's parts out, with faults, and judges what came of it. Never part of `run`."""
+"""Fault injection: tests the fleet's parts with faults and checks invariants. `run` imports none of it."""
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from lotusroute.fault_injection.processes import RIG, Line
+from lotusroute.fault_injection.processes import INJECTOR, LogRecord
 
 READING = 0.25  # s between a line's writing and its reading on a busy machine; seen: 0.02
 TAIL = 20  # lines that a breach brings
@@ -18,28 +18,28 @@
     task: str
     at: float
     what: str
-    tail: tuple[Line, ...]
+    tail: tuple[LogRecord, ...]
 
     def __str__(self) -> str:
-        tail = "\n".join(f"  {line.at:.3f} {line.name} {line.event} {line.fields}" for line in self.tail)
+        tail = "\n".join(f"  {line.time:.3f} {line.process} {line.event} {line.fields}" for line in self.tail)
         return f"{self.task} at {self.at:.3f} s: {self.what}\n{tail}"
 
 
-def judge(lines: list[Line]) -> list[Breach]:
+def judge(lines: list[LogRecord]) -> list[Breach]:
     """All breaches in what was logged, in order.
 
     A holder ends with its own word, with its kill, or while it stands still: what stands still acts on
     nothing, and what it does when it goes on is refused by its fence. It then says that its lease is over.
 
     >>> def line(at, name, event, **fields):
-    ...     return Line(at, name, event, {"task": "t", **fields})
+    ...     return LogRecord(at, name, event, {"task": "t", **fields})
     >>> first = line(1.0, "a", "lease acquired", fence="3")
     >>> second = line(2.0, "b", "lease acquired", fence="4")
     >>> [str(breach).split(chr(10))[0] for breach in judge([first, second])]
     ['t at 2.000 s: b holds under 4 beside a under 3']
     >>> judge([first, line(1.9, "a", "lease lost"), second])
     []
-    >>> len(judge([first, line(1.9, "rig", "stop", of="a"), second])), len(judge([second, first]))
+    >>> len(judge([first, line(1.9, "injector", "stop", of="a"), second])), len(judge([second, first]))
     (0, 2)
     """
     found: list[Breach] = []
@@ -48,7 +48,7 @@
     still: set[str] = set()  # processes that stand still
     for at, line in enumerate(lines):
         task, tail = line.fields.get("task", ""), tuple(lines[max(0, at - TAIL) : at + 1])
-        if line.name == RIG:
+        if line.process == INJECTOR:
             of = line.fields.get("of", "")
             if line.event == "kill":
                 still.discard(of)
@@ -59,7 +59,7 @@
             elif line.event == "continue":
                 still.discard(of)
         elif line.event == "lease lost":
-            holders.setdefault(task, {}).pop(line.name, None)
+            holders.setdefault(task, {}).pop(line.process, None)
         elif line.event == "lease acquired":
             fence = int(line.fields["fence"])
             for name, under in holders.setdefault(task, {}).items():
@@ -67,15 +67,15 @@
                 said = any(
                     later[1:3] == (name, "lease lost")
                     and later.fields.get("task") == task
-                    and later.at < line.at + READING
+                    and later.time < line.time + READING
                     for later in lines[at:]
                 )
-                if name not in still and not said and name != line.name:
-                    what = f"{line.name} holds under {fence} beside {name} under {under}"
-                    found.append(Breach(task, line.at, what, tail))
+                if name not in still and not said and name != line.process:
+                    what = f"{line.process} holds under {fence} beside {name} under {under}"
+                    found.append(Breach(task, line.time, what, tail))
             if fence <= highest.get(task, 0):
-                what = f"{line.name} holds under {fence} after {highest[task]}"
-                found.append(Breach(task, line.at, what, tail))
+                what = f"{line.process} holds under {fence} after {highest[task]}"
+                found.append(Breach(task, line.time, what, tail))
             highest[task] = max(fence, highest.get(task, 0))
-            holders[task][line.name] = fence
+            holders[task][line.process] = fence
     return found
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -1,7 +1,7 @@
-"""Starts balancers of the real program, linked on loopback, and hurts them.
+"""Starts balancers of the real program on loopback, injects faults into them and collects their logs.
 
-Owns the processes that it starts: their files, ports, signals, and what they logged, by one clock. It must
-never signal a process that it did not start, leave one behind, or judge what it saw.
+Records of all processes and of the injected faults stand in one list, by one clock. Only processes that were
+started here are signalled, and all of them are killed at the end.
 """
 
 import contextlib
@@ -17,187 +17,214 @@
 import threading
 import time
 from collections.abc import Callable, Iterator
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
-from lotusroute.fault_injection.network_proxy import Wires
+from lotusroute.fault_injection.network_proxy import NetworkProxy
 
-PATIENCE = 15.0  # s for anything that is waited for: a start takes half a second on a free core
-RIG = "rig"  # the name under which faults stand among the lines
+TIMEOUT = 15.0  # s for anything that is waited for: a start takes half a second on a free core
+INJECTOR = "injector"  # the process name of the records of injected faults
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
+RECORDS_SHOWN = 20  # in the message of a timeout
 SETTINGS = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
 }
 
+Result = TypeVar("Result")
 
-class Line(NamedTuple):
-    """What one process logged, and when the rig read it."""
 
-    at: float  # s of the rig's clock
-    name: str
+class LogRecord(NamedTuple):
+    """One line of a process's log, or one injected fault."""
+
+    time: float  # s of time.monotonic(), when it was read
+    process: str
     event: str
     fields: dict[str, str]
 
 
 def free_port() -> int:
-    """A port that nobody has at the moment."""
-    with socket.create_server(("127.0.0.1", 0)) as found:
-        return found.getsockname()[1]
+    """Return a port of loopback on which nobody listens at the moment."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return listener.getsockname()[1]
 
 
-class Fleet:
-    """Some balancers whose names are n1, n2, and so on; the first `keepers` of them keep leases.
+class ProcessFleet:
+    """Balancers named n1, n2, and so on, the first of which are the lease acceptors; a context manager.
 
-    Between every two of them stands a way of the rig's own, `wires`.
+    They reach each other through `proxy` only.
     """
 
     def __init__(
         self,
         count: int,
-        keepers: int = 3,
+        acceptor_count: int = 3,
         tasks: tuple[str, ...] = ("watch",),
         lease_ms: float = 3_000.0,
-        discovery: int = 0,
-        log: str = "INFO",
+        discovery_port: int = 0,
+        log_level: str = "INFO",
     ) -> None:
-        self.folder = tempfile.TemporaryDirectory(prefix="lotusroute-rig-")
-        self.names = [f"n{n + 1}" for n in range(count)]
-        self.ports = {name: free_port() for name in self.names}
-        self.keepers, self.tasks, self.lease_ms = self.names[:keepers], tasks, lease_ms
-        self.discovery = discovery or free_port()  # where there is none, nobody is there
-        self.log = log
-        self.wires = Wires(self.names, self.ports)
-        self.running: dict[str, subprocess.Popen] = {}  # by name; leave when they have ended
-        self.readers: dict[str, threading.Thread] = {}  # by name; leave with their process
-        self.lines: list[Line] = []  # all that was logged, as it was read; a scenario's length bounds it
-        self.news = threading.Condition()
-
-    def __enter__(self) -> "Fleet":
-        for name in self.names:
-            self.start(name)
+        self.names = [f"n{number + 1}" for number in range(count)]
+        self.acceptors = self.names[:acceptor_count]
+        self.tasks = tasks
+        self.lease_ms = lease_ms
+        self.discovery_port = discovery_port or free_port()  # without a port given, nobody answers there
+        self.log_level = log_level
+        self.records: list[LogRecord] = []  # in the order of reading; bounded by a scenario's duration
+        self._records_changed = threading.Condition()
+        self._folder = tempfile.TemporaryDirectory(prefix="lotusroute-fault-injection-")
+        self._ports = {name: free_port() for name in self.names}
+        self._processes: dict[str, subprocess.Popen[str]] = {}  # the running ones
+        self._log_readers: dict[str, threading.Thread] = {}  # of the running ones
+        self.proxy = NetworkProxy(self.names, self._ports)
+
+    def __enter__(self) -> "ProcessFleet":
+        with contextlib.ExitStack() as stack:
+            stack.callback(self.close)
+            for name in self.names:
+                self.start(name)
+            stack.pop_all()
         return self
 
     def __exit__(self, *_: object) -> None:
-        for name in list(self.running):
+        self.close()
+
+    def close(self) -> None:
+        """Kill all balancers and remove their files."""
+        for name in list(self._processes):
             self.kill(name)
-        self.wires.close()
-        self.folder.cleanup()
+        self.proxy.close()
+        self._folder.cleanup()
 
     def start(self, name: str) -> None:
-        """Start a balancer; what it had on disk is still there."""
-        home = pathlib.Path(self.folder.name, name)
+        """Start a balancer; the files of an earlier process of that name are still there."""
+        home = pathlib.Path(self._folder.name, name)
         home.mkdir(exist_ok=True)
-        told = {
+        config_file = home / "config.json"
+        config_file.write_text(json.dumps(self._config(name)))
+        pathlib.Path(self.fleet_file(name)).write_text(self._fleet_config(name, home))
+        environment = {
+            **os.environ,
+            "LB_CONFIG": str(config_file),
+            "LB_FLEET": self.fleet_file(name),
+            "LB_LOG": self.log_level,
+        }
+        process = subprocess.Popen(
+            [sys.executable, "-m", "lotusroute"], stderr=subprocess.PIPE, text=True, env=environment
+        )
+        reader = threading.Thread(target=self._read_log, args=(name, process), daemon=True)
+        self._processes[name] = process
+        self._log_readers[name] = reader
+        reader.start()
+
+    def fleet_file(self, name: str) -> str:
+        """Return the path of a balancer's fleet configuration, for commands that query the fleet."""
+        return str(pathlib.Path(self._folder.name, name, "fleet.toml"))
+
+    def _config(self, name: str) -> dict:
+        return {
             "name": name,
             "listen": f"127.0.0.1:{free_port()}",
-            "discovery": f"127.0.0.1:{self.discovery}",
+            "discovery": f"127.0.0.1:{self.discovery_port}",
             "seed": name,
             "settings": SETTINGS,
             "known": {"seq": 0, "hosts": []},
         }
-        (home / "config.json").write_text(json.dumps(told))
-        (home / "fleet.toml").write_text(self.plan(name, home))
-        process = subprocess.Popen(
-            [sys.executable, "-m", "lotusroute"],
-            stderr=subprocess.PIPE,
-            text=True,
-            env={
-                **os.environ,
-                "LB_CONFIG": str(home / "config.json"),
-                "LB_FLEET": self.file(name),
-                "LB_LOG": self.log,
-            },
-        )
-        self.running[name] = process
-        self.readers[name] = threading.Thread(target=self._read, args=(name, process), daemon=True)
-        self.readers[name].start()
-
-    def plan(self, name: str, home: pathlib.Path) -> str:
-        """The operator's file, as this balancer has it."""
-        peers = "\n".join(
-            f'{peer} = "127.0.0.1:{self.ports[peer] if peer == name else self.wires.address(peer, name)}"'
-            for peer in self.names
-        )
-        head = f'name = "rig"\nstate = "{home}"\nlease_ms = {self.lease_ms}\n'
-        lists = f"keepers = {json.dumps(self.keepers)}\ntasks = {json.dumps(self.tasks)}\n"
-        return f"{head}{lists}[peers]\n{peers}\n"
-
-    def file(self, name: str) -> str:
-        """Where a balancer's file on the fleet is."""
-        return str(pathlib.Path(self.folder.name, name, "fleet.toml"))
-
-    def _read(self, name: str, process: subprocess.Popen) -> None:
-        with contextlib.suppress(ValueError):
-            for text in process.stderr:
-                fields = {key: value.strip('"') for key, value in FIELD.findall(text)}
-                line = Line(time.monotonic(), name, fields.get("event", text.strip()), fields)
-                with self.news:
-                    self.lines.append(line)
-                    self.news.notify_all()
 
-    # Faults
+    def _fleet_config(self, name: str, home: pathlib.Path) -> str:
+        lines = [
+            'name = "fault-injection"',
+            f'state = "{home}"',
+            f"lease_ms = {self.lease_ms}",
+            f"keepers = {json.dumps(self.acceptors)}",
+            f"tasks = {json.dumps(self.tasks)}",
+            "[peers]",
+        ]
+        for peer in self.names:
+            port = self._ports[peer] if peer == name else self.proxy.address(peer, name)
+            lines.append(f'{peer} = "127.0.0.1:{port}"')
+        return "\n".join(lines) + "\n"
+
+    def _read_log(self, name: str, process: subprocess.Popen[str]) -> None:
+        assert process.stderr is not None
+        with contextlib.suppress(ValueError):  # the pipe was closed
+            for line in process.stderr:
+                fields = {key: value.strip('"') for key, value in FIELD.findall(line)}
+                self._append(LogRecord(time.monotonic(), name, fields.get("event", line.strip()), fields))
+
+    def _append(self, record: LogRecord) -> None:
+        with self._records_changed:
+            self.records.append(record)
+            self._records_changed.notify_all()
 
-    def note(self, event: str, **fields: str) -> None:
-        """Put a fault among the lines."""
-        with self.news:
-            self.lines.append(Line(time.monotonic(), RIG, event, fields))
-            self.news.notify_all()
+    # Faults
 
-    def signal(self, name: str, number: int) -> None:
-        """Signal a balancer of this fleet."""
-        self.running[name].send_signal(number)
+    def record_fault(self, event: str, **fields: str) -> None:
+        """Append a fault to the records."""
+        self._append(LogRecord(time.monotonic(), INJECTOR, event, fields))
 
     def kill(self, name: str) -> None:
-        """Kill it outright."""
+        """End a balancer by SIGKILL."""
         self._end(name, signal.SIGKILL)
+        self.record_fault("kill", of=name)
 
-    def end(self, name: str) -> int:
-        """End it in order; returns its exit code."""
-        return self._end(name, signal.SIGTERM)
+    def terminate(self, name: str) -> int:
+        """Shut a balancer down gracefully by SIGTERM; returns its exit code."""
+        code = self._end(name, signal.SIGTERM)
+        self.record_fault("end", of=name)
+        return code
 
-    def _end(self, name: str, number: int) -> int:
-        process = self.running.pop(name)
+    def _end(self, name: str, number: signal.Signals) -> int:
+        process = self._processes.pop(name)
         process.send_signal(number)
-        code = process.wait(PATIENCE)
-        # What it logged before is read first: the judge goes by the order of lines.
-        self.readers.pop(name).join(PATIENCE)
-        self.note("kill" if number == signal.SIGKILL else "end", of=name)
+        code = process.wait(TIMEOUT)
+        # All that it logged has to be read before the fault is recorded: the invariants go by this order.
+        self._log_readers.pop(name).join(TIMEOUT)
         return code
 
     @contextlib.contextmanager
-    def stopped(self, name: str) -> Iterator[None]:
-        """It stands still, and goes on with all that it had in hand."""
-        self.signal(name, signal.SIGSTOP)
-        self.note("stop", of=name)
+    def paused(self, name: str) -> Iterator[None]:
+        """Pause a balancer by SIGSTOP and let it continue at the end."""
+        process = self._processes[name]
+        process.send_signal(signal.SIGSTOP)
+        self.record_fault("stop", of=name)
         try:
             yield
         finally:
-            self.note("continue", of=name)
-            self.signal(name, signal.SIGCONT)
-
-    # What was seen
-
-    def wait(self, true: Callable[[list[Line]], object], patience: float = PATIENCE):
-        """Wait until what was logged makes something so; returns what `true` does."""
-        until = time.monotonic() + patience
-        with self.news:
-            while not (found := true(self.lines)):
-                left = until - time.monotonic()
-                if left <= 0:
-                    tail = "\n".join(map(str, self.lines[-20:]))
-                    raise AssertionError(f"not so within {patience:g} s; the last lines:\n{tail}")
-                self.news.wait(left)
-            return found
-
-    def held(self, after: float = 0.0, by: tuple[str, ...] = ()) -> Line:
-        """Wait for a lease that is held after a moment, by one of these if any are named."""
-        return self.wait(
-            lambda lines: next(
-                (
-                    line
-                    for line in lines
-                    if line.event == "lease acquired" and line.at > after and (not by or line.name in by)
-                ),
-                None,
-            )
-        )
+            self.record_fault("continue", of=name)
+            process.send_signal(signal.SIGCONT)
+
+    # Observations
+
+    def copy_records(self) -> list[LogRecord]:
+        """Return the records up to now."""
+        with self._records_changed:
+            return list(self.records)
+
+    def wait_for(self, condition: Callable[[list[LogRecord]], Result], timeout: float = TIMEOUT) -> Result:
+        """Wait until `condition` of the records returns something true, and return that.
+
+        Raises AssertionError, with the last records, after `timeout` seconds.
+        """
+        deadline = time.monotonic() + timeout
+        with self._records_changed:
+            while not (result := condition(self.records)):
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
+                    tail = "\n".join(map(str, self.records[-RECORDS_SHOWN:]))
+                    raise AssertionError(f"not so within {timeout:g} s; the last lines:\n{tail}")
+                self._records_changed.wait(remaining)
+            return result
+
+    def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
+        """Wait for a lease that is acquired after a time, by one of these processes if any are given."""
+
+        def find(records: list[LogRecord]) -> LogRecord | None:
+            for record in records:
+                matches = not among or record.process in among
+                if matches and record.event == "lease acquired" and record.time > after:
+                    return record
+            return None
+
+        record = self.wait_for(find)
+        assert record is not None  # wait_for returns true results only
+        return record
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fault_injection.invariants import judge
-from lotusroute.fault_injection.processes import Fleet
+from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.fault_injection.random_scenarios import scenario
 from lotusroute.fleet import acceptor_storage, config
 from lotusroute.fleet.transport import PeerConnection, PeerTransport
@@ -142,35 +142,52 @@
 
 
 def test_three_processes_hand_a_task_on_when_the_holder_ends_is_killed_and_stands_still():
-    with Fleet(3, lease_ms=1_000.0) as fleet:
-        first = fleet.held()
+    with ProcessFleet(3, lease_ms=1_000.0) as fleet:
+        first = fleet.wait_for_holder()
         ended = time.monotonic()
-        assert fleet.end(first.name) == 0
-        second = fleet.held(first.at)
+        assert fleet.terminate(first.process) == 0
+        second = fleet.wait_for_holder(first.time)
         # A release is told at once, from when the first says that it lets go; a busy machine may hear the
         # order to end later, but nobody waits for the lease to run out.
-        released = next(line for line in fleet.lines if line[1:3] == (first.name, "lease lost"))
-        assert second.name != first.name and second.at - released.at < 0.5 and second.at - ended < 1.0
-        fleet.start(first.name)
+        released = next(line for line in fleet.records if line[1:3] == (first.process, "lease lost"))
+        assert (
+            second.process != first.process
+            and second.time - released.time < 0.5
+            and second.time - ended < 1.0
+        )
+        fleet.start(first.process)
         # The one that came back keeps silent for a lease, and after the next kill two must be a majority.
-        fleet.wait(
+        fleet.wait_for(
             lambda lines: any(
-                line.event == "acceptor serving" and line.name == first.name and line.at > second.at
+                line.event == "acceptor serving" and line.process == first.process and line.time > second.time
                 for line in lines
             )
         )
         killed = time.monotonic()
-        fleet.kill(second.name)
-        third = fleet.held(killed)
-        assert third.name != second.name and third.at - killed < 1.0 + 0.5 + 0.5  # the lease, and a try
-        with fleet.stopped(third.name):
+        fleet.kill(second.process)
+        third = fleet.wait_for_holder(killed)
+        assert (
+            third.process != second.process and third.time - killed < 1.0 + 0.5 + 0.5
+        )  # the lease, and a try
+        with fleet.paused(third.process):
             # Of three keepers one is killed and one stands still: nobody holds until one is back.
-            fleet.start(second.name)
+            fleet.start(second.process)
             # Whoever is not the one that stands still: the third holder may have been the first one.
-            fourth = fleet.held(third.at, by=tuple(name for name in fleet.names if name != third.name))
-        fleet.wait(lambda lines: any(line[1:3] == (third.name, "lease lost") for line in lines))
-        assert fourth.name != third.name and judge(fleet.lines) == []
-        call = [sys.executable, "-m", "lotusroute", "leases", "show", "--fleet", fleet.file("n1"), "--json"]
+            fourth = fleet.wait_for_holder(
+                third.time, among=tuple(name for name in fleet.names if name != third.process)
+            )
+        fleet.wait_for(lambda lines: any(line[1:3] == (third.process, "lease lost") for line in lines))
+        assert fourth.process != third.process and judge(fleet.records) == []
+        call = [
+            sys.executable,
+            "-m",
+            "lotusroute",
+            "leases",
+            "show",
+            "--fleet",
+            fleet.fleet_file("n1"),
+            "--json",
+        ]
         shown = subprocess.run(call, capture_output=True, text=True, timeout=20, check=False)
         assert shown.returncode == 0, shown.stderr
         told = json.loads(shown.stdout)["balancers"]
@@ -209,15 +226,21 @@
 
 
 def test_a_holder_cut_off_from_the_keepers_lets_go_before_the_next_one_holds():
-    with Fleet(3, lease_ms=1_000.0) as fleet:
-        first = fleet.held()
-        others = [name for name in fleet.names if name != first.name]
-        fleet.wires.cut([first.name], others)
-        second = fleet.held(first.at, by=tuple(others))
-        lost = fleet.wait(lambda lines: next((line for line in lines if line.event == "lease lost"), None))
-        assert lost.name == first.name and lost.fields["why"] == "expired" and lost.at < second.at + 0.25
-        fleet.wires.let_go()
-        assert judge(fleet.lines) == []
+    with ProcessFleet(3, lease_ms=1_000.0) as fleet:
+        first = fleet.wait_for_holder()
+        others = [name for name in fleet.names if name != first.process]
+        fleet.proxy.partition([first.process], others)
+        second = fleet.wait_for_holder(first.time, among=tuple(others))
+        lost = fleet.wait_for(
+            lambda lines: next((line for line in lines if line.event == "lease lost"), None)
+        )
+        assert (
+            lost.process == first.process
+            and lost.fields["why"] == "expired"
+            and lost.time < second.time + 0.25
+        )
+        fleet.proxy.unblock()
+        assert judge(fleet.records) == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -232,11 +255,11 @@
     def last(lines):
         heard = {}
         for line in lines:
-            if line.at > after and line.event == "endpoint update" and line.fields["state"] == state:
-                heard.setdefault(line.name, line.at)
+            if line.time > after and line.event == "endpoint update" and line.fields["state"] == state:
+                heard.setdefault(line.process, line.time)
         return set(names) <= set(heard) and max(heard[name] for name in names) - after
 
-    return fleet.wait(last)
+    return fleet.wait_for(last)
 
 
 def test_one_watches_discovery_for_all_and_when_it_is_killed_the_others_hear_in_time():
@@ -248,12 +271,12 @@
         told.seq += 1
         return time.monotonic()
 
-    with Fleet(3, lease_ms=2_000.0, discovery=told.server_port, log="DEBUG") as fleet:
-        holder = fleet.held()
-        others = [name for name in fleet.names if name != holder.name]
-        fleet.wait(
+    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=told.server_port, log_level="DEBUG") as fleet:
+        holder = fleet.wait_for_holder()
+        others = [name for name in fleet.names if name != holder.process]
+        fleet.wait_for(
             lambda lines: (
-                set(others) <= {line.name for line in lines if line.event == "shared discovery followed"}
+                set(others) <= {line.process for line in lines if line.event == "shared discovery followed"}
             )
         )
         time.sleep(4.2)  # the calls that the others had begun by themselves end
@@ -261,9 +284,9 @@
         time.sleep(3.0)
         assert len(told.asked) - began <= 2  # one watch of 4 s; three of them would be three calls
         assert _hears(fleet, fleet.names, "draining", change("DRAINING")) < 0.5
-        fleet.kill(holder.name)
+        fleet.kill(holder.process)
         assert _hears(fleet, others, "ready", change("SERVING")) < 2.0  # nobody holds for two seconds
-        second = fleet.held(holder.at, by=tuple(others))
-        fleet.wires.cut([second.name], [name for name in others if name != second.name])
+        second = fleet.wait_for_holder(holder.time, among=tuple(others))
+        fleet.proxy.partition([second.process], [name for name in others if name != second.process])
         assert _hears(fleet, others, "draining", change("DRAINING")) < 2.0
     told.shutdown()
