--- /dev/null
+++ b/benchmarks/load_generator.py
@@ -0,0 +1,187 @@
+"""Clients that open flows and measure set-ups and lines."""
+
+import itertools
+import random
+import time
+from collections.abc import Callable
+
+from peer_messages import ClientsResult, ClientsSettings, FlowsEstablished, Message
+from twisted.internet import protocol, reactor
+from twisted.internet.interfaces import IConnector
+from twisted.protocols.basic import LineReceiver
+from twisted.python.failure import Failure
+
+FLOW_DEADLINE_MS = 3_000
+KEY_COUNT = 1_000  # keys of skewed clients, the n-th in proportion to 1/n
+CONNECT_TIMEOUT_S = 5
+
+
+class Client(LineReceiver):
+    """One flow: opens, waits for its receipt, then ends, or stays open and passes on later lines."""
+
+    delimiter = b"\r\n"
+    factory: "ClientFactory"
+
+    def connectionMade(self) -> None:
+        """Open the flow."""
+        self.transport.setTcpNoDelay(True)
+        self.started_at = time.monotonic()
+        self.receipt = b""
+        self.sendLine(self.factory.generator.next_opening())
+
+    def lineReceived(self, line: bytes) -> None:
+        """Take the receipt, or a later line."""
+        generator = self.factory.generator
+        if self.receipt:
+            generator.line_received(self, line)
+            return
+        self.receipt = line
+        generator.receipt_received(self, (time.monotonic() - self.started_at) * 1000)
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """Report the end of the flow."""
+        self.factory.generator.connection_lost(self)
+
+
+class ClientFactory(protocol.ClientFactory):
+    """Makes the clients of a load generator."""
+
+    noisy = False
+    protocol = Client
+
+    def __init__(self, generator: "LoadGenerator") -> None:
+        self.generator = generator
+
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
+        """Report a connection that was never made."""
+        self.generator.connection_lost(None)
+
+
+class LoadGenerator:
+    """Opens a number of flows, so many at a time; passes messages to `report`; stops the reactor at the end.
+
+    A flow ends at its receipt; with `hold_s` it stays open until all are established and that time has
+    passed, with `line_count` until that many lines have come back.
+    """
+
+    def __init__(self, settings: ClientsSettings, report: Callable[[Message], None]) -> None:
+        self.settings = settings
+        self.report = report
+        self.rng = random.Random(settings.seed)
+        self.flow_numbers = itertools.count()
+        self.name = f"{settings.seed:x}x"
+        self.key_weights = list(itertools.accumulate(1 / rank for rank in range(1, KEY_COUNT + 1)))
+        self.factory = ClientFactory(self)
+        self.opened = 0
+        self.connections = 0
+        self.rejected = 0
+        self.failed = 0
+        self.migrated = 0
+        self.established: set[Client] = set()  # those that stay open
+        self.setups_ms: list[float] = []
+        self.line_delays_ms: list[float] = []
+        self.line_sent_at = 0.0
+        self.started_at = time.monotonic()
+        self.ended_at = self.started_at
+        self.all_established = False
+        self.closing = False
+
+    def start(self) -> None:
+        """Open the first flows."""
+        for _ in range(min(self.settings.concurrency, self.settings.flows)):
+            self._open_flow()
+
+    def _open_flow(self) -> None:
+        self.opened += 1
+        self.connections += 1
+        reactor.connectTCP("127.0.0.1", self.settings.port, self.factory, timeout=CONNECT_TIMEOUT_S)
+
+    def next_opening(self) -> bytes:
+        """Return the first line of the next flow."""
+        if self.settings.skewed:
+            key = f"k{self.rng.choices(range(KEY_COUNT), cum_weights=self.key_weights)[0]}"
+        else:
+            key = f"{self.rng.getrandbits(64):x}"
+        return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_DEADLINE_MS}".encode()
+
+    def receipt_received(self, client: Client, setup_ms: float) -> None:
+        """Take the receipt of a flow, which rejects it or follows so many ms after its opening."""
+        if not client.receipt.startswith(b"UP"):
+            self.rejected += 1
+            client.transport.loseConnection()
+            return
+        self.setups_ms.append(setup_ms)
+        if self.settings.line_count:
+            self.established.add(client)
+            self._send_line(client)
+        elif self.settings.hold_s:
+            self.established.add(client)
+            if self.opened < self.settings.flows:
+                self._open_flow()
+            else:
+                self._check_all_established()
+        else:
+            client.transport.loseConnection()
+
+    def _check_all_established(self) -> None:
+        answered = len(self.setups_ms) + self.rejected + self.failed
+        if self.all_established or answered < self.settings.flows:
+            return
+        self.all_established = True
+        self.ended_at = time.monotonic()
+        self.report(FlowsEstablished(count=len(self.established)))
+        reactor.callLater(self.settings.hold_s, self._close_all)
+
+    def _close_all(self) -> None:
+        self.closing = True
+        for client in list(self.established):
+            client.transport.loseConnection()
+        if not self.established:
+            self._finish()
+
+    def _send_line(self, client: Client) -> None:
+        self.line_sent_at = time.monotonic()
+        client.sendLine(b"M %d" % len(self.line_delays_ms))
+
+    def line_received(self, client: Client, line: bytes) -> None:
+        """Take a line after the receipt."""
+        if line.startswith(b"MOVE"):
+            self.migrated += 1
+        elif line.startswith(b"M "):
+            self.line_delays_ms.append((time.monotonic() - self.line_sent_at) * 1000)
+            if len(self.line_delays_ms) < self.settings.line_count:
+                self._send_line(client)
+            else:
+                client.transport.loseConnection()
+
+    def connection_lost(self, client: Client | None) -> None:
+        """Take the end of a connection; None for one that was never made."""
+        self.connections -= 1
+        if client is None or not client.receipt:
+            self.failed += 1
+        if client is not None:
+            self.established.discard(client)
+        if self.closing:
+            if not self.established:
+                self._finish()
+        elif self.opened < self.settings.flows:
+            self._open_flow()
+        elif self.settings.hold_s:
+            self._check_all_established()
+        elif not self.connections:
+            self.ended_at = time.monotonic()
+            self._finish()
+
+    def _finish(self) -> None:
+        self.report(
+            ClientsResult(
+                opened=self.opened,
+                rejected=self.rejected,
+                lost=self.failed,
+                migrated=self.migrated,
+                seconds=self.ended_at - self.started_at,
+                setups_ms=self.setups_ms,
+                line_delays_ms=self.line_delays_ms,
+            )
+        )
+        reactor.stop()
