--- /dev/null
+++ b/tests/test_network_proxy.py
@@ -0,0 +1,122 @@
+"""Tests of the TCP proxy that injects faults between processes."""
+
+import contextlib
+import socket
+import threading
+import time
+
+import pytest
+
+from lotusroute.fault_injection.network_proxy import NetworkProxy
+
+TIMEOUT = 5.0  # s
+NOT_FORWARDED = 0.2  # s without data that count as blocked
+
+
+def _echo(listener):
+    with contextlib.suppress(OSError):
+        while True:
+            connection, _ = listener.accept()
+            threading.Thread(target=_echo_connection, args=(connection,), daemon=True).start()
+
+
+def _echo_connection(connection):
+    with contextlib.suppress(OSError), connection:
+        while data := connection.recv(1024):
+            connection.sendall(data)
+
+
+@pytest.fixture
+def proxy():
+    """Links between a and b, where b echoes."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        threading.Thread(target=_echo, args=(listener,), daemon=True).start()
+        proxy = NetworkProxy(["a", "b"], {"b": listener.getsockname()[1]})
+        yield proxy
+        proxy.close()
+
+
+@pytest.fixture
+def connection(proxy):
+    """A connection from a to b whose echo works."""
+    with socket.create_connection(("127.0.0.1", proxy.address("b", "a")), TIMEOUT) as connection:
+        exchange(connection, b"first")
+        yield connection
+
+
+def exchange(connection, data):
+    """Send data, wait for its echo, and return the seconds that took."""
+    started_at = time.monotonic()
+    connection.sendall(data)
+    received = b""
+    while len(received) < len(data):
+        received += connection.recv(1024)
+    assert received == data
+    return time.monotonic() - started_at
+
+
+@pytest.mark.parametrize("link", [("a", "b"), ("b", "a")])
+def test_what_is_sent_on_a_blocked_link_arrives_once_it_is_unblocked(proxy, connection, link):
+    proxy.block(link)
+    connection.sendall(b"late")
+    connection.settimeout(NOT_FORWARDED)
+    with pytest.raises(TimeoutError):
+        connection.recv(1024)
+    connection.settimeout(TIMEOUT)
+    proxy.unblock(link)
+    assert connection.recv(1024) == b"late"
+
+
+def test_partition_blocks_both_directions_and_unblock_frees_all(proxy):
+    proxy.partition(["a"], ["b"])
+    assert proxy.blocked == {("a", "b"), ("b", "a")}
+    proxy.unblock()
+    assert proxy.blocked == set()
+
+
+def test_a_connection_made_while_its_link_is_blocked_is_forwarded_later(proxy):
+    proxy.block(("a", "b"))
+    with socket.create_connection(("127.0.0.1", proxy.address("b", "a")), TIMEOUT) as connection:
+        proxy.unblock(("a", "b"))
+        exchange(connection, b"hello")
+
+
+@pytest.mark.parametrize("pair", [("a", "b"), ("b", "a"), ()])
+def test_reset_ends_the_connections_between_two_processes(proxy, connection, pair):
+    proxy.reset(*pair)
+    with pytest.raises(ConnectionResetError):
+        connection.recv(1024)
+
+
+def test_reset_spares_connections_of_other_pairs(proxy, connection):
+    proxy.reset("a", "c")
+    exchange(connection, b"alive")
+
+
+def test_reset_after_a_number_of_bytes_forwards_these_and_resets_once(proxy, connection):
+    proxy.reset_after["b", "a"] = 3
+    connection.sendall(b"abcdef")
+    received = b""
+    with pytest.raises(ConnectionResetError):
+        while True:
+            received += connection.recv(1024)
+    assert received in (b"", b"abc")  # a reset may discard what the receiver has not read
+    assert proxy.reset_after == {}
+
+
+def test_delay_holds_back_each_read(proxy, connection):
+    proxy.delays["a", "b"] = 0.2
+    assert exchange(connection, b"slow") >= 0.2
+
+
+def test_rate_throttles_a_link(proxy, connection):
+    proxy.rates["a", "b"] = 50.0
+    assert exchange(connection, b"0123456789") >= 10 / 50.0 - 0.05
+
+
+def test_a_connection_that_waits_for_a_blocked_link_can_be_reset(proxy, connection):
+    proxy.block(("a", "b"))
+    connection.sendall(b"never")
+    proxy.reset()
+    with pytest.raises(ConnectionResetError):
+        connection.recv(1024)
