--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -139,7 +139,7 @@
     events.Migrate: lambda a: f"relocate {a.id}",
     events.SetTimer: lambda a: f"remind {a.delay:.3f} {a.mark}",
     events.Subscribe: lambda a: "listen 1",
-    events.LogMessage: lambda a: f"remark {a.line}",
+    events.OutlierEjected: lambda a: f"remark set aside {a.server}",
 }
 
 
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -497,8 +497,8 @@
     def _wake_me(self, action: events.SetTimer) -> None:
         self._later(action.delay, events.TimerFired(action.mark))
 
-    def _say(self, action: events.LogMessage) -> None:
-        log_event(action.line)
+    def _log_ejection(self, action: events.OutlierEjected) -> None:
+        log_event("outlier ejected", server=action.server)
 
     def _nothing(self, action: events.Action) -> None:
         """Discovery watches by itself."""
@@ -607,6 +607,6 @@
         events.Abort: _abort,
         events.Migrate: _move,
         events.SetTimer: _wake_me,
-        events.LogMessage: _say,
+        events.OutlierEjected: _log_ejection,
         events.Subscribe: _nothing,
     }
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -535,7 +535,7 @@
         host.bad += weight * (1 - host.bad)
         if host.bad >= BAD and host.aside <= self.now:
             host.aside = self.now + ASIDE + self.chance.uniform(0.0, ASIDE / 2)
-            self.out.append(events.LogMessage(f"set aside {host.id}"))
+            self.out.append(events.OutlierEjected(host.id))
 
     def _load_noted(self, event: events.LoadReport) -> None:
         if (held := self.held.get(event.id)) is not None:
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -166,10 +166,10 @@
     """Ask the list service for changes from now on."""
 
 
-class LogMessage(NamedTuple):
-    """Leave a line for on-call staff."""
+class OutlierEjected(NamedTuple):
+    """A server that failed connects gets no flows for some seconds; for the log of on-call staff."""
 
-    line: str
+    server: str
 
 
 Event = (
@@ -183,4 +183,4 @@
     | LatencyReport
     | TimerFired
 )
-Action = Connect | Reject | Abort | Migrate | SetTimer | Subscribe | LogMessage
+Action = Connect | Reject | Abort | Migrate | SetTimer | Subscribe | OutlierEjected
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -87,7 +87,7 @@
     connect, seen = host.ask(), []
     while isinstance(connect, events.Connect):
         seen.append(connect.server)
-        actions = [a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.LogMessage)]
+        actions = [a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.OutlierEjected)]
         assert len(actions) == 1
         connect = actions[0]
     assert connect == events.Reject(1, 1000.0) and len(set(seen)) == len(seen) == 4
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -414,7 +414,7 @@
         (events.Migrate(7), "relocate 7"),
         (events.SetTimer(1.5, "m"), "remind 1.500 m"),
         (events.Subscribe(), "listen 1"),
-        (events.LogMessage("a line"), "remark a line"),
+        (events.OutlierEjected("s:80"), "remark set aside s:80"),
     ],
 )
 def test_each_action_is_written_as_this_line(action, line):
