--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -435,7 +435,7 @@
             if not held.up or held.link is None:
                 continue
             waited = held.link.waited(now)
-            if waited >= self.director.slow:
+            if waited >= self.director.slow_latency_threshold:
                 self.delays.setdefault(held.link.server, []).append(waited)
             if held.link.silent(now) >= SILENT:
                 silent.append(held)
@@ -443,7 +443,7 @@
                 quiet.append(held)
         for server, delays in self.delays.items():
             delay = median(delays)
-            if delay >= self.director.slow:
+            if delay >= self.director.slow_latency_threshold:
                 self.slow.add(server)
             elif server in self.slow:
                 self.slow.discard(server)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -55,7 +55,9 @@
     def default(self, key):
         """The server that all balancers take for a key's segment."""
         director = self.director
-        return director._order(director._segment(events.Flow(0, "live", None, None, key, 0.0)))[0].id
+        return director._preference_order(director._segment_of(events.Flow(0, "live", None, None, key, 0.0)))[
+            0
+        ].id
 
     def open(self, key="k", **more):
         connect = self.ask(key, **more)
