--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -183,4 +183,6 @@
     | LatencyReport
     | TimerFired
 )
+# Events that concern an unfinished flow, by its id
+FlowEvent = Established | ConnectionEnded | ClientDisconnected | LoadReport
 Action = Connect | Reject | Abort | Migrate | SetTimer | Subscribe | OutlierEjected
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -16,7 +16,7 @@
 import threading
 import time
 
-from lotusroute.routing import events
+from lotusroute.routing import events, segments
 from lotusroute.routing.director import Director
 
 VIP = events.ServiceConfig(
@@ -54,10 +54,9 @@
 
     def default(self, key):
         """The server that all balancers take for a key's segment."""
-        director = self.director
-        return director._preference_order(director._segment_of(events.Flow(0, "live", None, None, key, 0.0)))[
-            0
-        ].id
+        state = self.director.state
+        segment = segments.segment_of(state, events.Flow(0, "live", None, None, key, 0.0))
+        return segments.preference_order(state, segment)[0].id
 
     def open(self, key="k", **more):
         connect = self.ask(key, **more)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -6,7 +6,7 @@
 import pytest
 from harness import VIP, FakeHost, of
 
-from lotusroute.routing import events
+from lotusroute.routing import events, migration, segments, slow_start
 
 KEYS = [f"key-{at}" for at in range(200)]
 
@@ -101,7 +101,7 @@
     connect = host.ask()
     host.now += 1800.0
     assert of(events.Connect, host.end(connect, events.TIMEOUT)) == []
-    assert host.director.flows == {}
+    assert host.director.state.flows == {}
 
 
 def test_once_only_is_not_sent_twice_unless_it_never_ran():
@@ -119,7 +119,7 @@
         assert host.end(second, events.RESET)[-1] == events.Abort(1)
     host = FakeHost(service_types=kind(events.IDEMPOTENCY_KEY))
     first = host.ask()
-    host.director.flows[1].request = host.director.flows[1].request._replace(deadline=9000.0)
+    host.director.state.flows[1].request = host.director.state.flows[1].request._replace(deadline=9000.0)
     host.now = 5000.0
     assert host.end(first, events.RESET) == [events.Reject(1, 1000.0)]
 
@@ -161,9 +161,9 @@
 def test_spilling_is_shallower_while_the_fleet_is_jammed():
     # i44d241, i60ba31: with every server jammed, spilled groups jammed the next ones.
     host = FakeHost(8, reports_latency=True)
-    for server in list(host.director.servers.values())[:7]:
+    for server in list(host.director.state.servers.values())[:7]:
         server.deprioritized_until = 90_000.0
-        host.director.recently_overloaded[server.id] = server
+        host.director.state.recently_overloaded[server.id] = server
     host.wait(1000.0)
     for _ in range(2):
         host.tell(events.LatencyReport(host.ask().server, 500.0))
@@ -217,8 +217,8 @@
     dead = host.ask().server
     host.end(events.Connect(1, dead), events.UNREACHABLE)
     host.list(events.Server(dead, started=1.0))
-    known = host.director.servers[dead]
-    assert known.ejected_until == 0.0 and host.director._warming_up(known)
+    known = host.director.state.servers[dead]
+    assert known.ejected_until == 0.0 and slow_start.warming_up(host.director.state, known)
 
 
 def test_a_broken_subscription_is_renewed_with_back_off():
@@ -235,14 +235,14 @@
     host = FakeHost()
     host.tell(events.ExistingConnection(events.Flow(900, "live", "t", None, "k", 0.0), "s1"))
     connects = [host.open(key) for key in KEYS]
-    assert 900 in host.director.servers["s1"].connections
+    assert 900 in host.director.state.servers["s1"].connections
     host.tell(events.ConnectionEnded(900, "s1", True, events.OK))
     for connect in connects[:100]:
         host.end(connect, events.OK, True)
     for connect in connects[100:]:
         host.tell(events.ClientDisconnected(connect.id))
-    assert not host.director.flows and not host.director.flows_per_segment
-    assert not any(h.connections for h in host.director.servers.values())
+    assert not host.director.state.flows and not host.director.state.flow_counts
+    assert not any(h.connections for h in host.director.state.servers.values())
 
 
 def test_returning_clients_pass_by_a_server_of_which_nothing_is_known():
@@ -304,7 +304,8 @@
             host.list(events.Server("s1", state=events.DRAINING))
             host.open(key)
             host.list(events.Server("s1", started=host.now + 1.0))
-            host.director.decayed_arrivals, host.director.decayed_arrivals_at = 1.0 + crowd, 1_000.0
+            recent = host.director.state.recent_arrivals
+            recent.value, recent.updated_at = 1.0 + crowd, 1_000.0
         moves[crowd] = sum(len(of(events.Migrate, host.wait(4_000.0))) for host in fleet)
     assert 0 < 3 * moves[40] < moves[0]
 
@@ -313,10 +314,11 @@
     # i781c5a: ranking 185 servers for each segment after each list took five times the CPU allowed.
     host, dice = FakeHost(0), random.Random(5)
     host.list(*(events.Server(f"s{at}", size=dice.choice((0.7, 1.0, 2.0))) for at in range(90)))
-    fleet, quick = host.director, [host.director._preference_order(segment) for segment in range(200)]
+    fleet = host.director.state
+    quick = [segments.preference_order(fleet, segment) for segment in range(200)]
     fleet.preference_orders.clear()
     fleet.total_size = 1e-9  # no server is left out now
-    assert quick == [fleet._preference_order(segment) for segment in range(200)]
+    assert quick == [segments.preference_order(fleet, segment) for segment in range(200)]
     assert all(len(set(map(id, order))) == 8 for order in quick)
 
 
@@ -325,7 +327,7 @@
     moved = 0
     for at in range(40):
         host = FakeHost(2)
-        host.director.rng.seed(at)
+        host.director.state.rng.seed(at)
         host.tell(events.LatencyReport(host.open().server, 500.0))
         moved += len(of(events.Migrate, host.wait(2000.0)))
     assert 12 <= moved <= 28
@@ -396,12 +398,14 @@
     host.now += 30_000.0
     for key in KEYS:  # a crowd slows all alike; the first two of it may look like overdriven servers
         open_in(lambda server: 200.0, key)
-        assert sum(known.overloaded_until > host.now for known in host.director.servers.values()) <= 2
+        assert sum(known.overloaded_until > host.now for known in host.director.state.servers.values()) <= 2
     for ms in (20.0, 20.0, 80.0):  # all but one are slow: their median told nothing of them
         host.now += 30_000.0
         for key in KEYS[:60]:
             open_in(lambda server, ms=ms: 20.0 if server == slow else ms, key)
-    assert [known.deprioritized_until > host.now for known in host.director.servers.values()].count(True) == 3
+    assert [known.deprioritized_until > host.now for known in host.director.state.servers.values()].count(
+        True
+    ) == 3
 
 
 def test_on_sockets_the_largest_group_leaves_a_hot_server_whole_and_goes_to_the_idlest():
@@ -523,8 +527,8 @@
     for _ in range(3):
         set_ups(host, lambda _: 1.0, 300, gap=2.0)
         host.wait(1000.0)
-    for server in host.director.servers.values():
-        host.director._start_recovery(server)
+    for server in host.director.state.servers.values():
+        slow_start.start_recovery(host.director.state, server)
     answers = set_ups(host, lambda _: 1.0, 300, gap=2.0)
     assert 50 <= answers[events.Connect] <= 290
     # 12 s of pacing outlasted a trouble over which hundreds of set-ups in time had passed.
@@ -535,7 +539,7 @@
     # Four of eight dead: flows whose four they were got BUSY beside four idle servers.
     host = FakeHost(8)
     for server in ("s0", "s1", "s2", "s3"):
-        host.director.servers[server].overloaded_until = host.now + 1e6
+        host.director.state.servers[server].overloaded_until = host.now + 1e6
     assert set_ups(host, lambda _: 1.0, 200) == {events.Connect: 200}
 
 
@@ -569,7 +573,7 @@
     moved = Counter()
     for at in range(200):
         host = FakeHost(2, reports_latency=True, latency_objective=60.0)
-        host.director.rng.seed(at)
+        host.director.state.rng.seed(at)
         delay = (65.0, 600.0)[at % 2]
         host.tell(events.LatencyReport(host.open().server, delay))
         moved[delay] += len(of(events.Migrate, host.wait(2000.0)))
@@ -591,7 +595,8 @@
         host = FakeHost(0, instance_count=94, instance_index=me, reports_latency=True)
         host.now = 20_000.0
         host.list(*(events.Server(f"s{at}", size=3.0) for at in range(3)), scope=events.COMPLETE)
-        host.director.first_arrival_rate = host.director.arrival_rate = 0.35
+        state = host.director.state
+        state.first_arrivals.mean = state.arrivals.mean = 0.35
         host.list(events.Server("cold", size=size, started=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default(key) == "cold")
@@ -613,19 +618,21 @@
     for key in [key for key in KEYS if host.default(key) != "cold"][:5]:
         host.open(key)
     host.list(events.Server("cold", started=1.0))
-    cold = host.director.servers["cold"]
-    spots = host.director.recent_replicas
+    cold = host.director.state.servers["cold"]
+    spots = host.director.state.recent_replicas
     spots.clear()
-    away = [n for n in range(1024) if host.director._warming_up_target(n, 0) is not cold]
-    home = [n for n in range(1024) if host.director._warming_up_target(n, 0) is cold]
+    away = [n for n in range(1024) if slow_start.warming_up_target(host.director.state, n, 0) is not cold]
+    home = [n for n in range(1024) if slow_start.warming_up_target(host.director.state, n, 0) is cold]
     spots.extend((n, 0) for n in away[:3] + home[:1])
-    assert host.director._even_share_factor(cold) == pytest.approx(4 / 49)  # one of the four that it knows of
+    assert slow_start.even_share_factor(host.director.state, cold) == pytest.approx(
+        4 / 49
+    )  # one of the four that it knows of
     spots.extend((n, 0) for n in away[:59])
-    assert host.director._even_share_factor(cold) == pytest.approx(
+    assert slow_start.even_share_factor(host.director.state, cold) == pytest.approx(
         63 / 49
     )  # one of 63: less than its even share
     spots.extend((n, 0) for n in home[:8])
-    assert host.director._even_share_factor(cold) == pytest.approx(64 / 8 / 49)
+    assert slow_start.even_share_factor(host.director.state, cold) == pytest.approx(64 / 8 / 49)
 
 
 def test_an_accepted_connect_is_waited_for_where_no_server_says_that_it_is_slow():
@@ -694,7 +701,7 @@
     for at in sorted(42_000.0 + draw.random() * 1_200.0 for _ in range(400)):
         host = draw.choice(hosts)
         host.now = at
-        host.director.servers[f"s{draw.randrange(59)}"].recovering_until = at + 5_000.0
+        host.director.state.servers[f"s{draw.randrange(59)}"].recovering_until = at + 5_000.0
         actions = [host.ask(str(at), group=group(), reconnecting=True)]
         if isinstance(actions[0], events.Connect) and draw.random() < 0.1:
             came += actions[0].server == "cold"
@@ -769,7 +776,7 @@
         for n in range(20):
             host.end(host.open(f"c{n}", group=f"g{draw.randrange(groups)}"), events.OK, final=True)
         found = [
-            host.director._register_flow(events.Flow(-n, "live", None, f"g{n}", f"c{n}", 0.0))
+            segments.register(host.director.state, events.Flow(-n, "live", None, f"g{n}", f"c{n}", 0.0))
             for n in range(groups)
         ]
         return sum(held.replica > 0 for held in found) / groups
@@ -777,12 +784,13 @@
     assert places(500) < 0.1 and places(20) > 0.2
 
 
-def test_where_servers_tell_none_is_looked_for_when_connections_leave():
+def test_where_servers_tell_none_is_looked_for_when_connections_leave(monkeypatch):
     # ica69c5: a list of 251 servers was made for each of 2,000 moves a second, the day was cut off.
     host = FakeHost(50, reports_latency=True, latency_objective=60.0, slow_start_duration=0.0)
     server = host.open().server
     host.tell(events.LatencyReport(server, 900.0))
     asked = []
-    host.director._warming_up = lambda known: asked.append(known) or False
-    host.director._migrate_from_overloaded(host.director.servers[server])
+    for module in migration, slow_start:
+        monkeypatch.setattr(module, "warming_up", lambda state, known: asked.append(known) or False)
+    migration.migrate_from(host.director.state, host.director.state.servers[server])
     assert asked == []
