--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -94,7 +94,7 @@
             server = state.add_server(endpoint, segments.hash_text(endpoint.id))
             if state.lacks_latency_reports and state.ticks <= 1:
                 # On sockets those of the first list are not new: one stood idle beside 29 connections.
-                server.listed_at -= segments.NEW_SERVER_PERIOD
+                server.first_seen_at -= segments.NEW_SERVER_PERIOD
         elif endpoint.started != server.started_at:
             server.restart(endpoint.started, state.now)
         server.update(endpoint)
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -18,12 +18,12 @@
     for server in state.recently_overloaded.values():
         overloaded = max(server.overloaded_until, server.confirmed_slow_until) > state.now
         if overloaded and server.connections and state.now >= server.migrated_at + MIGRATION_INTERVAL:
-            migrate_from(state, server)
+            migrate_from_overloaded(state, server)
     if state.lacks_latency_reports:
         _migrate_to_defaults(state)
 
 
-def migrate_from(state: RoutingState, server: ServerState) -> None:
+def migrate_from_overloaded(state: RoutingState, server: ServerState) -> None:
     """Migrate some connections away, the heaviest first; without latency reports the largest groups."""
     server.migrated_at = state.now
     flows = [flow for flow in server.connections.values() if flow.established]
--- a/lotusroute/routing/outlier_detection.py
+++ b/lotusroute/routing/outlier_detection.py
@@ -89,18 +89,17 @@
 
 def record_setup(state: RoutingState, server: ServerState, flow: FlowState) -> None:
     """Take in a set-up; without latency reports, slow ones are signs of overload if they are not chance."""
-    now = state.now
-    took = now - flow.attempted_at
+    took = state.now - flow.attempted_at
     server.failure_score *= SUCCESS_FACTOR
     fleet = state.fleet_setup_time or _mean(took, FLEET_SETUP_WEIGHT, FLEET_SETUP_WEIGHT + 1)
     fleet_time = fleet.value
-    fleet.add(now, took)
+    fleet.add(state.now, took)
     mean = server.setup_time or _mean(fleet_time, SERVER_SETUP_WEIGHT)
     recent = server.recent_setup_time or _mean(fleet_time, SERVER_SETUP_WEIGHT, RECENT_SETUPS_WEIGHT)
     deviation = abs(math.log(max(took, MIN_SETUP_TIME) / max(recent.value, MIN_SETUP_TIME)))
     state.setup_deviation += SETUP_DEVIATION_GAIN * (min(1.0, deviation) - state.setup_deviation)
-    mean.add(now, took)
-    recent.add(now, took)
+    mean.add(state.now, took)
+    recent.add(state.now, took)
     state.fleet_setup_time = fleet
     server.setup_time = mean
     server.recent_setup_time = recent
@@ -117,9 +116,9 @@
     server.setup_delay += slow - least
     if server.setup_delay >= SIGNIFICANT_DELAY_FRACTION * state.min_setup_target:
         error = math.sqrt(1 / mean.weight + 1 / reference.weight)
-        chance_ratio = math.exp(SIGNIFICANT_DEVIATIONS * state.setup_deviation * error)
+        noise = math.exp(SIGNIFICANT_DEVIATIONS * state.setup_deviation * error)
         _record_slow_sign(state, server, flow)
-        _confirm_slow(state, server, mean.value, least, chance_ratio)
+        _confirm_slow(state, server, mean.value, least, noise)
 
 
 def _mean(value: float, min_weight: float, max_weight: float = math.inf) -> DecayingMean:
@@ -143,12 +142,12 @@
     state.recently_overloaded[server.id] = server
 
 
-def _confirm_slow(state: RoutingState, server: ServerState, mean: float, least: float, chance: float) -> None:
+def _confirm_slow(state: RoutingState, server: ServerState, mean: float, least: float, noise: float) -> None:
     """Migrate from a server that is slow for sure; on a second sign, of a later connect, reject flows too."""
     min_delay = SIGNIFICANT_DELAY_FRACTION * state.min_setup_target
     if mean <= max(least * SLOW_SETUP_RATIO, least + min_delay):
         return
-    significant = mean > least * max(SLOW_SETUP_RATIO, chance)
+    significant = mean > least * max(SLOW_SETUP_RATIO, noise)
     if significant or server.slow_signs > 1:
         server.confirmed_slow_until = server.deprioritized_until
     if significant and server.slow_signs > 1:
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -92,7 +92,7 @@
 
 def rebalance(state: RoutingState) -> None:
     """Reassign one replica from the busiest server to the idlest if usage is uneven."""
-    known = [s for s in state.ready if max(s.ejected_until, s.listed_at + NEW_SERVER_PERIOD) <= state.now]
+    known = [s for s in state.ready if max(s.ejected_until, s.first_seen_at + NEW_SERVER_PERIOD) <= state.now]
     if not known:
         return
     busiest = max(known, key=lambda s: (s.usage, s.id))
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -95,7 +95,7 @@
     id: str
     hash: int
     started_at: float
-    listed_at: float  # since when it counts as new; may lie in the past
+    first_seen_at: float  # as this process; the director may set it back, so that it does not count as new
     zone: str = ""
     cell: int = 0
     state: str = events.REMOVED  # until its line of the list is read
@@ -122,7 +122,7 @@
 
     def __post_init__(self) -> None:
         """Count the own quota from the first sight of the server."""
-        self.last_quota_at = self.listed_at
+        self.last_quota_at = self.first_seen_at
 
     @property
     def usage(self) -> float:
@@ -143,7 +143,7 @@
     def restart(self, started_at: float, now: float) -> None:
         """Take the server as a new process: findings about the old one return to their initial values."""
         self.started_at = started_at
-        self.listed_at = now
+        self.first_seen_at = now
         self.failure_score = 0.0
         self.ejected_until = 0.0
         self.overloaded_until = 0.0
@@ -274,10 +274,10 @@
         self.servers[endpoint.id] = server
         return server
 
-    def mark_unlisted(self, listed: set[str]) -> None:
+    def mark_unlisted(self, server_ids: set[str]) -> None:
         """Mark the servers that a complete endpoint list does not hold as removed."""
         for server in self.servers.values():
-            if server.id not in listed:
+            if server.id not in server_ids:
                 server.state = events.REMOVED
 
     def refresh_ready(self) -> bool:
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -792,5 +792,5 @@
     asked = []
     for module in migration, slow_start:
         monkeypatch.setattr(module, "warming_up", lambda state, known: asked.append(known) or False)
-    migration.migrate_from(host.director.state, host.director.state.servers[server])
+    migration.migrate_from_overloaded(host.director.state, host.director.state.servers[server])
     assert asked == []
