--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,4 +1,4 @@
-"""What the decision module takes in and gives out, in the words of this project.
+"""Events and actions: what a director takes in from its host, and what it asks the host to do.
 
 Times are milliseconds with fractions on the host's clock; ids are whatever the host uses for them.
 """
@@ -38,7 +38,7 @@
     groups_share_work: bool = False  # connections of one group share work on a server
     trusts_weights: bool = True  # listed sizes stay the same between lists
     reports_latency: bool = False  # servers say when their messages are slow
-    latency_objective: float = 0.0  # ms, the least within which a service type wants its messages; 0 untold
+    latency_objective: float = 0.0  # ms, the least within which a service type wants its messages; 0 if unknown
     polls_discovery: bool = False  # the server list comes only when asked for
     poll_interval: float = 10_000.0
     max_attempts: int = 1
@@ -60,14 +60,14 @@
 
 
 class EndpointList(NamedTuple):
-    """The list service has spoken; `scope` says how much of the list this is."""
+    """An answer of discovery; `scope` says how much of the endpoint list it holds, or that it was refused."""
 
     scope: str
     servers: tuple[Server, ...] = ()
 
 
 class Flow(NamedTuple):
-    """A client asks for a connection and waits until `due`."""
+    """A client asks for a connection and waits until `deadline`."""
 
     id: int
     service_type: str
@@ -123,7 +123,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A wake-up asked for earlier."""
+    """A timer set by an earlier `SetTimer` has expired."""
 
     mark: str
 
@@ -137,7 +137,7 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: a further try is harmless, best after `retry_after`."""
+    """Final answer: a retry is safe, best after `retry_after` ms."""
 
     id: int
     retry_after: float = 0.0
@@ -163,7 +163,7 @@
 
 
 class Subscribe(NamedTuple):
-    """Ask the list service for changes from now on."""
+    """Ask discovery for changes from now on."""
 
 
 class OutlierEjected(NamedTuple):
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -60,7 +60,7 @@
 def _candidates(state: RoutingState, flow: FlowState) -> Iterator[ServerState]:
     """Yield servers in order of preference, as far as the segment spills.
 
-    Of those that warm up, which count as no step, one is yielded: the assigned or, without reports, the first.
+    Of those that warm up, which are no step, one is yielded: the assigned or, without reports, the first.
     """
     server_of = default_server if flow.request.mid_flow else assigned_server
     assigned = server_of(state, flow.segment, flow.replica)
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -127,13 +127,11 @@
     away = [n for n in range(1024) if slow_start.warming_up_target(state, n, 0) is not new_server]
     home = [n for n in range(1024) if slow_start.warming_up_target(state, n, 0) is new_server]
     recent.extend((n, 0) for n in away[:3] + home[:1])
-    assert slow_start.even_share_factor(state, new_server) == pytest.approx(
-        4 / 49
-    )  # one of the four that it knows of
+    # One of the four that it knows of.
+    assert slow_start.even_share_factor(state, new_server) == pytest.approx(4 / 49)
     recent.extend((n, 0) for n in away[:59])
-    assert slow_start.even_share_factor(state, new_server) == pytest.approx(
-        63 / 49
-    )  # one of 63: less than its even share
+    # One of 63: less than its even share.
+    assert slow_start.even_share_factor(state, new_server) == pytest.approx(63 / 49)
     recent.extend((n, 0) for n in home[:8])
     assert slow_start.even_share_factor(state, new_server) == pytest.approx(64 / 8 / 49)
 
