--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -38,7 +38,7 @@
     groups_share_work: bool = False  # connections of one group share work on a server
     trusts_weights: bool = True  # listed sizes stay the same between lists
     reports_latency: bool = False  # servers say when their messages are slow
-    latency_objective: float = 0.0  # ms, the least within which a service type wants its messages; 0 if unknown
+    latency_objective: float = 0.0  # ms, the least that a service type wants; 0 if unknown
     polls_discovery: bool = False  # the server list comes only when asked for
     poll_interval: float = 10_000.0
     max_attempts: int = 1
