--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -444,7 +444,7 @@
             if not held.up or held.link is None:
                 continue
             waited = held.link.oldest_wait(now)
-            if waited >= self.director.slow:
+            if waited >= self.director.slow_latency_threshold:
                 self.delays.setdefault(held.link.server, []).append(waited)
             if held.link.server_silence(now) >= SILENT:
                 silent.append(held)
@@ -452,7 +452,7 @@
                 quiet.append(held)
         for server, delays in self.delays.items():
             delay = median(delays)
-            if delay >= self.director.slow:
+            if delay >= self.director.slow_latency_threshold:
                 self.slow.add(server)
             elif server in self.slow:
                 self.slow.discard(server)
@@ -506,8 +506,8 @@
     def _wake_me(self, action: events.SetTimer) -> None:
         self._later(action.delay, events.TimerFired(action.mark))
 
-    def _say(self, action: events.LogMessage) -> None:
-        log_event(action.line)
+    def _log_ejection(self, action: events.OutlierEjected) -> None:
+        log_event("outlier ejected", server=action.server)
 
     def _nothing(self, action: events.Action) -> None:
         """Discovery watches by itself."""
@@ -616,6 +616,6 @@
         events.Abort: _abort,
         events.Migrate: _move,
         events.SetTimer: _wake_me,
-        events.LogMessage: _say,
+        events.OutlierEjected: _log_ejection,
         events.Subscribe: _nothing,
     }
