--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -11,6 +11,7 @@
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.transport import BODY, CallFailed
 from lotusroute.net.discovery import HOLD
+from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"
@@ -48,7 +49,7 @@
 
     # What Discovery asks and tells
 
-    async def turn(self, discovery) -> None:
+    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
         while not (self.fence or self._behind() or discovery.closed):
             left = self.heard_at + STALE - self.part.clock()
@@ -65,7 +66,7 @@
         """How long ago a holder's word was last taken, in s: so old is the list at most."""
         return (self.part.clock() - self.heard_at) / 1000
 
-    def answered(self, told: dict, since: int | None) -> None:
+    def on_response(self, told: dict, since: int | None) -> None:
         """Discovery has answered this balancer; a holder hands it on."""
         self.answered_at = self.part.clock()
         if self.part.fence(TASK, LONGEST) and (told["hosts"] or told["whole"]):
@@ -73,7 +74,7 @@
             word.whole, word.hosts = told["whole"], told["hosts"]
             self._tell(word)
 
-    def failed(self) -> None:
+    def on_failure(self) -> None:
         """Discovery has not: a holder says nothing until it does, and the others call for themselves."""
         self.answered_at = -1e12
 
@@ -129,7 +130,7 @@
         self.highest, self.heard_at, self.said = word.fence, self.part.clock(), word.seq
         if word.hosts is not None:
             told = {"seq": word.seq, "whole": word.whole, "hosts": word.hosts}
-            self.counters["shared_discovery_applied"] += self.discovery.handed(
+            self.counters["shared_discovery_applied"] += self.discovery.apply_shared_update(
                 told, None if word.since < 0 else word.since
             )
         if self._behind():
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -19,6 +19,7 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net.config import parse_address
+from lotusroute.net.discovery_source import UpdateSource
 from lotusroute.net.structured_log import log_event
 from lotusroute.routing import events
 from lotusroute.service_config import look_up, parse_number
@@ -153,7 +154,8 @@
         self.heard = None  # called once, after the first call, whatever it brought
         self.seq = seq  # of the list that is held; None: the whole list is needed
         self.waiting: defer.Deferred | None = None  # the call or the pause in hand
-        self.watch = None  # who else calls, where balancers share what they hear; asked before each call
+        # Who else calls, where balancers share what they hear; asked before each call.
+        self.watch: UpdateSource | None = None
         self.closed = False
 
     def close(self) -> None:
@@ -174,7 +176,7 @@
         pause, refusals = 0.0, 0
         while not self.closed:
             if self.watch is not None:
-                await self.watch.turn(self)
+                await self.watch.wait_for_turn(self)
                 if self.closed:
                     return
                 self.as_of = max(self.as_of, reactor.seconds() - self.watch.age())
@@ -195,7 +197,7 @@
                 continue
             self.counters["discovery_failures"] += 1
             if self.watch is not None:
-                self.watch.failed()
+                self.watch.on_failure()
             if not pause:
                 log_event("discovery failed", reached=news.reached, why=news.why)
             if news.reached == REFUSAL:
@@ -207,7 +209,7 @@
             with contextlib.suppress(defer.CancelledError):
                 await self.waiting
 
-    def _left(self) -> float:
+    def remaining(self) -> float:
         """What is left, in s, until the next whole answer has to be in."""
         return self.as_of + self.within - reactor.seconds()
 
@@ -216,7 +218,7 @@
         time takes it, and the call after the pause has to stand in line within what is left."""
         if self.pushed:
             return self.longest
-        left, whole = self._left(), self.within - self.line
+        left, whole = self.remaining(), self.within - self.line
         if left - self.line >= REFUSED or first and left > 0:
             return max(min(whole / 2, left - self.line), min(REFUSED, left))
         return whole  # late whatever comes, and the oftener all call the fewer are served
@@ -230,13 +232,13 @@
             # discovery is back, and what it has got meanwhile counts as told. Else the watch leaves room
             # for what may come of it: it is noticed too late, the next call is refused, its next one waits.
             # Not where calls stand in line: shorter watches were more calls, and the line stayed for good.
-            room = self._left() - wait - FAILED[0] - self.line
+            room = self.remaining() - wait - FAILED[0] - self.line
             room -= 0.0 if self.pushed or self.stands else REFUSED
             hold = 0.0 if self.silent else max(0.0, min(self.most_hold / 1000, room))
             url, wait = f"{url}?from={self.seq}&hold_ms={int(1000 * hold)}", wait + hold
         reached = CALL
         self.counters["discovery_requests"] += 1
-        self._time(wait, max(SLACK, self._left() - wait - self.patience))
+        self._time(wait, max(SLACK, self.remaining() - wait - self.patience))
         try:
             self.waiting = self.agent.request(b"GET", url.encode())
             answer = await self.waiting
@@ -257,7 +259,7 @@
             self.as_of = min(now, begun + wait)
             self.stands = now - begun - (0.0 if news.servers else hold) > self.prompt / 2
             if self.watch is not None:
-                self.watch.answered(told, since)
+                self.watch.on_response(told, since)
             return news
         except UNREADABLE as fault:
             self.seq = None
@@ -290,7 +292,7 @@
         self.seq = seq
         return news
 
-    def handed(self, told: dict, since: int | None) -> bool:
+    def apply_shared_update(self, told: dict, since: int | None) -> bool:
         """Take what another balancer heard from the same discovery, checked like discovery's own; false where
         it is no list, is older than ours, or is changes to another than ours. We then call by ourselves."""
         try:
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -13,6 +13,7 @@
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.transport import CallFailed
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import Drop, FanOut, Send
@@ -193,20 +194,20 @@
 
     # What Discovery asks and tells
 
-    async def turn(self, discovery) -> None:
+    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
         """The origin always calls."""
 
     def age(self) -> float:
         """Nobody tells the origin but discovery."""
         return math.inf
 
-    def failed(self) -> None:
+    def on_failure(self) -> None:
         """Discovery is away: what is held grows old, and subscribers see that."""
 
     def wake(self) -> None:
         """Nobody waits."""
 
-    def answered(self, told: dict, since: int | None) -> None:
+    def on_response(self, told: dict, since: int | None) -> None:
         """Discovery has answered: publish, under the lease."""
         if not self.part.fence(TASK, SEND):
             return
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -21,6 +21,7 @@
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.net.config import parse_address
 from lotusroute.net.discovery import LINE, REFUSED
+from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.relay_selector import Join, Quit, RelaySelector
@@ -165,9 +166,11 @@
             self.counters["updates_of_other_discovery"] += 1
             return
         changed = getattr(news, "changed", None)
-        if changed is not None and self.discovery.handed(endpoint_items.answer(self.store, changed), seq):
+        if changed is not None and self.discovery.apply_shared_update(
+            endpoint_items.answer(self.store, changed), seq
+        ):
             return
-        if not self.discovery.handed(endpoint_items.answer(self.store, None), None):
+        if not self.discovery.apply_shared_update(endpoint_items.answer(self.store, None), None):
             self.counters["updates_not_applied_locally"] += 1
 
     def _same(self, discovery) -> bool:
@@ -176,7 +179,7 @@
 
     # What Discovery asks and tells
 
-    async def turn(self, discovery) -> None:
+    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
         while not discovery.closed and not self.calling:
             now = self.clock()
@@ -187,11 +190,11 @@
                 return
             if self.follower.fresh(now) or now < self.began + 1000 * FIRST:
                 if discovery.seq is None and self._same(discovery):
-                    discovery.handed(endpoint_items.answer(self.store, None), None)
+                    discovery.apply_shared_update(endpoint_items.answer(self.store, None), None)
                 await self._wait(TICK)
                 continue
             # All that lost their relays at once come one by one, as far as the time for news allows.
-            room = max(0.0, min(REFUSED, discovery._left() - LINE))
+            room = max(0.0, min(REFUSED, discovery.remaining() - LINE))
             await self._wait(room * self.chance.random())
             if not self.follower.fresh(self.clock()):
                 self.calling = True
@@ -215,10 +218,10 @@
             return math.inf
         return (self.clock() - self.follower.fresh_at) / 1000
 
-    def answered(self, told: dict, since: int | None) -> None:
+    def on_response(self, told: dict, since: int | None) -> None:
         """Discovery has answered this balancer: by itself it goes on until a relay is fresh."""
 
-    def failed(self) -> None:
+    def on_failure(self) -> None:
         """Nor did it."""
 
     def wake(self) -> None:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -208,7 +208,7 @@
     def __init__(self):
         self.taken = []
 
-    def handed(self, *told):
+    def apply_shared_update(self, *told):
         self.taken.append(told)
         return True
 
@@ -223,7 +223,7 @@
 def test_the_holder_of_the_watch_sends_these_bytes_and_another_reads_them(told, since, body, tmp_path):
     holder = _watch(tmp_path)
     holder.fence, holder.part.fence = 7, lambda *_: 7
-    holder.answered(told, since)
+    holder.on_response(told, since)
     assert holder.part.link.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
     holder._beat(7)
     assert holder.part.link.taken() == [("call", at, "watch", BEAT) for at in ("a", "b", "c")]
@@ -258,7 +258,7 @@
     part = _part("a", state)
     relay = RelayServer(part, ("10.0.0.9", 8500), Counter())
     relay.fence, part.fence = 3, lambda *_: 3
-    relay.answered({"seq": 4, "whole": True, "hosts": HOSTS}, None)
+    relay.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     part.clock = lambda: NOW + 250.0
     return relay
 
@@ -273,7 +273,7 @@
     link.answers[-1].callback(b"\x92\x03\x01")
     assert relay.fan.followers["n1"].version == (3, 1)
     part.clock = lambda: NOW
-    relay.answered({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
+    relay.on_response({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
     part.clock = lambda: NOW + 250.0
     relay._act(relay.fan.tick(part.clock() + 1000.0, relay.old()))
     assert link.taken() == [("back", "n1", "news", DELTA)]
