--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -18,7 +18,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from lotusroute.leases.acceptor import NUMBERS, Acceptor
+from lotusroute.leases.acceptor import BALLOT_LIMIT, Acceptor
 from lotusroute.leases.messages import (
     LeaseAcquired,
     LeaseReleased,
@@ -47,10 +47,10 @@
     """All there is at one moment; the same value is the same state."""
 
     now: int  # steps of real time
-    keepers: tuple  # (kept, open_from, floor) each
-    askers: tuple  # (name, claim, looked, round) each
+    acceptors: tuple  # (kept, open_from, floor) each
+    proposers: tuple  # (name, claim, looked, round) each
     flight: tuple  # (to, from, words), the oldest first
-    fence: int  # the highest under which somebody held
+    fencing_token: int  # the highest under which somebody held
     holder: str  # who that was
     doubles: int  # messages that may still be doubled
     crashes: int  # processes that may still crash
@@ -65,21 +65,23 @@
 
     def __init__(
         self,
-        askers: int = 2,
-        keepers: int = 3,
+        proposers: int = 2,
+        acceptors: int = 3,
         doubles: int = 1,
         crashes: int = 1,
         drift: float = DRIFT,
         known_drift: float = DRIFT,
     ) -> None:
-        names = tuple(f"k{n}" for n in range(keepers))
+        names = tuple(f"k{n}" for n in range(acceptors))
         # As on a fleet, less the figures that would only make more steps.
-        self.terms = LeaseTerms(names, drift=known_drift, margin=0.0, patience=2 * STEP, stall=8 * STEP)
+        self.terms = LeaseTerms(
+            names, drift=known_drift, margin=0.0, request_timeout=2 * STEP, stall_threshold=8 * STEP
+        )
         self.fast, self.slow = 1 + drift, 1 - drift
         self.first = World(
             0,
             tuple(((), -1.0, 0) for _ in names),
-            tuple((f"a{n}.0", ProposerState(wants=True), 0.0, 0) for n in range(askers)),
+            tuple((f"a{n}.0", ProposerState(requested=True), 0.0, 0) for n in range(proposers)),
             (),
             0,
             "",
@@ -89,38 +91,45 @@
 
     # Machines out of a world, and back
 
-    def _keeper(self, world: World, at: int) -> Acceptor:
-        kept, open_from, floor = world.keepers[at]
-        keeper = Acceptor(self.terms, 0.0, floor)
-        keeper.open_from, keeper.floor, keeper.under, keeper.kept = open_from, floor, NUMBERS, dict(kept)
-        return keeper
+    def _acceptor(self, world: World, at: int) -> Acceptor:
+        states, serving_from, ballot_floor = world.acceptors[at]
+        acceptor = Acceptor(self.terms, 0.0, ballot_floor)
+        acceptor.serving_from, acceptor.ballot_floor, acceptor.persisted_below, acceptor.states = (
+            serving_from,
+            ballot_floor,
+            BALLOT_LIMIT,
+            dict(states),
+        )
+        return acceptor
 
-    def _asker(self, world: World, at: int) -> Proposer:
-        name, claim, looked, count = world.askers[at]
-        asker = Proposer(name, self.terms, _Least)
-        asker.claims, asker.looked, asker.round = {TASK: claim}, looked, count
-        return asker
+    def _proposer(self, world: World, at: int) -> Proposer:
+        name, state, last_event_at, count = world.proposers[at]
+        proposer = Proposer(name, self.terms, _Least)
+        proposer.states, proposer.last_event_at, proposer.round = {TASK: state}, last_event_at, count
+        return proposer
 
-    def _put(self, world: World, at: int, asker: Proposer, out: list) -> World:
-        entry = (asker.name, asker.claims[TASK], asker.looked, asker.round)
+    def _put(self, world: World, at: int, proposer: Proposer, out: list) -> World:
+        entry = (proposer.name, proposer.states[TASK], proposer.last_event_at, proposer.round)
         flight = list(world.flight)
         for action in out:
             if isinstance(action, LeaseAcquired):
-                world = self._held(world, asker.name, action.fence)
-            elif hasattr(action, "keeper"):
-                flight.append((self.terms.keepers.index(action.keeper), at, action.what))
-        askers = world.askers[:at] + (entry,) + world.askers[at + 1 :]
-        return world._replace(askers=askers, flight=tuple(flight[-FLIGHT:]))
+                world = self._held(world, proposer.name, action.fencing_token)
+            elif hasattr(action, "acceptor"):
+                flight.append((self.terms.acceptors.index(action.acceptor), at, action.request))
+        proposers = world.proposers[:at] + (entry,) + world.proposers[at + 1 :]
+        return world._replace(proposers=proposers, flight=tuple(flight[-FLIGHT:]))
 
     @staticmethod
-    def _held(world: World, name: str, fence: int) -> World:
-        if fence <= world.fence and name != world.holder:
-            raise Breach(f"{name} holds under {fence}, not over {world.fence} of {world.holder}")
-        return world._replace(fence=max(fence, world.fence), holder=name)
+    def _held(world: World, name: str, fencing_token: int) -> World:
+        if fencing_token <= world.fencing_token and name != world.holder:
+            raise Breach(
+                f"{name} holds under {fencing_token}, not over {world.fencing_token} of {world.holder}"
+            )
+        return world._replace(fencing_token=max(fencing_token, world.fencing_token), holder=name)
 
     def judge(self, world: World) -> None:
         """No two hold at one moment, each by its own clock."""
-        holders = [name for name, claim, _, _ in world.askers if claim.holds(world.now * STEP * self.slow)]
+        holders = [name for name, state, _, _ in world.proposers if state.holds(world.now * STEP * self.slow)]
         if len(holders) > 1:
             raise Breach(f"{' and '.join(holders)} hold at step {world.now}")
 
@@ -131,7 +140,7 @@
         found: list[tuple] = [("time",)]
         found += [
             ("look", at)
-            for at, entry in enumerate(world.askers)
+            for at, entry in enumerate(world.proposers)
             if entry[2] < world.now * STEP * self.slow or not entry[3]
         ]
         seen = set()
@@ -141,8 +150,8 @@
                 found.append(("deliver", at))
                 found += [("double", at)] if world.doubles else []
         if world.crashes:
-            found += [("crash keeper", at) for at in range(len(world.keepers))]
-            found += [("crash asker", at) for at in range(len(world.askers))]
+            found += [("crash keeper", at) for at in range(len(world.acceptors))]
+            found += [("crash asker", at) for at in range(len(world.proposers))]
         return found
 
     def make(self, world: World, move: tuple) -> World:
@@ -151,24 +160,24 @@
         if kind == "time":
             world = world._replace(now=world.now + 1)
         elif kind == "look":
-            asker = self._asker(world, move[1])
-            world = self._put(world, move[1], asker, asker.decide(world.now * STEP * self.slow, Tick()))
+            proposer = self._proposer(world, move[1])
+            world = self._put(world, move[1], proposer, proposer.handle(world.now * STEP * self.slow, Tick()))
         elif kind in ("deliver", "double"):
             world = self._deliver(world, move[1], kind == "double")
         elif kind == "crash keeper":
             # Its memory is gone; what disk has is not. It is back at once, which is the worst.
-            kept, _, floor = world.keepers[move[1]]
-            promised = max([floor, *(entry.promised for _, entry in kept)])
-            keeper = Acceptor(self.terms, world.now * STEP * self.fast, promised)
-            entry = ((), keeper.open_from, keeper.floor)
-            keepers = world.keepers[: move[1]] + (entry,) + world.keepers[move[1] + 1 :]
-            world = world._replace(keepers=keepers, crashes=world.crashes - 1)
+            states, _, ballot_floor = world.acceptors[move[1]]
+            promised = max([ballot_floor, *(entry.promised for _, entry in states)])
+            acceptor = Acceptor(self.terms, world.now * STEP * self.fast, promised)
+            entry = ((), acceptor.serving_from, acceptor.ballot_floor)
+            acceptors = world.acceptors[: move[1]] + (entry,) + world.acceptors[move[1] + 1 :]
+            world = world._replace(acceptors=acceptors, crashes=world.crashes - 1)
         else:
-            name, start = world.askers[move[1]][0].split(".")
-            asker = Proposer(f"{name}.{int(start) + 1}", self.terms, _Least)
+            name, start = world.proposers[move[1]][0].split(".")
+            proposer = Proposer(f"{name}.{int(start) + 1}", self.terms, _Least)
             world = world._replace(crashes=world.crashes - 1)
             world = self._put(
-                world, move[1], asker, asker.decide(world.now * STEP * self.slow, RequestLease(TASK))
+                world, move[1], proposer, proposer.handle(world.now * STEP * self.slow, RequestLease(TASK))
             )
         self.judge(world)
         return world
@@ -177,24 +186,24 @@
         to, sender, words = world.flight[at]
         rest = world.flight if double else world.flight[:at] + world.flight[at + 1 :]
         world = world._replace(flight=rest, doubles=world.doubles - double)
-        if hasattr(words, "asker"):
-            keeper = self._keeper(world, to)
-            reply, _, freed = keeper.decide(world.now * STEP * self.fast, words)
-            entry = (tuple(keeper.kept.items()), keeper.open_from, keeper.floor)
-            keepers = world.keepers[:to] + (entry,) + world.keepers[to + 1 :]
+        if hasattr(words, "proposer"):
+            acceptor = self._acceptor(world, to)
+            reply, _, waiters = acceptor.handle(world.now * STEP * self.fast, words)
+            entry = (tuple(acceptor.states.items()), acceptor.serving_from, acceptor.ballot_floor)
+            acceptors = world.acceptors[:to] + (entry,) + world.acceptors[to + 1 :]
             # A reply to one that has crashed since finds nobody.
-            told = [(sender, to, (words.asker, ReplyReceived(self.terms.keepers[to], reply)))]
+            told = [(sender, to, (words.proposer, ReplyReceived(self.terms.acceptors[to], reply)))]
             told += [
                 (at, to, (entry[0], LeaseReleased(TASK)))
-                for at, entry in enumerate(world.askers)
-                if entry[0] in freed
+                for at, entry in enumerate(world.proposers)
+                if entry[0] in waiters
             ]
-            return world._replace(keepers=keepers, flight=(*world.flight, *told)[-FLIGHT:])
+            return world._replace(acceptors=acceptors, flight=(*world.flight, *told)[-FLIGHT:])
         name, event = words
-        asker = self._asker(world, to)
-        if asker.name != name:
+        proposer = self._proposer(world, to)
+        if proposer.name != name:
             return world
-        return self._put(world, to, asker, asker.decide(world.now * STEP * self.slow, event))
+        return self._put(world, to, proposer, proposer.handle(world.now * STEP * self.slow, event))
 
 
 def walk(explorer: Explorer, chance: random.Random, length: int) -> int:
@@ -214,7 +223,7 @@
             move = chance.choices(moves, [often.get(move[0], rare) for move in moves])[0]
             made.append(move)
             world = explorer.make(world, move)
-            fences.add(world.fence)
+            fences.add(world.fencing_token)
     except Breach as breach:
         raise Breach(f"{breach}; after {len(made)} moves, the last {made[-20:]}") from None
     return len(fences) - 1
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from lotusroute.errors import InvalidValueError
-from lotusroute.leases.messages import LEASE, TERM, LeaseTerms
+from lotusroute.leases.messages import LEASE_DURATION, MAX_TENURE, LeaseTerms
 from lotusroute.net.config import parse_address
 
 KEEPERS = 3, 5, 7  # an even set bears no more losses than the odd one below it, and asks one more
@@ -95,6 +95,9 @@
     guests = told.get("guests", 0)
     if isinstance(guests, bool) or not isinstance(guests, int) or not 0 <= guests <= GUESTS:
         raise InvalidValueError(f"guests: give a number from 0 to {GUESTS}")
-    lease, term = ms("lease_ms", LEASE, *LEASES), ms("term_ms", TERM, 1_000.0, 1e9)
-    terms = LeaseTerms(tuple(keepers), lease=lease, term=term)
+    lease_duration, max_tenure = (
+        ms("lease_ms", LEASE_DURATION, *LEASES),
+        ms("term_ms", MAX_TENURE, 1_000.0, 1e9),
+    )
+    terms = LeaseTerms(tuple(keepers), lease_duration=lease_duration, max_tenure=max_tenure)
     return FleetConfig(name, state, found, tuple(tasks), terms, guests)
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -18,7 +18,7 @@
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
 from lotusroute.fleet.transport import LOOKER, CallFailed, PeerTransport
-from lotusroute.leases.acceptor import BLOCK, Acceptor, PersistBallots
+from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
     LeaseAcquired,
     LeaseLost,
@@ -44,7 +44,12 @@
     """The fleet's part of one balancer."""
 
     def __init__(
-        self, reactor, plan: FleetConfig, name: str, counters, changed: Callable = lambda task, fence: None
+        self,
+        reactor,
+        plan: FleetConfig,
+        name: str,
+        counters,
+        changed: Callable = lambda task, fencing_token: None,
     ) -> None:
         """`changed(task, fence)` is called as a task becomes this balancer's, and with 0 as it ends."""
         if name not in plan.peers:
@@ -58,23 +63,23 @@
         )
         chance = random.Random(os.urandom(16))
         # A process that comes back under its name is not the one that held.
-        self.asker = Proposer(f"{name}#{os.urandom(4).hex()}", plan.terms, chance)
+        self.proposer = Proposer(f"{name}#{os.urandom(4).hex()}", plan.terms, chance)
         self.serves: dict[str, Callable[[str, bytes], bytes]] = {}  # further calls, by kind; set at the start
         self.shows: dict[str, Callable[[], object]] = {}  # what further parts show, by name; set at the start
         self.left: Callable[[str], object] = str  # called as a peer's last connection here ends
         self.link = PeerTransport(
             reactor, plan, name, chance, counters, self._serve, left=lambda peer: self.left(peer)
         )
-        self.keeper: Acceptor | None = None
+        self.acceptor: Acceptor | None = None
         self.reserving = False
         self.timer = None
         self.stopped = False
-        if name in plan.terms.keepers:
+        if name in plan.terms.acceptors:
             if not plan.state or not os.path.isdir(plan.state):
                 raise InvalidValueError(
                     f"LB_FLEET: state: '{plan.state}' is no folder, and a keeper needs one"
                 )
-            self.keeper = Acceptor(plan.terms, self.clock(), acceptor_storage.load(plan.state))
+            self.acceptor = Acceptor(plan.terms, self.clock(), acceptor_storage.load(plan.state))
 
     @staticmethod
     def clock() -> float:
@@ -83,14 +88,14 @@
 
     def start(self):
         """Open the link and ask for the tasks; brings the listening, or its failure."""
-        for keeper in self.plan.terms.keepers:
-            if keeper != self.name:
-                self.link.dial(keeper)
-        if self.keeper is not None:
-            self._reserve(PersistBallots(self.keeper.floor + BLOCK))
-            silent = self.keeper.open_from - self.clock()
+        for acceptor in self.plan.terms.acceptors:
+            if acceptor != self.name:
+                self.link.dial(acceptor)
+        if self.acceptor is not None:
+            self._reserve(PersistBallots(self.acceptor.ballot_floor + BALLOT_BLOCK))
+            silent = self.acceptor.serving_from - self.clock()
             self.reactor.callLater(
-                max(0.0, silent) / 1000, log_event, "acceptor serving", floor=self.keeper.floor
+                max(0.0, silent) / 1000, log_event, "acceptor serving", floor=self.acceptor.ballot_floor
             )
         for task in self.plan.tasks:
             self._decide(RequestLease(task))
@@ -101,14 +106,14 @@
         if self.stopped:
             return
         self.stopped = True
-        for task in list(self.asker.claims):
+        for task in list(self.proposer.states):
             self._decide(ReleaseLease(task))
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
-    def fence(self, task: str, longest: float) -> int:
+    def fencing_token(self, task: str, longest: float) -> int:
         """The fence for an act that takes `longest` ms at most; 0 where it must not begin."""
-        return self.asker.fence(task, self.clock(), longest)
+        return self.proposer.fencing_token(task, self.clock(), longest)
 
     def others(self) -> list[str]:
         """All balancers of the fleet but this one."""
@@ -117,41 +122,41 @@
     # The asker
 
     def _decide(self, event) -> None:
-        for action in self.asker.decide(self.clock(), event):
+        for action in self.proposer.handle(self.clock(), event):
             if isinstance(action, SendRequest):
                 self._ask(action)
             elif isinstance(action, LeaseAcquired):
                 self.counters["leases_acquired"] += 1
-                log_event("lease acquired", task=action.task, fence=action.fence)
-                self.changed(action.task, action.fence)
+                log_event("lease acquired", task=action.task, fence=action.fencing_token)
+                self.changed(action.task, action.fencing_token)
             elif isinstance(action, LeaseLost):
-                self.counters[f"leases_lost_{action.why.replace(' ', '_')}"] += 1
-                log_event("lease lost", task=action.task, why=action.why)
+                self.counters[f"leases_lost_{action.reason.replace(' ', '_')}"] += 1
+                log_event("lease lost", task=action.task, why=action.reason)
                 self.changed(action.task, 0)
         self._again()
 
     def _again(self) -> None:
         if self.stopped:
             return
-        due = self.asker.due(self.clock())
+        due = self.proposer.next_tick_in(self.clock())
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         if due < math.inf:
             self.timer = self.reactor.callLater(max(SOONEST, due) / 1000, self._decide, Tick())
 
-    def _ask(self, ask: SendRequest) -> None:
-        if ask.keeper == self.name:
+    def _ask(self, request: SendRequest) -> None:
+        if request.acceptor == self.name:
             # In a turn of its own: the asker is in the middle of deciding.
-            self.reactor.callLater(0, lambda: self._told(self.name, self._keep(ask.what)))
+            self.reactor.callLater(0, lambda: self._told(self.name, self._keep(request.request)))
             return
-        kind = type(ask.what).__name__.lower()
-        call = self.link.call(ask.keeper, kind, msgspec.msgpack.encode(ask.what))
+        kind = type(request.request).__name__.lower()
+        call = self.link.call(request.acceptor, kind, msgspec.msgpack.encode(request.request))
         call.addCallback(msgspec.msgpack.decode, type=Reply)
-        call.addCallbacks(lambda reply: self._told(ask.keeper, reply), self._no_answer)
+        call.addCallbacks(lambda reply: self._told(request.acceptor, reply), self._no_answer)
 
-    def _told(self, keeper: str, reply: Reply | None) -> None:
+    def _told(self, acceptor: str, reply: Reply | None) -> None:
         if reply is not None and not self.stopped:
-            self._decide(ReplyReceived(keeper, reply))
+            self._decide(ReplyReceived(acceptor, reply))
 
     def _no_answer(self, reason) -> None:
         """A keeper that is away says nothing, and time does the rest."""
@@ -170,32 +175,32 @@
             return b""
         if kind in self.serves:
             return self.serves[kind](peer, body)
-        if kind not in WORDS or self.keeper is None:
+        if kind not in WORDS or self.acceptor is None:
             raise CallFailed(f"no keeper, or no call '{kind[:32]}'")
         try:
-            ask = msgspec.msgpack.decode(body, type=WORDS[kind])
+            request = msgspec.msgpack.decode(body, type=WORDS[kind])
         except msgspec.MsgspecError as fault:
             self.counters["peer_malformed_input"] += 1
             raise CallFailed(f"{kind}: {fault}") from None
-        if ask.asker.partition("#")[0] != peer:
+        if request.proposer.partition("#")[0] != peer:
             self.counters["lease_requests_spoofed"] += 1
             raise CallFailed(f"{kind}: asked for another")
-        return msgspec.msgpack.encode(self._keep(ask))
+        return msgspec.msgpack.encode(self._keep(request))
 
-    def _keep(self, ask: Prepare | Propose | Release) -> Reply | None:
-        if self.keeper is None:
+    def _keep(self, request: Prepare | Propose | Release) -> Reply | None:
+        if self.acceptor is None:
             return None
-        reply, reserve, freed = self.keeper.decide(self.clock(), ask)
-        if not reply.yes:
-            self.counters[f"acceptor_rejected_{reply.why}"] += 1
+        reply, reserve, freed = self.acceptor.handle(self.clock(), request)
+        if not reply.accepted:
+            self.counters[f"acceptor_rejected_{reply.reason}"] += 1
         if reserve is not None:
             self._reserve(reserve)
         for waiting in freed:
-            self._free(waiting, ask.task)
+            self._free(waiting, request.task)
         return reply
 
-    def _free(self, asker: str, task: str) -> None:
-        peer = asker.partition("#")[0]
+    def _free(self, proposer: str, task: str) -> None:
+        peer = proposer.partition("#")[0]
         if peer == self.name:
             self.reactor.callLater(0, lambda: self.stopped or self._decide(LeaseReleased(task)))
             return
@@ -206,11 +211,11 @@
         if self.reserving:
             return
         self.reserving = True
-        writing = threads.deferToThread(acceptor_storage.store, self.plan.state, reserve.under)
+        writing = threads.deferToThread(acceptor_storage.store, self.plan.state, reserve.persisted_below)
 
         def stored(_: object) -> None:
             self.reserving = False
-            self.keeper.reserved(reserve.under)
+            self.acceptor.ballots_persisted(reserve.persisted_below)
 
         def failed(reason) -> None:
             # Nothing above what disk has is promised: the fleet goes on with the other keepers.
@@ -227,33 +232,33 @@
         now = self.clock()
         tasks = {
             task: {
-                "holds": claim.holds(now),
-                "fence": claim.number if claim.holds(now) else 0,
-                "left_ms": round(claim.until - now) if claim.holds(now) else 0,
-                "step": claim.step,
-                "asks_in_ms": round(max(0.0, claim.at - now)) if claim.at > -math.inf else 0,
-                "highest_seen": claim.seen,
+                "holds": state.holds(now),
+                "fence": state.ballot if state.holds(now) else 0,
+                "left_ms": round(state.held_until - now) if state.holds(now) else 0,
+                "step": state.phase,
+                "asks_in_ms": round(max(0.0, state.retry_at - now)) if state.retry_at > -math.inf else 0,
+                "highest_seen": state.highest_ballot,
             }
-            for task, claim in self.asker.claims.items()
+            for task, state in self.proposer.states.items()
         }
-        kept = {}
-        if self.keeper is not None:
-            kept = {
+        acceptor_states = {}
+        if self.acceptor is not None:
+            acceptor_states = {
                 task: {
                     "holder": entry.holder,
-                    "fence": entry.fence,
+                    "fence": entry.ballot,
                     "promised": entry.promised,
-                    "left_ms": round(max(0.0, entry.until - now)) if entry.holder else 0,
+                    "left_ms": round(max(0.0, entry.held_until - now)) if entry.holder else 0,
                 }
-                for task, entry in self.keeper.kept.items()
+                for task, entry in self.acceptor.states.items()
             }
-        silent = round(max(0.0, self.keeper.open_from - now)) if self.keeper else 0
+        silent = round(max(0.0, self.acceptor.serving_from - now)) if self.acceptor else 0
         return {
             "name": self.name,
             "fleet": self.plan.name,
             "tasks": tasks,
-            "keeps": kept,
-            "keeper": self.keeper is not None,
+            "keeps": acceptor_states,
+            "keeper": self.acceptor is not None,
             "keeper_silent_ms": silent,
             "connections": {"out": sorted(self.link.out), "in": sorted(self.link.came_in)},
             **{name: show() for name, show in self.shows.items()},
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -68,7 +68,7 @@
     def answered(self, told: dict, since: int | None) -> None:
         """Discovery has answered this balancer; a holder hands it on."""
         self.answered_at = self.part.clock()
-        if self.part.fence(TASK, LONGEST) and (told["hosts"] or told["whole"]):
+        if self.part.fencing_token(TASK, LONGEST) and (told["hosts"] or told["whole"]):
             word = SharedUpdate(self.fence, self.discovery.base, told["seq"], -1 if since is None else since)
             word.whole, word.hosts = told["whole"], told["hosts"]
             self._tell(word)
@@ -96,7 +96,7 @@
         self.reactor.callLater(BEAT, self._beat, fence)
         known = self.discovery is not None and self.discovery.seq is not None
         fresh = self.part.clock() - self.answered_at < FRESH
-        if known and fresh and self.part.fence(TASK, LONGEST):
+        if known and fresh and self.part.fencing_token(TASK, LONGEST):
             self._tell(SharedUpdate(fence, self.discovery.base, self.discovery.seq))
 
     def _tell(self, word: SharedUpdate) -> None:
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -8,29 +8,38 @@
 
 from typing import NamedTuple
 
-LEASE = 3_000.0  # ms: no holder for so long after one is killed; shorter ones are lost to a stall of a second
-DRIFT = 0.01  # share by which a clock may run fast or slow: a hundred times what machines' clocks do
-MARGIN = 50.0  # ms off the end: a step of the reactor, in which an act that was begun is carried out
-RENEW = 0.5  # share of the time held after which it is renewed: two more tries fit in before it ends
-PATIENCE = 400.0  # ms for keepers to answer: far ways and a busy core, and a lease has room for several
-PAUSE = 100.0, 400.0  # ms, drawn, before one who was refused asks again: two that split the keepers part
-TERM = 60_000.0  # ms after which a holder gives way where somebody else asks
-STALL = 1_000.0  # ms between two looks at the clock after which a holder thinks itself stalled and gives way
+LEASE_DURATION = (
+    3_000.0  # ms: no holder for so long after one is killed; shorter ones are lost to a stall of a second
+)
+CLOCK_DRIFT = 0.01  # share by which a clock may run fast or slow: a hundred times what machines' clocks do
+SAFETY_MARGIN = 50.0  # ms off the end: a step of the reactor, in which an act that was begun is carried out
+RENEW_FRACTION = 0.5  # share of the time held after which it is renewed: two more tries fit in before it ends
+REQUEST_TIMEOUT = (
+    400.0  # ms for keepers to answer: far ways and a busy core, and a lease has room for several
+)
+RETRY_BACKOFF = (
+    100.0,
+    400.0,
+)  # ms, drawn, before one who was refused asks again: two that split the keepers part
+MAX_TENURE = 60_000.0  # ms after which a holder gives way where somebody else asks
+STALL_THRESHOLD = (
+    1_000.0  # ms between two looks at the clock after which a holder thinks itself stalled and gives way
+)
 
 # Why a keeper refuses.
-SILENT, HELD, LOW, LONG, FULL = "silent", "held", "low", "long", "full"
+NOT_READY, LEASE_HELD, BALLOT_TOO_LOW, OUT_OF_RANGE, TASK_LIMIT = "silent", "held", "low", "long", "full"
 
 
 class LeaseTerms(NamedTuple):
     """What all of a fleet agree on, from the operator's file."""
 
-    keepers: tuple[str, ...]
-    lease: float = LEASE
-    drift: float = DRIFT
-    margin: float = MARGIN
-    patience: float = PATIENCE
-    term: float = TERM
-    stall: float = STALL
+    acceptors: tuple[str, ...]
+    lease_duration: float = LEASE_DURATION
+    drift: float = CLOCK_DRIFT
+    margin: float = SAFETY_MARGIN
+    request_timeout: float = REQUEST_TIMEOUT
+    max_tenure: float = MAX_TENURE
+    stall_threshold: float = STALL_THRESHOLD
 
     @property
     def majority(self) -> int:
@@ -39,10 +48,10 @@
         >>> LeaseTerms(("a", "b", "c")).majority, LeaseTerms(tuple("abcde")).majority
         (2, 3)
         """
-        return len(self.keepers) // 2 + 1
+        return len(self.acceptors) // 2 + 1
 
     @property
-    def held(self) -> float:
+    def holder_duration(self) -> float:
         """How long an asker may think it holds, by its own clock, from before it proposed.
 
         A keeper counts the whole lease from when the proposal came, by a clock that may run fast: it lets go
@@ -52,15 +61,15 @@
         >>> round(LeaseTerms(("a",), lease=3_000.0, drift=0.01, margin=50.0).held, 1)
         2890.6
         """
-        return self.lease * (1 - self.drift) / (1 + self.drift) - self.margin
+        return self.lease_duration * (1 - self.drift) / (1 + self.drift) - self.margin
 
 
 class Prepare(NamedTuple):
     """An asker wants a keeper's word that no lower number gets the task."""
 
     task: str
-    number: int
-    asker: str
+    ballot: int
+    proposer: str
     round: int  # of all that the asker asked: an answer counts in the round that it was given in
 
 
@@ -68,18 +77,18 @@
     """An asker takes the task under its number, or has it for longer."""
 
     task: str
-    number: int
-    asker: str
+    ballot: int
+    proposer: str
     round: int
-    lease: float
+    lease_duration: float
 
 
 class Release(NamedTuple):
     """A holder, or one that did not become it, lets go."""
 
     task: str
-    number: int
-    asker: str
+    ballot: int
+    proposer: str
     round: int
 
 
@@ -87,14 +96,14 @@
     """A keeper's answer to one of these."""
 
     task: str
-    number: int
-    step: str  # "prepare", "propose" or "release"
+    ballot: int
+    kind: str  # "prepare", "propose" or "release"
     round: int
-    yes: bool
-    why: str = ""
-    seen: int = 0  # the highest number that the keeper has promised
-    left: float = 0.0  # ms until another's lease ends there
-    wanted: bool = False  # another has asked for the task within a lease
+    accepted: bool
+    reason: str = ""
+    highest_ballot: int = 0  # the highest number that the keeper has promised
+    remaining: float = 0.0  # ms until another's lease ends there
+    contended: bool = False  # another has asked for the task within a lease
 
 
 class RequestLease(NamedTuple):
@@ -112,7 +121,7 @@
 class ReplyReceived(NamedTuple):
     """A keeper has answered."""
 
-    keeper: str
+    acceptor: str
     reply: Reply
 
 
@@ -129,19 +138,19 @@
 class SendRequest(NamedTuple):
     """Say this to a keeper."""
 
-    keeper: str
-    what: Prepare | Propose | Release
+    acceptor: str
+    request: Prepare | Propose | Release
 
 
 class LeaseAcquired(NamedTuple):
     """The task is this balancer's; every act of it carries the fence."""
 
     task: str
-    fence: int
+    fencing_token: int
 
 
 class LeaseLost(NamedTuple):
     """The task is this balancer's no longer."""
 
     task: str
-    why: str
+    reason: str
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -208,7 +208,7 @@
 
     def answered(self, told: dict, since: int | None) -> None:
         """Discovery has answered: publish, under the lease."""
-        if not self.part.fence(TASK, SEND):
+        if not self.part.fencing_token(TASK, SEND):
             return
         now = self.part.clock()
         try:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -63,10 +63,10 @@
         task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
     )
     part.clock, part.link = lambda: NOW, FakeLink()
-    part.asker = Proposer(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
-    if part.keeper is not None:
-        part.keeper = Acceptor(part.plan.terms, 0.0, 0)
-        part.keeper.reserved(4096)
+    part.proposer = Proposer(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
+    if part.acceptor is not None:
+        part.acceptor = Acceptor(part.plan.terms, 0.0, 0)
+        part.acceptor.ballots_persisted(4096)
     return part
 
 
@@ -149,7 +149,7 @@
     assert part.link.taken() == [("call", at, "propose", body) for at in keepers]
     for answer in part.link.answers[3:5]:
         answer.callback(b"\x99\xa5watch\x01\xa7propose\x02\xc3\xa0\x01" + ZERO + b"\xc2")
-    assert part.fence("watch", 0.0) == 1
+    assert part.fencing_token("watch", 0.0) == 1
     part._decide(ReleaseLease("watch"))
     assert part.link.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
 
@@ -179,9 +179,9 @@
 
 def test_a_keeper_that_is_silent_or_full_answers_these_bytes(tmp_path):
     part = _part("a", tmp_path)
-    part.keeper.kept = {str(at): AcceptorState(until=NOW) for at in range(256)}
+    part.acceptor.states = {str(at): AcceptorState(held_until=NOW) for at in range(256)}
     assert part._serve(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
-    part.keeper = Acceptor(part.plan.terms, NOW - 1000.0, 7)
+    part.acceptor = Acceptor(part.plan.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
     assert part._serve("b", "release", FROM_B) == REPLY + silent
 
@@ -222,7 +222,7 @@
 @pytest.mark.parametrize("told, since, body", [(TOLD_CHANGED, 12, CHANGED), (TOLD_ALL, None, ALL)])
 def test_the_holder_of_the_watch_sends_these_bytes_and_another_reads_them(told, since, body, tmp_path):
     holder = _watch(tmp_path)
-    holder.fence, holder.part.fence = 7, lambda *_: 7
+    holder.fence, holder.part.fencing_token = 7, lambda *_: 7
     holder.answered(told, since)
     assert holder.part.link.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
     holder._beat(7)
@@ -257,7 +257,7 @@
     """A relay that is the origin under fence 3 and has published 250 ms ago."""
     part = _part("a", state)
     relay = RelayServer(part, ("10.0.0.9", 8500), Counter())
-    relay.fence, part.fence = 3, lambda *_: 3
+    relay.fence, part.fencing_token = 3, lambda *_: 3
     relay.answered({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     part.clock = lambda: NOW + 250.0
     return relay
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,11 +7,11 @@
 from lotusroute.fault_injection import lease_model_checker
 from lotusroute.leases import acceptor as acceptor_module
 from lotusroute.leases import proposer as proposer_module
-from lotusroute.leases.acceptor import BLOCK, Acceptor
+from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor
 from lotusroute.leases.messages import (
-    HELD,
-    LOW,
-    SILENT,
+    BALLOT_TOO_LOW,
+    LEASE_HELD,
+    NOT_READY,
     LeaseAcquired,
     LeaseLost,
     LeaseReleased,
@@ -33,32 +33,32 @@
 class Fleet:
     """Three keepers, some askers and a network that loses what `cut` says; all clocks are one."""
 
-    def __init__(self, *askers, terms=TERMS):
+    def __init__(self, *proposers, terms=TERMS):
         self.now, self.terms, self.cut = 0.0, terms, set()
-        self.keepers = {}
-        for name in terms.keepers:
-            keeper = self.keepers[name] = Acceptor(terms, -10_000.0, 0)
-            keeper.reserved(BLOCK)
-        self.askers = {name: Proposer(name, terms, random.Random(at)) for at, name in enumerate(askers)}
+        self.acceptors = {}
+        for name in terms.acceptors:
+            acceptor = self.acceptors[name] = Acceptor(terms, -10_000.0, 0)
+            acceptor.ballots_persisted(BALLOT_BLOCK)
+        self.proposers = {name: Proposer(name, terms, random.Random(at)) for at, name in enumerate(proposers)}
         self.log = []
 
     def tell(self, name, event):
         """Give an asker an event, and all that follows from it."""
-        asks = self.askers[name].decide(self.now, event)
-        for action in asks:
+        actions = self.proposers[name].handle(self.now, event)
+        for action in actions:
             if not isinstance(action, SendRequest):
                 self.log.append((name, action))
-        for action in asks:
+        for action in actions:
             if (
                 isinstance(action, SendRequest)
-                and not {(name, action.keeper), (action.keeper, name)} & self.cut
+                and not {(name, action.acceptor), (action.acceptor, name)} & self.cut
             ):
-                keeper = self.keepers[action.keeper]
-                reply, reserve, freed = keeper.decide(self.now, action.what)
+                acceptor = self.acceptors[action.acceptor]
+                reply, reserve, waiters = acceptor.handle(self.now, action.request)
                 if reserve:
-                    keeper.reserved(reserve.under)
-                self.tell(name, ReplyReceived(action.keeper, reply))
-                for waiting in freed:
+                    acceptor.ballots_persisted(reserve.persisted_below)
+                self.tell(name, ReplyReceived(action.acceptor, reply))
+                for waiting in waiters:
                     self.tell(waiting, LeaseReleased("t"))
 
     def wait(self, ms, *names):
@@ -66,11 +66,11 @@
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 100.0)
-            for name in names or self.askers:
+            for name in names or self.proposers:
                 self.tell(name, Tick())
 
     def holders(self):
-        return [name for name, asker in self.askers.items() if asker.fence("t", self.now)]
+        return [name for name, proposer in self.proposers.items() if proposer.fencing_token("t", self.now)]
 
 
 def test_one_asker_holds_and_renews_and_another_takes_over_at_once_when_it_leaves():
@@ -82,15 +82,19 @@
     assert fleet.holders() == ["a"] and len(fleet.log) == 1
     fleet.tell("a", ReleaseLease("t"))
     fleet.wait(200.0)  # told by the keepers; by time alone it would ask again after a lease
-    fence = fleet.askers["b"].fence("t", fleet.now)
-    assert fleet.holders() == ["b"] and fleet.log[-1] == ("b", LeaseAcquired("t", fence)) and fence > 1
+    fencing_token = fleet.proposers["b"].fencing_token("t", fleet.now)
+    assert (
+        fleet.holders() == ["b"]
+        and fleet.log[-1] == ("b", LeaseAcquired("t", fencing_token))
+        and fencing_token > 1
+    )
 
 
 def test_a_holder_that_is_cut_off_ends_before_its_keepers_let_go():
     fleet = Fleet("a", "b")
     fleet.tell("a", RequestLease("t"))
     fleet.tell("b", RequestLease("t"))
-    fleet.cut = {("a", keeper) for keeper in fleet.keepers}
+    fleet.cut = {("a", acceptor) for acceptor in fleet.acceptors}
     fleet.wait(2_800.0)
     assert fleet.holders() == ["a"]
     fleet.wait(100.0)
@@ -102,8 +106,11 @@
 def test_a_holder_that_stood_still_gives_way_and_its_act_must_not_begin_near_the_end():
     fleet = Fleet("a", "b")
     fleet.tell("a", RequestLease("t"))
-    asker = fleet.askers["a"]
-    assert asker.fence("t", 0.0, longest=2_800.0) == 1 and asker.fence("t", 0.0, longest=2_900.0) == 0
+    proposer = fleet.proposers["a"]
+    assert (
+        proposer.fencing_token("t", 0.0, max_duration=2_800.0) == 1
+        and proposer.fencing_token("t", 0.0, max_duration=2_900.0) == 0
+    )
     fleet.tell("b", RequestLease("t"))
     fleet.wait(1_500.0, "b")
     fleet.tell("a", Tick())
@@ -118,9 +125,9 @@
     fleet = Fleet("a", "b")
     fleet.tell("a", RequestLease("t"))
     fleet.tell("b", RequestLease("t"))
-    fleet.cut = {("a", keeper) for keeper in fleet.keepers}
+    fleet.cut = {("a", acceptor) for acceptor in fleet.acceptors}
     for _ in range(30):
-        fleet.now += max(5.0, fleet.askers["b"].due(fleet.now))
+        fleet.now += max(5.0, fleet.proposers["b"].next_tick_in(fleet.now))
         fleet.tell("b", Tick())
     assert fleet.holders() == ["b"]
 
@@ -136,11 +143,11 @@
 
 
 def test_a_holder_gives_way_after_its_term_where_another_asks_and_else_goes_on():
-    fleet = Fleet("a", terms=TERMS._replace(term=5_000.0))
+    fleet = Fleet("a", terms=TERMS._replace(max_tenure=5_000.0))
     fleet.tell("a", RequestLease("t"))
     fleet.wait(20_000.0)
     assert len(fleet.log) == 1
-    fleet.askers["b"] = Proposer("b", fleet.terms, random.Random(9))
+    fleet.proposers["b"] = Proposer("b", fleet.terms, random.Random(9))
     fleet.tell("b", RequestLease("t"))
     fleet.wait(10_000.0)
     assert fleet.log[1] == ("a", LeaseLost("t", "tenure ended")) and fleet.log[2][0] == "b"
@@ -150,88 +157,95 @@
 def test_a_keeper_that_restarts_is_silent_for_the_longest_lease_and_its_numbers_never_fall():
     fleet = Fleet("a")
     fleet.tell("a", RequestLease("t"))
-    back = Acceptor(TERMS, 100.0, BLOCK)
-    reply, reserve, _ = back.decide(3_000.0, Prepare("t", 5, "b", 1))
-    assert (reply.yes, reply.why, reply.seen, reserve) == (False, SILENT, BLOCK, None)
-    assert back.decide(3_200.0, Prepare("t", 5, "b", 2))[0].why == LOW  # it may have been promised before
-    _, reserve, _ = back.decide(3_300.0, Prepare("t", BLOCK + 1, "b", 3))
-    assert reserve.under > BLOCK + 1  # on disk first, and the asker comes again
-    back.reserved(reserve.under)
-    assert back.decide(3_400.0, Prepare("t", BLOCK + 1, "b", 4))[0].yes
+    back = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
+    reply, reserve, _ = back.handle(3_000.0, Prepare("t", 5, "b", 1))
+    assert (reply.accepted, reply.reason, reply.highest_ballot, reserve) == (
+        False,
+        NOT_READY,
+        BALLOT_BLOCK,
+        None,
+    )
+    assert (
+        back.handle(3_200.0, Prepare("t", 5, "b", 2))[0].reason == BALLOT_TOO_LOW
+    )  # it may have been promised before
+    _, reserve, _ = back.handle(3_300.0, Prepare("t", BALLOT_BLOCK + 1, "b", 3))
+    assert reserve.persisted_below > BALLOT_BLOCK + 1  # on disk first, and the asker comes again
+    back.ballots_persisted(reserve.persisted_below)
+    assert back.handle(3_400.0, Prepare("t", BALLOT_BLOCK + 1, "b", 4))[0].accepted
 
 
 def test_all_keepers_killed_at_once_let_no_fence_fall():
     fleet = Fleet("a", "b")
     fleet.tell("a", RequestLease("t"))
-    fence = fleet.askers["a"].fence("t", 0.0)
-    fleet.keepers = {name: Acceptor(TERMS, fleet.now, BLOCK) for name in TERMS.keepers}
-    fleet.askers = {"c": Proposer("c", TERMS, random.Random(1))}
+    fencing_token = fleet.proposers["a"].fencing_token("t", 0.0)
+    fleet.acceptors = {name: Acceptor(TERMS, fleet.now, BALLOT_BLOCK) for name in TERMS.acceptors}
+    fleet.proposers = {"c": Proposer("c", TERMS, random.Random(1))}
     fleet.tell("c", RequestLease("t"))
     fleet.wait(3_000.0)
     assert fleet.holders() == []
     fleet.wait(2_000.0)
-    assert fleet.askers["c"].fence("t", fleet.now) > BLOCK > fence
+    assert fleet.proposers["c"].fencing_token("t", fleet.now) > BALLOT_BLOCK > fencing_token
 
 
 def test_a_keeper_refuses_a_lower_number_a_longer_lease_and_another_while_one_holds():
-    keeper = Acceptor(TERMS, -10_000.0, 0)
-    keeper.reserved(BLOCK)
-    assert keeper.decide(0.0, Prepare("t", 3, "a", 1))[0].yes
-    assert keeper.decide(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].why == LOW
-    assert keeper.decide(0.0, Propose("t", 3, "a", 2, 9_000.0))[0].why == "long"
-    assert keeper.decide(0.0, Propose("t", 3, "a", 3, 3_000.0))[0].yes
-    held = keeper.decide(1_000.0, Prepare("t", 4, "b", 1))[0]
-    assert (held.why, held.left) == (HELD, 2_000.0)
-    assert keeper.decide(1_100.0, Propose("t", 3, "a", 4, 3_000.0))[0].wanted
-    assert keeper.decide(1_200.0, Release("t", 3, "b", 1))[0].yes  # not its own: nothing is let go
-    assert keeper.decide(1_300.0, Prepare("t", 4, "b", 2))[0].why == HELD
-    keeper.decide(1_400.0, Release("t", 3, "a", 5))
-    assert keeper.decide(1_500.0, Prepare("t", 4, "b", 3))[0].yes
+    acceptor = Acceptor(TERMS, -10_000.0, 0)
+    acceptor.ballots_persisted(BALLOT_BLOCK)
+    assert acceptor.handle(0.0, Prepare("t", 3, "a", 1))[0].accepted
+    assert acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].reason == BALLOT_TOO_LOW
+    assert acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0))[0].reason == "long"
+    assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0))[0].accepted
+    held = acceptor.handle(1_000.0, Prepare("t", 4, "b", 1))[0]
+    assert (held.reason, held.remaining) == (LEASE_HELD, 2_000.0)
+    assert acceptor.handle(1_100.0, Propose("t", 3, "a", 4, 3_000.0))[0].contended
+    assert acceptor.handle(1_200.0, Release("t", 3, "b", 1))[0].accepted  # not its own: nothing is let go
+    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2))[0].reason == LEASE_HELD
+    acceptor.handle(1_400.0, Release("t", 3, "a", 5))
+    assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3))[0].accepted
 
 
 def test_a_liars_numbers_and_names_take_no_room_for_good():
-    keeper = Acceptor(TERMS, -10_000.0, 0)
-    keeper.reserved(BLOCK)
-    assert not keeper.decide(0.0, Prepare("t", 2**62, "a", 1))[0].yes
-    for at in range(acceptor_module.TASKS):
-        assert keeper.decide(0.0, Propose(f"t{at}", 7, "a", 1, 3_000.0))[0].yes
-    assert keeper.decide(100.0, Prepare("one more", 8, "a", 2))[0].why == "full"
-    assert keeper.decide(7_000.0, Prepare("one more", 8, "a", 3))[0].yes
-    assert len(keeper.kept) == acceptor_module.TASKS and keeper.floor == 7
+    acceptor = Acceptor(TERMS, -10_000.0, 0)
+    acceptor.ballots_persisted(BALLOT_BLOCK)
+    assert not acceptor.handle(0.0, Prepare("t", 2**62, "a", 1))[0].accepted
+    for at in range(acceptor_module.MAX_TASKS):
+        assert acceptor.handle(0.0, Propose(f"t{at}", 7, "a", 1, 3_000.0))[0].accepted
+    assert acceptor.handle(100.0, Prepare("one more", 8, "a", 2))[0].reason == "full"
+    assert acceptor.handle(7_000.0, Prepare("one more", 8, "a", 3))[0].accepted
+    assert len(acceptor.states) == acceptor_module.MAX_TASKS and acceptor.ballot_floor == 7
 
 
-def _late_answer(asker):
+def _late_answer(proposer):
     """Three keepers say yes at once, one of them late; then one is cut off and the asker renews."""
-    ask = next(action.what for action in asker.decide(0.0, RequestLease("t")))
-    keepers = {name: Acceptor(TERMS, -10_000.0, 0) for name in TERMS.keepers}
-    for keeper in keepers.values():
-        keeper.reserved(BLOCK)
+    request = next(action.request for action in proposer.handle(0.0, RequestLease("t")))
+    acceptors = {name: Acceptor(TERMS, -10_000.0, 0) for name in TERMS.acceptors}
+    for acceptor in acceptors.values():
+        acceptor.ballots_persisted(BALLOT_BLOCK)
 
-    def told(now, name, ask):
-        return asker.decide(now, ReplyReceived(name, keepers[name].decide(now, ask)[0]))
+    def told(now, name, request):
+        return proposer.handle(now, ReplyReceived(name, acceptors[name].handle(now, request)[0]))
 
-    told(0.0, "k1", ask)
-    propose = told(0.0, "k2", ask)[0].what
-    late = ReplyReceived("k3", keepers["k3"].decide(0.0, propose)[0])
+    told(0.0, "k1", request)
+    propose = told(0.0, "k2", request)[0].request
+    late = ReplyReceived("k3", acceptors["k3"].handle(0.0, propose)[0])
     told(0.0, "k1", propose)
     told(0.0, "k2", propose)
-    asker.decide(900.0, Tick())
-    renewal = next(action.what for action in asker.decide(1_500.0, Tick()))
+    proposer.handle(900.0, Tick())
+    renewal = next(action.request for action in proposer.handle(1_500.0, Tick()))
     told(1_500.0, "k1", renewal)
-    asker.decide(1_500.0, late)  # of the first round: k3 lets go at 3 s
-    return asker.fence("t", 3_500.0)
+    proposer.handle(1_500.0, late)  # of the first round: k3 lets go at 3 s
+    return proposer.fencing_token("t", 3_500.0)
 
 
 def test_an_answer_from_an_earlier_round_does_not_make_the_lease_longer(monkeypatch):
     # Found by thought when the explorer was written: both rounds have one number, the keeper lets go a lease
     # after the first. The mutant that counts it would act for half a second beside the next holder.
     assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 0
-    real = Proposer._told
+    real = Proposer._on_reply
     monkeypatch.setattr(
         Proposer,
-        "_told",
-        lambda me, keeper, reply, now: real(
-            me, keeper, reply._replace(round=me.claims[reply.task].round), now
+        "_on_reply",
+        lambda me, acceptor, reply, now: real(
+            me, acceptor, reply._replace(round=me.states[reply.task].round), now
         ),
     )
     assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 1
@@ -245,42 +259,44 @@
 
 def test_no_order_of_messages_crashes_and_stalls_makes_two_holders():
     assert explore(600) > 600
-    assert explore(300, askers=3) > 300
+    assert explore(300, proposers=3) > 300
     assert lease_model_checker.search(lease_model_checker.Explorer(crashes=0, doubles=0), 20_000)[0] == 20_000
 
 
 def _from_the_answer(patch):
-    real = Proposer._agreed
+    real = Proposer._on_majority
     patch.setattr(
-        Proposer, "_agreed", lambda me, task, claim, now: real(me, task, claim._replace(began=now), now)
+        Proposer,
+        "_on_majority",
+        lambda me, task, state, now: real(me, task, state._replace(phase_started_at=now), now),
     )
 
 
 def _no_silence(patch):
-    def start(me, terms, now, floor):
-        real(me, terms, now, floor)
-        me.open_from = now
+    def start(me, terms, now, ballot_floor):
+        real(me, terms, now, ballot_floor)
+        me.serving_from = now
 
     real = Acceptor.__init__
     patch.setattr(Acceptor, "__init__", start)
 
 
 def _lower_numbers(patch):
-    real = acceptor_module.answer
+    real = acceptor_module.apply_request
     patch.setattr(
         acceptor_module,
-        "answer",
-        lambda kept, now, ask, terms: real(kept._replace(promised=0), now, ask, terms),
+        "apply_request",
+        lambda state, now, request, terms: real(state._replace(promised=0), now, request, terms),
     )
 
 
 def _no_disk(patch):
     real = Acceptor.__init__
-    patch.setattr(Acceptor, "__init__", lambda me, terms, now, floor: real(me, terms, now, 0))
+    patch.setattr(Acceptor, "__init__", lambda me, terms, now, ballot_floor: real(me, terms, now, 0))
 
 
 def _half(patch):
-    patch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.keepers) // 2))
+    patch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.acceptors) // 2))
 
 
 MUTANTS = {
@@ -307,4 +323,4 @@
     with pytest.raises(SystemExit) as ended:
         lease_model_checker.main([])
     assert ended.value.code == 2 and "give --walks N" in capsys.readouterr().err
-    assert proposer_module.TASKS == 64
+    assert proposer_module.MAX_TASKS == 64
