--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -111,7 +111,7 @@
     except ImportError as fault:
         raise InvalidValueError(f"LB_FLEET: {fault}; install lotusroute[fleet]") from None
     fleet = lease_service.LeaseService(reactor, fleet_config.load_fleet_config(file), posting.name, counters)
-    if shared_discovery.TASK in fleet.plan.tasks:
+    if shared_discovery.TASK in fleet.config.tasks:
         standing.watch = shared_discovery.SharedDiscovery(fleet)
 
     def unheard(reason) -> None:
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -6,8 +6,7 @@
 import msgspec
 
 from lotusroute.capacity.stubs import entry
-from lotusroute.fleet.shared_discovery import BEAT as WATCH_BEAT
-from lotusroute.fleet.shared_discovery import SharedUpdate
+from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL, SharedUpdate
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import BEAT, Drop, FanOut
 from lotusroute.relay.versioned_store import Version, VersionedStore
@@ -71,6 +70,6 @@
     where = "http://127.0.0.1:8500/api/targets"
     told = SharedUpdate(7, where, 2, 1, False, [entry("s-0", health="DRAINING")])
     beat = SharedUpdate(7, where, 2)
-    beats = round(REST / 1_000 / WATCH_BEAT)
+    beats = round(REST / 1_000 / HEARTBEAT_INTERVAL)
     each = len(msgspec.msgpack.encode(told)) + beats * len(msgspec.msgpack.encode(beat))
     return {"messages": (1 + beats) * (size - 1), "bytes": each * (size - 1)}
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -17,7 +17,7 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.transport import LOOKER, CallFailed, PeerTransport
+from lotusroute.fleet.transport import OBSERVER, CallFailed, PeerTransport
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
     LeaseAcquired,
@@ -36,8 +36,8 @@
 from lotusroute.leases.proposer import Proposer
 from lotusroute.net.structured_log import log_event
 
-WORDS = {"prepare": Prepare, "propose": Propose, "release": Release}  # calls to a keeper, by kind
-SOONEST = 5.0  # ms between two looks at the clock
+REQUEST_TYPES = {"prepare": Prepare, "propose": Propose, "release": Release}  # calls to a keeper, by kind
+MIN_TICK_INTERVAL = 5.0  # ms between two looks at the clock
 
 
 class LeaseService:
@@ -46,40 +46,52 @@
     def __init__(
         self,
         reactor,
-        plan: FleetConfig,
+        config: FleetConfig,
         name: str,
         counters,
-        changed: Callable = lambda task, fencing_token: None,
+        on_lease_changed: Callable = lambda task, fencing_token: None,
     ) -> None:
         """`changed(task, fence)` is called as a task becomes this balancer's, and with 0 as it ends."""
-        if name not in plan.peers:
+        if name not in config.peers:
             raise InvalidValueError(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
-        self.reactor, self.plan, self.name, self.counters, self.changed = (
+        self.reactor, self.config, self.name, self.counters, self.on_lease_changed = (
             reactor,
-            plan,
+            config,
             name,
             counters,
-            changed,
+            on_lease_changed,
         )
-        chance = random.Random(os.urandom(16))
+        rng = random.Random(os.urandom(16))
         # A process that comes back under its name is not the one that held.
-        self.proposer = Proposer(f"{name}#{os.urandom(4).hex()}", plan.terms, chance)
-        self.serves: dict[str, Callable[[str, bytes], bytes]] = {}  # further calls, by kind; set at the start
-        self.shows: dict[str, Callable[[], object]] = {}  # what further parts show, by name; set at the start
-        self.left: Callable[[str], object] = str  # called as a peer's last connection here ends
-        self.link = PeerTransport(
-            reactor, plan, name, chance, counters, self._serve, left=lambda peer: self.left(peer)
+        self.proposer = Proposer(f"{name}#{os.urandom(4).hex()}", config.terms, rng)
+        self.call_handlers: dict[
+            str, Callable[[str, bytes], bytes]
+        ] = {}  # further calls, by kind; set at the start
+        self.status_providers: dict[
+            str, Callable[[], object]
+        ] = {}  # what further parts show, by name; set at the start
+        self.on_peer_disconnected: Callable[[str], object] = (
+            str  # called as a peer's last connection here ends
+        )
+        self.transport = PeerTransport(
+            reactor,
+            config,
+            name,
+            rng,
+            counters,
+            self.handle_call,
+            on_disconnected=lambda peer: self.on_peer_disconnected(peer),
         )
         self.acceptor: Acceptor | None = None
-        self.reserving = False
-        self.timer = None
+        self.persisting = False
+        self.tick_timer = None
         self.stopped = False
-        if name in plan.terms.acceptors:
-            if not plan.state or not os.path.isdir(plan.state):
+        if name in config.terms.acceptors:
+            if not config.state_dir or not os.path.isdir(config.state_dir):
                 raise InvalidValueError(
-                    f"LB_FLEET: state: '{plan.state}' is no folder, and a keeper needs one"
+                    f"LB_FLEET: state: '{config.state_dir}' is no folder, and a keeper needs one"
                 )
-            self.acceptor = Acceptor(plan.terms, self.clock(), acceptor_storage.load(plan.state))
+            self.acceptor = Acceptor(config.terms, self.clock(), acceptor_storage.load(config.state_dir))
 
     @staticmethod
     def clock() -> float:
@@ -88,18 +100,18 @@
 
     def start(self):
         """Open the link and ask for the tasks; brings the listening, or its failure."""
-        for acceptor in self.plan.terms.acceptors:
+        for acceptor in self.config.terms.acceptors:
             if acceptor != self.name:
-                self.link.dial(acceptor)
+                self.transport.connect(acceptor)
         if self.acceptor is not None:
-            self._reserve(PersistBallots(self.acceptor.ballot_floor + BALLOT_BLOCK))
+            self._persist_ballots(PersistBallots(self.acceptor.ballot_floor + BALLOT_BLOCK))
             silent = self.acceptor.serving_from - self.clock()
             self.reactor.callLater(
                 max(0.0, silent) / 1000, log_event, "acceptor serving", floor=self.acceptor.ballot_floor
             )
-        for task in self.plan.tasks:
-            self._decide(RequestLease(task))
-        return self.link.listen()
+        for task in self.config.tasks:
+            self.handle_event(RequestLease(task))
+        return self.transport.listen()
 
     def stop(self) -> None:
         """Let go of all, so that the next holder has it at once."""
@@ -107,119 +119,125 @@
             return
         self.stopped = True
         for task in list(self.proposer.states):
-            self._decide(ReleaseLease(task))
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+            self.handle_event(ReleaseLease(task))
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
 
-    def fencing_token(self, task: str, longest: float) -> int:
+    def fencing_token(self, task: str, max_duration: float) -> int:
         """The fence for an act that takes `longest` ms at most; 0 where it must not begin."""
-        return self.proposer.fencing_token(task, self.clock(), longest)
+        return self.proposer.fencing_token(task, self.clock(), max_duration)
 
-    def others(self) -> list[str]:
+    def other_peers(self) -> list[str]:
         """All balancers of the fleet but this one."""
-        return [peer for peer in self.plan.peers if peer != self.name]
+        return [peer for peer in self.config.peers if peer != self.name]
 
     # The asker
 
-    def _decide(self, event) -> None:
+    def handle_event(self, event) -> None:
         for action in self.proposer.handle(self.clock(), event):
             if isinstance(action, SendRequest):
-                self._ask(action)
+                self._send_request(action)
             elif isinstance(action, LeaseAcquired):
                 self.counters["leases_acquired"] += 1
                 log_event("lease acquired", task=action.task, fence=action.fencing_token)
-                self.changed(action.task, action.fencing_token)
+                self.on_lease_changed(action.task, action.fencing_token)
             elif isinstance(action, LeaseLost):
                 self.counters[f"leases_lost_{action.reason.replace(' ', '_')}"] += 1
                 log_event("lease lost", task=action.task, why=action.reason)
-                self.changed(action.task, 0)
-        self._again()
+                self.on_lease_changed(action.task, 0)
+        self._schedule_tick()
 
-    def _again(self) -> None:
+    def _schedule_tick(self) -> None:
         if self.stopped:
             return
         due = self.proposer.next_tick_in(self.clock())
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
         if due < math.inf:
-            self.timer = self.reactor.callLater(max(SOONEST, due) / 1000, self._decide, Tick())
+            self.tick_timer = self.reactor.callLater(
+                max(MIN_TICK_INTERVAL, due) / 1000, self.handle_event, Tick()
+            )
 
-    def _ask(self, request: SendRequest) -> None:
+    def _send_request(self, request: SendRequest) -> None:
         if request.acceptor == self.name:
             # In a turn of its own: the asker is in the middle of deciding.
-            self.reactor.callLater(0, lambda: self._told(self.name, self._keep(request.request)))
+            self.reactor.callLater(
+                0, lambda: self._on_reply(self.name, self._answer_request(request.request))
+            )
             return
         kind = type(request.request).__name__.lower()
-        call = self.link.call(request.acceptor, kind, msgspec.msgpack.encode(request.request))
+        call = self.transport.call(request.acceptor, kind, msgspec.msgpack.encode(request.request))
         call.addCallback(msgspec.msgpack.decode, type=Reply)
-        call.addCallbacks(lambda reply: self._told(request.acceptor, reply), self._no_answer)
+        call.addCallbacks(lambda reply: self._on_reply(request.acceptor, reply), self._on_request_failed)
 
-    def _told(self, acceptor: str, reply: Reply | None) -> None:
+    def _on_reply(self, acceptor: str, reply: Reply | None) -> None:
         if reply is not None and not self.stopped:
-            self._decide(ReplyReceived(acceptor, reply))
+            self.handle_event(ReplyReceived(acceptor, reply))
 
-    def _no_answer(self, reason) -> None:
+    def _on_request_failed(self, reason) -> None:
         """A keeper that is away says nothing, and time does the rest."""
         reason.trap(CallFailed, msgspec.MsgspecError)
         self.counters["lease_requests_unanswered"] += 1
 
     # The keeper
 
-    def _serve(self, peer: str, kind: str, body: bytes):
+    def handle_call(self, peer: str, kind: str, body: bytes):
         if kind == "show":
             return msgspec.json.encode(self.show())
-        if peer == LOOKER:
+        if peer == OBSERVER:
             raise CallFailed("a command may only look")
         if kind == "freed":
-            self._decide(msgspec.msgpack.decode(body, type=LeaseReleased))
+            self.handle_event(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
-        if kind in self.serves:
-            return self.serves[kind](peer, body)
-        if kind not in WORDS or self.acceptor is None:
+        if kind in self.call_handlers:
+            return self.call_handlers[kind](peer, body)
+        if kind not in REQUEST_TYPES or self.acceptor is None:
             raise CallFailed(f"no keeper, or no call '{kind[:32]}'")
         try:
-            request = msgspec.msgpack.decode(body, type=WORDS[kind])
+            request = msgspec.msgpack.decode(body, type=REQUEST_TYPES[kind])
         except msgspec.MsgspecError as fault:
             self.counters["peer_malformed_input"] += 1
             raise CallFailed(f"{kind}: {fault}") from None
         if request.proposer.partition("#")[0] != peer:
             self.counters["lease_requests_spoofed"] += 1
             raise CallFailed(f"{kind}: asked for another")
-        return msgspec.msgpack.encode(self._keep(request))
+        return msgspec.msgpack.encode(self._answer_request(request))
 
-    def _keep(self, request: Prepare | Propose | Release) -> Reply | None:
+    def _answer_request(self, request: Prepare | Propose | Release) -> Reply | None:
         if self.acceptor is None:
             return None
-        reply, reserve, freed = self.acceptor.handle(self.clock(), request)
+        reply, reserve, waiters = self.acceptor.handle(self.clock(), request)
         if not reply.accepted:
             self.counters[f"acceptor_rejected_{reply.reason}"] += 1
         if reserve is not None:
-            self._reserve(reserve)
-        for waiting in freed:
-            self._free(waiting, request.task)
+            self._persist_ballots(reserve)
+        for waiter in waiters:
+            self._notify_released(waiter, request.task)
         return reply
 
-    def _free(self, proposer: str, task: str) -> None:
+    def _notify_released(self, proposer: str, task: str) -> None:
         peer = proposer.partition("#")[0]
         if peer == self.name:
-            self.reactor.callLater(0, lambda: self.stopped or self._decide(LeaseReleased(task)))
+            self.reactor.callLater(0, lambda: self.stopped or self.handle_event(LeaseReleased(task)))
             return
-        call = self.link.call_back(peer, "freed", msgspec.msgpack.encode(LeaseReleased(task)))
-        call.addErrback(self._no_answer)
+        call = self.transport.call_inbound(peer, "freed", msgspec.msgpack.encode(LeaseReleased(task)))
+        call.addErrback(self._on_request_failed)
 
-    def _reserve(self, reserve: PersistBallots) -> None:
-        if self.reserving:
+    def _persist_ballots(self, reserve: PersistBallots) -> None:
+        if self.persisting:
             return
-        self.reserving = True
-        writing = threads.deferToThread(acceptor_storage.store, self.plan.state, reserve.persisted_below)
+        self.persisting = True
+        writing = threads.deferToThread(
+            acceptor_storage.store, self.config.state_dir, reserve.persisted_below
+        )
 
         def stored(_: object) -> None:
-            self.reserving = False
+            self.persisting = False
             self.acceptor.ballots_persisted(reserve.persisted_below)
 
         def failed(reason) -> None:
             # Nothing above what disk has is promised: the fleet goes on with the other keepers.
-            self.reserving = False
+            self.persisting = False
             self.counters["acceptor_storage_failures"] += 1
             log_event("acceptor storage failed", why=str(reason.value)[:200])
 
@@ -255,11 +273,11 @@
         silent = round(max(0.0, self.acceptor.serving_from - now)) if self.acceptor else 0
         return {
             "name": self.name,
-            "fleet": self.plan.name,
+            "fleet": self.config.name,
             "tasks": tasks,
             "keeps": acceptor_states,
             "keeper": self.acceptor is not None,
             "keeper_silent_ms": silent,
-            "connections": {"out": sorted(self.link.out), "in": sorted(self.link.came_in)},
-            **{name: show() for name, show in self.shows.items()},
+            "connections": {"out": sorted(self.transport.outbound), "in": sorted(self.transport.inbound)},
+            **{name: show() for name, show in self.status_providers.items()},
         }
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -19,18 +19,25 @@
 from lotusroute.fleet.config import FleetConfig
 from lotusroute.net.structured_log import log_event
 
-FORM = 1  # of what is said on the link: who speaks another is let go
-BODY = 60_000  # bytes of one call or answer: AMP carries 65,535
-CALLS = 64  # calls in flight to one peer: more wait for nothing, they fail at once
-BYTES = 262_144  # the same in bytes: what a stalled peer may hold of our memory
-CALL = 1.0  # s for an answer: a lease's patience is less, a list may take longer than a word
-STALLED = 3  # calls in a row without an answer after which a connection is given up
-HELLO = 2.0  # s for a newcomer to say who it is
-REDIAL = 0.1, 5.0  # s, first and longest pause before dialling again; doubled, and half of it drawn
-DIAL = 2.0  # s for a connection to come up
-BACKLOG = 64  # connections that may wait to be accepted
-GUEST = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}")  # names of those that come in without being peers
-EACH = 4  # connections that one peer may have here: one, and those that died without a word
+PROTOCOL_VERSION = 1  # of what is said on the link: who speaks another is let go
+MAX_BODY_BYTES = 60_000  # bytes of one call or answer: AMP carries 65,535
+MAX_CALLS_IN_FLIGHT = 64  # calls in flight to one peer: more wait for nothing, they fail at once
+MAX_BYTES_IN_FLIGHT = 262_144  # the same in bytes: what a stalled peer may hold of our memory
+CALL_TIMEOUT = 1.0  # s for an answer: a lease's patience is less, a list may take longer than a word
+MAX_CONSECUTIVE_TIMEOUTS = 3  # calls in a row without an answer after which a connection is given up
+HELLO_TIMEOUT = 2.0  # s for a newcomer to say who it is
+RECONNECT_BACKOFF = (
+    0.1,
+    5.0,
+)  # s, first and longest pause before dialling again; doubled, and half of it drawn
+CONNECT_TIMEOUT = 2.0  # s for a connection to come up
+LISTEN_BACKLOG = 64  # connections that may wait to be accepted
+SUBSCRIBER_NAME = re.compile(
+    r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}"
+)  # names of those that come in without being peers
+MAX_CONNECTIONS_PER_PEER = (
+    4  # connections that one peer may have here: one, and those that died without a word
+)
 
 
 class CallFailed(Exception):
@@ -57,127 +64,142 @@
 
     noisy = False
 
-    def __init__(self, link: "PeerTransport", peer: str = "") -> None:
+    def __init__(self, peer_transport: "PeerTransport", peer: str = "") -> None:
         super().__init__()
-        self.link, self.peer = link, peer  # empty until a newcomer has said it
-        self.calls = self.bytes = self.unanswered = 0
+        self.peer_transport, self.peer = peer_transport, peer  # empty until a newcomer has said it
+        self.calls_in_flight = self.bytes_in_flight = self.consecutive_timeouts = 0
         self.greeted = False
-        self.timer = None
+        self.hello_timer = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         if not self.peer:
-            self.timer = self.link.reactor.callLater(HELLO, self._stranger, "said nothing")
+            self.hello_timer = self.peer_transport.reactor.callLater(
+                HELLO_TIMEOUT, self._reject_unknown_peer, "said nothing"
+            )
 
     def sendBox(self, box: amp.Box) -> None:
         data = box.serialize()
-        self.link.counters["peer_bytes_sent"] += len(data)
+        self.peer_transport.counters["peer_bytes_sent"] += len(data)
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:
-        self.link.counters["peer_bytes_received"] += len(data)
+        self.peer_transport.counters["peer_bytes_received"] += len(data)
         try:
             super().dataReceived(data)
         except Exception:  # whatever a peer sends ends its connection, and nothing else
-            self.link.counters["peer_malformed_input"] += 1
+            self.peer_transport.counters["peer_malformed_input"] += 1
             self.transport.abortConnection()
 
     def unhandledError(self, reason: failure.Failure) -> None:
         """A call that nobody here knows, or an answer that does not fit."""
-        self.link.counters["peer_malformed_input"] += 1
+        self.peer_transport.counters["peer_malformed_input"] += 1
         self.transport.abortConnection()
 
     def connectionLost(self, reason: failure.Failure) -> None:
         # AMP fails all calls in hand, which were taken off the bounds as they end.
         super().connectionLost(reason)
-        self._quiet()
-        self.link.lost(self)
+        self._cancel_hello_timer()
+        self.peer_transport.connection_lost(self)
 
-    def _quiet(self) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+    def _cancel_hello_timer(self) -> None:
+        if self.hello_timer is not None and self.hello_timer.active():
+            self.hello_timer.cancel()
 
-    def _stranger(self, why: str) -> None:
-        self._quiet()
-        self.link.counters["unknown_peers"] += 1
-        log_event("unknown peer disconnected", why=why)
+    def _reject_unknown_peer(self, reason: str) -> None:
+        self._cancel_hello_timer()
+        self.peer_transport.counters["unknown_peers"] += 1
+        log_event("unknown peer disconnected", why=reason)
         self.transport.abortConnection()
 
     @Hello.responder
     def hello(self, fleet: str, form: int, name: str) -> dict:
         """A newcomer says who it is."""
-        plan = self.link.plan
-        known = name in plan.peers or name == LOOKER or self.link.guest(name)
-        if self.greeted or self.peer or (fleet, form) != (plan.name, FORM) or not known:
-            self.link.reactor.callLater(0, self._stranger, f"fleet {fleet[:64]} form {form} name {name[:64]}")
-            return {"name": self.link.name}
-        self._quiet()
+        config = self.peer_transport.config
+        known = name in config.peers or name == OBSERVER or self.peer_transport.admits_subscriber(name)
+        if self.greeted or self.peer or (fleet, form) != (config.name, PROTOCOL_VERSION) or not known:
+            self.peer_transport.reactor.callLater(
+                0, self._reject_unknown_peer, f"fleet {fleet[:64]} form {form} name {name[:64]}"
+            )
+            return {"name": self.peer_transport.name}
+        self._cancel_hello_timer()
         self.peer, self.greeted = name, True
-        self.link.came(self)
-        return {"name": self.link.name}
+        self.peer_transport.peer_identified(self)
+        return {"name": self.peer_transport.name}
 
     @Call.responder
     def called(self, kind: str, body: bytes):
         """A peer calls."""
         if not self.greeted:
-            self.link.reactor.callLater(0, self._stranger, "called before it said who it is")
+            self.peer_transport.reactor.callLater(
+                0, self._reject_unknown_peer, "called before it said who it is"
+            )
             raise CallFailed("stranger")
-        self.link.counters["peer_calls_received"] += 1
-        answer = defer.maybeDeferred(self.link.serve, self.peer, kind, body)
-        answer.addCallbacks(lambda back: {"body": back}, self._refused)
+        self.peer_transport.counters["peer_calls_received"] += 1
+        answer = defer.maybeDeferred(self.peer_transport.handle_call, self.peer, kind, body)
+        answer.addCallbacks(lambda back: {"body": back}, self._call_rejected)
         return answer
 
-    def _refused(self, reason: failure.Failure) -> None:
-        self.link.counters["peer_calls_rejected"] += 1
+    def _call_rejected(self, reason: failure.Failure) -> None:
+        self.peer_transport.counters["peer_calls_rejected"] += 1
         raise CallFailed(str(reason.value)[:200])
 
-    def greet(self, fleet: str, name: str) -> defer.Deferred:
+    def send_hello(self, fleet: str, name: str) -> defer.Deferred:
         """Say who we are; brings who the other is."""
-        hello = self.callRemote(Hello, fleet=fleet, form=FORM, name=name)
-        return hello.addCallback(lambda told: told["name"])
+        hello = self.callRemote(Hello, fleet=fleet, form=PROTOCOL_VERSION, name=name)
+        return hello.addCallback(lambda response: response["name"])
 
-    def ask(self, kind: str, body: bytes) -> defer.Deferred:
+    def call(self, kind: str, body: bytes) -> defer.Deferred:
         """Call the peer, within the bounds."""
-        counters, reactor = self.link.counters, self.link.reactor
-        if len(body) > BODY:
+        counters, reactor = self.peer_transport.counters, self.peer_transport.reactor
+        if len(body) > MAX_BODY_BYTES:
             return defer.fail(CallFailed("large"))
-        if self.calls >= CALLS or self.bytes + len(body) > BYTES:
+        if (
+            self.calls_in_flight >= MAX_CALLS_IN_FLIGHT
+            or self.bytes_in_flight + len(body) > MAX_BYTES_IN_FLIGHT
+        ):
             counters["peer_calls_over_limit"] += 1
             return defer.fail(CallFailed("crowded"))
-        self.calls, self.bytes = self.calls + 1, self.bytes + len(body)
+        self.calls_in_flight, self.bytes_in_flight = (
+            self.calls_in_flight + 1,
+            self.bytes_in_flight + len(body),
+        )
         counters["peer_calls_sent"] += 1
-        told: defer.Deferred = defer.Deferred()
+        response: defer.Deferred = defer.Deferred()
 
         def ended(result: object) -> None:
             # Only now: one that is late still takes a place with the peer.
-            self.calls, self.bytes = self.calls - 1, self.bytes - len(body)
+            self.calls_in_flight, self.bytes_in_flight = (
+                self.calls_in_flight - 1,
+                self.bytes_in_flight - len(body),
+            )
             timer.cancel() if timer.active() else None
-            if told.called:
+            if response.called:
                 return
             if isinstance(result, failure.Failure):
                 if not result.check(CallFailed):
                     result = failure.Failure(CallFailed("unreachable"))
-                told.errback(result)
+                response.errback(result)
             else:
-                self.unanswered = 0
-                told.callback(result["body"])
+                self.consecutive_timeouts = 0
+                response.callback(result["body"])
 
         def late() -> None:
             counters["peer_call_timeouts"] += 1
-            self.unanswered += 1
-            told.errback(CallFailed("late"))
-            if self.unanswered >= STALLED:
+            self.consecutive_timeouts += 1
+            response.errback(CallFailed("late"))
+            if self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
                 # It takes our bytes and answers nothing: another connection may do better.
                 self.transport.abortConnection()
 
-        timer = reactor.callLater(CALL, late)
+        timer = reactor.callLater(CALL_TIMEOUT, late)
         self.callRemote(Call, kind=kind, body=body).addBoth(ended)
-        return told
+        return response
 
 
-LOOKER = "-"  # the name of a command that only looks
+OBSERVER = "-"  # the name of a command that only looks
 
 
 class PeerTransport:
@@ -186,34 +208,36 @@
     def __init__(
         self,
         reactor,
-        plan: FleetConfig,
+        config: FleetConfig,
         name: str,
-        chance: random.Random,
+        rng: random.Random,
         counters,
         serve: Callable[[str, str, bytes], object],
-        up: Callable[[str], object] = str,
-        left: Callable[[str], object] = str,
+        on_connected: Callable[[str], object] = str,
+        on_disconnected: Callable[[str], object] = str,
     ) -> None:
         """`up(peer)`: one that we dialled is greeted; `left(peer)`: that, or the last from there, ended."""
-        self.reactor, self.plan, self.name, self.chance, self.counters = reactor, plan, name, chance, counters
-        self.up, self.left = up, left
-        self.kept: set[str] = set()  # peers to which a connection is kept up; leave with `drop`
-        self.serve = serve  # (peer, kind, body) to bytes or a Deferred of them; raises Failed to refuse
-        self.out: dict[str, PeerConnection] = {}  # by peer, greeted; leave when lost
-        self.came_in: dict[
+        self.reactor, self.config, self.name, self.rng, self.counters = reactor, config, name, rng, counters
+        self.on_connected, self.on_disconnected = on_connected, on_disconnected
+        self.wanted_peers: set[str] = set()  # peers to which a connection is kept up; leave with `drop`
+        self.handle_call = serve  # (peer, kind, body) to bytes or a Deferred of them; raises Failed to refuse
+        self.outbound: dict[str, PeerConnection] = {}  # by peer, greeted; leave when lost
+        self.inbound: dict[
             str, list[PeerConnection]
         ] = {}  # by peer, EACH at most, newest last; leave when lost
-        self.dialling: dict[str, float] = {}  # peers that are dialled, and the pause after the next failure
-        self.redials: dict[str, object] = {}  # by peer, the next try; leave as it begins or is taken back
+        self.connecting: dict[str, float] = {}  # peers that are dialled, and the pause after the next failure
+        self.reconnect_timers: dict[
+            str, object
+        ] = {}  # by peer, the next try; leave as it begins or is taken back
         self.port = None
         self.closed = False
 
     def listen(self) -> defer.Deferred:
         """Take connections at the own address."""
-        host, port = self.plan.peers[self.name]
+        host, port = self.config.peers[self.name]
         factory = Factory.forProtocol(lambda: PeerConnection(self))
         factory.noisy = False
-        found = endpoints.TCP4ServerEndpoint(self.reactor, port, BACKLOG, host).listen(factory)
+        found = endpoints.TCP4ServerEndpoint(self.reactor, port, LISTEN_BACKLOG, host).listen(factory)
         return found.addCallback(lambda port: setattr(self, "port", port))
 
     def close(self) -> None:
@@ -221,119 +245,125 @@
         self.closed = True
         if self.port is not None:
             self.port.stopListening()
-        for connection in [*self.out.values(), *(one for came in self.came_in.values() for one in came)]:
+        for connection in [
+            *self.outbound.values(),
+            *(one for group in self.inbound.values() for one in group),
+        ]:
             connection.transport.loseConnection()
 
     def call(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
         """Call a peer; brings its answer, or fails with Failed."""
-        connection = self.out.get(peer)
+        connection = self.outbound.get(peer)
         if connection is None:
-            self.dial(peer)
+            self.connect(peer)
             return defer.fail(CallFailed("unreachable"))
-        return connection.ask(kind, body)
+        return connection.call(kind, body)
 
-    def call_back(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
+    def call_inbound(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
         """Call one that has dialled us, on its own connection."""
-        connections = self.came_in.get(peer)
-        return connections[-1].ask(kind, body) if connections else defer.fail(CallFailed("unreachable"))
+        connections = self.inbound.get(peer)
+        return connections[-1].call(kind, body) if connections else defer.fail(CallFailed("unreachable"))
 
-    def guest(self, name: str) -> bool:
+    def admits_subscriber(self, name: str) -> bool:
         """Whether one that no file names may come in: as many as the plan has room for."""
-        guests = len(self.came_in) - len(self.came_in.keys() & self.plan.peers.keys())
-        return GUEST.fullmatch(name) is not None and (name in self.came_in or guests < self.plan.guests)
+        subscribers = len(self.inbound) - len(self.inbound.keys() & self.config.peers.keys())
+        return SUBSCRIBER_NAME.fullmatch(name) is not None and (
+            name in self.inbound or subscribers < self.config.max_subscribers
+        )
 
-    def dial(self, peer: str) -> None:
+    def connect(self, peer: str) -> None:
         """Keep a connection to a peer up from now on."""
-        self.kept.add(peer)
-        if self.closed or peer in self.out or peer in self.dialling or peer not in self.plan.peers:
+        self.wanted_peers.add(peer)
+        if self.closed or peer in self.outbound or peer in self.connecting or peer not in self.config.peers:
             return
-        self.dialling[peer] = REDIAL[0]
-        self._dial(peer)
+        self.connecting[peer] = RECONNECT_BACKOFF[0]
+        self._open_connection(peer)
 
-    def drop(self, peer: str) -> None:
+    def disconnect(self, peer: str) -> None:
         """Keep no connection to a peer any more."""
-        self.kept.discard(peer)
-        self.dialling.pop(peer, None)
-        if redial := self.redials.pop(peer, None):
-            redial.cancel()
-        if connection := self.out.get(peer):
+        self.wanted_peers.discard(peer)
+        self.connecting.pop(peer, None)
+        if reconnect_timer := self.reconnect_timers.pop(peer, None):
+            reconnect_timer.cancel()
+        if connection := self.outbound.get(peer):
             connection.transport.loseConnection()
 
-    def _dial(self, peer: str) -> None:
-        self.redials.pop(peer, None)
+    def _open_connection(self, peer: str) -> None:
+        self.reconnect_timers.pop(peer, None)
         if self.closed:
             return
-        host, port = self.plan.peers[peer]
-        point = endpoints.TCP4ClientEndpoint(self.reactor, host, port, timeout=DIAL)
+        host, port = self.config.peers[peer]
+        point = endpoints.TCP4ClientEndpoint(self.reactor, host, port, timeout=CONNECT_TIMEOUT)
         connection = PeerConnection(self, peer)
         trying = endpoints.connectProtocol(point, connection)
-        trying.addCallback(lambda connection: connection.greet(self.plan.name, self.name))
-        trying.addTimeout(DIAL + HELLO, self.reactor)
+        trying.addCallback(lambda connection: connection.send_hello(self.config.name, self.name))
+        trying.addTimeout(CONNECT_TIMEOUT + HELLO_TIMEOUT, self.reactor)
         trying.addCallbacks(
-            lambda name: self._up(peer, connection, name), lambda _: self._down(peer, connection)
+            lambda name: self._connection_ready(peer, connection, name),
+            lambda _: self._connection_failed(peer, connection),
         )
 
-    def _up(self, peer: str, connection: PeerConnection, name: str) -> None:
+    def _connection_ready(self, peer: str, connection: PeerConnection, name: str) -> None:
         unfit = connection.transport is None or connection.transport.disconnecting
-        if name != peer or unfit or self.closed or peer not in self.dialling:
+        if name != peer or unfit or self.closed or peer not in self.connecting:
             self.counters["unknown_peers"] += name != peer
-            self._down(peer, connection)
+            self._connection_failed(peer, connection)
             return
         connection.greeted = True
-        del self.dialling[peer]
-        self.out[peer] = connection
+        del self.connecting[peer]
+        self.outbound[peer] = connection
         self.counters["peer_connects"] += 1
         log_event("peer connected", peer=peer)
-        self.up(peer)
+        self.on_connected(peer)
 
-    def _down(self, peer: str, connection: PeerConnection) -> None:
+    def _connection_failed(self, peer: str, connection: PeerConnection) -> None:
         if connection.transport is not None:
             connection.transport.abortConnection()
         self.counters["peer_connect_failures"] += 1
-        if peer not in self.dialling or peer in self.redials:
+        if peer not in self.connecting or peer in self.reconnect_timers:
             return  # taken back, or dialled anew meanwhile
-        pause = self.dialling[peer]
-        self.dialling[peer] = min(2 * pause, REDIAL[1])
-        later = self.reactor.callLater(pause * self.chance.uniform(0.5, 1.0), self._dial, peer)
-        self.redials[peer] = later
-        self.left(peer)
+        pause = self.connecting[peer]
+        self.connecting[peer] = min(2 * pause, RECONNECT_BACKOFF[1])
+        later = self.reactor.callLater(pause * self.rng.uniform(0.5, 1.0), self._open_connection, peer)
+        self.reconnect_timers[peer] = later
+        self.on_disconnected(peer)
 
-    def came(self, connection: PeerConnection) -> None:
+    def peer_identified(self, connection: PeerConnection) -> None:
         """A newcomer has said who it is."""
-        connections = self.came_in.setdefault(connection.peer, [])
+        connections = self.inbound.setdefault(connection.peer, [])
         connections.append(connection)
-        if len(connections) > EACH:
+        if len(connections) > MAX_CONNECTIONS_PER_PEER:
             self.counters["peer_connections_over_limit"] += 1
             connections[0].transport.abortConnection()
 
-    def lost(self, connection: PeerConnection) -> None:
+    def connection_lost(self, connection: PeerConnection) -> None:
         """A connection is over."""
-        if self.out.get(connection.peer) is connection:
-            del self.out[connection.peer]
+        if self.outbound.get(connection.peer) is connection:
+            del self.outbound[connection.peer]
             self.counters["peer_disconnects"] += 1
             log_event("peer disconnected", peer=connection.peer)
-            if connection.peer in self.kept:
-                self.dial(connection.peer)
-            self.left(connection.peer)
-        connections = self.came_in.get(connection.peer, [])
+            if connection.peer in self.wanted_peers:
+                self.connect(connection.peer)
+            self.on_disconnected(connection.peer)
+        connections = self.inbound.get(connection.peer, [])
         with contextlib.suppress(ValueError):
             connections.remove(connection)
-        if not connections and self.came_in.pop(connection.peer, None) is not None:
-            self.left(connection.peer)
+        if not connections and self.inbound.pop(connection.peer, None) is not None:
+            self.on_disconnected(connection.peer)
 
 
-def query_peer(reactor, plan: FleetConfig, peer: str) -> defer.Deferred:
+def query_peer(reactor, config: FleetConfig, peer: str) -> defer.Deferred:
     """Ask one balancer once what it shows, for a command; brings its bytes."""
-    link = PeerTransport(reactor, plan, LOOKER, random.Random(), Counter(), lambda *_: b"")
-    connection = PeerConnection(link, peer)
-    point = endpoints.TCP4ClientEndpoint(reactor, *plan.peers[peer], timeout=DIAL)
+    peer_transport = PeerTransport(reactor, config, OBSERVER, random.Random(), Counter(), lambda *_: b"")
+    connection = PeerConnection(peer_transport, peer)
+    point = endpoints.TCP4ClientEndpoint(reactor, *config.peers[peer], timeout=CONNECT_TIMEOUT)
     asked = endpoints.connectProtocol(point, connection)
-    asked.addCallback(lambda connection: connection.greet(plan.name, LOOKER))
-    asked.addCallback(lambda _: connection.ask("show", b""))
-    asked.addTimeout(DIAL + HELLO, reactor)
+    asked.addCallback(lambda connection: connection.send_hello(config.name, OBSERVER))
+    asked.addCallback(lambda _: connection.call("show", b""))
+    asked.addTimeout(CONNECT_TIMEOUT + HELLO_TIMEOUT, reactor)
 
     def end(result: object) -> object:
-        link.closed = True
+        peer_transport.closed = True
         if connection.transport is not None:
             connection.transport.loseConnection()
         return result
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -40,7 +40,7 @@
         self.part, self.reactor, self.counters, self.seed = part, part.reactor, counters, seed
         self.where = where
         self.store = VersionedStore()
-        self.fan = FanOut(self.store, part.plan.guests + len(part.plan.peers))
+        self.fan = FanOut(self.store, part.config.max_subscribers + len(part.config.peers))
         self.assembly = messages.Assembly()
         self.fence = 0  # while this relay is the origin
         self.highest = 0  # the highest fence that it heard of
@@ -48,9 +48,9 @@
         self.taken: dict[str, str] = {}  # how those that we send to are reached: `guest` or `peer`
         self.discovery: Discovery | None = None
         self.timer = None  # the next tick
-        part.serves.update(follow=self._follow, news=self._news)
-        part.shows["news"] = self.show
-        part.changed, part.left = self._changed, self._left
+        part.call_handlers.update(follow=self._follow, news=self._news)
+        part.status_providers["news"] = self.show
+        part.on_lease_changed, part.on_peer_disconnected = self._changed, self._left
 
     def start(self):
         """Open the link; brings the listening, or its failure."""
@@ -67,7 +67,7 @@
         now = self.part.clock()
         self._act(self.fan.tick(now, self.old()))
         if self.fence:
-            for peer in self.part.link.out.keys() - self.fan.followers.keys():
+            for peer in self.part.transport.outbound.keys() - self.fan.followers.keys():
                 # What it has is not known yet: it says so as it acknowledges.
                 self.taken[peer] = "peer"
                 self._act(self.fan.join(now, peer, self.store.version))
@@ -101,8 +101,8 @@
         defer.ensureDeferred(self._carry(to, calls))
 
     async def _carry(self, to: str, calls: list[bytes]) -> None:
-        link = self.part.link
-        call = link.call if self.taken.get(to) == "peer" else link.call_back
+        link = self.part.transport
+        call = link.call if self.taken.get(to) == "peer" else link.call_inbound
         try:
             for body in calls:
                 self.counters["update_bytes_sent"] += len(body)
@@ -140,7 +140,7 @@
         """An origin's word."""
         word = messages.read(body)
         fence = word.version[0]
-        if peer not in self.part.plan.peers or fence < self.highest or self.fence >= fence:
+        if peer not in self.part.config.peers or fence < self.highest or self.fence >= fence:
             self.counters["updates_fenced"] += 1
             raise CallFailed("a later origin has spoken")
         if fence > self.highest:
@@ -177,8 +177,8 @@
                 self.discovery = None
             return
         self.highest = fence
-        for peer in self.part.others():
-            self.part.link.dial(peer)
+        for peer in self.part.other_peers():
+            self.part.transport.connect(peer)
         where, seq = endpoint_items.about(self.store)
         same = where == self._base()
         self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counters)
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -109,11 +109,11 @@
         for action in actions:
             if isinstance(action, Quit):
                 self.counters["relay_left"] += 1
-                self.link.drop(action.relay)
-            elif action.relay in self.link.out:
+                self.link.disconnect(action.relay)
+            elif action.relay in self.link.outbound:
                 self._up(action.relay)
             else:
-                self.link.dial(action.relay)
+                self.link.connect(action.relay)
 
     def _up(self, relay: str) -> None:
         if relay != self.follower.asked:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -119,7 +119,7 @@
     connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     clock.advance(2.1)
-    assert not transport.disconnecting and connection.link.came_in == {"b": [connection]}
+    assert not transport.disconnecting and connection.peer_transport.inbound == {"b": [connection]}
 
 
 def test_a_stalled_peer_holds_bounded_calls_and_bytes_and_is_given_up():
@@ -127,17 +127,17 @@
     connection.dataReceived(HELLO)
     failed = []
     for _ in range(70):
-        connection.ask("k", b"x" * 100).addErrback(lambda reason: failed.append(str(reason.value)))
+        connection.call("k", b"x" * 100).addErrback(lambda reason: failed.append(str(reason.value)))
     assert failed == ["crowded"] * 6 and counters["peer_calls_over_limit"] == 6
     clock.advance(1.1)
     assert failed.count("late") == 64 and transport.disconnecting
-    assert connection.calls == 64  # late ones still take their places with the peer
+    assert connection.calls_in_flight == 64  # late ones still take their places with the peer
     connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     for _ in range(5):
-        connection.ask("k", b"x" * 59_000).addErrback(lambda reason: failed.append(str(reason.value)))
-    assert failed[-1] == "crowded" and connection.bytes <= 262_144
-    connection.ask("k", b"x" * 60_001).addErrback(lambda reason: failed.append(str(reason.value)))
+        connection.call("k", b"x" * 59_000).addErrback(lambda reason: failed.append(str(reason.value)))
+    assert failed[-1] == "crowded" and connection.bytes_in_flight <= 262_144
+    connection.call("k", b"x" * 60_001).addErrback(lambda reason: failed.append(str(reason.value)))
     assert failed[-1] == "large"
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -42,10 +42,10 @@
     """Records calls as (way, peer, kind, body) and leaves the answers to the test."""
 
     def __init__(self):
-        self.calls, self.answers, self.out, self.came_in = [], [], {}, {}
+        self.calls, self.answers, self.outbound, self.inbound = [], [], {}, {}
         self.call = lambda *said: self._record("call", *said)
-        self.call_back = lambda *said: self._record("back", *said)
-        self.dial = self.drop = lambda peer: None
+        self.call_inbound = lambda *said: self._record("back", *said)
+        self.connect = self.disconnect = lambda peer: None
 
     def _record(self, *said):
         self.calls.append(said)
@@ -62,10 +62,10 @@
     part = LeaseService(
         task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
     )
-    part.clock, part.link = lambda: NOW, FakeLink()
-    part.proposer = Proposer(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
+    part.clock, part.transport = lambda: NOW, FakeLink()
+    part.proposer = Proposer(f"{name}#0a1b2c3d", part.config.terms, random.Random(1))
     if part.acceptor is not None:
-        part.acceptor = Acceptor(part.plan.terms, 0.0, 0)
+        part.acceptor = Acceptor(part.config.terms, 0.0, 0)
         part.acceptor.ballots_persisted(4096)
     return part
 
@@ -97,16 +97,16 @@
 
 def test_the_link_sends_these_boxes_and_reads_the_answers():
     connection, transport = _connection("b")
-    greeted = connection.greet("f", "a")
+    greeted = connection.send_hello("f", "a")
     assert transport.value() == FROM_ME
     _exchange(connection, transport, IT_IS_B)
     assert greeted.result == "b"
     transport.clear()
-    asked = connection.ask("prepare", b"\x01\xff")
+    asked = connection.call("prepare", b"\x01\xff")
     assert transport.value() == CALL
     _exchange(connection, transport, BACK)
     assert asked.result == b"\0back"
-    refused = connection.ask("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
+    refused = connection.call("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
     _exchange(connection, transport, REFUSED.replace(b"\x012", b"\x013"))
     assert type(refused.result) is CallFailed and str(refused.result) == "low"
     assert not transport.disconnecting
@@ -141,17 +141,17 @@
 def test_an_asker_says_these_calls_and_reads_these_answers(tmp_path):
     part, keepers = _part("d", tmp_path), ["a", "b", "c"]
     tail = b"\xa5watch\x01\xaad#0a1b2c3d"
-    part._decide(RequestLease("watch"))
-    assert part.link.taken() == [("call", at, "prepare", b"\x94" + tail + b"\x01") for at in keepers]
-    for answer in part.link.answers[:2]:
+    part.handle_event(RequestLease("watch"))
+    assert part.transport.taken() == [("call", at, "prepare", b"\x94" + tail + b"\x01") for at in keepers]
+    for answer in part.transport.answers[:2]:
         answer.callback(b"\x99\xa5watch\x01\xa7prepare\x01\xc3\xa0\x01" + ZERO + b"\xc2")
     body = b"\x95" + tail + b"\x02" + MS_3000
-    assert part.link.taken() == [("call", at, "propose", body) for at in keepers]
-    for answer in part.link.answers[3:5]:
+    assert part.transport.taken() == [("call", at, "propose", body) for at in keepers]
+    for answer in part.transport.answers[3:5]:
         answer.callback(b"\x99\xa5watch\x01\xa7propose\x02\xc3\xa0\x01" + ZERO + b"\xc2")
     assert part.fencing_token("watch", 0.0) == 1
-    part._decide(ReleaseLease("watch"))
-    assert part.link.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
+    part.handle_event(ReleaseLease("watch"))
+    assert part.transport.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
 
 
 PREPARES, PROPOSES = ("b", "prepare", FROM_B), ("b", "propose", PROPOSE_B)
@@ -174,24 +174,24 @@
 )
 def test_a_keeper_answers_these_bytes(asked, answer, tmp_path):
     part = _part("a", tmp_path)
-    assert [part._serve(*said) for said in asked][-1] == REPLY + answer
+    assert [part.handle_call(*said) for said in asked][-1] == REPLY + answer
 
 
 def test_a_keeper_that_is_silent_or_full_answers_these_bytes(tmp_path):
     part = _part("a", tmp_path)
     part.acceptor.states = {str(at): AcceptorState(held_until=NOW) for at in range(256)}
-    assert part._serve(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
-    part.acceptor = Acceptor(part.plan.terms, NOW - 1000.0, 7)
+    assert part.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
+    part.acceptor = Acceptor(part.config.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
-    assert part._serve("b", "release", FROM_B) == REPLY + silent
+    assert part.handle_call("b", "release", FROM_B) == REPLY + silent
 
 
 def test_those_who_wait_are_told_that_a_task_is_free(tmp_path):
     part = _part("a", tmp_path)
     for said in [PROPOSES, ("c", "prepare", FROM_C), ("b", "release", FROM_B)]:
-        part._serve(*said)
-    assert part.link.taken() == [("back", "c", "freed", b"\x91\xa5watch")]
-    assert part._serve("b", "freed", b"\x91\xa5watch") == b""
+        part.handle_call(*said)
+    assert part.transport.taken() == [("back", "c", "freed", b"\x91\xa5watch")]
+    assert part.handle_call("b", "freed", b"\x91\xa5watch") == b""
 
 
 WATCHED = b"\x96\x07\xd9\x20http://10.0.0.9:8500/api/targets"
@@ -222,15 +222,19 @@
 @pytest.mark.parametrize("told, since, body", [(TOLD_CHANGED, 12, CHANGED), (TOLD_ALL, None, ALL)])
 def test_the_holder_of_the_watch_sends_these_bytes_and_another_reads_them(told, since, body, tmp_path):
     holder = _watch(tmp_path)
-    holder.fence, holder.part.fencing_token = 7, lambda *_: 7
+    holder.fencing_token, holder.lease_service.fencing_token = 7, lambda *_: 7
     holder.answered(told, since)
-    assert holder.part.link.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
-    holder._beat(7)
-    assert holder.part.link.taken() == [("call", at, "watch", BEAT) for at in ("a", "b", "c")]
+    assert holder.lease_service.transport.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
+    holder._send_heartbeat(7)
+    assert holder.lease_service.transport.taken() == [("call", at, "watch", BEAT) for at in ("a", "b", "c")]
     other = _watch(tmp_path)
-    assert other.part._serve("a", "watch", body) == other.part._serve("a", "watch", BEAT) == b""
+    assert (
+        other.lease_service.handle_call("a", "watch", body)
+        == other.lease_service.handle_call("a", "watch", BEAT)
+        == b""
+    )
     assert other.discovery.taken == [(told, since)]
-    assert (other.highest, other.said) == (7, 12)
+    assert (other.highest_fencing_token, other.holder_seq) == (7, 12)
 
 
 ITEMS = {
@@ -265,9 +269,9 @@
 
 def test_a_relay_sends_these_bytes_and_a_balancer_reads_them(tmp_path):
     relay = _relay(tmp_path)
-    part, link = relay.part, relay.part.link
+    part, link = relay.part, relay.part.transport
     assert relay.store.items == ITEMS
-    assert part._serve("n1", "follow", b"\x92\x00\x00") == b""
+    assert part.handle_call("n1", "follow", b"\x92\x00\x00") == b""
     part.reactor.advance(0)
     assert link.taken() == [("back", "n1", "news", WHOLE)]
     link.answers[-1].callback(b"\x92\x03\x01")
@@ -477,9 +481,9 @@
 
 def test_what_is_shown_has_these_keys(tmp_path):
     relay = _relay(tmp_path)
-    relay.part._decide(RequestLease("watch"))
-    relay.part._serve("b", "propose", PROPOSE_B)
-    shown = json.loads(relay.part._serve("-", "show", b""))
+    relay.part.handle_event(RequestLease("watch"))
+    relay.part.handle_call("b", "propose", PROPOSE_B)
+    shown = json.loads(relay.part.handle_call("-", "show", b""))
     assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
     assert " ".join(shown["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
     kept = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
