--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -128,10 +128,11 @@
     if not file:
         return
     try:
+        from lotusroute.relay import config as relays_config
         from lotusroute.relay import subscription
     except ImportError as fault:
         raise InvalidValueError(f"LB_RELAYS: {fault}; install lotusroute[fleet]") from None
-    told = subscription.read(file)
+    told = relays_config.load_relays_config(file)
     standing.watch = subscription.Subscription(reactor, told, posting.name, counters)
     reactor.callWhenRunning(standing.watch.start)
 
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -1,75 +1,106 @@
-"""Messages and bytes of a role for a given script, without a process or a clock: the same in every run.
+"""Messages and bytes that a role sends for a fixed script, without a process or a clock.
 
-Owns the scripts. It must never depend on the machine: what grows here grew in the code.
+The counts do not depend on the machine: growth means that the code sends more.
 """
 
 import msgspec
 
 from lotusroute.capacity.stubs import entry
-from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL, SharedUpdate
+from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
+from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
-from lotusroute.relay.fanout import BEAT, Drop, FanOut
+from lotusroute.relay.fanout import HEARTBEAT_INTERVAL, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
-HOSTS = 20  # servers in the list
-REST = 6_000.0  # ms at rest
+ENDPOINTS = 20  # in the list
+IDLE_TIME = 6_000.0  # ms without a change, at the end
 CHANGES = 3
+CHANGE_INTERVAL = 10.0  # ms
+TICK_INTERVAL = 100.0  # ms
+AGE = 100.0  # ms, of the list in all messages
+DISCOVERY_ADDRESS = "d:1"
+
+
+class RelayScript:
+    """A relay and its subscribers, all of which acknowledge each message at once."""
+
+    def __init__(self, subscribers: int) -> None:
+        self.now = 0.0
+        self.store = VersionedStore()
+        self.fanout = FanOut(self.store, subscribers)
+        self.subscribers = {f"n{index}": VersionedStore() for index in range(subscribers)}
+        self.messages = 0
+        self.bytes = 0
+
+    def publish(self, answer: dict) -> None:
+        """Publish an answer of discovery."""
+        self.store.publish(1, endpoint_items.item_changes(self.store, answer, DISCOVERY_ADDRESS))
+
+    def join_all(self) -> None:
+        """Let all subscribers join from nothing."""
+        for name in self.subscribers:
+            self.perform(self.fanout.join(self.now, name, Version()))
+
+    def tick(self) -> None:
+        """Let the relay send what is due."""
+        self.perform(self.fanout.tick(self.now, AGE))
+
+    def perform(self, actions: list[Action]) -> None:
+        """Deliver messages and their acknowledgements until there are no more."""
+        pending = list(actions)
+        while pending:
+            action = pending.pop(0)
+            assert not isinstance(action, Drop)
+            for body in messages.encode_update(action.message, AGE):
+                self.messages += 1
+                self.bytes += len(body)
+            subscriber = self.subscribers[action.subscriber]
+            if not isinstance(action.message, Heartbeat):
+                subscriber.apply(action.message)
+            self.bytes += len(messages.encode_acknowledgement(subscriber.version))
+            pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE)
 
 
 def relay(size: int) -> dict[str, int]:
-    """A relay with so many subscribers: all join from nothing, three changes, six seconds of rest.
+    """Count for a relay with so many subscribers: all join from nothing, some changes, then idle time.
 
     >>> few, many = relay(10), relay(20)
     >>> many["messages"] == 2 * few["messages"], many["bytes"] == 2 * few["bytes"]
     (True, True)
     """
-    store, now, sent, size_sent = VersionedStore(), 0.0, 0, 0
-    hosts = [entry(f"s-{at}") for at in range(HOSTS)]
-    store.publish(1, endpoint_items.changes(store, {"seq": 1, "whole": True, "hosts": hosts}, "d:1"))
-    fan = FanOut(store, size)
-    followers = {f"n{at}": VersionedStore() for at in range(size)}
-
-    def carry(actions: list) -> None:
-        nonlocal sent, size_sent
-        todo = list(actions)
-        while todo:
-            action = todo.pop(0)
-            assert not isinstance(action, Drop)
-            for body in messages.written(action.news, 100.0):
-                sent, size_sent = sent + 1, size_sent + len(body)
-            if hasattr(action.news, "digest"):
-                followers[action.to].take(action.news)
-            at = followers[action.to].version
-            size_sent += len(messages.acknowledged(at))
-            todo += fan.acknowledged(now, action.to, at, 100.0)
-
-    for name in followers:
-        carry(fan.join(now, name, Version()))
-    for number in range(CHANGES):
-        now += 10.0
-        told = {"seq": 2 + number, "whole": False, "hosts": [entry("s-0", health="DRAINING")]}
-        store.publish(1, endpoint_items.changes(store, told, "d:1"))
-        fan.news(now)
-        now += BEAT
-        carry(fan.tick(now, 100.0))
-    until = now + REST
-    while now < until:
-        now += 100.0
-        carry(fan.tick(now, 100.0))
-    assert all(follower.items == store.items for follower in followers.values())
-    return {"messages": sent, "bytes": size_sent}
+    script = RelayScript(size)
+    endpoints = [entry(f"s-{index}") for index in range(ENDPOINTS)]
+    script.publish({"seq": 1, "whole": True, "hosts": endpoints})
+    script.join_all()
+    for change in range(CHANGES):
+        script.now += CHANGE_INTERVAL
+        script.publish({"seq": 2 + change, "whole": False, "hosts": [entry("s-0", health="DRAINING")]})
+        script.fanout.on_store_changed(script.now)
+        script.now += HEARTBEAT_INTERVAL
+        script.tick()
+    end = script.now + IDLE_TIME
+    while script.now < end:
+        script.now += TICK_INTERVAL
+        script.tick()
+    assert all(subscriber.items == script.store.items for subscriber in script.subscribers.values())
+    return {"messages": script.messages, "bytes": script.bytes}
 
 
 def holder(size: int) -> dict[str, int]:
-    """The holder of `watch` in a fleet of so many: one change and six seconds of rest.
+    """Count for the holder of the lease `watch` in a fleet of so many: one change, then idle time.
 
     >>> few, many = holder(11), holder(21)
     >>> many["messages"] == 2 * few["messages"], many["bytes"] == 2 * few["bytes"]
     (True, True)
     """
-    where = "http://127.0.0.1:8500/api/targets"
-    told = SharedUpdate(7, where, 2, 1, False, [entry("s-0", health="DRAINING")])
-    beat = SharedUpdate(7, where, 2)
-    beats = round(REST / 1_000 / HEARTBEAT_INTERVAL)
-    each = len(msgspec.msgpack.encode(told)) + beats * len(msgspec.msgpack.encode(beat))
-    return {"messages": (1 + beats) * (size - 1), "bytes": each * (size - 1)}
+    discovery_url = "http://127.0.0.1:8500/api/targets"
+    update = SharedUpdate(7, discovery_url, 2, 1, False, [entry("s-0", health="DRAINING")])
+    heartbeat = SharedUpdate(7, discovery_url, 2)
+    heartbeats = round(IDLE_TIME / 1_000 / HOLDER_HEARTBEAT_INTERVAL)
+    update_bytes = len(msgspec.msgpack.encode(update))
+    heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
+    peers = size - 1
+    return {
+        "messages": (1 + heartbeats) * peers,
+        "bytes": (update_bytes + heartbeats * heartbeat_bytes) * peers,
+    }
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -23,7 +23,7 @@
 
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
-from lotusroute.relay import subscription
+from lotusroute.relay import config, subscription
 
 EACH = 0.15  # s between the starts of two in a process: thousands that start at once on one machine's cores
 #             all fell back on discovery, whose one process then kept them from joining a relay
@@ -42,7 +42,7 @@
     def begin(self, name: str, seed: int) -> None:
         """Start one."""
         zone = self.told["zones"][name]
-        relays = subscription.relays({"name": "scale", "zone": zone, "relays": self.told["relays"]})
+        relays = config.parse_relays_config({"name": "scale", "zone": zone, "relays": self.told["relays"]})
         one = subscription.Subscription(reactor, relays, name, self.counters)
         following = Discovery(self.where, 0, seed, lambda news: self.heard(name, news), self.counters, 500.0)
         following.watch, one.discovery = one, following
@@ -69,8 +69,8 @@
     def restart(self) -> None:
         """All lose what they have and come back at once."""
         for name, one in self.subscriptions.items():
-            one.link.close()
-            one.link.closed = True
+            one.transport.close()
+            one.transport.closed = True
             one.discovery.close()
             one.start = lambda: None
             self.came[name] = {}
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -1,240 +1,307 @@
-"""Tries orders of all that may happen to news: late, lost, doubled, reordered; crashes; origins that change.
-
-Owns the small world in which stores and fans run, the order of moves, and what counts as a breach. It must
-never change the machines, use a clock or a socket, or pass over a breach.
+"""Random model checker of relays: explores orders of messages, crashes and changes of the origin.
 
     python -m lotusroute.fault_injection.relay_model_checker --walks 2000 --seed 1
 
-Relays are the origin one after the other or, for a while, several: a deposed one goes on publishing until it
-hears of the later fence. Two subscribers follow either relay and change sides.
+The model runs the program's own stores and fan-outs, without a clock or a socket. Messages are delayed, lost,
+duplicated, reordered and corrupted; processes crash. One relay after the other is the origin or, for a while,
+several: a deposed one goes on publishing until it receives the later fencing token. Two subscribers change
+between relays. The invariants are checked after each step:
+
+- no process goes back to an older version;
+- no process has items that no origin published under its version;
+- once faults end, all processes get the items of the last origin.
 """
 
 import argparse
 import random
 import sys
 from collections import Counter
+from typing import NamedTuple
+
+from lotusroute.errors import LotusrouteError
+from lotusroute.relay.fanout import (
+    ACKNOWLEDGEMENT_TIMEOUT,
+    COALESCE_DELAY,
+    HEARTBEAT_INTERVAL,
+    Action,
+    FanOut,
+    Heartbeat,
+    Message,
+    Send,
+)
+from lotusroute.relay.versioned_store import (
+    Changes,
+    Delta,
+    PublishRejectedError,
+    UpdateOutcome,
+    Version,
+    VersionedStore,
+)
+
+RELAYS = ("r1", "r2", "r3")
+SUBSCRIBERS = ("s1", "s2")
+KEYS = tuple("abcd")
+MAX_SUBSCRIBERS = 8  # of each relay
+MAX_IN_FLIGHT = 12  # messages; one of them is lost when there are more
+STEPS = 120  # of a walk
+RECOVERY_TICKS = 400  # without faults, within which all have to converge
 
-from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, Drop, FanOut, Heartbeat, Send
-from lotusroute.relay.versioned_store import SPOILT, Delta, PublishRejected, Version, VersionedStore
 
-RELAYS, SUBSCRIBERS = ("r1", "r2", "r3"), ("s1", "s2")
-KEYS = tuple("abcd")
-FLIGHT = 12  # messages in flight at most: beyond that one is lost
+class InvariantViolationError(LotusrouteError):
+    """An invariant does not hold; the message says which, and where."""
 
 
-class Breach(Exception):
-    """What must never be; says what."""
+class Envelope(NamedTuple):
+    """A message in flight; a version is the acknowledgement of an update."""
 
+    source: str
+    destination: str
+    payload: Message | Version
 
-class World:
-    """All processes and what is on its way between them."""
+
+class Model:
+    """All processes and the messages between them."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 0.0
-        self.fence = 0
-        self.origins: dict[str, int] = {}  # who thinks itself the origin, under which fence
-        self.highest = dict.fromkeys(RELAYS, 0)  # the highest fence that each relay heard of
+        self.fencing_token = 0  # of the last lease that was granted
+        self.origins: dict[str, int] = {}  # relays that consider themselves the origin: their fencing tokens
+        self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # that each relay has received
         self.stores = {name: VersionedStore() for name in RELAYS + SUBSCRIBERS}
-        self.fans = {name: FanOut(self.stores[name], 8) for name in RELAYS}
-        self.follows: dict[str, str] = {}
-        self.flight: list[tuple] = []  # (kind, from, to, what)
-        self.truth: dict[Version, dict[str, bytes]] = {Version(): {}}  # what each version is, as published
-        self.seen = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # the highest that each process had
-        self.counts = Counter()
-
-    # Moves
-
-    def move(self) -> None:
-        """One of all that may happen."""
-        faults = [self.depose, self.follow, self.crash, self.lose, self.double, self.spoil]
-        usual = [self.deliver] * 8 + [self.tick] * 4 + [self.publish] * 2
-        self.chance.choice(usual + faults)()
-        self.judge()
-
-    def depose(self) -> None:
-        """Another relay gets the lease; the old origin may not know yet."""
-        self.fence += 1
-        name = self.chance.choice(RELAYS)
-        self.origins[name] = self.highest[name] = self.fence
-        self.published(name, {})
-
-    def published(self, name: str, changed: dict[str, bytes | None]) -> None:
-        """An origin publishes; a deposed one that has heard of the later fence is refused."""
+        self.fanouts = {name: FanOut(self.stores[name], MAX_SUBSCRIBERS) for name in RELAYS}
+        self.subscriptions: dict[str, str] = {}  # subscriber: relay
+        self.in_flight: list[Envelope] = []
+        self.published: dict[Version, dict[str, bytes]] = {Version(): {}}
+        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # that each process has had
+        self.outcomes: Counter[str] = Counter()
+
+    # Steps
+
+    def step(self) -> None:
+        """Take one random step and check the invariants."""
+        faults = [
+            self.change_origin,
+            self.subscribe,
+            self.crash,
+            self.lose_message,
+            self.duplicate_message,
+            self.corrupt_message,
+        ]
+        usual = [self.deliver] * 8 + [self.tick] * 4 + [self.change_items] * 2
+        self.rng.choice(usual + faults)()
+        self.check_invariants()
+
+    def change_origin(self) -> None:
+        """Grant the lease to another relay; the old origin may not know yet."""
+        self.fencing_token += 1
+        name = self.rng.choice(RELAYS)
+        self.origins[name] = self.fencing_token
+        self.highest_fencing_tokens[name] = self.fencing_token
+        self.publish(name, {})
+
+    def publish(self, name: str, changes: Changes) -> None:
+        """Publish as an origin; one that has received a later fencing token ceases to be it."""
         store = self.stores[name]
         try:
-            made = store.publish(self.origins[name], changed)
-        except PublishRejected:
+            new_version = store.publish(self.origins[name], changes)
+        except PublishRejectedError:
             self.origins.pop(name)
             return
-        if made:
-            self.fans[name].news(self.now)
-            if store.version in self.truth and self.truth[store.version] != store.items:
-                raise Breach(f"{store.version} published twice, with other items")
-            self.truth[store.version] = dict(store.items)
-
-    def publish(self) -> None:
-        """Some keys change, come or leave."""
-        if self.origins:
-            name = self.chance.choice(sorted(self.origins))
-            drawn = {key: self.chance.choice((None, b"%d" % self.chance.randrange(3))) for key in KEYS}
-            self.published(name, dict(self.chance.sample(sorted(drawn.items()), 2)))
-
-    def follow(self) -> None:
-        """A subscriber joins a relay, or another one than before."""
-        name, relay = self.chance.choice(SUBSCRIBERS), self.chance.choice(RELAYS)
-        if name in self.follows:
-            self.fans[self.follows[name]].leave(name)
-        self.follows[name] = relay
-        self.send(relay, self.fans[relay].join(self.now, name, self.stores[name].version))
+        if not new_version:
+            return
+        self.fanouts[name].on_store_changed(self.now)
+        if self.published.get(store.version, store.items) != store.items:
+            raise InvariantViolationError(f"{store.version} published twice, with other items")
+        self.published[store.version] = dict(store.items)
+
+    def change_items(self) -> None:
+        """Let an origin publish two items that change, are added or are removed."""
+        if not self.origins:
+            return
+        name = self.rng.choice(sorted(self.origins))
+        values = {key: self.rng.choice((None, b"%d" % self.rng.randrange(3))) for key in KEYS}
+        self.publish(name, dict(self.rng.sample(sorted(values.items()), 2)))
+
+    def subscribe(self) -> None:
+        """Let a subscriber join a relay, which may be another one than before."""
+        name = self.rng.choice(SUBSCRIBERS)
+        relay = self.rng.choice(RELAYS)
+        if name in self.subscriptions:
+            self.fanouts[self.subscriptions[name]].remove(name)
+        self.join(name, relay)
+
+    def join(self, name: str, relay: str) -> None:
+        """Subscribe a process to a relay, from the version that it has."""
+        self.subscriptions[name] = relay
+        self.send(relay, self.fanouts[relay].join(self.now, name, self.stores[name].version))
 
     def crash(self) -> None:
-        """A process dies and starts from nothing; what was on its way to it is lost."""
-        name = self.chance.choice(RELAYS + SUBSCRIBERS)
+        """Restart a process with an empty store; the messages to it are lost."""
+        name = self.rng.choice(RELAYS + SUBSCRIBERS)
         self.stores[name] = VersionedStore()
-        self.seen[name] = Version()
-        self.flight = [one for one in self.flight if one[2] != name]
+        self.highest_versions[name] = Version()
+        self.in_flight = [envelope for envelope in self.in_flight if envelope.destination != name]
         if name in RELAYS:
             self.origins.pop(name, None)
-            self.highest[name] = 0
-            self.fans[name] = FanOut(self.stores[name], 8)
-            self.follows = {who: relay for who, relay in self.follows.items() if relay != name}
+            self.highest_fencing_tokens[name] = 0
+            self.fanouts[name] = FanOut(self.stores[name], MAX_SUBSCRIBERS)
+            self.subscriptions = {who: relay for who, relay in self.subscriptions.items() if relay != name}
         else:
-            self.follows.pop(name, None)
-            for fan in self.fans.values():
-                fan.leave(name)
+            self.subscriptions.pop(name, None)
+            for fanout in self.fanouts.values():
+                fanout.remove(name)
 
     def tick(self) -> None:
-        """Time passes at all."""
-        self.now += self.chance.choice((MERGE, BEAT, GIVE_UP / 2))
-        for name, fan in self.fans.items():
+        """Let a random time pass."""
+        self.now += self.rng.choice((COALESCE_DELAY, HEARTBEAT_INTERVAL, ACKNOWLEDGEMENT_TIMEOUT / 2))
+        for name, fanout in self.fanouts.items():
             if name in self.origins:
-                for peer in RELAYS:
-                    if peer != name and peer not in fan.followers:
-                        self.send(name, fan.join(self.now, peer, self.stores[name].version))
-            self.send(name, fan.tick(self.now, 0.0))
-
-    def lose(self) -> None:
-        """A message is lost; its sender hears of no answer."""
-        if self.flight:
-            self.flight.pop(self.chance.randrange(len(self.flight)))
-
-    def double(self) -> None:
-        """A message comes twice."""
-        if self.flight:
-            self.flight.append(self.chance.choice(self.flight))
-
-    def spoil(self) -> None:
-        """A byte of a message is wrong."""
-        for at, (kind, source, to, what) in enumerate(self.flight):
-            if kind == "news" and isinstance(what, Delta) and what.changed:
-                self.flight[at] = kind, source, to, what._replace(changed={**what.changed, "a": b"spoilt"})
+                self.join_other_relays(name)
+            self.send(name, fanout.tick(self.now, 0.0))
+
+    def join_other_relays(self, origin: str) -> None:
+        """Make all relays subscribers of an origin."""
+        fanout = self.fanouts[origin]
+        for peer in RELAYS:
+            if peer != origin and peer not in fanout.subscribers:
+                self.send(origin, fanout.join(self.now, peer, self.stores[origin].version))
+
+    def lose_message(self) -> None:
+        """Lose a message; its sender gets no answer."""
+        if self.in_flight:
+            self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
+
+    def duplicate_message(self) -> None:
+        """Deliver a message a second time, later."""
+        if self.in_flight:
+            self.in_flight.append(self.rng.choice(self.in_flight))
+
+    def corrupt_message(self) -> None:
+        """Change a value in the first delta in flight."""
+        for index, envelope in enumerate(self.in_flight):
+            delta = envelope.payload
+            if isinstance(delta, Delta) and delta.changes:
+                corrupt = delta._replace(changes={**delta.changes, "a": b"spoilt"})
+                self.in_flight[index] = envelope._replace(payload=corrupt)
                 return
 
     def deliver(self) -> None:
-        """Any message comes, not the oldest as a rule."""
-        if not self.flight:
+        """Deliver a random message."""
+        if not self.in_flight:
             return
-        kind, source, to, what = self.flight.pop(self.chance.randrange(len(self.flight)))
-        if kind == "ack":
-            self.send(to, self.fans[to].acknowledged(self.now, source, what, 0.0))
-            return
-        version = what.version
-        if to in RELAYS:
-            if version.fence < self.highest[to] or self.origins.get(to, 0) >= version.fence:
-                return  # refused: a later origin has spoken
-            self.highest[to] = version.fence
-        elif self.follows.get(to) != source:
-            return
-        store = self.stores[to]
-        at = store.version
-        if not isinstance(what, Heartbeat):
-            outcome = store.take(what)
-            self.counts[outcome] += 1
-            if outcome == SPOILT:
-                self.flight.append(("ack", to, source, Version()))
-                return
-            if to in RELAYS and store.version != at:
-                self.fans[to].news(self.now)
-        self.flight.append(("ack", to, source, store.version))
-
-    def send(self, source: str, actions: list[Send | Drop]) -> None:
-        """Put messages on their way."""
+        envelope = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
+        source, destination, payload = envelope
+        if isinstance(payload, Version):
+            fanout = self.fanouts[destination]
+            self.send(destination, fanout.on_acknowledgement(self.now, source, payload, 0.0))
+        elif self.accepts(source, destination, payload.version.fencing_token):
+            acknowledged = self.apply(destination, payload)
+            self.in_flight.append(Envelope(destination, source, acknowledged))
+
+    def accepts(self, source: str, destination: str, fencing_token: int) -> bool:
+        """Whether a process accepts an update; a relay notes the origin's fencing token."""
+        if destination in SUBSCRIBERS:
+            return self.subscriptions.get(destination) == source
+        deposed = fencing_token < self.highest_fencing_tokens[destination]
+        if deposed or self.origins.get(destination, 0) >= fencing_token:
+            return False
+        self.highest_fencing_tokens[destination] = fencing_token
+        return True
+
+    def apply(self, name: str, message: Message) -> Version:
+        """Apply a message at a process; returns the version that it acknowledges."""
+        store = self.stores[name]
+        if isinstance(message, Heartbeat):
+            return store.version
+        previous = store.version
+        outcome = store.apply(message)
+        self.outcomes[str(outcome)] += 1
+        if outcome == UpdateOutcome.CORRUPT:
+            return Version()
+        if name in RELAYS and store.version != previous:
+            self.fanouts[name].on_store_changed(self.now)
+        return store.version
+
+    def send(self, source: str, actions: list[Action]) -> None:
+        """Put the messages of a fan-out in flight."""
         for action in actions:
             if isinstance(action, Send):
-                if len(self.flight) >= FLIGHT:
-                    self.lose()
-                self.flight.append(("news", source, action.to, action.news))
+                if len(self.in_flight) >= MAX_IN_FLIGHT:
+                    self.lose_message()
+                self.in_flight.append(Envelope(source, action.subscriber, action.message))
 
-    # What must hold
+    # Invariants
 
-    def judge(self) -> None:
-        """Raise Breach where a process went back, or holds what nobody published."""
+    def check_invariants(self) -> None:
+        """Raise where a process went back, or has items that nobody published."""
         for name, store in self.stores.items():
-            if store.version < self.seen[name]:
-                raise Breach(f"{name} went back from {self.seen[name]} to {store.version}")
-            self.seen[name] = store.version
-            if self.truth.get(store.version) != store.items:
-                raise Breach(
-                    f"{name} holds {store.items} as {store.version}, "
-                    f"published was {self.truth.get(store.version)}"
+            highest = self.highest_versions[name]
+            if store.version < highest:
+                raise InvariantViolationError(f"{name} went back from {highest} to {store.version}")
+            self.highest_versions[name] = store.version
+            published = self.published.get(store.version)
+            if published != store.items:
+                raise InvariantViolationError(
+                    f"{name} holds {store.items} as {store.version}, published was {published}"
                 )
 
-    def calm(self) -> None:
-        """No more faults: all have to end with the items of the origin with the highest fence."""
-        self.depose()
-        last = max(self.origins, key=self.origins.__getitem__)
-        self.published(last, {"a": b"last"})
+    def recover(self) -> None:
+        """End all faults; raises unless all processes get the items of the last origin."""
+        self.change_origin()
+        origin = max(self.origins, key=self.origins.__getitem__)
+        self.publish(origin, {"a": b"last"})
         for name in SUBSCRIBERS:
-            self.follows.pop(name, None)
+            self.subscriptions.pop(name, None)
         for name in SUBSCRIBERS:
-            relay = self.chance.choice(RELAYS)
-            self.follows[name] = relay
-            self.send(relay, self.fans[relay].join(self.now, name, self.stores[name].version))
-        for _ in range(400):
-            self.now += BEAT
-            for name in [name for name in self.origins if name != last]:
-                self.origins.pop(name)  # its lease is over
+            self.join(name, self.rng.choice(RELAYS))
+        for _ in range(RECOVERY_TICKS):
+            self.now += HEARTBEAT_INTERVAL
+            self.origins = {origin: self.origins[origin]}  # the leases of all others have expired
             self.tick()
-            while self.flight:
+            while self.in_flight:
                 self.deliver()
-                self.judge()
-            for name, relay in self.follows.items():
-                if name not in self.fans[relay].followers:
-                    self.send(relay, self.fans[relay].join(self.now, name, self.stores[name].version))
-            if all(
-                store.items == self.stores[last].items and store.version == self.stores[last].version
-                for store in self.stores.values()
-            ):
+                self.check_invariants()
+            for name, relay in self.subscriptions.items():
+                if name not in self.fanouts[relay].subscribers:
+                    self.join(name, relay)
+            if self.has_converged(self.stores[origin]):
                 return
-        behind = {name: store.version for name, store in self.stores.items()}
-        raise Breach(f"not all have {self.stores[last].version} of {last}: {behind}")
+        lagging = {name: store.version for name, store in self.stores.items()}
+        raise InvariantViolationError(f"not all have {self.stores[origin].version} of {origin}: {lagging}")
+
+    def has_converged(self, expected: VersionedStore) -> bool:
+        """Whether all processes have this store's version and items."""
+        return all(
+            store.version == expected.version and store.items == expected.items
+            for store in self.stores.values()
+        )
 
 
-def walk(seed: int, moves: int = 120) -> Counter:
-    """Play one drawn order of moves, then calm; raises Breach."""
-    world = World(seed)
-    for _ in range(moves):
-        world.move()
-    world.calm()
-    return world.counts
+def walk(seed: int, steps: int = STEPS) -> Counter[str]:
+    """Take random steps, then recover; returns the outcomes of updates, raises InvariantViolationError."""
+    model = Model(seed)
+    for _ in range(steps):
+        model.step()
+    model.recover()
+    return model.outcomes
 
 
 def main(arguments: list[str]) -> int:
-    """Walk; 0 where nothing was breached, 1 else."""
+    """Run the walks; returns the exit code: 0 where all invariants held, else 1."""
     name = "python -m lotusroute.fault_injection.relay_model_checker"
-    reader = argparse.ArgumentParser(prog=name, description=__doc__.splitlines()[0])
-    reader.add_argument("--walks", type=int, default=1_000)
-    reader.add_argument("--seed", type=int, default=1)
-    told = reader.parse_args(arguments)
-    counts = Counter()
-    for seed in range(told.seed, told.seed + told.walks):
+    parser = argparse.ArgumentParser(prog=name, description=(__doc__ or "").partition("\n")[0])
+    parser.add_argument("--walks", type=int, default=1_000)
+    parser.add_argument("--seed", type=int, default=1)
+    options = parser.parse_args(arguments)
+    outcomes: Counter[str] = Counter()
+    for seed in range(options.seed, options.seed + options.walks):
         try:
-            counts += walk(seed)
-        except Breach as breach:
-            print(f"seed {seed}: {breach}")
+            outcomes += walk(seed)
+        except InvariantViolationError as error:
+            print(f"seed {seed}: {error}")
             return 1
-    print(f"{told.walks} walks, no breach; {dict(counts)}")
+    print(f"{options.walks} walks, no breach; {dict(outcomes)}")
     return 0
 
 
--- a/lotusroute/relay/__init__.py
+++ b/lotusroute/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned news from one origin over relays: snapshot, deltas from a version, resume. Off in `run`."""
+"""Replication of the endpoint list from one origin over relays to balancers; off unless configured."""
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -1,146 +1,179 @@
-"""Who follows a process's news, and what each is sent next.
+"""The subscribers of one process, and what each of them is sent next.
 
-Owns the table of subscribers, one message in flight to each, and the bounds on all of it. It must never do
-I/O, read a clock, keep news for one who is slow, or let one's slowness cost another anything.
+Each subscriber has at most one message in flight, and is sent what it lacks from the version that it last
+acknowledged. Nothing is queued for a slow one: fifty changes in a second are a single delta to a subscriber
+that was busy meanwhile, and its slowness costs the others nothing.
 
-A subscriber is sent what it lacks from the version that it last acknowledged. While a message is in flight
-nothing is queued for it: fifty changes in a second are one delta to whoever was busy meanwhile.
+Pure: no I/O, no clock. Times are in milliseconds of the caller's clock.
 """
 
 import math
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
-BEAT = 600.0  # ms between words to one who lacks nothing: who hears none for 1.5 s goes elsewhere
-GIVE_UP = 2_500.0  # ms without an acknowledgement after which one is let go: it has left by then
-MERGE = 50.0  # ms that news wait for more
-SPACE = 250.0  # ms from one news to the next to the same subscriber: a burst of 50 is five messages, not 20
-SNAPSHOTS = 8  # in flight at once: what a returning zone may take of us; the others stand in line
+HEARTBEAT_INTERVAL = 600.0  # ms; a subscriber without a message for 1.5 s changes to another relay
+ACKNOWLEDGEMENT_TIMEOUT = 2_500.0  # ms after which a subscriber is dropped: it has left by then
+COALESCE_DELAY = 50.0  # ms that a change waits for further ones
+MIN_UPDATE_INTERVAL = 250.0  # ms between updates to one subscriber: a burst of 50 is 5 messages, not 20
+MAX_SNAPSHOTS_IN_FLIGHT = 8  # bounds what a zone that returns as a whole takes; the others are queued
 
 
 class Heartbeat(NamedTuple):
-    """A word that nothing has changed: the version, and how old in ms what it rests on is."""
+    """Confirms that nothing has changed since a version, which the origin confirmed `age_ms` ago."""
 
     version: Version
-    age: float
+    age_ms: float
+
+
+Message = Snapshot | Delta | Heartbeat
+
+
+class DropReason(StrEnum):
+    """Why a subscriber is dropped; the values are part of the names of counters."""
+
+    FULL = "full"
+    SLOW = "slow"
 
 
 class Send(NamedTuple):
-    """Send this to a subscriber, and say when it is acknowledged."""
+    """Send a message to a subscriber, and report its acknowledgement."""
 
-    to: str
-    news: Snapshot | Delta | Heartbeat
+    subscriber: str
+    message: Message
 
 
 class Drop(NamedTuple):
-    """Let a subscriber go."""
+    """Close a subscriber's subscription."""
+
+    subscriber: str
+    reason: DropReason
 
-    to: str
-    why: str
 
+Action = Send | Drop
 
-class _Follower:
-    """What is known of one subscriber."""
 
-    __slots__ = ("version", "sent_at", "snapshot", "told_at", "news_at")
+@dataclass(slots=True)
+class Subscriber:
+    """The state of one subscription."""
 
-    def __init__(self, version: Version) -> None:
-        self.version = version
-        self.sent_at = math.inf  # of the message in flight; inf: none is
-        self.snapshot = False  # that message is a snapshot
-        self.told_at = self.news_at = -math.inf  # the last message, and the last that brought news
+    version: Version  # last acknowledged
+    sent_at: float = math.inf  # of the message in flight; inf: there is none
+    snapshot_in_flight: bool = False  # whether that message is a snapshot
+    last_message_at: float = -math.inf
+    last_update_at: float = -math.inf  # of the last message other than a heartbeat
 
 
 class FanOut:
     """All subscribers of one process."""
 
-    def __init__(self, store: VersionedStore, most: int) -> None:
-        self.store, self.most = store, most
-        self.followers: dict[str, _Follower] = {}  # `most` at most; leave when lost, dropped, or let go
-        self.waiting: dict[str, None] = {}  # those who stand in line for a snapshot; leave with their turn
-        self.snapshots = 0
-        self.changed_at = math.inf  # when the oldest news came that are not told yet
-
-    def join(self, now: float, name: str, version: Version) -> list[Send | Drop]:
-        """One comes, from a version; it is let go where the table is full."""
-        if name not in self.followers and len(self.followers) >= self.most:
-            return [Drop(name, "full")]
-        self.leave(name)
-        self.followers[name] = _Follower(version)
-        return self._next(now, name, 0.0)
-
-    def leave(self, name: str) -> None:
-        """One has gone."""
-        self.waiting.pop(name, None)
-        follower = self.followers.pop(name, None)
-        if follower is not None and follower.snapshot:
-            self.snapshots -= 1
-
-    def acknowledged(self, now: float, name: str, version: Version, age: float) -> list[Send | Drop]:
-        """One has what was in flight, and is at a version now."""
-        follower = self.followers.get(name)
-        if follower is None:
+    def __init__(self, store: VersionedStore, max_subscribers: int) -> None:
+        self.store = store
+        self.max_subscribers = max_subscribers
+        self.subscribers: dict[str, Subscriber] = {}
+        self.snapshot_queue: dict[str, None] = {}  # who waits for a snapshot, an ordered set
+        self.snapshots_in_flight = 0
+        self.pending_since = math.inf  # when the oldest change came that no tick has sent yet
+
+    def join(self, now: float, name: str, version: Version) -> list[Action]:
+        """Add a subscriber at a version, or restart its subscription; drop it where the table is full."""
+        if name not in self.subscribers and len(self.subscribers) >= self.max_subscribers:
+            return [Drop(name, DropReason.FULL)]
+        self.remove(name)
+        self.subscribers[name] = Subscriber(version)
+        return self._next_message(now, name, 0.0)
+
+    def remove(self, name: str) -> None:
+        """Remove a subscriber, if it is one."""
+        self.snapshot_queue.pop(name, None)
+        subscriber = self.subscribers.pop(name, None)
+        if subscriber is not None and subscriber.snapshot_in_flight:
+            self.snapshots_in_flight -= 1
+
+    def on_acknowledgement(self, now: float, name: str, version: Version, age_ms: float) -> list[Action]:
+        """Handle the acknowledgement of the message in flight: the subscriber is at this version now."""
+        subscriber = self.subscribers.get(name)
+        if subscriber is None:
             return []
-        follower.version, follower.sent_at = version, math.inf
-        self.snapshots -= follower.snapshot
-        follower.snapshot = False
-        out = self._line(now)
-        if now >= self.changed_at + MERGE or self.changed_at == math.inf:
-            out += self._next(now, name, age)
-        return out
-
-    def news(self, now: float) -> None:
-        """The store has changed: it is told with the next tick, MERGE after."""
-        self.changed_at = min(self.changed_at, now)
-
-    def tick(self, now: float, age: float) -> list[Send | Drop]:
-        """Time has passed. `age`: how old in ms what we hold is, by the last word that it rests on."""
-        out: list[Send | Drop] = []
-        for name, follower in list(self.followers.items()):
-            if now - follower.sent_at >= GIVE_UP:
-                self.leave(name)
-                out.append(Drop(name, "slow"))
-        if now >= self.changed_at + MERGE:
-            self.changed_at = math.inf
-        told = self.changed_at == math.inf
-        out += self._line(now)
-        for name, follower in self.followers.items():
-            beat = now - follower.told_at >= BEAT
-            if follower.sent_at == math.inf and (beat or told and follower.version < self.store.version):
-                out += self._next(now, name, age)
-        return out
-
-    def due(self, now: float) -> float:
-        """In how many ms the next tick is wanted."""
-        return min(BEAT / 4, max(0.0, self.changed_at + MERGE - now))
-
-    def _line(self, now: float) -> list[Send | Drop]:
-        """Those in line for a snapshot, as far as there is room."""
-        out: list[Send | Drop] = []
-        while self.waiting and self.snapshots < SNAPSHOTS:
-            name = next(iter(self.waiting))
-            del self.waiting[name]
-            out += self._next(now, name, 0.0)
-        return out
-
-    def _next(self, now: float, name: str, age: float) -> list[Send | Drop]:
-        """What one is sent now: what it lacks, or a beat; nothing while in line or with one in flight."""
-        follower = self.followers[name]
-        if follower.sent_at < math.inf or name in self.waiting:
+        subscriber.version = version
+        subscriber.sent_at = math.inf
+        if subscriber.snapshot_in_flight:
+            subscriber.snapshot_in_flight = False
+            self.snapshots_in_flight -= 1
+        actions = self._serve_snapshot_queue(now)
+        if self.pending_since == math.inf or now >= self.pending_since + COALESCE_DELAY:
+            actions += self._next_message(now, name, age_ms)
+        return actions
+
+    def on_store_changed(self, now: float) -> None:
+        """Note that the store has changed; the first tick after COALESCE_DELAY sends the change."""
+        self.pending_since = min(self.pending_since, now)
+
+    def tick(self, now: float, age_ms: float) -> list[Action]:
+        """Send what is due. `age_ms`: how long ago the origin confirmed the store's version."""
+        actions = self._drop_slow(now)
+        if now >= self.pending_since + COALESCE_DELAY:
+            self.pending_since = math.inf
+        changes_due = self.pending_since == math.inf
+        actions += self._serve_snapshot_queue(now)
+        for name, subscriber in self.subscribers.items():
+            if subscriber.sent_at < math.inf:
+                continue
+            heartbeat_due = now - subscriber.last_message_at >= HEARTBEAT_INTERVAL
+            update_due = changes_due and subscriber.version < self.store.version
+            if heartbeat_due or update_due:
+                actions += self._next_message(now, name, age_ms)
+        return actions
+
+    def next_tick_in(self, now: float) -> float:
+        """Return in how many ms the next tick is due."""
+        return min(HEARTBEAT_INTERVAL / 4, max(0.0, self.pending_since + COALESCE_DELAY - now))
+
+    def _drop_slow(self, now: float) -> list[Action]:
+        actions: list[Action] = []
+        for name, subscriber in list(self.subscribers.items()):
+            if now - subscriber.sent_at >= ACKNOWLEDGEMENT_TIMEOUT:
+                self.remove(name)
+                actions.append(Drop(name, DropReason.SLOW))
+        return actions
+
+    def _serve_snapshot_queue(self, now: float) -> list[Action]:
+        """Send snapshots to those who wait for one, as far as MAX_SNAPSHOTS_IN_FLIGHT allows."""
+        actions: list[Action] = []
+        while self.snapshot_queue and self.snapshots_in_flight < MAX_SNAPSHOTS_IN_FLIGHT:
+            name = next(iter(self.snapshot_queue))
+            del self.snapshot_queue[name]
+            actions += self._next_message(now, name, 0.0)
+        return actions
+
+    def _next_message(self, now: float, name: str, age_ms: float) -> list[Action]:
+        """Send a subscriber the update that it lacks, else a heartbeat if that is due.
+
+        Nothing is sent while it waits for a snapshot or has a message in flight.
+        """
+        subscriber = self.subscribers[name]
+        if subscriber.sent_at < math.inf or name in self.snapshot_queue:
             return []
-        news = self.store.since(follower.version)
-        if news is not None and now - follower.news_at < SPACE:
-            return []  # with a later tick, and what comes until then
-        if isinstance(news, Snapshot):
-            if self.snapshots >= SNAPSHOTS:
-                self.waiting[name] = None
+        update = self.store.update_since(subscriber.version)
+        if update is None:
+            if now - subscriber.last_message_at < HEARTBEAT_INTERVAL:
                 return []
-            self.snapshots += 1
-            follower.snapshot = True
-        if news is None and now - follower.told_at < BEAT:
-            return []
-        follower.sent_at = follower.told_at = now
-        if news is not None:
-            follower.news_at = now
-        return [Send(name, news or Heartbeat(self.store.version, age))]
+            return [self._send(now, name, Heartbeat(self.store.version, age_ms))]
+        if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL:
+            return []  # a later tick sends it, with what changes until then
+        if isinstance(update, Snapshot):
+            if self.snapshots_in_flight >= MAX_SNAPSHOTS_IN_FLIGHT:
+                self.snapshot_queue[name] = None
+                return []
+            self.snapshots_in_flight += 1
+            subscriber.snapshot_in_flight = True
+        subscriber.last_update_at = now
+        return [self._send(now, name, update)]
+
+    def _send(self, now: float, name: str, message: Message) -> Send:
+        subscriber = self.subscribers[name]
+        subscriber.sent_at = now
+        subscriber.last_message_at = now
+        return Send(name, message)
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -1,82 +1,109 @@
-"""The form of news on the link.
+"""The wire format between relays and their subscribers: msgpack arrays, so the order of fields is the format.
 
-Owns how news, their acknowledgement and a wish to follow are written and read, and how large one may be. It
-must never hold state, or take what does not fit for news.
+Decoding functions raise msgspec.MsgspecError for a body that does not follow the format.
 """
 
 import msgspec
 
-from lotusroute.relay.fanout import Heartbeat
-from lotusroute.relay.versioned_store import Delta, Snapshot, Version, parts
+from lotusroute.relay.fanout import Heartbeat, Message
+from lotusroute.relay.versioned_store import Delta, Snapshot, Update, Version, split_snapshot
 
-PART = 40_000  # bytes of items in one call: the link takes 60,000
-KEYS = 1_000_000  # items of one snapshot at most: more is a defect or a liar
+SUBSCRIBE_CALL = "follow"  # kind of the call by which a subscriber joins; its body is an acknowledgement
+UPDATE_CALL = "news"  # kind of the call that carries an UpdateMessage; answered by an acknowledgement
+MAX_PART_BYTES = 40_000  # bytes of items in one call: the transport accepts 60,000 a call
+MAX_SNAPSHOT_ITEMS = 1_000_000  # more is a defect, or an attack on our memory
+ITEM_OVERHEAD = 8  # bytes, upper bound of what the encoding adds to an item
 
 
-class Message(msgspec.Struct, array_like=True):
-    """What is sent to a subscriber: a beat, a delta, or a part of a snapshot."""
+class UpdateMessage(msgspec.Struct, array_like=True):
+    """A heartbeat, a delta, or a part of a snapshot."""
 
     version: tuple[int, int]
-    age: float  # ms: how old what the sender rests on is
+    age_ms: float  # how long ago discovery confirmed to the origin what the sender has
     digest: int = 0
-    since: tuple[int, int] | None = None  # of a delta
-    part: int = 0
-    parts: int = 0  # of a snapshot; 0 where this is none
+    base_version: tuple[int, int] | None = None  # set in a delta only
+    part_index: int = 0
+    part_count: int = 0  # set in a part of a snapshot only
     items: dict[str, bytes | None] = {}
 
+    @property
+    def is_heartbeat(self) -> bool:
+        """Whether this is neither a delta nor a part of a snapshot."""
+        return not self.part_count and self.base_version is None
 
-def written(news: Snapshot | Delta | Heartbeat, age: float) -> list[bytes]:
-    """The calls that carry news, in order; none where a delta is too large for one: tell a snapshot then."""
-    version = tuple(news.version)
-    if isinstance(news, Heartbeat):
-        return [msgspec.msgpack.encode(Message(version, age))]
-    if isinstance(news, Delta):
-        size = sum(len(key) + len(value or b"") + 8 for key, value in news.changed.items())
-        if size > PART:
+
+def encode_update(message: Message, age_ms: float) -> list[bytes]:
+    """Return the bodies of the calls that carry a message, in order.
+
+    Empty where a delta is too large for one call: a snapshot has to be sent in its place.
+    """
+    version = message.version
+    if isinstance(message, Heartbeat):
+        return [msgspec.msgpack.encode(UpdateMessage(version, age_ms))]
+    if isinstance(message, Delta):
+        size = sum(len(key) + len(value or b"") + ITEM_OVERHEAD for key, value in message.changes.items())
+        if size > MAX_PART_BYTES:
             return []
-        message = Message(version, age, news.digest, tuple(news.since), items=news.changed)
-        return [msgspec.msgpack.encode(message)]
+        delta = UpdateMessage(version, age_ms, message.digest, message.base_version, items=message.changes)
+        return [msgspec.msgpack.encode(delta)]
     return [
-        msgspec.msgpack.encode(Message(version, age, news.digest, None, at, of, items))
-        for at, of, items in parts(news, PART)
+        msgspec.msgpack.encode(
+            UpdateMessage(version, age_ms, message.digest, None, part.index, part.count, part.items)
+        )
+        for part in split_snapshot(message, MAX_PART_BYTES)
     ]
 
 
-def read(body: bytes) -> Message:
-    """Read a call; raises msgspec.MsgspecError where it is none."""
-    return msgspec.msgpack.decode(body, type=Message)
+def decode_update(body: bytes) -> UpdateMessage:
+    """Decode the body of an update call."""
+    return msgspec.msgpack.decode(body, type=UpdateMessage)
 
 
-class Assembly:
+class SnapshotAssembler:
     """Puts the parts of a snapshot together, one snapshot at a time."""
 
     def __init__(self) -> None:
-        self.version: tuple[int, int] | None = None
-        self.items: dict[str, bytes] = {}  # KEYS at most; emptied with the last part
-        self.next = 0
-
-    def take(self, message: Message) -> Snapshot | Delta | None:
-        """The news that are whole with this message; None where more is to come or it does not follow."""
-        if message.since is not None:
-            return Delta(Version(*message.since), Version(*message.version), message.digest, message.items)
-        if message.part == 0:
-            self.version, self.items, self.next = message.version, {}, 0
-        if message.version != self.version or message.part != self.next or len(self.items) > KEYS:
+        self.version: tuple[int, int] | None = None  # of the snapshot that is incomplete; None: there is none
+        self.items: dict[str, bytes] = {}  # at most MAX_SNAPSHOT_ITEMS and one part
+        self.next_index = 0
+
+    def add(self, message: UpdateMessage) -> Update | None:
+        """Return the update that is complete with this message; a delta is complete by itself.
+
+        None where more parts are to come, or where this part does not follow the last one.
+        """
+        if message.base_version is not None:
+            base_version = Version(*message.base_version)
+            return Delta(base_version, Version(*message.version), message.digest, message.items)
+        if message.part_index == 0:
+            self.version = message.version
+            self.items = {}
+            self.next_index = 0
+        if not self._is_next(message):
             self.version = None
             return None
         self.items.update((key, value) for key, value in message.items.items() if value is not None)
-        self.next += 1
-        if self.next < message.parts:
+        self.next_index += 1
+        if self.next_index < message.part_count:
             return None
-        items, self.items, self.version = self.items, {}, None
-        return Snapshot(Version(*message.version), message.digest, items)
+        snapshot = Snapshot(Version(*message.version), message.digest, self.items)
+        self.version = None
+        self.items = {}
+        return snapshot
+
+    def _is_next(self, message: UpdateMessage) -> bool:
+        return (
+            message.version == self.version
+            and message.part_index == self.next_index
+            and len(self.items) <= MAX_SNAPSHOT_ITEMS
+        )
 
 
-def acknowledged(version: Version) -> bytes:
-    """The answer to a call: where the subscriber is now."""
-    return msgspec.msgpack.encode(tuple(version))
+def encode_acknowledgement(version: Version) -> bytes:
+    """Encode the version that a subscriber has."""
+    return msgspec.msgpack.encode(version)
 
 
-def at(body: bytes) -> Version:
-    """Read such an answer; raises msgspec.MsgspecError where it is none."""
+def decode_acknowledgement(body: bytes) -> Version:
+    """Decode the version that a subscriber has."""
     return Version(*msgspec.msgpack.decode(body, type=tuple[int, int]))
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -1,8 +1,11 @@
-"""Which relay a process follows, and when it goes to another.
+"""Which relay a process subscribes to, and when it changes to another.
 
-Owns the order of relays, the time after which a silent one is left, and how fresh what came is. It must never
-do I/O, read a clock, draw from anything but a handed `random.Random`, or hold a process back from asking
-discovery itself.
+A relay is left when it is silent, when it does not accept the subscription in time, and when what it has
+grows stale: it is cut off from the origin then, and another one may not be. Relays of the own zone are tried
+first.
+
+Pure: no I/O, no clock, no randomness but the given `random.Random`. Times are in milliseconds of the caller's
+clock. Whether discovery is polled meanwhile is up to the caller.
 """
 
 import math
@@ -10,109 +13,144 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-JOIN = 600.0  # ms for a relay to take us in: a way of its own, and one that stands still is left soon
-SILENT = 1_500.0  # ms without a word after which a relay is left: three beats, and 4 s are kept with room
-STALE = 1_800.0  # ms since discovery answered the origin, whose watch waits 0.5 s and is left 1 s after that
-PAUSE = 200.0, 2_000.0  # ms, first and longest, after all relays were tried; half of it drawn
-HOME = 20_000.0, 60_000.0  # ms, drawn, after which one of our own zone is tried again: they come back apart
+JOIN_TIMEOUT = 600.0  # ms for a relay to accept us: enough for the network, and a stopped one is left soon
+SILENCE_TIMEOUT = (
+    1_500.0  # ms without a message: more than two heartbeats, and well within the 4 s for a change
+)
+STALENESS_LIMIT = (
+    1_800.0  # ms since discovery answered the origin, which polls for 0.5 s and is left 1 s later
+)
+BACKOFF_MIN = 200.0  # ms after all relays were tried once
+BACKOFF_MAX = 2_000.0  # ms
+FAILBACK_DELAY = (
+    20_000.0,
+    60_000.0,
+)  # ms, range from which the return to the own zone is drawn: spread in time
 
 
 class Join(NamedTuple):
-    """Ask a relay to be taken in."""
+    """Connect to a relay and subscribe."""
 
     relay: str
 
 
-class Quit(NamedTuple):
-    """Leave a relay: nothing more of it is taken."""
+class Leave(NamedTuple):
+    """Disconnect from a relay; nothing more from it is accepted."""
 
     relay: str
 
 
-def order(name: str, own: list[str], others: list[str]) -> list[str]:
-    """The relays in the order in which one process tries them: those of its zone, then the others, each by
-    rendezvous hash, so that those of a dead relay spread over all that are left.
+Action = Join | Leave
+
+
+def preference_order(name: str, local: list[str], remote: list[str]) -> list[str]:
+    """Return the relays in the order in which a process tries them: those of its zone, then the others.
 
-    >>> order("n1", ["a", "b"], ["c"])[-1], sorted(order("n1", ["a", "b"], ["c"]))
+    Both are in rendezvous hash order, so that the subscribers of a failed relay spread over all others.
+
+    >>> preference_order("n1", ["a", "b"], ["c"])[-1], sorted(preference_order("n1", ["a", "b"], ["c"]))
     ('c', ['a', 'b', 'c'])
     """
 
     def rank(relay: str) -> bytes:
         return blake2b(f"{name} {relay}".encode(), digest_size=8).digest()
 
-    return sorted(own, key=rank) + sorted(others, key=rank)
+    return sorted(local, key=rank) + sorted(remote, key=rank)
 
 
 class RelaySelector:
-    """One process's choice of a relay."""
-
-    def __init__(self, name: str, own: list[str], others: list[str], chance: random.Random) -> None:
-        self.order, self.chance, self.own = order(name, own, others), chance, frozenset(own)
-        self.at = 0  # of the order, the one that is joined or followed
-        self.followed = ""  # the relay that has taken us in
-        self.heard_at = -math.inf  # its last word, or when we asked it
-        self.fresh_at = -math.inf  # when what we hold was surely the origin's
-        self.wait_until = -math.inf  # after all were tried
-        self.asked = ""  # the relay that is to take us in
-        self.tried = 0
+    """The choice of a relay by one process."""
+
+    def __init__(self, name: str, local: list[str], remote: list[str], rng: random.Random) -> None:
+        self.relays = preference_order(name, local, remote)
+        self.local_relays = frozenset(local)
+        self.rng = rng
+        self.index = 0  # in `relays`, of the one that is being joined or is subscribed to
+        self.joining = ""  # the relay that has not accepted us yet
+        self.current = ""  # the relay that has
+        self.attempts = 0  # relays that failed in a row
+        self.retry_at = -math.inf  # end of the backoff after all relays failed
         self.joined_at = -math.inf
-        self.home_at = math.inf
-
-    def tick(self, now: float) -> list[Join | Quit]:
-        """Time has passed."""
-        if self.followed:
-            if now - self.heard_at >= SILENT or now - max(self.joined_at, self.fresh_at + STALE) >= SILENT:
-                # Silent, or cut off from the origin itself, which another relay may not be.
-                return self.lost(now, self.followed)
-            if now >= self.home_at:
-                self.home_at = math.inf
-                out: list[Join | Quit] = [Quit(self.followed)]
-                self.followed, self.at, self.tried = "", 0, 0
-                return out + self._join(now)
+        self.failback_at = math.inf  # when to return to the own zone; inf: we are in it, or in none
+        self.last_message_at = -math.inf  # of `current`, or when `joining` was asked
+        self.confirmed_at = -math.inf  # when what we have was last known to be the origin's
+
+    def tick(self, now: float) -> list[Action]:
+        """Check all timeouts."""
+        if self.current:
+            return self._check_current(now)
+        if self.joining:
+            if now - self.last_message_at >= JOIN_TIMEOUT:
+                return self.on_lost(now, self.joining)
             return []
-        if self.asked:
-            return self.lost(now, self.asked) if now - self.heard_at >= JOIN else []
-        return self._join(now) if now >= self.wait_until else []
+        if now >= self.retry_at:
+            return [self._join(now)]
+        return []
 
-    def taken_in(self, now: float, relay: str) -> None:
-        """A relay has taken us in."""
-        if relay != self.asked:
+    def on_joined(self, now: float, relay: str) -> None:
+        """Handle that a relay has accepted the subscription."""
+        if relay != self.joining:
             return
-        self.followed, self.asked, self.heard_at, self.joined_at = relay, "", now, now
-        self.home_at = math.inf if relay in self.own else now + self.chance.uniform(*HOME)
-
-    def word(self, now: float, relay: str) -> bool:
-        """A relay's word; whether it counts: only the one that is followed is listened to."""
-        if relay != self.followed:
+        self.current = relay
+        self.joining = ""
+        self.last_message_at = now
+        self.joined_at = now
+        self.failback_at = math.inf
+        if relay not in self.local_relays:
+            self.failback_at = now + self.rng.uniform(*FAILBACK_DELAY)
+
+    def on_message(self, now: float, relay: str) -> bool:
+        """Note a message of a relay; whether it may be used: only those of the current one may."""
+        if relay != self.current:
             return False
-        self.heard_at = now
+        self.last_message_at = now
         return True
 
-    def rests(self, now: float, age: float) -> None:
-        """What is held is what the origin had so many ms ago."""
-        self.fresh_at = max(self.fresh_at, now - age)
-        if age < STALE:
-            self.tried = 0
+    def on_confirmed(self, now: float, age_ms: float) -> None:
+        """Note that what we have is what discovery told the origin `age_ms` ago."""
+        self.confirmed_at = max(self.confirmed_at, now - age_ms)
+        if age_ms < STALENESS_LIMIT:
+            self.attempts = 0
 
-    def lost(self, now: float, relay: str) -> list[Join | Quit]:
-        """A relay is gone, silent, or won't have us: the next one."""
-        if relay not in (self.followed, self.asked):
+    def on_lost(self, now: float, relay: str) -> list[Action]:
+        """Change to the next relay: this one has disconnected, timed out or rejected us."""
+        if relay not in (self.current, self.joining):
             return []
-        out: list[Join | Quit] = [Quit(relay)]
-        self.followed = self.asked = ""
-        self.at, self.tried = (self.at + 1) % len(self.order), self.tried + 1
-        if self.tried % len(self.order) == 0:
-            rounds = self.tried // len(self.order)
-            pause = min(PAUSE[0] * 2 ** (rounds - 1), PAUSE[1])
-            self.wait_until = now + pause * self.chance.uniform(0.5, 1.0)
-            self.at = 0
-            return out
-        return out + self._join(now)
-
-    def fresh(self, now: float) -> bool:
-        """Whether what we hold may be relied on; else discovery is asked."""
-        return now - self.fresh_at < STALE
-
-    def _join(self, now: float) -> list[Join | Quit]:
-        self.asked, self.heard_at = self.order[self.at], now
-        return [Join(self.asked)]
+        self.current = ""
+        self.joining = ""
+        self.index = (self.index + 1) % len(self.relays)
+        self.attempts += 1
+        if self.attempts % len(self.relays) == 0:
+            self._back_off(now)
+            return [Leave(relay)]
+        return [Leave(relay), self._join(now)]
+
+    def is_fresh(self, now: float) -> bool:
+        """Whether what we have may be relied on; if not, discovery has to be polled."""
+        return now - self.confirmed_at < STALENESS_LIMIT
+
+    def _check_current(self, now: float) -> list[Action]:
+        silent = now - self.last_message_at >= SILENCE_TIMEOUT
+        stale_since = max(self.joined_at, self.confirmed_at + STALENESS_LIMIT)
+        if silent or now - stale_since >= SILENCE_TIMEOUT:
+            return self.on_lost(now, self.current)
+        if now >= self.failback_at:
+            previous = self.current
+            self.failback_at = math.inf
+            self.current = ""
+            self.index = 0
+            self.attempts = 0
+            return [Leave(previous), self._join(now)]
+        return []
+
+    def _back_off(self, now: float) -> None:
+        """Wait before the relays are tried from the first one on: longer each round, half of it random."""
+        rounds = self.attempts // len(self.relays)
+        backoff = min(BACKOFF_MIN * 2 ** (rounds - 1), BACKOFF_MAX)
+        self.retry_at = now + backoff * self.rng.uniform(0.5, 1.0)
+        self.index = 0
+
+    def _join(self, now: float) -> Join:
+        self.joining = self.relays[self.index]
+        self.last_message_at = now
+        return Join(self.joining)
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -1,14 +1,18 @@
-"""A relay on the link, which is the origin while it holds that lease.
+"""A relay process: it replicates the endpoint list from the origin to its subscribers.
 
-Owns the store and the subscribers of one relay process and what travels between them, and, at the origin,
-the calls to discovery. It must never publish without the lease, pass on what it can't prove, or hold the
-reactor up.
+The relay that holds the lease `origin` is the origin: it polls discovery, publishes the answers under the
+lease's fencing token, and sends them to the other relays. A relay does not pass on what it cannot verify by
+its digest. Times are in milliseconds unless named otherwise.
 """
 
 import math
+from collections import Counter
+from enum import Enum
+from typing import Any
 
 import msgspec
 from twisted.internet import defer
+from twisted.internet.base import DelayedCall
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.transport import CallFailed
@@ -16,226 +20,280 @@
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
-from lotusroute.relay.fanout import Drop, FanOut, Send
+from lotusroute.relay.fanout import Action, Drop, FanOut, Heartbeat, Message
 from lotusroute.relay.versioned_store import (
-    OLDER,
-    SPOILT,
-    TAKEN,
-    PublishRejected,
+    Delta,
+    PublishRejectedError,
     Snapshot,
+    UpdateOutcome,
     Version,
     VersionedStore,
 )
 
 TASK = "origin"
-HOLD = 500  # ms that the origin's watch waits: it alone calls, and its silence is noticed so much sooner
-SEND = 50.0  # ms that an act of the origin takes at most: so much of the lease must be left
-NEVER = 1e9  # ms: the age of what rests on nothing
+ORIGIN_POLL_HOLD = (
+    500  # ms that discovery may delay its answer: short, as the origin's silence has to show soon
+)
+MAX_PUBLISH_DURATION = 50.0  # ms; so much of the lease has to be left
+MIN_TICK_DELAY = 5.0  # ms
+UNKNOWN_AGE = 1e9  # ms: nothing has been received from discovery or an origin
 
+SENT_COUNTERS: dict[type, str] = {
+    Heartbeat: "heartbeats_sent",
+    Delta: "deltas_sent",
+    Snapshot: "snapshots_sent",
+}
 
-class RelayServer:
-    """One relay."""
 
-    def __init__(self, part: LeaseService, where: tuple[str, int], counters, seed: int = 0) -> None:
-        """`where`: discovery's address, which the origin calls."""
-        self.part, self.reactor, self.counters, self.seed = part, part.reactor, counters, seed
-        self.where = where
-        self.store = VersionedStore()
-        self.fan = FanOut(self.store, part.config.max_subscribers + len(part.config.peers))
-        self.assembly = messages.Assembly()
-        self.fence = 0  # while this relay is the origin
-        self.highest = 0  # the highest fence that it heard of
-        self.known_at = -NEVER  # ms: when what is held was surely discovery's
-        self.taken: dict[str, str] = {}  # how those that we send to are reached: `guest` or `peer`
-        self.discovery: Discovery | None = None
-        self.timer = None  # the next tick
-        part.call_handlers.update(follow=self._follow, news=self._news)
-        part.status_providers["news"] = self.show
-        part.on_lease_changed, part.on_peer_disconnected = self._changed, self._left
+class Route(Enum):
+    """The connection by which a subscriber is reached."""
 
-    def start(self):
-        """Open the link; brings the listening, or its failure."""
-        self._tick()
-        return self.part.start()
+    INBOUND = "inbound"  # the subscriber opened it
+    OUTBOUND = "outbound"  # we did: the subscriber is a relay, and we are the origin
 
-    def old(self) -> float:
-        """How old in ms what is held is."""
-        return min(NEVER, self.part.clock() - self.known_at)
 
-    # What is sent
+class RelayServer:
+    """One relay; as the origin it is the `UpdateSource` of its discovery client."""
+
+    def __init__(
+        self,
+        lease_service: LeaseService,
+        discovery_address: tuple[str, int],
+        counters: Counter,
+        seed: int = 0,
+    ) -> None:
+        """`discovery_address`: what to poll as the origin."""
+        self.lease_service = lease_service
+        self.reactor = lease_service.reactor
+        self.discovery_address = discovery_address
+        self.counters = counters
+        self.seed = seed
+        self.store = VersionedStore()
+        config = lease_service.config
+        self.fanout = FanOut(self.store, config.max_subscribers + len(config.peers))
+        self.assembler = messages.SnapshotAssembler()
+        self.fencing_token = 0  # of the lease while this relay is the origin, else 0
+        self.highest_fencing_token = 0  # of all origins that were received from
+        self.confirmed_at = -UNKNOWN_AGE  # when the store was last known to be discovery's list
+        self.routes: dict[str, Route] = {}  # of the subscribers, by name
+        self.discovery: Discovery | None = None
+        self.timer: DelayedCall | None = None  # the next tick
+        lease_service.call_handlers[messages.SUBSCRIBE_CALL] = self._on_subscribe
+        lease_service.call_handlers[messages.UPDATE_CALL] = self._on_update
+        lease_service.status_providers["news"] = self.show
+        lease_service.on_lease_changed = self._on_lease_changed
+        lease_service.on_peer_disconnected = self._on_peer_disconnected
+
+    def start(self) -> defer.Deferred:
+        """Start to serve; fires when the relay listens, fails where it cannot."""
+        self._tick()
+        return self.lease_service.start()
 
-    def _tick(self) -> None:
-        now = self.part.clock()
-        self._act(self.fan.tick(now, self.old()))
-        if self.fence:
-            for peer in self.part.transport.outbound.keys() - self.fan.followers.keys():
-                # What it has is not known yet: it says so as it acknowledges.
-                self.taken[peer] = "peer"
-                self._act(self.fan.join(now, peer, self.store.version))
-        self._tick_again(self.fan.due(now))
-
-    def _tick_again(self, ms: float) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        self.timer = self.reactor.callLater(max(0.005, ms / 1000), self._tick)
+    def age_ms(self) -> float:
+        """Return how long ago the store was last known to be discovery's list."""
+        return min(UNKNOWN_AGE, self.lease_service.clock() - self.confirmed_at)
 
-    def _told(self, now: float) -> None:
-        """The store has changed."""
-        self.fan.news(now)
-        self._tick_again(self.fan.due(now))
+    # Sending
 
-    def _act(self, actions: list[Send | Drop]) -> None:
+    def perform(self, actions: list[Action]) -> None:
+        """Carry out what the fan-out decided."""
         for action in actions:
             if isinstance(action, Drop):
-                self.counters[f"subscribers_dropped_{action.why}"] += 1
-            else:
-                self.counters["updates_sent"] += 1
-                self.counters[f"{type(action.news).__name__.lower()}s_sent"] += 1
-                self._send(action.to, action.news)
-
-    def _send(self, to: str, news) -> None:
-        calls = messages.written(news, self.old())
-        if not calls:
-            calls = messages.written(
-                Snapshot(self.store.version, self.store.digest, dict(self.store.items)), self.old()
-            )
-        defer.ensureDeferred(self._carry(to, calls))
-
-    async def _carry(self, to: str, calls: list[bytes]) -> None:
-        link = self.part.transport
-        call = link.call if self.taken.get(to) == "peer" else link.call_inbound
+                self.counters[f"subscribers_dropped_{action.reason}"] += 1
+                continue
+            self.counters["updates_sent"] += 1
+            self.counters[SENT_COUNTERS[type(action.message)]] += 1
+            bodies = self._encode(action.message)
+            defer.ensureDeferred(self._send(action.subscriber, bodies))
+
+    def _encode(self, message: Message) -> list[bytes]:
+        bodies = messages.encode_update(message, self.age_ms())
+        if bodies:
+            return bodies
+        return messages.encode_update(self.store.snapshot(), self.age_ms())
+
+    async def _send(self, subscriber: str, bodies: list[bytes]) -> None:
+        transport = self.lease_service.transport
+        outbound = self.routes.get(subscriber) is Route.OUTBOUND
+        call = transport.call if outbound else transport.call_inbound
         try:
-            for body in calls:
+            for body in bodies:
                 self.counters["update_bytes_sent"] += len(body)
-                told = await call(to, "news", body)
-            at = messages.at(told)
+                acknowledgement = await call(subscriber, messages.UPDATE_CALL, body)
+            version = messages.decode_acknowledgement(acknowledgement)
         except (CallFailed, msgspec.MsgspecError):
             self.counters["updates_unacknowledged"] += 1
-            self.fan.leave(to)
+            self.fanout.remove(subscriber)
             return
-        self._act(self.fan.acknowledged(self.part.clock(), to, at, self.old()))
+        now = self.lease_service.clock()
+        self.perform(self.fanout.on_acknowledgement(now, subscriber, version, self.age_ms()))
 
-    def _left(self, peer: str) -> None:
-        if self.taken.pop(peer, None) is not None:
-            self.fan.leave(peer)
+    def _tick(self) -> None:
+        now = self.lease_service.clock()
+        self.perform(self.fanout.tick(now, self.age_ms()))
+        if self.fencing_token:
+            connected = self.lease_service.transport.outbound.keys()
+            for peer in connected - self.fanout.subscribers.keys():
+                # Its version is not known yet: its first acknowledgement tells.
+                self.routes[peer] = Route.OUTBOUND
+                self.perform(self.fanout.join(now, peer, self.store.version))
+        self._schedule_tick(now)
+
+    def _schedule_tick(self, now: float) -> None:
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        delay = max(MIN_TICK_DELAY, self.fanout.next_tick_in(now))
+        self.timer = self.reactor.callLater(delay / 1000, self._tick)
 
-    # What comes
+    def _on_store_changed(self, now: float) -> None:
+        self.fanout.on_store_changed(now)
+        self._schedule_tick(now)
 
-    def _follow(self, peer: str, body: bytes) -> bytes:
-        """A subscriber wants to follow, from a version."""
-        if self.old() > NEVER / 2:
+    # Subscribers
+
+    def _on_subscribe(self, peer: str, body: bytes) -> bytes:
+        """Accept a subscriber, which says which version it has."""
+        if self.age_ms() > UNKNOWN_AGE / 2:
             raise CallFailed("nothing to tell yet")
-        if peer not in self.taken and len(self.fan.followers) >= self.fan.most:
+        if peer not in self.routes and len(self.fanout.subscribers) >= self.fanout.max_subscribers:
             self.counters["subscribers_dropped_full"] += 1
             raise CallFailed("full")
-        self.taken[peer] = "guest"
-        version = messages.at(body)
-        self.reactor.callLater(0, self._begin, peer, version)
+        self.routes[peer] = Route.INBOUND
+        version = messages.decode_acknowledgement(body)
+        # After the answer, so that the subscriber knows that it was accepted when the first update arrives.
+        self.reactor.callLater(0, self._join, peer, version)
         return b""
 
-    def _begin(self, peer: str, version: Version) -> None:
-        # After the answer, so that it knows that it is taken in when the first news come.
-        self._act(self.fan.join(self.part.clock(), peer, version))
-
-    def _news(self, peer: str, body: bytes) -> bytes:
-        """An origin's word."""
-        word = messages.read(body)
-        fence = word.version[0]
-        if peer not in self.part.config.peers or fence < self.highest or self.fence >= fence:
+    def _join(self, peer: str, version: Version) -> None:
+        self.perform(self.fanout.join(self.lease_service.clock(), peer, version))
+
+    def _on_peer_disconnected(self, peer: str) -> None:
+        if self.routes.pop(peer, None) is not None:
+            self.fanout.remove(peer)
+
+    # Updates from the origin
+
+    def _on_update(self, peer: str, body: bytes) -> bytes:
+        """Apply an update; returns the acknowledgement, raises CallFailed for that of a deposed origin."""
+        message = messages.decode_update(body)
+        fencing_token = message.version[0]
+        self._check_origin(peer, fencing_token)
+        if fencing_token > self.highest_fencing_token:
+            log_event("origin followed", origin=peer, fence=fencing_token)
+        self.highest_fencing_token = fencing_token
+        now = self.lease_service.clock()
+        if not message.is_heartbeat and self._receive(message, now) == UpdateOutcome.CORRUPT:
+            return messages.encode_acknowledgement(Version())  # asks for a snapshot
+        if self.store.version == message.version:
+            self.confirmed_at = max(self.confirmed_at, now - message.age_ms)
+        return messages.encode_acknowledgement(self.store.version)
+
+    def _check_origin(self, peer: str, fencing_token: int) -> None:
+        known = peer in self.lease_service.config.peers
+        deposed = fencing_token < self.highest_fencing_token or self.fencing_token >= fencing_token
+        if not known or deposed:
             self.counters["updates_fenced"] += 1
             raise CallFailed("a later origin has spoken")
-        if fence > self.highest:
-            log_event("origin followed", origin=peer, fence=fence)
-        self.highest = fence
-        now = self.part.clock()
-        if word.parts or word.since is not None:
-            news = self.assembly.take(word)
-            if news is not None:
-                outcome = self.store.take(news)
-                self.counters[f"updates_{outcome}"] += 1
-                if outcome == TAKEN:
-                    self._told(now)
-                elif outcome == SPOILT:
-                    return messages.acknowledged(Version())
-                elif outcome == OLDER:
-                    raise CallFailed("a later origin has spoken")
-        if self.store.version == word.version:
-            self.known_at = max(self.known_at, now - word.age)
-        return messages.acknowledged(self.store.version)
+
+    def _receive(self, message: messages.UpdateMessage, now: float) -> UpdateOutcome | None:
+        """Apply the update that is complete with this message; None where more parts are to come."""
+        update = self.assembler.add(message)
+        if update is None:
+            return None
+        outcome = self.store.apply(update)
+        self.counters[f"updates_{outcome}"] += 1
+        if outcome == UpdateOutcome.APPLIED:
+            self._on_store_changed(now)
+        elif outcome == UpdateOutcome.STALE:
+            raise CallFailed("a later origin has spoken")
+        return outcome
 
     # The origin
 
-    def _changed(self, task: str, fence: int) -> None:
+    def _on_lease_changed(self, task: str, fencing_token: int) -> None:
+        """Become the origin, or with token 0 cease to be it."""
         if task != TASK:
             return
-        self.fence = fence
-        if not fence:
-            for peer in [peer for peer, how in self.taken.items() if how == "peer"]:
-                del self.taken[peer]
-                self.fan.leave(peer)
-            if self.discovery is not None:
-                self.discovery.close()
-                self.discovery = None
-            return
-        self.highest = fence
-        for peer in self.part.other_peers():
-            self.part.transport.connect(peer)
-        where, seq = endpoint_items.about(self.store)
-        same = where == self._base()
-        self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counters)
-        self.discovery.watch, self.discovery.most_hold = self, HOLD
+        self.fencing_token = fencing_token
+        if fencing_token:
+            self._become_origin()
+        else:
+            self._resign()
+
+    def _become_origin(self) -> None:
+        self.highest_fencing_token = self.fencing_token
+        for peer in self.lease_service.other_peers():
+            self.lease_service.transport.connect(peer)
+        metadata = endpoint_items.list_metadata(self.store)
+        same_discovery = metadata.discovery_address == self._discovery_host_port()
+        seq = metadata.seq if same_discovery else None
+        self.discovery = Discovery(
+            self.discovery_address, seq, self.seed, self._ignore_endpoint_update, self.counters
+        )
+        self.discovery.watch = self
+        self.discovery.most_hold = ORIGIN_POLL_HOLD
         defer.ensureDeferred(self.discovery.follow())
 
-    def _base(self) -> str:
-        return f"{self.where[0]}:{self.where[1]}"
+    def _resign(self) -> None:
+        for peer in [peer for peer, route in self.routes.items() if route is Route.OUTBOUND]:
+            del self.routes[peer]
+            self.fanout.remove(peer)
+        if self.discovery is not None:
+            self.discovery.close()
+            self.discovery = None
+
+    def _discovery_host_port(self) -> str:
+        return f"{self.discovery_address[0]}:{self.discovery_address[1]}"
 
-    def _nothing(self, news) -> None:
-        """What discovery told is published as it was told."""
+    def _ignore_endpoint_update(self, update: object) -> None:
+        """Do nothing: `on_response` publishes the answer as it came."""
 
-    # What Discovery asks and tells
+    # UpdateSource
 
     async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
-        """The origin always calls."""
+        """Return at once: the origin always polls."""
 
     def age(self) -> float:
-        """Nobody tells the origin but discovery."""
+        """Return infinity: the origin has the list from nobody but discovery."""
         return math.inf
 
-    def on_failure(self) -> None:
-        """Discovery is away: what is held grows old, and subscribers see that."""
-
-    def wake(self) -> None:
-        """Nobody waits."""
-
-    def on_response(self, told: dict, since: int | None) -> None:
-        """Discovery has answered: publish, under the lease."""
-        if not self.part.fencing_token(TASK, SEND):
+    def on_response(self, message: dict[str, Any], since: int | None) -> None:
+        """Publish an answer of discovery, if the lease lasts long enough."""
+        if not self.lease_service.fencing_token(TASK, MAX_PUBLISH_DURATION):
             return
-        now = self.part.clock()
+        now = self.lease_service.clock()
+        changes = endpoint_items.item_changes(self.store, message, self._discovery_host_port())
         try:
-            if self.store.publish(self.fence, endpoint_items.changes(self.store, told, self._base())):
-                self.counters["updates_published"] += 1
-                self._told(now)
-        except PublishRejected as fault:
+            published = self.store.publish(self.fencing_token, changes)
+        except PublishRejectedError as error:
             self.counters["updates_fenced"] += 1
-            log_event("publish rejected", why=str(fault))
+            log_event("publish rejected", why=str(error))
             return
-        self.known_at = now
+        if published:
+            self.counters["updates_published"] += 1
+            self._on_store_changed(now)
+        self.confirmed_at = now
+
+    def on_failure(self) -> None:
+        """Do nothing: the age that subscribers are sent grows."""
+
+    def wake(self) -> None:
+        """Do nothing: `wait_for_turn` never waits."""
 
-    # What operators see
+    # Status
 
-    def show(self) -> dict:
-        """For `relay show`; times in ms from now."""
-        versions = [follower.version for follower in self.fan.followers.values()]
-        lack = sum(version < self.store.version for version in versions)
+    def show(self) -> dict[str, Any]:
+        """Return the status for `relay show`."""
+        versions = [subscriber.version for subscriber in self.fanout.subscribers.values()]
+        lagging = sum(version < self.store.version for version in versions)
         return {
             "version": list(self.store.version),
             "digest": f"{self.store.digest:016x}",
             "items": len(self.store.items),
-            "age_ms": round(self.old()),
-            "origin": self.fence,
+            "age_ms": round(self.age_ms()),
+            "origin": self.fencing_token,
             "subscribers": len(versions),
-            "lack": lack,
-            "in_line": len(self.fan.waiting),
+            "lack": lagging,
+            "in_line": len(self.fanout.snapshot_queue),
             "oldest": list(min(versions, default=self.store.version)),
         }
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -1,231 +1,212 @@
-"""A balancer's side: it follows one relay, and calls discovery by itself where that is stale.
+"""A balancer's subscription to a relay, which spares it the polling of discovery while the relay is fresh.
 
-Owns which relay this balancer follows and what it takes from it. It must never keep a balancer from calling
-discovery within the time in which a change counts as told, take what it can't prove, or judge a list.
+The balancer polls by itself when what it has grows stale, in time for a change to be in force as the protocol
+demands, and until a relay is fresh again. Lists are passed to the discovery client, which validates them.
 """
 
 import math
 import os
-import pathlib
 import random
 import time
-import tomllib
 from collections import Counter
-from typing import NamedTuple
+from typing import Any
 
 from twisted.internet import defer
+from twisted.python.failure import Failure
 
-from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import FleetConfig
 from lotusroute.fleet.transport import CallFailed, PeerTransport
 from lotusroute.leases.messages import LeaseTerms
-from lotusroute.net.config import parse_address
 from lotusroute.net.discovery import LINE, REFUSED
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
-from lotusroute.relay.relay_selector import Join, Quit, RelaySelector
-from lotusroute.relay.versioned_store import SPOILT, TAKEN, Version, VersionedStore
-
-TICK = 0.1  # s between looks at the clock
-FIRST = 0.8  # s that a new process waits for its first news before it calls discovery itself
-KEYS = {"name", "zone", "relays"}
-
-
-class RelaysConfig(NamedTuple):
-    """The relays, as one balancer is told of them."""
-
-    fleet: str
-    own: dict[str, tuple[str, int]]  # those of its zone
-    others: dict[str, tuple[str, int]]
-
-
-def read(path: str | os.PathLike) -> RelaysConfig:
-    """Read the operator's file; an error names file, key and mend."""
-    try:
-        told = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
-        return relays(told)
-    except (OSError, ValueError, InvalidValueError) as fault:
-        raise InvalidValueError(f"LB_RELAYS: {path}: {fault}") from None
-
-
-def relays(told: dict) -> RelaysConfig:
-    """Check what the file tells.
-
-    >>> tables = {"a": {"r1": "127.0.0.1:1"}, "b": {"r2": "127.0.0.1:2"}}
-    >>> relays({"name": "f", "zone": "a", "relays": tables}).own
-    {'r1': ('127.0.0.1', 1)}
-    """
-    unknown = sorted(set(told) - KEYS)
-    if unknown:
-        raise InvalidValueError(f"{unknown[0]}: no such key; there are {', '.join(sorted(KEYS))}")
-    name, zone, zones = (told.get(key) for key in ("name", "zone", "relays"))
-    if not isinstance(name, str) or not name:
-        raise InvalidValueError("name: not set; give the fleet's")
-    if not isinstance(zone, str):
-        raise InvalidValueError("zone: give this balancer's")
-    tables = zones.values() if isinstance(zones, dict) else ()
-    if not tables or not all(isinstance(table, dict) and table for table in tables):
-        raise InvalidValueError('relays: give a table for each zone, as [relays.a] with r1 = "HOST:PORT"')
-    own, others = {}, {}
-    for where, table in zones.items():
-        for relay, at in table.items():
-            if relay in own or relay in others:
-                raise InvalidValueError(f"relays.{where}.{relay}: the name stands twice")
-            try:
-                (own if where == zone else others)[relay] = parse_address(str(at))
-            except InvalidValueError as fault:
-                raise InvalidValueError(f"relays.{where}.{relay}: {fault}") from None
-    return RelaysConfig(name, own, others)
+from lotusroute.relay.config import RelaysConfig
+from lotusroute.relay.relay_selector import Action, Leave, RelaySelector
+from lotusroute.relay.versioned_store import Delta, Update, UpdateOutcome, Version, VersionedStore
+
+TICK_INTERVAL = 0.1  # s
+INITIAL_WAIT = 0.8  # s that a new process waits for its first update before it polls discovery
 
 
 class Subscription:
-    """One balancer's; what `Discovery` asks before it calls."""
-
-    def __init__(self, reactor, told: RelaysConfig, name: str, counters: Counter) -> None:
-        self.reactor, self.counters, self.name = reactor, counters, name
-        self.chance = random.Random(os.urandom(16))
-        plan = FleetConfig(told.fleet, "", {**told.own, **told.others}, (), LeaseTerms(()))
-        self.follower = RelaySelector(name, list(told.own), list(told.others), self.chance)
-        self.link = PeerTransport(
-            reactor, plan, name, self.chance, counters, self._serve, self._up, self._lost
+    """One balancer's subscription, an `UpdateSource` of its discovery client."""
+
+    def __init__(self, reactor, config: RelaysConfig, name: str, counters: Counter) -> None:
+        self.reactor = reactor
+        self.counters = counters
+        self.rng = random.Random(os.urandom(16))
+        self.selector = RelaySelector(name, list(config.local), list(config.remote), self.rng)
+        self.transport = PeerTransport(
+            reactor,
+            FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(())),
+            name,
+            self.rng,
+            counters,
+            self.handle_call,
+            self.on_connected,
+            self._on_lost,
         )
-        self.store, self.assembly = VersionedStore(), messages.Assembly()
-        self.discovery = None  # the one that follows now; another after a reload
-        self.began = self.clock()
-        self.waiting: defer.Deferred | None = None
-        self.calling = False  # this balancer calls discovery by itself for now
+        self.store = VersionedStore()
+        self.assembler = messages.SnapshotAssembler()
+        self.discovery: DiscoveryClient | None = None  # the current one; a reload replaces it
+        self.started_at = self.clock()
+        self.pending_wait: defer.Deferred | None = None
+        self.polling = False  # this balancer polls discovery by itself for now
 
     @staticmethod
     def clock() -> float:
-        """Milliseconds of the machine's own clock, which nothing sets."""
+        """Return the monotonic clock, in milliseconds."""
         return time.monotonic() * 1000
 
     def start(self) -> None:
-        """Begin to follow."""
-        self._act(self.follower.tick(self.clock()))
-        self.reactor.callLater(TICK * self.chance.uniform(0.8, 1.2), self.start)
+        """Start to subscribe; calls itself again on every tick."""
+        self._perform(self.selector.tick(self.clock()))
+        self.reactor.callLater(TICK_INTERVAL * self.rng.uniform(0.8, 1.2), self.start)
 
-    def _act(self, actions: list[Join | Quit]) -> None:
-        for action in actions:
-            if isinstance(action, Quit):
-                self.counters["relay_left"] += 1
-                self.link.disconnect(action.relay)
-            elif action.relay in self.link.outbound:
-                self._up(action.relay)
-            else:
-                self.link.connect(action.relay)
+    # Connection to a relay
 
-    def _up(self, relay: str) -> None:
-        if relay != self.follower.asked:
+    def on_connected(self, relay: str) -> None:
+        """Subscribe at a relay that has just been connected, if it is the one to be joined."""
+        if relay != self.selector.joining:
             return
-        call = self.link.call(relay, "follow", messages.acknowledged(self.store.version))
-        call.addCallbacks(lambda _: self._taken_in(relay), lambda reason: self._refused(relay, reason))
+        acknowledgement = messages.encode_acknowledgement(self.store.version)
+        call = self.transport.call(relay, messages.SUBSCRIBE_CALL, acknowledgement)
+        call.addCallbacks(lambda _: self._on_joined(relay), lambda reason: self._on_rejected(relay, reason))
 
-    def _lost(self, relay: str) -> None:
-        self._act(self.follower.lost(self.clock(), relay))
+    def _perform(self, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, Leave):
+                self.counters["relay_left"] += 1
+                self.transport.disconnect(action.relay)
+            elif action.relay in self.transport.outbound:
+                self.on_connected(action.relay)
+            else:
+                self.transport.connect(action.relay)
 
-    def _taken_in(self, relay: str) -> None:
-        self.follower.taken_in(self.clock(), relay)
-        if self.follower.followed == relay:
+    def _on_joined(self, relay: str) -> None:
+        self.selector.on_joined(self.clock(), relay)
+        if self.selector.current == relay:
             self.counters["relay_joined"] += 1
-            log_event("relay joined", relay=relay, version=self.store.version.number)
+            log_event("relay joined", relay=relay, version=self.store.version.sequence_number)
 
-    def _refused(self, relay: str, reason) -> None:
+    def _on_rejected(self, relay: str, reason: Failure) -> None:
         reason.trap(CallFailed)
-        self._lost(relay)
+        self._on_lost(relay)
 
-    # What comes
+    def _on_lost(self, relay: str) -> None:
+        self._perform(self.selector.on_lost(self.clock(), relay))
 
-    def _serve(self, peer: str, kind: str, body: bytes) -> bytes:
-        if kind != "news":
+    # Updates
+
+    def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
+        """Handle an update of a relay; returns the acknowledgement, raises CallFailed for other calls."""
+        if kind != messages.UPDATE_CALL:
             raise CallFailed(f"no call '{kind[:32]}'")
-        word, now = messages.read(body), self.clock()
-        if not self.follower.word(now, peer):
+        message = messages.decode_update(body)
+        now = self.clock()
+        if not self.selector.on_message(now, peer):
             raise CallFailed("not followed here")
-        if word.parts or word.since is not None:
-            self.counters["updates_received"] += 1
-            news = self.assembly.take(word)
-            if news is not None:
-                _, seq = endpoint_items.about(self.store)
-                outcome = self.store.take(news)
-                self.counters[f"updates_{outcome}"] += 1
-                if outcome == SPOILT:
-                    return messages.acknowledged(Version())
-                if outcome == TAKEN:
-                    self._hand(news, seq)
-        if self.store.version == word.version:
-            self.follower.rests(now, word.age)
-            if self.follower.fresh(now):
-                self.calling = False
-        return messages.acknowledged(self.store.version)
-
-    def _hand(self, news, seq: int | None) -> None:
-        """Give the list to what follows discovery, which checks it as discovery's own."""
-        if self.discovery is None or not self._same(self.discovery):
+        if not message.is_heartbeat and self._receive(message) == UpdateOutcome.CORRUPT:
+            return messages.encode_acknowledgement(Version())  # asks for a snapshot
+        if self.store.version == message.version:
+            self.selector.on_confirmed(now, message.age_ms)
+            if self.selector.is_fresh(now):
+                self.polling = False
+        return messages.encode_acknowledgement(self.store.version)
+
+    def _receive(self, message: messages.UpdateMessage) -> UpdateOutcome | None:
+        """Apply the update that is complete with this message; None where more parts are to come."""
+        self.counters["updates_received"] += 1
+        update = self.assembler.add(message)
+        if update is None:
+            return None
+        previous_seq = endpoint_items.list_metadata(self.store).seq
+        outcome = self.store.apply(update)
+        self.counters[f"updates_{outcome}"] += 1
+        if outcome == UpdateOutcome.APPLIED:
+            self._forward(update, previous_seq)
+        return outcome
+
+    def _forward(self, update: Update, previous_seq: int | None) -> None:
+        """Pass the changes to the discovery client, or the full list where it rejects them."""
+        if self.discovery is None or not self._carries_list_of(self.discovery):
             self.counters["updates_of_other_discovery"] += 1
             return
-        changed = getattr(news, "changed", None)
-        if changed is not None and self.discovery.apply_shared_update(
-            endpoint_items.answer(self.store, changed), seq
-        ):
-            return
-        if not self.discovery.apply_shared_update(endpoint_items.answer(self.store, None), None):
+        if isinstance(update, Delta):
+            answer = endpoint_items.discovery_answer(self.store, update.changes)
+            if self.discovery.apply_shared_update(answer, previous_seq):
+                return
+        if not self._apply_full_list(self.discovery):
             self.counters["updates_not_applied_locally"] += 1
 
-    def _same(self, discovery) -> bool:
-        """Whether what relays carry is this discovery's."""
-        return discovery.base.startswith(f"http://{endpoint_items.about(self.store)[0]}/")
+    def _apply_full_list(self, discovery: DiscoveryClient) -> bool:
+        return discovery.apply_shared_update(endpoint_items.discovery_answer(self.store, None), None)
 
-    # What Discovery asks and tells
+    def _carries_list_of(self, discovery: DiscoveryClient) -> bool:
+        """Whether the list in the store is from the discovery that this client polls."""
+        address = endpoint_items.list_metadata(self.store).discovery_address
+        return discovery.base.startswith(f"http://{address}/")
+
+    # UpdateSource
 
     async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
-        """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
-        while not discovery.closed and not self.calling:
+        """Return when this balancer has to poll discovery by itself, or the client is closed."""
+        while not discovery.closed and not self.polling:
             now = self.clock()
-            if not self._same(discovery) and now >= self.began + 1000 * FIRST:
+            starting = now < self.started_at + 1000 * INITIAL_WAIT
+            carried = self._carries_list_of(discovery)
+            if not carried and not starting:
                 # After a reload the relays' list says nothing of the new discovery's. Checked on every
                 # iteration: a reload may come while the first updates are still waited for.
                 self.counters["relay_fallback_requests"] += 1
                 return
-            if self.follower.fresh(now) or now < self.began + 1000 * FIRST:
-                if discovery.seq is None and self._same(discovery):
-                    discovery.apply_shared_update(endpoint_items.answer(self.store, None), None)
-                await self._wait(TICK)
+            if starting or self.selector.is_fresh(now):
+                if carried and discovery.seq is None:
+                    self._apply_full_list(discovery)
+                await self._wait(TICK_INTERVAL)
                 continue
-            # All that lost their relays at once come one by one, as far as the time for news allows.
-            room = max(0.0, min(REFUSED, discovery.remaining() - LINE))
-            await self._wait(room * self.chance.random())
-            if not self.follower.fresh(self.clock()):
-                self.calling = True
-                self.counters["relay_stale"] += 1
-        if self.calling:
+            await self._wait_to_poll(discovery)
+        if self.polling:
             self.counters["relay_fallback_requests"] += 1
 
+    async def _wait_to_poll(self, discovery: DiscoveryClient) -> None:
+        """Wait a random time before polling: all that lost their relays at once would poll together.
+
+        The wait leaves enough of the time in which a change has to be in force for the poll itself.
+        """
+        longest = max(0.0, min(REFUSED, discovery.remaining() - LINE))
+        await self._wait(longest * self.rng.random())
+        if not self.selector.is_fresh(self.clock()):
+            self.polling = True
+            self.counters["relay_stale"] += 1
+
     def _wait(self, seconds: float) -> defer.Deferred:
-        self.waiting = defer.Deferred()
+        """Fire after so many seconds, or when woken."""
+        self.pending_wait = defer.Deferred()
         timer = self.reactor.callLater(seconds, self.wake)
 
-        def over(_: object) -> None:
+        def cancel_timer(_: object) -> None:
             if timer.active():
                 timer.cancel()
 
-        return self.waiting.addBoth(over)
+        return self.pending_wait.addBoth(cancel_timer)
 
     def age(self) -> float:
-        """How old the list is at most, in s, by the relay's word; of another discovery's it says nothing."""
-        if self.discovery is None or not self._same(self.discovery):
+        """Upper bound of the list's age, in seconds; infinity where it is another discovery's list."""
+        if self.discovery is None or not self._carries_list_of(self.discovery):
             return math.inf
-        return (self.clock() - self.follower.fresh_at) / 1000
+        return (self.clock() - self.selector.confirmed_at) / 1000
 
-    def on_response(self, told: dict, since: int | None) -> None:
-        """Discovery has answered this balancer: by itself it goes on until a relay is fresh."""
+    def on_response(self, message: dict[str, Any], since: int | None) -> None:
+        """Do nothing: the balancer goes on polling until a relay is fresh."""
 
     def on_failure(self) -> None:
-        """Nor did it."""
+        """Do nothing: the balancer goes on polling until a relay is fresh."""
 
     def wake(self) -> None:
-        """Look again."""
-        waiting, self.waiting = self.waiting, None
-        if waiting is not None:
-            waiting.callback(None)
+        """Re-evaluate a pending `wait_for_turn` at once."""
+        pending_wait = self.pending_wait
+        self.pending_wait = None
+        if pending_wait is not None:
+            pending_wait.callback(None)
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -1,33 +1,48 @@
-"""News by version: what one process holds of them, and how it follows.
+"""A versioned key-value store that is replicated from one origin by snapshots and deltas.
 
-Owns the versions' order, what may be taken after what, and the digest that proves it. It must never do I/O,
-read a clock, go back to an older version, or mix what two origins published.
+A version is (fencing token, sequence number). The fencing token is that of the lease under which an origin
+published it: it never decreases, and no two origins share one (docs/leases.md). Sequence numbers increase by
+one, within a fencing token and from one to the next. The digest over all items that comes with each update
+proves that applying it gave the origin's items; an update is applied as a whole or not at all.
 
-A version is (fence, number). The fence is the lease's of the origin that published it: it never falls, and
-two origins never share one (docs/leases.md). Numbers grow by one within and across fences.
+Pure: no I/O, no clock.
 """
 
 from collections import deque
 from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import StrEnum
 from hashlib import blake2b
 from typing import NamedTuple
 
-HISTORY = 512  # versions from which a delta can be told; one that follows from further back takes a snapshot
-GONE = 4_096  # keys that have left and are still told in deltas; beyond, the history behind the oldest is cut
-MASK = (1 << 64) - 1
+from lotusroute.errors import LotusrouteError
 
-TAKEN, SAME, OLDER, GAP, SPOILT = "applied", "duplicate", "stale", "gap", "corrupt"
+HISTORY_LIMIT = 512  # versions from which a delta can be made; a subscriber further behind gets a snapshot
+TOMBSTONE_LIMIT = 4_096  # removed keys that deltas still carry; beyond it the history is cut
+DIGEST_MASK = (1 << 64) - 1
+
+Changes = dict[str, bytes | None]  # new values by key; None: the key was removed
+
+
+class UpdateOutcome(StrEnum):
+    """What became of an update; the values are part of the names of counters."""
+
+    APPLIED = "applied"
+    DUPLICATE = "duplicate"  # the version that the store has already
+    STALE = "stale"  # an older version
+    GAP = "gap"  # a delta from another version than the store's
+    CORRUPT = "corrupt"  # the digest does not match
 
 
 class Version(NamedTuple):
-    """Which news these are; (0, 0) is nothing yet."""
+    """Identifies the contents of a store; (0, 0) is the empty store."""
 
-    fence: int = 0
-    number: int = 0
+    fencing_token: int = 0
+    sequence_number: int = 0
 
 
 class Snapshot(NamedTuple):
-    """All there is at a version."""
+    """All items at a version."""
 
     version: Version
     digest: int
@@ -35,22 +50,34 @@
 
 
 class Delta(NamedTuple):
-    """What changed from one version to another; None: the key has left."""
+    """The changes from one version to another."""
 
-    since: Version
+    base_version: Version
     version: Version
     digest: int
-    changed: dict[str, bytes | None]
+    changes: Changes
+
+
+Update = Snapshot | Delta
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotPart:
+    """One of the messages that a large snapshot is split into."""
 
+    index: int
+    count: int
+    items: Changes
 
-class PublishRejected(Exception):
-    """An origin may not publish: it was told of a higher fence."""
 
+class PublishRejectedError(LotusrouteError):
+    """An origin may not publish: the store has a version under a higher fencing token."""
 
-def weight(key: str, value: bytes) -> int:
-    """What an item adds to the digest, modulo 2^64: the same in any order.
 
-    >>> weight("a", b"1") == weight("a", b"1") != weight("a", b"2")
+def item_hash(key: str, value: bytes) -> int:
+    """Return what an item adds to the digest, modulo 2^64; addition makes the order of items irrelevant.
+
+    >>> item_hash("a", b"1") == item_hash("a", b"1") != item_hash("a", b"2")
     True
     """
     name = key.encode()
@@ -58,96 +85,122 @@
 
 
 class VersionedStore:
-    """What one process holds."""
+    """The replica of one process."""
 
     def __init__(self) -> None:
         self.version = Version()
         self.digest = 0
-        self.items: dict[str, bytes] = {}  # what the origin publishes bounds it
-        self.at: dict[str, Version] = {}  # when each item last changed; leaves with it
-        self.gone: dict[str, Version] = {}  # GONE at most, the oldest first; leave when they are back
-        self.history: deque[Version] = deque(maxlen=HISTORY)  # passed here, the newest last
-
-    def publish(self, fence: int, changed: dict[str, bytes | None]) -> bool:
-        """An origin's: make a version of what differs; whether there is one. A new fence makes one all the
-        same: its holder's word that these are the news. Raises Refused under a lower fence than one seen."""
-        if fence < self.version.fence:
-            raise PublishRejected(f"fence {fence} after {self.version.fence}")
-        differs = {key: value for key, value in changed.items() if self.items.get(key) != value}
-        if not differs and fence == self.version.fence:
+        self.items: dict[str, bytes] = {}  # as many as the origin publishes
+        self.item_versions: dict[str, Version] = {}  # the version in which each item last changed
+        self.tombstones: dict[str, Version] = {}  # removed keys, the oldest first; TOMBSTONE_LIMIT at most
+        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # versions this store had, the newest last
+
+    def publish(self, fencing_token: int, changes: Changes) -> bool:
+        """Make a new version of the changes that differ from the items; whether there is a new version.
+
+        For the origin only. A new fencing token makes a version even without a change: its holder confirms
+        that the items are current. Raises PublishRejectedError under a lower fencing token than the store's.
+        """
+        if fencing_token < self.version.fencing_token:
+            raise PublishRejectedError(f"fence {fencing_token} after {self.version.fencing_token}")
+        effective = {key: value for key, value in changes.items() if self.items.get(key) != value}
+        if not effective and fencing_token == self.version.fencing_token:
             return False
-        self._apply(Version(fence, self.version.number + 1), differs, self._digest(differs))
+        version = Version(fencing_token, self.version.sequence_number + 1)
+        self._commit(version, effective, self.digest_after(effective))
         return True
 
-    def take(self, news: Snapshot | Delta) -> str:
-        """A follower's: take news, or say why not. Nothing is taken in part."""
-        if news.version <= self.version:
-            return SAME if news.version == self.version else OLDER
-        if isinstance(news, Delta):
-            if news.since != self.version:
-                return GAP
-            changed = news.changed
+    def apply(self, update: Update) -> UpdateOutcome:
+        """Apply an update from the origin, or say why not; an update is never applied in part."""
+        if update.version == self.version:
+            return UpdateOutcome.DUPLICATE
+        if update.version < self.version:
+            return UpdateOutcome.STALE
+        if isinstance(update, Delta):
+            if update.base_version != self.version:
+                return UpdateOutcome.GAP
+            changes = update.changes
         else:
-            changed = dict.fromkeys(self.items.keys() - news.items.keys())
-            changed.update(item for item in news.items.items() if self.items.get(item[0]) != item[1])
-        if self._digest(changed) != news.digest:
-            return SPOILT
-        if isinstance(news, Snapshot):
-            # What lies between is not known here: nobody can be told a delta from before.
+            changes = self._changes_to(update)
+        if self.digest_after(changes) != update.digest:
+            return UpdateOutcome.CORRUPT
+        if isinstance(update, Snapshot):
+            # The versions in between are unknown here, so no delta can be made from before this one.
             self.history.clear()
-            self.gone.clear()
-        self._apply(news.version, changed, news.digest)
-        return TAKEN
+            self.tombstones.clear()
+        self._commit(update.version, changes, update.digest)
+        return UpdateOutcome.APPLIED
 
-    def since(self, version: Version) -> Delta | Snapshot | None:
-        """What somebody at a version lacks; None where that is nothing, or where it is ahead of us."""
+    def update_since(self, version: Version) -> Update | None:
+        """Return what a subscriber at a version lacks; None where it lacks nothing, or is ahead."""
         if version >= self.version:
             return None
         if version not in self.history:
-            return Snapshot(self.version, self.digest, dict(self.items))
-        changed: dict[str, bytes | None] = {key: None for key, at in self.gone.items() if at > version}
-        changed.update((key, self.items[key]) for key, at in self.at.items() if at > version)
-        return Delta(version, self.version, self.digest, changed)
-
-    def _digest(self, changed: dict[str, bytes | None]) -> int:
-        """The digest with these changes."""
+            return self.snapshot()
+        changes: Changes = {key: None for key, removed in self.tombstones.items() if removed > version}
+        for key, changed in self.item_versions.items():
+            if changed > version:
+                changes[key] = self.items[key]
+        return Delta(version, self.version, self.digest, changes)
+
+    def snapshot(self) -> Snapshot:
+        """Return all items at the current version."""
+        return Snapshot(self.version, self.digest, dict(self.items))
+
+    def digest_after(self, changes: Changes) -> int:
+        """Return the digest that the store would have after these changes."""
         digest = self.digest
-        for key, value in changed.items():
+        for key, value in changes.items():
             old = self.items.get(key)
-            digest -= weight(key, old) if old is not None else 0
-            digest += weight(key, value) if value is not None else 0
-        return digest & MASK
-
-    def _apply(self, version: Version, changed: dict[str, bytes | None], digest: int) -> None:
-        for key, value in changed.items():
-            self.gone.pop(key, None)
+            if old is not None:
+                digest -= item_hash(key, old)
+            if value is not None:
+                digest += item_hash(key, value)
+        return digest & DIGEST_MASK
+
+    def _changes_to(self, snapshot: Snapshot) -> Changes:
+        changes: Changes = dict.fromkeys(self.items.keys() - snapshot.items.keys())
+        for key, value in snapshot.items.items():
+            if self.items.get(key) != value:
+                changes[key] = value
+        return changes
+
+    def _commit(self, version: Version, changes: Changes, digest: int) -> None:
+        for key, value in changes.items():
+            self.tombstones.pop(key, None)
             if value is not None:
-                self.items[key], self.at[key] = value, version
+                self.items[key] = value
+                self.item_versions[key] = version
             elif self.items.pop(key, None) is not None:
-                del self.at[key]
-                self.gone[key] = version
-        while len(self.gone) > GONE:
-            cut = self.gone.pop(next(iter(self.gone)))
-            while self.history and self.history[0] < cut:
-                self.history.popleft()
-        self.version, self.digest = version, digest
+                del self.item_versions[key]
+                self.tombstones[key] = version
+        self._trim_tombstones()
+        self.version = version
+        self.digest = digest
         self.history.append(version)
 
+    def _trim_tombstones(self) -> None:
+        """Forget the oldest removals, and the versions from which a delta would need them."""
+        while len(self.tombstones) > TOMBSTONE_LIMIT:
+            removed = self.tombstones.pop(next(iter(self.tombstones)))
+            while self.history and self.history[0] < removed:
+                self.history.popleft()
+
 
-def parts(news: Snapshot, most: int) -> Iterator[tuple[int, int, dict[str, bytes]]]:
-    """Cut a snapshot into parts of about so many bytes: (which, of how many, items).
+def split_snapshot(snapshot: Snapshot, max_bytes: int) -> Iterator[SnapshotPart]:
+    """Split a snapshot into parts of at most about `max_bytes` of items each.
 
-    >>> news = Snapshot(Version(1, 1), 0, {"a": b"12", "b": b"3"})
-    >>> [(at, of, list(items)) for at, of, items in parts(news, 3)]
+    >>> snapshot = Snapshot(Version(1, 1), 0, {"a": b"12", "b": b"3"})
+    >>> [(part.index, part.count, list(part.items)) for part in split_snapshot(snapshot, 3)]
     [(0, 2, ['a']), (1, 2, ['b'])]
     """
-    cut: list[dict[str, bytes]] = [{}]
-    size = 0
-    for key, value in news.items.items():
-        more = len(key) + len(value)
-        if size + more > most and cut[-1]:
-            cut.append({})
-            size = 0
-        cut[-1][key] = value
-        size += more
-    return ((at, len(cut), items) for at, items in enumerate(cut))
+    batches: list[Changes] = [{}]
+    batch_size = 0
+    for key, value in snapshot.items.items():
+        item_size = len(key) + len(value)
+        if batch_size + item_size > max_bytes and batches[-1]:
+            batches.append({})
+            batch_size = 0
+        batches[-1][key] = value
+        batch_size += item_size
+    return (SnapshotPart(index, len(batches), items) for index, items in enumerate(batches))
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -27,6 +27,7 @@
 from lotusroute.net import line_protocol
 from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_opening
 from lotusroute.net.owner import Owner
+from lotusroute.relay import config as relays_config
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Heartbeat
 from lotusroute.relay.server import RelayServer
@@ -261,7 +262,7 @@
     """A relay that is the origin under fence 3 and has published 250 ms ago."""
     part = _part("a", state)
     relay = RelayServer(part, ("10.0.0.9", 8500), Counter())
-    relay.fence, part.fencing_token = 3, lambda *_: 3
+    relay.fencing_token, part.fencing_token = 3, lambda *_: 3
     relay.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     part.clock = lambda: NOW + 250.0
     return relay
@@ -269,27 +270,27 @@
 
 def test_a_relay_sends_these_bytes_and_a_balancer_reads_them(tmp_path):
     relay = _relay(tmp_path)
-    part, link = relay.part, relay.part.transport
+    part, link = relay.lease_service, relay.lease_service.transport
     assert relay.store.items == ITEMS
     assert part.handle_call("n1", "follow", b"\x92\x00\x00") == b""
     part.reactor.advance(0)
     assert link.taken() == [("back", "n1", "news", WHOLE)]
     link.answers[-1].callback(b"\x92\x03\x01")
-    assert relay.fan.followers["n1"].version == (3, 1)
+    assert relay.fanout.subscribers["n1"].version == (3, 1)
     part.clock = lambda: NOW
     relay.on_response({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
     part.clock = lambda: NOW + 250.0
-    relay._act(relay.fan.tick(part.clock() + 1000.0, relay.old()))
+    relay.perform(relay.fanout.tick(part.clock() + 1000.0, relay.age_ms()))
     assert link.taken() == [("back", "n1", "news", DELTA)]
 
-    relays = subscription.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
+    relays = relays_config.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
     balancer = subscription.Subscription(task.Clock(), relays, "n1", Counter())
-    balancer.link, balancer.discovery = FakeLink(), FakeDiscovery()
-    balancer.follower.asked = "r1"
-    balancer._up("r1")
-    assert balancer.link.taken() == [("call", "r1", "follow", b"\x92\x00\x00")]
-    balancer.link.answers[-1].callback(b"")
-    acknowledged = [balancer._serve("r1", "news", body) for body in (*CUT, DELTA, NO_NEWS)]
+    balancer.transport, balancer.discovery = FakeLink(), FakeDiscovery()
+    balancer.selector.joining = "r1"
+    balancer.on_connected("r1")
+    assert balancer.transport.taken() == [("call", "r1", "follow", b"\x92\x00\x00")]
+    balancer.transport.answers[-1].callback(b"")
+    acknowledged = [balancer.handle_call("r1", "news", body) for body in (*CUT, DELTA, NO_NEWS)]
     assert acknowledged == 2 * [b"\x92\x00\x00"] + [b"\x92\x03\x01"] + 2 * [b"\x92\x03\x02"]
     gone = {"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}
     assert balancer.discovery.taken == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (gone, 4)]
@@ -299,18 +300,24 @@
     snapshot = Snapshot(Version(3, 1), 0x8A86D8C31D5BF2FE, ITEMS)
     left = {"s-2": None, "#list": b'{"where": "10.0.0.9:8500", "seq": 5}'}
     delta = Delta(Version(3, 1), Version(3, 2), 0x2BD98F5510662E89, left)
-    assert messages.written(snapshot, 250.0) == [WHOLE]
-    assert messages.written(delta, 250.0) == [DELTA]
-    assert messages.written(Heartbeat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
-    monkeypatch.setattr(messages, "PART", 1)
-    assert messages.written(snapshot, 250.0) == CUT
+    assert messages.encode_update(snapshot, 250.0) == [WHOLE]
+    assert messages.encode_update(delta, 250.0) == [DELTA]
+    assert messages.encode_update(Heartbeat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
+    monkeypatch.setattr(messages, "MAX_PART_BYTES", 1)
+    assert messages.encode_update(snapshot, 250.0) == CUT
     for bodies, news in ((CUT, snapshot), ([WHOLE], snapshot), ([DELTA], delta)):
-        assembly = messages.Assembly()
-        assert [assembly.take(messages.read(body)) for body in bodies][-1] == news
-    beat = messages.read(NO_NEWS)
-    assert (beat.version, beat.age, beat.since, beat.parts, beat.items) == ((3, 2), 250.0, None, 0, {})
-    assert messages.acknowledged(Version(3, 2)) == b"\x92\x03\x02"
-    assert messages.at(b"\x92\x03\x02") == (3, 2)
+        assembler = messages.SnapshotAssembler()
+        assert [assembler.add(messages.decode_update(body)) for body in bodies][-1] == news
+    beat = messages.decode_update(NO_NEWS)
+    assert (beat.version, beat.age_ms, beat.base_version, beat.part_count, beat.items) == (
+        (3, 2),
+        250.0,
+        None,
+        0,
+        {},
+    )
+    assert messages.encode_acknowledgement(Version(3, 2)) == b"\x92\x03\x02"
+    assert messages.decode_acknowledgement(b"\x92\x03\x02") == (3, 2)
 
 
 def test_the_number_on_disk_is_this_file(tmp_path):
@@ -351,7 +358,11 @@
     assert tasks == ("watch", "cold", "check", "origin")
     assert terms == (("n1", "n2", "n3"), 1500.0, 0.01, 50.0, 400.0, 90000.0, 1000.0)
     file.write_text(RELAYS_FILE)
-    assert subscription.read(file) == ("example", {"r1": ("10.0.0.1", 9800)}, {"r3": ("10.0.0.3", 9800)})
+    assert relays_config.load_relays_config(file) == (
+        "example",
+        {"r1": ("10.0.0.1", 9800)},
+        {"r3": ("10.0.0.3", 9800)},
+    )
     file.write_text(CONFIG)
     told = net_config.load_config({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     known = json.loads(CONFIG)["known"]
@@ -481,9 +492,9 @@
 
 def test_what_is_shown_has_these_keys(tmp_path):
     relay = _relay(tmp_path)
-    relay.part.handle_event(RequestLease("watch"))
-    relay.part.handle_call("b", "propose", PROPOSE_B)
-    shown = json.loads(relay.part.handle_call("-", "show", b""))
+    relay.lease_service.handle_event(RequestLease("watch"))
+    relay.lease_service.handle_call("b", "propose", PROPOSE_B)
+    shown = json.loads(relay.lease_service.handle_call("-", "show", b""))
     assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
     assert " ".join(shown["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
     kept = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,19 +18,33 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fault_injection import relay_model_checker
 from lotusroute.relay import fanout as fanout_module
-from lotusroute.relay import messages, subscription
+from lotusroute.relay import messages
 from lotusroute.relay import relay_selector as relay_selector_module
-from lotusroute.relay.fanout import BEAT, GIVE_UP, MERGE, SNAPSHOTS, SPACE, Drop, FanOut, Heartbeat
-from lotusroute.relay.relay_selector import JOIN, SILENT, STALE, Join, Quit, RelaySelector, order
+from lotusroute.relay.config import load_relays_config, parse_relays_config
+from lotusroute.relay.fanout import (
+    ACKNOWLEDGEMENT_TIMEOUT,
+    COALESCE_DELAY,
+    HEARTBEAT_INTERVAL,
+    MAX_SNAPSHOTS_IN_FLIGHT,
+    MIN_UPDATE_INTERVAL,
+    Drop,
+    FanOut,
+    Heartbeat,
+)
+from lotusroute.relay.relay_selector import (
+    JOIN_TIMEOUT,
+    SILENCE_TIMEOUT,
+    STALENESS_LIMIT,
+    Join,
+    Leave,
+    RelaySelector,
+    preference_order,
+)
 from lotusroute.relay.versioned_store import (
-    GAP,
-    OLDER,
-    SAME,
-    SPOILT,
-    TAKEN,
     Delta,
-    PublishRejected,
+    PublishRejectedError,
     Snapshot,
+    UpdateOutcome,
     Version,
     VersionedStore,
 )
@@ -47,72 +61,76 @@
 
 def test_a_follower_gets_from_any_version_to_the_newest_by_one_message_and_ends_with_the_same_bytes():
     origin, follower = filled(), VersionedStore()
-    first = origin.since(follower.version)
-    assert isinstance(first, Snapshot) and follower.take(first) == TAKEN and follower.items == origin.items
+    first = origin.update_since(follower.version)
+    assert (
+        isinstance(first, Snapshot)
+        and follower.apply(first) == UpdateOutcome.APPLIED
+        and follower.items == origin.items
+    )
     for _ in range(50):
         origin.publish(1, {"a": b"new", "k0": None})
         origin.publish(1, {"a": b"newer", "b": b"1"})
-    news = origin.since(follower.version)
-    assert isinstance(news, Delta) and len(news.changed) == 3  # merged
-    assert follower.take(news) == TAKEN and follower.items == origin.items
+    news = origin.update_since(follower.version)
+    assert isinstance(news, Delta) and len(news.changes) == 3  # merged
+    assert follower.apply(news) == UpdateOutcome.APPLIED and follower.items == origin.items
     assert (follower.version, follower.digest) == (origin.version, origin.digest)
-    assert origin.since(follower.version) is None and follower.take(news) == SAME
+    assert origin.update_since(follower.version) is None and follower.apply(news) == UpdateOutcome.DUPLICATE
 
 
 def test_what_is_older_has_a_gap_or_is_spoilt_is_not_taken_even_in_part():
     origin, follower = filled(), VersionedStore()
-    old = origin.since(Version())
+    old = origin.update_since(Version())
     origin.publish(1, {"a": b"9"})
-    follower.take(origin.since(Version()))
+    follower.apply(origin.update_since(Version()))
     before = dict(follower.items), follower.version
-    assert follower.take(old) == OLDER
+    assert follower.apply(old) == UpdateOutcome.STALE
     origin.publish(1, {"b": b"1"})
     later = origin.version
     origin.publish(1, {"b": b"2"})
-    assert follower.take(origin.since(later)) == GAP
-    news = origin.since(follower.version)
-    assert follower.take(news._replace(changed={**news.changed, "b": b"3"})) == SPOILT
+    assert follower.apply(origin.update_since(later)) == UpdateOutcome.GAP
+    news = origin.update_since(follower.version)
+    assert follower.apply(news._replace(changes={**news.changes, "b": b"3"})) == UpdateOutcome.CORRUPT
     assert (dict(follower.items), follower.version) == before
-    assert follower.take(news) == TAKEN
+    assert follower.apply(news) == UpdateOutcome.APPLIED
 
 
 def test_a_deposed_origin_publishes_nothing_and_what_it_told_a_few_is_replaced():
     one, two, follower = filled(fence=3), VersionedStore(), VersionedStore()
-    two.take(one.since(Version()))
+    two.apply(one.update_since(Version()))
     two.publish(4, {})  # it has the lease now
     one.publish(3, {"a": b"too late"})
-    assert follower.take(one.since(Version())) == TAKEN
-    news = two.since(follower.version)
+    assert follower.apply(one.update_since(Version())) == UpdateOutcome.APPLIED
+    news = two.update_since(follower.version)
     assert isinstance(news, Snapshot)  # that version is none that the new origin passed
-    assert follower.take(news) == TAKEN and follower.items == two.items
-    assert follower.take(one.since(Version())) == OLDER
-    assert one.take(two.since(one.version)) == TAKEN
-    with pytest.raises(PublishRejected):
+    assert follower.apply(news) == UpdateOutcome.APPLIED and follower.items == two.items
+    assert follower.apply(one.update_since(Version())) == UpdateOutcome.STALE
+    assert one.apply(two.update_since(one.version)) == UpdateOutcome.APPLIED
+    with pytest.raises(PublishRejectedError):
         one.publish(3, {"a": b"still"})
 
 
 def test_what_has_left_is_told_as_long_as_it_is_remembered_and_then_by_a_snapshot(monkeypatch):
-    monkeypatch.setattr("lotusroute.relay.versioned_store.GONE", 3)
+    monkeypatch.setattr("lotusroute.relay.versioned_store.TOMBSTONE_LIMIT", 3)
     origin = filled()
     origin.publish(1, {f"g{at}": b"x" for at in range(9)})
     early = origin.version
     for at in range(9):
         origin.publish(1, {f"g{at}": None})
-    assert isinstance(origin.since(early), Snapshot) and len(origin.gone) == 3
-    assert isinstance(origin.since(Version(1, origin.version.number - 1)), Delta)
+    assert isinstance(origin.update_since(early), Snapshot) and len(origin.tombstones) == 3
+    assert isinstance(origin.update_since(Version(1, origin.version.sequence_number - 1)), Delta)
 
 
 def test_parts_of_a_snapshot_come_together_only_in_order_and_of_one_version():
     store = filled()
     store.publish(1, {f"s{at}": b"x" * 1_000 for at in range(200)})
-    news = store.since(Version())
-    calls = [messages.read(body) for body in messages.written(news, 5.0)]
-    assert len(calls) > 4 and all(len(body) < 60_000 for body in messages.written(news, 5.0))
-    whole = messages.Assembly()
-    assert [whole.take(word) for word in calls][-1] == news
-    assert [whole.take(word) for word in [calls[0], *calls[2:]]] == [None] * (len(calls) - 1)
+    news = store.update_since(Version())
+    calls = [messages.decode_update(body) for body in messages.encode_update(news, 5.0)]
+    assert len(calls) > 4 and all(len(body) < 60_000 for body in messages.encode_update(news, 5.0))
+    whole = messages.SnapshotAssembler()
+    assert [whole.add(word) for word in calls][-1] == news
+    assert [whole.add(word) for word in [calls[0], *calls[2:]]] == [None] * (len(calls) - 1)
     other = msgspec.structs.replace(calls[1], version=(9, 9))
-    assert whole.take(calls[0]) is None and whole.take(other) is None and whole.take(calls[2]) is None
+    assert whole.add(calls[0]) is None and whole.add(other) is None and whole.add(calls[2]) is None
 
 
 # All orders
@@ -120,39 +138,53 @@
 
 def test_no_order_of_messages_crashes_and_origins_takes_anybody_back():
     counts = sum((relay_model_checker.walk(seed) for seed in range(300)), start=relay_model_checker.Counter())
-    assert min(counts[outcome] for outcome in (TAKEN, SAME, OLDER, GAP, SPOILT)) > 10  # all were met
+    assert (
+        min(
+            counts[outcome]
+            for outcome in (
+                UpdateOutcome.APPLIED,
+                UpdateOutcome.DUPLICATE,
+                UpdateOutcome.STALE,
+                UpdateOutcome.GAP,
+                UpdateOutcome.CORRUPT,
+            )
+        )
+        > 10
+    )  # all were met
 
 
 def _older(store, news):
     if news.version < store.version:
         store.items = dict(news.items) if isinstance(news, Snapshot) else store.items
         store.version, store.digest = news.version, news.digest
-        return TAKEN
-    return VersionedStore.take(store, news)
+        return UpdateOutcome.APPLIED
+    return VersionedStore.apply(store, news)
 
 
 def _any(store, news):
-    return VersionedStore.take(store, news._replace(since=store.version) if isinstance(news, Delta) else news)
+    return VersionedStore.apply(
+        store, news._replace(base_version=store.version) if isinstance(news, Delta) else news
+    )
 
 
 class Unproved(VersionedStore):
-    def take(self, news):
-        digest = self._digest
-        self._digest = lambda changed: news.digest
+    def apply(self, update):
+        digest = self.digest_after
+        self.digest_after = lambda changes: update.digest
         try:
-            return super().take(news)
+            return super().apply(update)
         finally:
-            self._digest = digest
+            self.digest_after = digest
 
 
 def _mutants():
-    older = type("Older", (VersionedStore,), {"take": _older})
+    older = type("Older", (VersionedStore,), {"apply": _older})
     unfit = type(
         "Unfit",
         (Unproved,),
         {
-            "take": lambda self, news: Unproved.take(
-                self, news._replace(since=self.version) if isinstance(news, Delta) else news
+            "apply": lambda self, news: Unproved.apply(
+                self, news._replace(base_version=self.version) if isinstance(news, Delta) else news
             )
         },
     )
@@ -161,7 +193,7 @@
         (VersionedStore,),
         {
             "publish": lambda self, fence, changed: VersionedStore.publish(
-                self, max(fence, self.version.fence), changed
+                self, max(fence, self.version.fencing_token), changed
             )
         },
     )
@@ -178,15 +210,15 @@
 )
 def test_the_explorer_of_news_convicts(name, monkeypatch):
     monkeypatch.setattr(relay_model_checker, "VersionedStore", _mutants()[name])
-    with pytest.raises(relay_model_checker.Breach):
+    with pytest.raises(relay_model_checker.InvariantViolationError):
         for seed in range(300):
             relay_model_checker.walk(seed)
 
 
 def test_the_explorer_of_news_convicts_a_fan_that_never_gives_up(monkeypatch):
     # A message that was lost is then never sent again.
-    monkeypatch.setattr(fanout_module, "GIVE_UP", 1e12)
-    with pytest.raises(relay_model_checker.Breach):
+    monkeypatch.setattr(fanout_module, "ACKNOWLEDGEMENT_TIMEOUT", 1e12)
+    with pytest.raises(relay_model_checker.InvariantViolationError):
         for seed in range(300):
             relay_model_checker.walk(seed)
 
@@ -195,68 +227,78 @@
 
 
 def versions(actions):
-    return [(action.to, action.news.version.number) for action in actions if not isinstance(action, Drop)]
+    return [
+        (action.subscriber, action.message.version.sequence_number)
+        for action in actions
+        if not isinstance(action, Drop)
+    ]
 
 
 def test_fifty_changes_in_a_second_are_few_messages_and_one_for_who_was_busy():
     store = filled()
-    fan = FanOut(store, 10)
+    fanout = FanOut(store, 10)
     for name in ("quick", "slow"):
-        fan.join(0.0, name, store.version)
-        fan.acknowledged(1.0, name, store.version, 0.0)
+        fanout.join(0.0, name, store.version)
+        fanout.on_acknowledgement(1.0, name, store.version, 0.0)
     sent = {"quick": [], "slow": []}
     now = 1_000.0
-    for action in fan.tick(now, 0.0):  # a beat, which the slow one does not acknowledge
-        if action.to == "quick":
-            fan.acknowledged(now, "quick", store.version, 0.0)
+    for action in fanout.tick(now, 0.0):  # a beat, which the slow one does not acknowledge
+        if action.subscriber == "quick":
+            fanout.on_acknowledgement(now, "quick", store.version, 0.0)
     for number in range(50):
         now += 20.0
         store.publish(1, {"a": b"%d" % number, f"n{number}": b"x"})
-        fan.news(now)
-        for action in fan.tick(now, 0.0):
-            sent[action.to].append(action.news)
-            if action.to == "quick":
-                fan.acknowledged(now, "quick", action.news.version, 0.0)
-    assert 3 <= len(sent["quick"]) <= 1_000 / SPACE + 1 and sent["slow"] == []
-    late = fan.acknowledged(now + MERGE, "slow", Version(1, 3), 0.0)
-    assert len(late) == 1 and len(late[0].news.changed) == 51  # all in one
+        fanout.on_store_changed(now)
+        for action in fanout.tick(now, 0.0):
+            sent[action.subscriber].append(action.message)
+            if action.subscriber == "quick":
+                fanout.on_acknowledgement(now, "quick", action.message.version, 0.0)
+    assert 3 <= len(sent["quick"]) <= 1_000 / MIN_UPDATE_INTERVAL + 1 and sent["slow"] == []
+    late = fanout.on_acknowledgement(now + COALESCE_DELAY, "slow", Version(1, 3), 0.0)
+    assert len(late) == 1 and len(late[0].message.changes) == 51  # all in one
 
 
 def test_one_who_acknowledges_nothing_is_let_go_and_costs_the_others_nothing():
     store = filled()
-    fan = FanOut(store, 10)
-    fan.join(0.0, "mute", store.version)
-    fan.join(0.0, "well", store.version)
-    fan.acknowledged(1.0, "well", store.version, 0.0)
+    fanout = FanOut(store, 10)
+    fanout.join(0.0, "mute", store.version)
+    fanout.join(0.0, "well", store.version)
+    fanout.on_acknowledgement(1.0, "well", store.version, 0.0)
     told, dropped, now = 0, [], 1.0
-    while now < 2 * GIVE_UP:
+    while now < 2 * ACKNOWLEDGEMENT_TIMEOUT:
         now += 100.0
-        for action in fan.tick(now, 0.0):
+        for action in fanout.tick(now, 0.0):
             if isinstance(action, Drop):
-                dropped.append((action.to, action.why, now))
+                dropped.append((action.subscriber, action.reason, now))
             else:
-                assert action.to == "well" and isinstance(action.news, Heartbeat)
+                assert action.subscriber == "well" and isinstance(action.message, Heartbeat)
                 told += 1
-                fan.acknowledged(now, "well", store.version, 0.0)
-    assert [drop[:2] for drop in dropped] == [("mute", "slow")] and dropped[0][2] <= GIVE_UP + 200.0
-    assert told >= 2 * GIVE_UP / BEAT - 2 and list(fan.followers) == ["well"]
+                fanout.on_acknowledgement(now, "well", store.version, 0.0)
+    assert [drop[:2] for drop in dropped] == [("mute", "slow")] and dropped[0][
+        2
+    ] <= ACKNOWLEDGEMENT_TIMEOUT + 200.0
+    assert told >= 2 * ACKNOWLEDGEMENT_TIMEOUT / HEARTBEAT_INTERVAL - 2 and list(fanout.subscribers) == [
+        "well"
+    ]
 
 
 def test_a_zone_that_is_back_at_once_stands_in_line_for_its_snapshots_and_the_table_is_bounded():
     store = filled()
-    fan = FanOut(store, 326)
-    sent = [action for at in range(326) for action in fan.join(0.0, f"n{at}", Version())]
-    assert len(sent) == SNAPSHOTS and len(fan.waiting) == 326 - SNAPSHOTS
-    assert fan.join(0.0, "one more", Version()) == [Drop("one more", "full")]
+    fanout = FanOut(store, 326)
+    sent = [action for at in range(326) for action in fanout.join(0.0, f"n{at}", Version())]
+    assert (
+        len(sent) == MAX_SNAPSHOTS_IN_FLIGHT and len(fanout.snapshot_queue) == 326 - MAX_SNAPSHOTS_IN_FLIGHT
+    )
+    assert fanout.join(0.0, "one more", Version()) == [Drop("one more", "full")]
     served = 0
     while sent:
         served += 1
-        sent += fan.acknowledged(1.0, sent.pop(0).to, store.version, 0.0)
-        assert sum(isinstance(action.news, Snapshot) for action in sent) <= SNAPSHOTS
-    assert served >= 326 and not fan.waiting and fan.snapshots == 0
-    fan.join(2.0, "n1", Version())
-    fan.leave("n1")
-    assert fan.snapshots == 0
+        sent += fanout.on_acknowledgement(1.0, sent.pop(0).subscriber, store.version, 0.0)
+        assert sum(isinstance(action.message, Snapshot) for action in sent) <= MAX_SNAPSHOTS_IN_FLIGHT
+    assert served >= 326 and not fanout.snapshot_queue and fanout.snapshots_in_flight == 0
+    fanout.join(2.0, "n1", Version())
+    fanout.remove("n1")
+    assert fanout.snapshots_in_flight == 0
 
 
 # The follower
@@ -265,34 +307,34 @@
 def test_a_silent_relay_is_left_in_time_and_the_own_zones_come_first_and_home_is_tried_again():
     chance = random.Random(1)
     follower = RelaySelector("n1", ["a1", "a2"], ["b1"], chance)
-    first, second, third = order("n1", ["a1", "a2"], ["b1"])
+    first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
     assert third == "b1" and follower.tick(0.0) == [Join(first)]
-    follower.taken_in(10.0, first)
-    assert follower.word(20.0, first) and not follower.word(20.0, second)
-    follower.rests(20.0, 100.0)
-    assert follower.fresh(20.0 + STALE - 101.0) and not follower.fresh(20.0 + STALE)
-    assert follower.tick(19.0 + SILENT) == []
-    assert follower.tick(20.0 + SILENT) == [Quit(first), Join(second)]
-    assert follower.tick(20.0 + SILENT + JOIN) == [Quit(second), Join(third)]
-    follower.taken_in(5_000.0, third)
+    follower.on_joined(10.0, first)
+    assert follower.on_message(20.0, first) and not follower.on_message(20.0, second)
+    follower.on_confirmed(20.0, 100.0)
+    assert follower.is_fresh(20.0 + STALENESS_LIMIT - 101.0) and not follower.is_fresh(20.0 + STALENESS_LIMIT)
+    assert follower.tick(19.0 + SILENCE_TIMEOUT) == []
+    assert follower.tick(20.0 + SILENCE_TIMEOUT) == [Leave(first), Join(second)]
+    assert follower.tick(20.0 + SILENCE_TIMEOUT + JOIN_TIMEOUT) == [Leave(second), Join(third)]
+    follower.on_joined(5_000.0, third)
     now = 5_000.0
     while not (moved := follower.tick(now)):
         now += 100.0
-        follower.word(now, third)
-        follower.rests(now, 100.0)
-    assert moved == [Quit(third), Join(first)] and now > 5_000.0 + relay_selector_module.HOME[0]
+        follower.on_message(now, third)
+        follower.on_confirmed(now, 100.0)
+    assert moved == [Leave(third), Join(first)] and now > 5_000.0 + relay_selector_module.FAILBACK_DELAY[0]
 
 
 def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_speaks():
     follower = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     follower.tick(0.0)
-    follower.taken_in(0.0, "a1")
+    follower.on_joined(0.0, "a1")
     now = 0.0
     while not (moved := follower.tick(now)):
         now += 100.0
-        follower.word(now, "a1")
-        follower.rests(now, 50.0 + now)  # what it has grows old
-    assert moved == [Quit("a1"), Join("b1")] and now <= STALE + SILENT + 200.0
+        follower.on_message(now, "a1")
+        follower.on_confirmed(now, 50.0 + now)  # what it has grows old
+    assert moved == [Leave("a1"), Join("b1")] and now <= STALENESS_LIMIT + SILENCE_TIMEOUT + 200.0
 
 
 def test_where_all_relays_are_gone_the_tries_are_paced_and_those_of_a_dead_one_spread_over_the_others():
@@ -303,21 +345,25 @@
         for action in actions:
             if isinstance(action, Join):
                 tries += 1
-        asked = follower.asked
-        actions = follower.lost(now, asked) if asked else []
+        asked = follower.joining
+        actions = follower.on_lost(now, asked) if asked else []
         if not asked:
             now += 50.0
             actions = follower.tick(now)
     assert 20 <= tries <= 60  # two a round, which come every 1 to 2 s
     relays = [f"r{at}" for at in range(8)]
-    seconds = [order(f"n{at}", relays, [])[1] for at in range(800) if order(f"n{at}", relays, [])[0] == "r0"]
+    seconds = [
+        preference_order(f"n{at}", relays, [])[1]
+        for at in range(800)
+        if preference_order(f"n{at}", relays, [])[0] == "r0"
+    ]
     assert len(seconds) > 60 and max(map(seconds.count, set(seconds))) < len(seconds) / 3
 
 
 # Processes
 
 
-class RelaysConfig:
+class RelayCluster:
     """Some relays of the real program, three of which keep the lease."""
 
     def __init__(self, where, count=3, zones=("a", "b")):
@@ -394,7 +440,7 @@
     """Discovery, relays and balancers that follow them; yields (discovery, relays, balancers)."""
     told = discovery(*servers)
     where = f"127.0.0.1:{told.server_port}"
-    with RelaysConfig(where, count) as relays, contextlib.ExitStack() as stack:
+    with RelayCluster(where, count) as relays, contextlib.ExitStack() as stack:
         soon(relays.origin)
         started = []
         for at in range(balancers):
@@ -512,9 +558,9 @@
         ("relay", 1, "relay: no such key"),
     ]:
         with pytest.raises(InvalidValueError, match=says):
-            subscription.relays({**good, key: value})
+            parse_relays_config({**good, key: value})
     with pytest.raises(InvalidValueError, match="LB_RELAYS: .*gone.toml"):
-        subscription.read(tmp_path / "gone.toml")
+        load_relays_config(tmp_path / "gone.toml")
 
 
 def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_scale_runs():
