--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,25 +1,23 @@
-"""Stories of versioned news over relays: the pure machines, all orders of what may happen, and processes."""
+"""Tests of relays: store, messages, fan-out and selector by themselves, the model checker, and processes."""
 
-import contextlib
-import json
-import pathlib
 import random
 import signal
 import subprocess
 import sys
-import tempfile
 import time
+from collections import Counter
 
 import msgspec
 import pytest
-from harness import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
+from harness import FakeServer, discovery, soon
+from relay_harness import RELAYS, running_deployment
 
 from lotusroute.cli import command
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError
 from lotusroute.fault_injection import relay_model_checker
+from lotusroute.fault_injection.relay_model_checker import InvariantViolationError
 from lotusroute.relay import fanout as fanout_module
-from lotusroute.relay import messages
-from lotusroute.relay import relay_selector as relay_selector_module
+from lotusroute.relay import messages, versioned_store
 from lotusroute.relay.config import load_relays_config, parse_relays_config
 from lotusroute.relay.fanout import (
     ACKNOWLEDGEMENT_TIMEOUT,
@@ -32,6 +30,7 @@
     Heartbeat,
 )
 from lotusroute.relay.relay_selector import (
+    FAILBACK_DELAY,
     JOIN_TIMEOUT,
     SILENCE_TIMEOUT,
     STALENESS_LIMIT,
@@ -49,525 +48,471 @@
     VersionedStore,
 )
 
-# The store
+# The versioned store
 
 
-def filled(fence=1, versions=3):
+def origin_store(fencing_token=1, versions=3):
     store = VersionedStore()
     for number in range(versions):
-        store.publish(fence, {"a": b"%d" % number, f"k{number}": b"x"})
+        store.publish(fencing_token, {"a": b"%d" % number, f"k{number}": b"x"})
     return store
 
 
-def test_a_follower_gets_from_any_version_to_the_newest_by_one_message_and_ends_with_the_same_bytes():
-    origin, follower = filled(), VersionedStore()
-    first = origin.update_since(follower.version)
-    assert (
-        isinstance(first, Snapshot)
-        and follower.apply(first) == UpdateOutcome.APPLIED
-        and follower.items == origin.items
-    )
+@pytest.fixture
+def origin():
+    return origin_store()
+
+
+@pytest.fixture
+def replica():
+    return VersionedStore()
+
+
+def test_outcomes_are_parts_of_counter_names():
+    assert [str(outcome) for outcome in UpdateOutcome] == ["applied", "duplicate", "stale", "gap", "corrupt"]
+
+
+def test_an_empty_replica_gets_a_snapshot(origin, replica):
+    update = origin.update_since(replica.version)
+    assert isinstance(update, Snapshot)
+    assert replica.apply(update) == UpdateOutcome.APPLIED
+    assert replica.items == origin.items
+
+
+def test_a_lagging_replica_gets_one_delta_with_all_changes(origin, replica):
+    replica.apply(origin.update_since(replica.version))
     for _ in range(50):
         origin.publish(1, {"a": b"new", "k0": None})
         origin.publish(1, {"a": b"newer", "b": b"1"})
-    news = origin.update_since(follower.version)
-    assert isinstance(news, Delta) and len(news.changes) == 3  # merged
-    assert follower.apply(news) == UpdateOutcome.APPLIED and follower.items == origin.items
-    assert (follower.version, follower.digest) == (origin.version, origin.digest)
-    assert origin.update_since(follower.version) is None and follower.apply(news) == UpdateOutcome.DUPLICATE
+    update = origin.update_since(replica.version)
+    assert isinstance(update, Delta)
+    assert len(update.changes) == 3
+    assert replica.apply(update) == UpdateOutcome.APPLIED
+    assert replica.items == origin.items
+    assert (replica.version, replica.digest) == (origin.version, origin.digest)
+    assert origin.update_since(replica.version) is None
+    assert replica.apply(update) == UpdateOutcome.DUPLICATE
 
 
-def test_what_is_older_has_a_gap_or_is_spoilt_is_not_taken_even_in_part():
-    origin, follower = filled(), VersionedStore()
+def test_stale_gap_and_corrupt_updates_change_nothing(origin, replica):
     old = origin.update_since(Version())
     origin.publish(1, {"a": b"9"})
-    follower.apply(origin.update_since(Version()))
-    before = dict(follower.items), follower.version
-    assert follower.apply(old) == UpdateOutcome.STALE
+    replica.apply(origin.update_since(Version()))
+    before = dict(replica.items), replica.version
+    assert replica.apply(old) == UpdateOutcome.STALE
     origin.publish(1, {"b": b"1"})
     later = origin.version
     origin.publish(1, {"b": b"2"})
-    assert follower.apply(origin.update_since(later)) == UpdateOutcome.GAP
-    news = origin.update_since(follower.version)
-    assert follower.apply(news._replace(changes={**news.changes, "b": b"3"})) == UpdateOutcome.CORRUPT
-    assert (dict(follower.items), follower.version) == before
-    assert follower.apply(news) == UpdateOutcome.APPLIED
-
-
-def test_a_deposed_origin_publishes_nothing_and_what_it_told_a_few_is_replaced():
-    one, two, follower = filled(fence=3), VersionedStore(), VersionedStore()
-    two.apply(one.update_since(Version()))
-    two.publish(4, {})  # it has the lease now
-    one.publish(3, {"a": b"too late"})
-    assert follower.apply(one.update_since(Version())) == UpdateOutcome.APPLIED
-    news = two.update_since(follower.version)
-    assert isinstance(news, Snapshot)  # that version is none that the new origin passed
-    assert follower.apply(news) == UpdateOutcome.APPLIED and follower.items == two.items
-    assert follower.apply(one.update_since(Version())) == UpdateOutcome.STALE
-    assert one.apply(two.update_since(one.version)) == UpdateOutcome.APPLIED
+    assert replica.apply(origin.update_since(later)) == UpdateOutcome.GAP
+    update = origin.update_since(replica.version)
+    corrupt = update._replace(changes={**update.changes, "b": b"3"})
+    assert replica.apply(corrupt) == UpdateOutcome.CORRUPT
+    assert (dict(replica.items), replica.version) == before
+    assert replica.apply(update) == UpdateOutcome.APPLIED
+
+
+def test_versions_of_a_deposed_origin_are_replaced_and_it_can_publish_no_more(replica):
+    deposed = origin_store(fencing_token=3)
+    successor = VersionedStore()
+    successor.apply(deposed.update_since(Version()))
+    successor.publish(4, {})  # it has the lease now
+    deposed.publish(3, {"a": b"too late"})
+    assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.APPLIED
+    update = successor.update_since(replica.version)
+    assert isinstance(update, Snapshot)  # the successor never had the replica's version
+    assert replica.apply(update) == UpdateOutcome.APPLIED
+    assert replica.items == successor.items
+    assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.STALE
+    assert deposed.apply(successor.update_since(deposed.version)) == UpdateOutcome.APPLIED
     with pytest.raises(PublishRejectedError):
-        one.publish(3, {"a": b"still"})
+        deposed.publish(3, {"a": b"still"})
 
 
-def test_what_has_left_is_told_as_long_as_it_is_remembered_and_then_by_a_snapshot(monkeypatch):
-    monkeypatch.setattr("lotusroute.relay.versioned_store.TOMBSTONE_LIMIT", 3)
-    origin = filled()
-    origin.publish(1, {f"g{at}": b"x" for at in range(9)})
+def test_a_delta_carries_removals_only_as_far_back_as_tombstones_go(origin, monkeypatch):
+    monkeypatch.setattr(versioned_store, "TOMBSTONE_LIMIT", 3)
+    keys = [f"g{index}" for index in range(9)]
+    origin.publish(1, dict.fromkeys(keys, b"x"))
     early = origin.version
-    for at in range(9):
-        origin.publish(1, {f"g{at}": None})
-    assert isinstance(origin.update_since(early), Snapshot) and len(origin.tombstones) == 3
+    for key in keys:
+        origin.publish(1, {key: None})
+    assert isinstance(origin.update_since(early), Snapshot)
+    assert len(origin.tombstones) == 3
     assert isinstance(origin.update_since(Version(1, origin.version.sequence_number - 1)), Delta)
 
 
-def test_parts_of_a_snapshot_come_together_only_in_order_and_of_one_version():
-    store = filled()
-    store.publish(1, {f"s{at}": b"x" * 1_000 for at in range(200)})
-    news = store.update_since(Version())
-    calls = [messages.decode_update(body) for body in messages.encode_update(news, 5.0)]
-    assert len(calls) > 4 and all(len(body) < 60_000 for body in messages.encode_update(news, 5.0))
-    whole = messages.SnapshotAssembler()
-    assert [whole.add(word) for word in calls][-1] == news
-    assert [whole.add(word) for word in [calls[0], *calls[2:]]] == [None] * (len(calls) - 1)
-    other = msgspec.structs.replace(calls[1], version=(9, 9))
-    assert whole.add(calls[0]) is None and whole.add(other) is None and whole.add(calls[2]) is None
-
-
-# All orders
-
-
-def test_no_order_of_messages_crashes_and_origins_takes_anybody_back():
-    counts = sum((relay_model_checker.walk(seed) for seed in range(300)), start=relay_model_checker.Counter())
-    assert (
-        min(
-            counts[outcome]
-            for outcome in (
-                UpdateOutcome.APPLIED,
-                UpdateOutcome.DUPLICATE,
-                UpdateOutcome.STALE,
-                UpdateOutcome.GAP,
-                UpdateOutcome.CORRUPT,
-            )
-        )
-        > 10
-    )  # all were met
-
-
-def _older(store, news):
-    if news.version < store.version:
-        store.items = dict(news.items) if isinstance(news, Snapshot) else store.items
-        store.version, store.digest = news.version, news.digest
-        return UpdateOutcome.APPLIED
-    return VersionedStore.apply(store, news)
+# Messages
 
 
-def _any(store, news):
-    return VersionedStore.apply(
-        store, news._replace(base_version=store.version) if isinstance(news, Delta) else news
-    )
+@pytest.fixture
+def snapshot(origin):
+    """A snapshot that is too large for one call."""
+    origin.publish(1, {f"s{index}": b"x" * 1_000 for index in range(200)})
+    return origin.update_since(Version())
+
+
+def snapshot_parts(snapshot):
+    return [messages.decode_update(body) for body in messages.encode_update(snapshot, 5.0)]
+
+
+def test_a_large_snapshot_is_split_into_calls_that_the_transport_accepts(snapshot):
+    bodies = messages.encode_update(snapshot, 5.0)
+    assert len(bodies) > 4
+    assert all(len(body) < 60_000 for body in bodies)
+
+
+def test_parts_in_order_are_assembled_into_the_snapshot(snapshot):
+    assembler = messages.SnapshotAssembler()
+    assert [assembler.add(part) for part in snapshot_parts(snapshot)][-1] == snapshot
+
+
+def test_a_snapshot_with_a_missing_part_is_not_assembled(snapshot):
+    assembler = messages.SnapshotAssembler()
+    first, _, *others = snapshot_parts(snapshot)
+    assert [assembler.add(part) for part in [first, *others]] == [None] * (1 + len(others))
+
+
+def test_parts_of_two_versions_are_not_assembled(snapshot):
+    assembler = messages.SnapshotAssembler()
+    first, second, third, *_ = snapshot_parts(snapshot)
+    other_version = msgspec.structs.replace(second, version=(9, 9))
+    assert assembler.add(first) is None
+    assert assembler.add(other_version) is None
+    assert assembler.add(third) is None
+
+
+# The model checker
+
+
+WALKS = 300
+
+
+def check_model():
+    return sum((relay_model_checker.walk(seed) for seed in range(WALKS)), start=Counter())
+
+
+def test_invariants_hold_and_all_outcomes_are_met():
+    outcomes = check_model()
+    assert min(outcomes[outcome] for outcome in UpdateOutcome) > 10
+
+
+class AppliesStale(VersionedStore):
+    """Goes back to an older version."""
+
+    def apply(self, update):
+        if update.version >= self.version:
+            return super().apply(update)
+        if isinstance(update, Snapshot):
+            self.items = dict(update.items)
+        self.version = update.version
+        self.digest = update.digest
+        return UpdateOutcome.APPLIED
 
 
-class Unproved(VersionedStore):
+class IgnoresDigest(VersionedStore):
+    """Applies corrupt updates."""
+
     def apply(self, update):
-        digest = self.digest_after
         self.digest_after = lambda changes: update.digest
         try:
             return super().apply(update)
         finally:
-            self.digest_after = digest
-
-
-def _mutants():
-    older = type("Older", (VersionedStore,), {"apply": _older})
-    unfit = type(
-        "Unfit",
-        (Unproved,),
-        {
-            "apply": lambda self, news: Unproved.apply(
-                self, news._replace(base_version=self.version) if isinstance(news, Delta) else news
-            )
-        },
-    )
-    lineage = type(
-        "Lineage",
-        (VersionedStore,),
-        {
-            "publish": lambda self, fence, changed: VersionedStore.publish(
-                self, max(fence, self.version.fencing_token), changed
-            )
-        },
-    )
-    return {
-        "older news taken": older,
-        "no digest": Unproved,
-        "any delta without a digest": unfit,
-        "a deposed origin goes on": lineage,
-    }
+            del self.digest_after
 
 
-@pytest.mark.parametrize(
-    "name", ["older news taken", "no digest", "any delta without a digest", "a deposed origin goes on"]
-)
-def test_the_explorer_of_news_convicts(name, monkeypatch):
-    monkeypatch.setattr(relay_model_checker, "VersionedStore", _mutants()[name])
-    with pytest.raises(relay_model_checker.InvariantViolationError):
-        for seed in range(300):
-            relay_model_checker.walk(seed)
+class IgnoresBaseVersion(IgnoresDigest):
+    """Applies deltas from other versions than its own."""
+
+    def apply(self, update):
+        if isinstance(update, Delta):
+            update = update._replace(base_version=self.version)
+        return super().apply(update)
+
+
+class IgnoresFencingToken(VersionedStore):
+    """Lets a deposed origin publish."""
 
+    def publish(self, fencing_token, changes):
+        return super().publish(max(fencing_token, self.version.fencing_token), changes)
 
-def test_the_explorer_of_news_convicts_a_fan_that_never_gives_up(monkeypatch):
-    # A message that was lost is then never sent again.
+
+@pytest.mark.parametrize("store", [AppliesStale, IgnoresDigest, IgnoresBaseVersion, IgnoresFencingToken])
+def test_the_model_checker_finds_a_faulty_store(store, monkeypatch):
+    monkeypatch.setattr(relay_model_checker, "VersionedStore", store)
+    with pytest.raises(InvariantViolationError):
+        check_model()
+
+
+def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
     monkeypatch.setattr(fanout_module, "ACKNOWLEDGEMENT_TIMEOUT", 1e12)
-    with pytest.raises(relay_model_checker.InvariantViolationError):
-        for seed in range(300):
-            relay_model_checker.walk(seed)
+    with pytest.raises(InvariantViolationError):
+        check_model()
 
 
-# The fan
+# The fan-out
 
 
-def versions(actions):
-    return [
-        (action.subscriber, action.message.version.sequence_number)
-        for action in actions
-        if not isinstance(action, Drop)
-    ]
+def join_current(fanout, name):
+    """Join a subscriber that has the current version."""
+    fanout.join(0.0, name, fanout.store.version)
+    fanout.on_acknowledgement(1.0, name, fanout.store.version, 0.0)
 
 
-def test_fifty_changes_in_a_second_are_few_messages_and_one_for_who_was_busy():
-    store = filled()
-    fanout = FanOut(store, 10)
-    for name in ("quick", "slow"):
-        fanout.join(0.0, name, store.version)
-        fanout.on_acknowledgement(1.0, name, store.version, 0.0)
-    sent = {"quick": [], "slow": []}
+def test_a_burst_of_changes_is_few_messages_and_one_to_a_busy_subscriber(origin):
+    fanout = FanOut(origin, 10)
+    join_current(fanout, "fast")
+    join_current(fanout, "slow")
+    sent = {"fast": [], "slow": []}
     now = 1_000.0
-    for action in fanout.tick(now, 0.0):  # a beat, which the slow one does not acknowledge
-        if action.subscriber == "quick":
-            fanout.on_acknowledgement(now, "quick", store.version, 0.0)
+    for action in fanout.tick(now, 0.0):  # heartbeats, of which the slow one's is not acknowledged
+        if action.subscriber == "fast":
+            fanout.on_acknowledgement(now, "fast", origin.version, 0.0)
     for number in range(50):
         now += 20.0
-        store.publish(1, {"a": b"%d" % number, f"n{number}": b"x"})
+        origin.publish(1, {"a": b"%d" % number, f"n{number}": b"x"})
         fanout.on_store_changed(now)
         for action in fanout.tick(now, 0.0):
             sent[action.subscriber].append(action.message)
-            if action.subscriber == "quick":
-                fanout.on_acknowledgement(now, "quick", action.message.version, 0.0)
-    assert 3 <= len(sent["quick"]) <= 1_000 / MIN_UPDATE_INTERVAL + 1 and sent["slow"] == []
+            if action.subscriber == "fast":
+                fanout.on_acknowledgement(now, "fast", action.message.version, 0.0)
+    assert 3 <= len(sent["fast"]) <= 1_000 / MIN_UPDATE_INTERVAL + 1
+    assert sent["slow"] == []
     late = fanout.on_acknowledgement(now + COALESCE_DELAY, "slow", Version(1, 3), 0.0)
-    assert len(late) == 1 and len(late[0].message.changes) == 51  # all in one
+    assert len(late) == 1
+    assert len(late[0].message.changes) == 51
 
 
-def test_one_who_acknowledges_nothing_is_let_go_and_costs_the_others_nothing():
-    store = filled()
-    fanout = FanOut(store, 10)
-    fanout.join(0.0, "mute", store.version)
-    fanout.join(0.0, "well", store.version)
-    fanout.on_acknowledgement(1.0, "well", store.version, 0.0)
-    told, dropped, now = 0, [], 1.0
+def test_an_unresponsive_subscriber_is_dropped_and_costs_the_others_nothing(origin):
+    fanout = FanOut(origin, 10)
+    fanout.join(0.0, "unresponsive", origin.version)
+    join_current(fanout, "healthy")
+    heartbeats = 0
+    dropped = []
+    now = 1.0
     while now < 2 * ACKNOWLEDGEMENT_TIMEOUT:
         now += 100.0
         for action in fanout.tick(now, 0.0):
             if isinstance(action, Drop):
-                dropped.append((action.subscriber, action.reason, now))
-            else:
-                assert action.subscriber == "well" and isinstance(action.message, Heartbeat)
-                told += 1
-                fanout.on_acknowledgement(now, "well", store.version, 0.0)
-    assert [drop[:2] for drop in dropped] == [("mute", "slow")] and dropped[0][
-        2
-    ] <= ACKNOWLEDGEMENT_TIMEOUT + 200.0
-    assert told >= 2 * ACKNOWLEDGEMENT_TIMEOUT / HEARTBEAT_INTERVAL - 2 and list(fanout.subscribers) == [
-        "well"
-    ]
-
-
-def test_a_zone_that_is_back_at_once_stands_in_line_for_its_snapshots_and_the_table_is_bounded():
-    store = filled()
-    fanout = FanOut(store, 326)
-    sent = [action for at in range(326) for action in fanout.join(0.0, f"n{at}", Version())]
-    assert (
-        len(sent) == MAX_SNAPSHOTS_IN_FLIGHT and len(fanout.snapshot_queue) == 326 - MAX_SNAPSHOTS_IN_FLIGHT
-    )
-    assert fanout.join(0.0, "one more", Version()) == [Drop("one more", "full")]
+                dropped.append((now, action))
+                continue
+            assert action.subscriber == "healthy"
+            assert isinstance(action.message, Heartbeat)
+            heartbeats += 1
+            fanout.on_acknowledgement(now, "healthy", origin.version, 0.0)
+    assert [action for _, action in dropped] == [Drop("unresponsive", "slow")]
+    assert dropped[0][0] <= ACKNOWLEDGEMENT_TIMEOUT + 200.0
+    assert heartbeats >= 2 * ACKNOWLEDGEMENT_TIMEOUT / HEARTBEAT_INTERVAL - 2
+    assert list(fanout.subscribers) == ["healthy"]
+
+
+ZONE_SIZE = 326
+
+
+@pytest.fixture
+def zone_fanout(origin):
+    """A fan-out with as many places as a zone has balancers."""
+    return FanOut(origin, ZONE_SIZE)
+
+
+def join_zone(fanout):
+    """Join a whole zone from nothing at once; returns the actions."""
+    return [action for index in range(ZONE_SIZE) for action in fanout.join(0.0, f"n{index}", Version())]
+
+
+def test_snapshots_in_flight_are_bounded_and_all_subscribers_get_one(origin, zone_fanout):
+    sent = join_zone(zone_fanout)
+    assert len(sent) == MAX_SNAPSHOTS_IN_FLIGHT
+    assert len(zone_fanout.snapshot_queue) == ZONE_SIZE - MAX_SNAPSHOTS_IN_FLIGHT
     served = 0
     while sent:
         served += 1
-        sent += fanout.on_acknowledgement(1.0, sent.pop(0).subscriber, store.version, 0.0)
+        sent += zone_fanout.on_acknowledgement(1.0, sent.pop(0).subscriber, origin.version, 0.0)
         assert sum(isinstance(action.message, Snapshot) for action in sent) <= MAX_SNAPSHOTS_IN_FLIGHT
-    assert served >= 326 and not fanout.snapshot_queue and fanout.snapshots_in_flight == 0
-    fanout.join(2.0, "n1", Version())
-    fanout.remove("n1")
-    assert fanout.snapshots_in_flight == 0
+    assert served >= ZONE_SIZE
+    assert not zone_fanout.snapshot_queue
+    assert zone_fanout.snapshots_in_flight == 0
+
+
+def test_a_subscriber_beyond_the_limit_is_dropped(zone_fanout):
+    join_zone(zone_fanout)
+    assert zone_fanout.join(0.0, "one more", Version()) == [Drop("one more", "full")]
 
 
-# The follower
+def test_a_removed_subscriber_frees_its_snapshot_in_flight(zone_fanout):
+    zone_fanout.join(2.0, "n1", Version())
+    zone_fanout.remove("n1")
+    assert zone_fanout.snapshots_in_flight == 0
 
 
-def test_a_silent_relay_is_left_in_time_and_the_own_zones_come_first_and_home_is_tried_again():
-    chance = random.Random(1)
-    follower = RelaySelector("n1", ["a1", "a2"], ["b1"], chance)
+# The relay selector
+
+
+def test_a_silent_relay_is_left_in_time_for_the_next_in_order():
     first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
-    assert third == "b1" and follower.tick(0.0) == [Join(first)]
-    follower.on_joined(10.0, first)
-    assert follower.on_message(20.0, first) and not follower.on_message(20.0, second)
-    follower.on_confirmed(20.0, 100.0)
-    assert follower.is_fresh(20.0 + STALENESS_LIMIT - 101.0) and not follower.is_fresh(20.0 + STALENESS_LIMIT)
-    assert follower.tick(19.0 + SILENCE_TIMEOUT) == []
-    assert follower.tick(20.0 + SILENCE_TIMEOUT) == [Leave(first), Join(second)]
-    assert follower.tick(20.0 + SILENCE_TIMEOUT + JOIN_TIMEOUT) == [Leave(second), Join(third)]
-    follower.on_joined(5_000.0, third)
+    selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
+    assert third == "b1"
+    assert selector.tick(0.0) == [Join(first)]
+    selector.on_joined(10.0, first)
+    assert selector.on_message(20.0, first)
+    assert not selector.on_message(20.0, second)
+    selector.on_confirmed(20.0, 100.0)
+    assert selector.is_fresh(20.0 + STALENESS_LIMIT - 101.0)
+    assert not selector.is_fresh(20.0 + STALENESS_LIMIT)
+    assert selector.tick(19.0 + SILENCE_TIMEOUT) == []
+    assert selector.tick(20.0 + SILENCE_TIMEOUT) == [Leave(first), Join(second)]
+    assert selector.tick(20.0 + SILENCE_TIMEOUT + JOIN_TIMEOUT) == [Leave(second), Join(third)]
+
+
+def test_a_subscriber_in_another_zone_returns_to_its_own():
+    first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
+    selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
+    selector.tick(0.0)
+    selector.on_lost(0.0, first)
+    selector.on_lost(0.0, second)
+    selector.on_joined(5_000.0, third)
     now = 5_000.0
-    while not (moved := follower.tick(now)):
+    while not (actions := selector.tick(now)):
         now += 100.0
-        follower.on_message(now, third)
-        follower.on_confirmed(now, 100.0)
-    assert moved == [Leave(third), Join(first)] and now > 5_000.0 + relay_selector_module.FAILBACK_DELAY[0]
+        selector.on_message(now, third)
+        selector.on_confirmed(now, 100.0)
+    assert actions == [Leave(third), Join(first)]
+    assert now > 5_000.0 + FAILBACK_DELAY[0]
 
 
-def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_speaks():
-    follower = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
-    follower.tick(0.0)
-    follower.on_joined(0.0, "a1")
+def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_sends_heartbeats():
+    selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
+    selector.tick(0.0)
+    selector.on_joined(0.0, "a1")
     now = 0.0
-    while not (moved := follower.tick(now)):
+    while not (actions := selector.tick(now)):
         now += 100.0
-        follower.on_message(now, "a1")
-        follower.on_confirmed(now, 50.0 + now)  # what it has grows old
-    assert moved == [Leave("a1"), Join("b1")] and now <= STALENESS_LIMIT + SILENCE_TIMEOUT + 200.0
+        selector.on_message(now, "a1")
+        selector.on_confirmed(now, 50.0 + now)  # what it has grows stale
+    assert actions == [Leave("a1"), Join("b1")]
+    assert now <= STALENESS_LIMIT + SILENCE_TIMEOUT + 200.0
 
 
-def test_where_all_relays_are_gone_the_tries_are_paced_and_those_of_a_dead_one_spread_over_the_others():
-    follower = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
-    tries, now = 0, 0.0
-    actions = follower.tick(now)
+def test_attempts_are_paced_by_a_backoff_where_all_relays_are_unreachable():
+    selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
+    attempts = 0
+    now = 0.0
+    actions = selector.tick(now)
     while now < 20_000.0:
-        for action in actions:
-            if isinstance(action, Join):
-                tries += 1
-        asked = follower.joining
-        actions = follower.on_lost(now, asked) if asked else []
-        if not asked:
+        attempts += sum(isinstance(action, Join) for action in actions)
+        if selector.joining:
+            actions = selector.on_lost(now, selector.joining)
+        else:
             now += 50.0
-            actions = follower.tick(now)
-    assert 20 <= tries <= 60  # two a round, which come every 1 to 2 s
-    relays = [f"r{at}" for at in range(8)]
-    seconds = [
-        preference_order(f"n{at}", relays, [])[1]
-        for at in range(800)
-        if preference_order(f"n{at}", relays, [])[0] == "r0"
-    ]
-    assert len(seconds) > 60 and max(map(seconds.count, set(seconds))) < len(seconds) / 3
+            actions = selector.tick(now)
+    assert 20 <= attempts <= 60  # two a round, and a round every 1 to 2 s
+
+
+def test_subscribers_of_a_failed_relay_spread_over_the_others():
+    relays = [f"r{index}" for index in range(8)]
+    orders = [preference_order(f"n{index}", relays, []) for index in range(800)]
+    seconds = Counter(order[1] for order in orders if order[0] == "r0")
+    assert seconds.total() > 60
+    assert max(seconds.values()) < seconds.total() / 3
 
 
 # Processes
 
 
-class RelayCluster:
-    """Some relays of the real program, three of which keep the lease."""
-
-    def __init__(self, where, count=3, zones=("a", "b")):
-        self.folder = pathlib.Path(tempfile.mkdtemp(prefix="lotusroute-relays-"))
-        self.names = [f"r{at + 1}" for at in range(count)]
-        self.ports = {name: free_port() for name in self.names}
-        self.where, self.zones, self.running = where, zones, {}
-
-    def __enter__(self):
-        for name in self.names:
-            self.start(name)
-        return self
-
-    def __exit__(self, *_):
-        for process, _ in self.running.values():
-            process.kill()
-            process.wait()
-
-    def start(self, name):
-        peers = "".join(f'{peer} = "127.0.0.1:{port}"\n' for peer, port in self.ports.items())
-        (self.folder / name).mkdir(exist_ok=True)
-        file = self.folder / f"{name}.toml"
-        file.write_text(
-            f'name = "f"\nstate = "{self.folder / name}"\nkeepers = ["r1", "r2", "r3"]\n'
-            f'lease_ms = 1500\ntasks = ["origin"]\nguests = 50\n[peers]\n{peers}'
-        )
-        log = (self.folder / f"{name}.log").open("ab")  # lives as long as its process
-        call = ["-m", "lotusroute", "relay", "run", "--fleet", str(file), "--name", name]
-        call += ["--discovery", self.where]
-        self.running[name] = subprocess.Popen([sys.executable, *call], stderr=log), log
-
-    def send(self, name, number):
-        self.running[name][0].send_signal(number)
-        if number == signal.SIGKILL:
-            self.running.pop(name)[0].wait()
-
-    def log(self, name):
-        return (self.folder / f"{name}.log").read_text()
-
-    def origin(self):
-        """Who holds the lease, by the logs; none while nobody does."""
-        held = {}
-        for name in self.running:
-            for text in self.log(name).splitlines():
-                if "lease acquired" in text or "lease lost" in text:
-                    held[name] = text.split("time=")[1][:14], "lease acquired" in text
-        return max(((at, name) for name, (at, holds) in held.items() if holds), default=(0, None))[1]
-
-    def file(self, zone="a", names=None):
-        """A balancer's file: the relays of its zone first, all in turn over the zones."""
-        tables = {}
-        for at, name in enumerate(names or self.names):
-            tables.setdefault(self.zones[at % len(self.zones)], []).append(name)
-        file = self.folder / f"balancer-{zone}.toml"
-        file.write_text(
-            f'name = "f"\nzone = "{zone}"\n'
-            + "".join(
-                f"[relays.{where}]\n" + "".join(f'{name} = "127.0.0.1:{self.ports[name]}"\n' for name in mine)
-                for where, mine in tables.items()
-            )
-        )
-        return str(file)
-
-    def shown(self):
-        name = next(iter(self.running))
-        file = str(self.folder / f"{name}.toml")
-        call = ["-m", "lotusroute", "relay", "show", "--fleet", file, "--json"]
-        done = subprocess.run([sys.executable, *call], capture_output=True, timeout=30, check=False)
-        return json.loads(done.stdout)["balancers"]
-
-
-@contextlib.contextmanager
-def running(servers, count=3, balancers=2):
-    """Discovery, relays and balancers that follow them; yields (discovery, relays, balancers)."""
-    told = discovery(*servers)
-    where = f"127.0.0.1:{told.server_port}"
-    with RelayCluster(where, count) as relays, contextlib.ExitStack() as stack:
-        soon(relays.origin)
-        started = []
-        for at in range(balancers):
-            env = {"LB_RELAYS": relays.file("ab"[at % 2]), "LB_DISCOVERY": where, "LB_NAME": f"n{at}"}
-            started.append(stack.enter_context(Balancer(*servers, env=env.items())))
-        soon(lambda: sum(news["news"]["subscribers"] for news in relays.shown().values()) >= balancers + 2)
-        yield told, relays, started
-    told.shutdown()
-
-
-def change(told, servers, at):
-    """Have one more server drain; returns when."""
-    told.entries = [
-        server.entry("DRAINING" if number < at else "SERVING") for number, server in enumerate(servers)
-    ]
-    told.seq += 1
-    return time.monotonic()
-
-
-# Keys whose default is each of four servers: who does not know that it drains sends them there.
-HOMES = {
-    f"s{at}": [key for key in map(str, range(200)) if FakeHost(servers=4).default(key) == f"s{at}"]
-    for at in range(4)
-}
-
-
-def served(balancer, at):
-    """Whether clients whose home has just begun to drain are all sent elsewhere; one alone may be moved."""
-    answers = [balancer.ask(key).readline() for key in HOMES[f"s{at - 1}"][:4]]
-    return all(answer.startswith(b"UP ") and answer != f"UP s{at - 1}\r\n".encode() for answer in answers)
-
-
-def in_force(balancers, at, start):
-    """Wait until all have it; returns how long it took."""
-    for balancer in balancers:
-        while not served(balancer, at):
-            assert time.monotonic() < start + DEADLINE, "never in force"
-            time.sleep(0.1)
-    return time.monotonic() - start
-
-
-def names(count):
-    return [FakeServer(f"s{at}", f"UP s{at}\r\n".encode()) for at in range(count)]
-
-
-def test_a_change_is_in_force_by_way_of_the_relays_and_only_the_origin_calls_discovery():
-    servers = names(4)
-    with running(servers) as (told, relays, balancers):
-        time.sleep(1.0)
-        asked = len(told.asked)
-        start = change(told, servers, 1)
-        assert in_force(balancers, 1, start) < 1.5
-        time.sleep(2.0)
-        # One watch of 0.5 s after the other: nobody else asks.
-        assert len(told.asked) - asked <= 1.5 * (time.monotonic() - start) / 0.5 + 3
-        shown = relays.shown()
-        states = {(tuple(state["news"]["version"]), state["news"]["digest"]) for state in shown.values()}
-        assert len(states) == 1 and not any(state["news"]["lack"] for state in shown.values())
-
-
-@pytest.mark.parametrize("hurt", ["kill", "stop", "origin killed", "origin stopped"])
-def test_a_change_is_in_force_within_four_seconds_though_a_relay_or_the_origin_has_just_gone(hurt):
-    servers = names(4)
-    with running(servers) as (told, relays, balancers):
-        origin = relays.origin()
-        victim = origin if "origin" in hurt else next(name for name in relays.names if name != origin)
-        relays.send(victim, signal.SIGKILL if "kill" in hurt else signal.SIGSTOP)
-        start = change(told, servers, 1)
-        assert in_force(balancers, 1, start) < 4.0
-        if "stop" in hurt:
-            relays.send(victim, signal.SIGCONT)
-            # What it had in hand is older than what all have now: nobody takes it.
-            start = change(told, servers, 2)
-            assert in_force(balancers, 2, start) < 4.0
-        for balancer in balancers:
-            assert "event failed" not in balancer.end()
-
-
-def test_with_every_relay_gone_balancers_call_discovery_themselves_and_follow_again_when_one_is_back():
-    servers = names(4)
-    with running(servers) as (told, relays, balancers):
-        for name in list(relays.running):
-            relays.send(name, signal.SIGKILL)
-        asked, start = len(told.asked), change(told, servers, 1)
-        assert in_force(balancers, 1, start) < 6.0 and len(told.asked) > asked
-        for name in relays.names:
-            relays.start(name)
-        soon(relays.origin)
-        soon(lambda: sum(state["news"]["subscribers"] for state in relays.shown().values()) >= 4)
-        start = change(told, servers, 2)
-        assert in_force(balancers, 2, start) < 4.0
-
-
-def test_after_a_reload_to_another_discovery_the_relays_list_counts_no_more():
-    servers, other = names(4), FakeServer("s9", b"UP s9\r\n")
-    with running(servers) as (told, relays, balancers):
-        new = discovery(other)
-        new.seq = 7
-        balancers[0].reload(discovery=f"127.0.0.1:{new.server_port}")
-        soon(lambda: balancers[0].ask("new").readline() == b"UP s9\r\n")
-        start = change(told, servers, 1)
-        assert in_force(balancers[1:], 1, start) < 4.0
-        assert balancers[0].ask("newer").readline() == b"UP s9\r\n"
-        new.shutdown()
-
-
-def test_a_faulty_file_on_relays_is_named_by_its_key_and_the_mend(tmp_path):
-    good = {"name": "f", "zone": "a", "relays": {"a": {"r1": "127.0.0.1:1"}}}
-    for key, value, says in [
+@pytest.fixture
+def deployment(tmp_path):
+    with running_deployment(tmp_path) as deployment:
+        yield deployment
+
+
+def test_a_change_is_in_force_by_the_relays_and_only_the_origin_polls_discovery(deployment):
+    time.sleep(1.0)  # a window without changes, in which polls are counted
+    polls = deployment.poll_count()
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 1.5
+    time.sleep(2.0)
+    # The origin polls for 0.5 s, again and again: nobody else does.
+    elapsed = time.monotonic() - changed_at
+    assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
+    states = deployment.relays.status().values()
+    assert len({(tuple(state["version"]), state["digest"]) for state in states}) == 1
+    assert not any(state["lack"] for state in states)
+
+
+@pytest.mark.parametrize("victim", ["relay", "origin"])
+@pytest.mark.parametrize("fault", [signal.SIGKILL, signal.SIGSTOP])
+def test_a_change_is_in_force_within_four_seconds_of_a_relay_fault(deployment, fault, victim):
+    relays = deployment.relays
+    origin = relays.origin()
+    name = origin if victim == "origin" else next(name for name in RELAYS if name != origin)
+    relays.send_signal(name, fault)
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 4.0
+    if fault == signal.SIGSTOP:
+        relays.send_signal(name, signal.SIGCONT)
+        # What it had in hand is older than what all have now: nobody applies it.
+        changed_at = deployment.drain(2)
+        assert deployment.wait_until_drained(2, changed_at) < 4.0
+    for balancer in deployment.balancers:
+        assert "event failed" not in balancer.end()
+
+
+def test_without_relays_balancers_poll_discovery_and_subscribe_again_when_relays_return(deployment):
+    relays = deployment.relays
+    for name in RELAYS:
+        relays.send_signal(name, signal.SIGKILL)
+    polls = deployment.poll_count()
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 6.0
+    assert deployment.poll_count() > polls
+    for name in RELAYS:
+        relays.start(name)
+    soon(relays.origin)
+    deployment.wait_until_subscribed()
+    changed_at = deployment.drain(2)
+    assert deployment.wait_until_drained(2, changed_at) < 4.0
+
+
+def test_after_a_reload_to_another_discovery_the_relays_list_is_ignored(deployment):
+    reloaded, *others = deployment.balancers
+    other_discovery = discovery(FakeServer("s9", b"UP s9\r\n"))
+    other_discovery.seq = 7
+    reloaded.reload(discovery=f"127.0.0.1:{other_discovery.server_port}")
+    soon(lambda: reloaded.ask("new").readline() == b"UP s9\r\n")
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at, others) < 4.0
+    assert reloaded.ask("newer").readline() == b"UP s9\r\n"
+    other_discovery.shutdown()
+
+
+# Configuration
+
+
+@pytest.mark.parametrize(
+    "key, value, message",
+    [
         ("name", "", "name: not set"),
         ("zone", 3, "zone: give"),
         ("relays", {}, "relays: give a table"),
         ("relays", {"a": {"r1": "nowhere"}}, "relays.a.r1: 'nowhere' is not host:port"),
         ("relays", {"a": {"r": "127.0.0.1:1"}, "b": {"r": "127.0.0.1:2"}}, "b.r: the name stands twice"),
         ("relay", 1, "relay: no such key"),
-    ]:
-        with pytest.raises(InvalidValueError, match=says):
-            parse_relays_config({**good, key: value})
-    with pytest.raises(InvalidValueError, match="LB_RELAYS: .*gone.toml"):
+    ],
+)
+def test_an_invalid_key_is_named_with_its_correction(key, value, message):
+    valid = {"name": "f", "zone": "a", "relays": {"a": {"r1": "127.0.0.1:1"}}}
+    with pytest.raises(ConfigError, match=message):
+        parse_relays_config({**valid, key: value})
+
+
+def test_an_unreadable_file_is_named_with_its_variable(tmp_path):
+    with pytest.raises(ConfigError, match="LB_RELAYS: .*gone.toml"):
         load_relays_config(tmp_path / "gone.toml")
 
 
 def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_scale_runs():
-    seen = (
+    program = (
         "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'capacity' in m "
         "or m in ('msgspec', 'numpy', 'click')])"
     )
-    done = subprocess.run([sys.executable, "-c", seen], capture_output=True, text=True, check=True)
+    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
     assert command.get_command(None, "relay") is not None
