--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -20,6 +20,7 @@
 from lotusroute.fleet.transport import OBSERVER, CallFailed, PeerTransport
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
+    REQUEST_TYPES,
     LeaseAcquired,
     LeaseLost,
     LeaseReleased,
@@ -36,7 +37,6 @@
 from lotusroute.leases.proposer import Proposer
 from lotusroute.net.structured_log import log_event
 
-REQUEST_TYPES = {"prepare": Prepare, "propose": Propose, "release": Release}  # calls to a keeper, by kind
 MIN_TICK_INTERVAL = 5.0  # ms between two looks at the clock
 
 
@@ -165,7 +165,7 @@
                 0, lambda: self._on_reply(self.name, self._answer_request(request.request))
             )
             return
-        kind = type(request.request).__name__.lower()
+        kind = request.request.kind
         call = self.transport.call(request.acceptor, kind, msgspec.msgpack.encode(request.request))
         call.addCallback(msgspec.msgpack.decode, type=Reply)
         call.addCallbacks(lambda reply: self._on_reply(request.acceptor, reply), self._on_request_failed)
@@ -227,13 +227,11 @@
         if self.persisting:
             return
         self.persisting = True
-        writing = threads.deferToThread(
-            acceptor_storage.store, self.config.state_dir, reserve.persisted_below
-        )
+        writing = threads.deferToThread(acceptor_storage.store, self.config.state_dir, reserve.below)
 
         def stored(_: object) -> None:
             self.persisting = False
-            self.acceptor.ballots_persisted(reserve.persisted_below)
+            self.acceptor.ballots_persisted(reserve.below)
 
         def failed(reason) -> None:
             # Nothing above what disk has is promised: the fleet goes on with the other keepers.
--- a/lotusroute/leases/__init__.py
+++ b/lotusroute/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases: who alone may do a fleet-wide task, until when, and with which fence. Pure; see docs/leases.md."""
+"""Leases on fleet-wide tasks by PaxosLease: messages, proposer and acceptor; pure, see docs/leases.md."""
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -1,87 +1,134 @@
-"""A keeper of leases: grants a task to one asker at a time.
+"""The acceptor of the lease protocol: grants each task to one proposer at a time.
 
-Owns what one keeper remembers and how it answers. It must never do I/O, read a clock, start a call of its
-own, or grant what it may have granted to another before it forgot.
+Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds, sends the reply
+and persists ballots when told to. After a restart an acceptor has lost its state. It stays silent until every
+lease that it may have granted has expired, and promises no ballot below the persisted one.
 """
 
 import math
 from typing import NamedTuple
 
 from lotusroute.leases.messages import (
-    BALLOT_TOO_LOW,
-    LEASE_HELD,
-    NOT_READY,
-    OUT_OF_RANGE,
-    TASK_LIMIT,
+    LeaseRequest,
     LeaseTerms,
     Prepare,
     Propose,
+    RejectReason,
     Release,
     Reply,
 )
 
-MAX_WAITERS = 8  # who are told when a holder lets go: one of them will have it, the others find it by time
-MAX_TASKS = (
-    256  # tasks that a keeper remembers: names come from the program, so that more are a defect or a liar
-)
-BALLOT_BLOCK = (
-    1_024  # numbers reserved on disk at a time: written once a start and once in so many hand-overs
-)
-BALLOT_LIMIT = 2**62  # a number beyond this is a liar's: a fence has to grow on after it
+MAX_WAITERS = 8  # proposers notified when a lease is released: one of them gets it, the others retry by timer
+MAX_TASKS = 256  # task names come from the program: more of them mean a defect or a malicious peer
+BALLOT_BLOCK = 1_024  # ballots persisted at a time: one write at a start and one in so many changes of holder
+BALLOT_LIMIT = 2**62  # a ballot beyond this is malicious: fencing tokens must be able to grow after it
 
 
 class AcceptorState(NamedTuple):
-    """What a keeper remembers of one task; times by its own clock."""
+    """What an acceptor remembers of one task; times by its own clock."""
 
-    promised: int = 0  # the highest number that it gave its word to
-    ballot: int = 0  # the number of the last holder
+    promised: int = 0  # the highest ballot that it has promised
+    ballot: int = 0  # of the last holder
     holder: str = ""
     held_until: float = -math.inf
-    contended_at: float = -math.inf  # when another than the holder last wanted it
-    waiters: tuple[str, ...] = ()  # WAITING at most, who asked last; emptied when they are told
+    contended_at: float = -math.inf  # when a proposer other than the holder last asked for it
+    waiters: tuple[str, ...] = ()  # the latest MAX_WAITERS that were rejected; cleared when notified
+
+
+class PersistBallots(NamedTuple):
+    """Persist that any ballot below this one may have been promised."""
+
+    below: int
+
+
+class AcceptorDecision(NamedTuple):
+    """The acceptor's reply to a request, and what the caller has to do besides sending it."""
 
+    reply: Reply
+    persist: PersistBallots | None = None
+    notify: tuple[str, ...] = ()  # waiting proposers to notify that the lease was released
 
-def make_reply(request: Prepare | Propose | Release, accepted: bool, *rest: object, **more: object) -> Reply:
-    """Answer what was asked, in the round in which it was."""
+
+def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
+    """Build the reply that accepts a request."""
+    return Reply(
+        request.task,
+        request.ballot,
+        request.kind,
+        request.round,
+        accepted=True,
+        highest_ballot=highest_ballot,
+        contended=contended,
+    )
+
+
+def reject(
+    request: LeaseRequest, reason: RejectReason, *, highest_ballot: int, remaining: float = 0.0
+) -> Reply:
+    """Build the reply that rejects a request."""
     return Reply(
-        request.task, request.ballot, type(request).__name__.lower(), request.round, accepted, *rest, **more
+        request.task,
+        request.ballot,
+        request.kind,
+        request.round,
+        accepted=False,
+        reason=reason,
+        highest_ballot=highest_ballot,
+        remaining=remaining,
     )
 
 
 def apply_request(
-    state: AcceptorState, now: float, request: Prepare | Propose | Release, terms: LeaseTerms
+    state: AcceptorState, now: float, request: LeaseRequest, terms: LeaseTerms
 ) -> tuple[AcceptorState, Reply]:
-    """Answer one asker about one task.
+    """Apply a request about one task; returns the task's new state and the reply.
 
-    The number of a majority of promises is the fence: each keeper promises a number once, two majorities
-    share a keeper, so that two holders never have the same number and the later one's is higher (Lamport
-    2001; Trencseni, Gazso and Reinhardt 2012).
+    The ballot that a majority has promised is the fencing token: each acceptor promises a ballot once and two
+    majorities share an acceptor, so that no two holders have the same token and the later one's is higher
+    (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
     """
-    held_by_other = now < state.held_until and state.holder != request.proposer
-
-    def reject(reason: str, remaining: float = 0.0) -> Reply:
-        return make_reply(request, False, reason, state.promised, remaining)
-
     if isinstance(request, Release):
-        if state.holder == request.proposer and state.ballot == request.ballot:
-            state = state._replace(held_until=min(state.held_until, now), waiters=())
-        return state, make_reply(request, True, highest_ballot=state.promised)
-    if held_by_other:
-        # No promise either: it would end the holder's renewals here without anybody having the task.
-        waiters = (*(name for name in state.waiters if name != request.proposer), request.proposer)[
-            -MAX_WAITERS:
-        ]
-        state = state._replace(contended_at=now, waiters=waiters)
-        return state, reject(LEASE_HELD, state.held_until - now)
+        return _apply_release(state, now, request)
+    if now < state.held_until and state.holder != request.proposer:
+        # No promise either: it would end the holder's renewals here although nobody else gets the task.
+        return _reject_while_held(state, now, request)
     if isinstance(request, Prepare):
-        if request.ballot <= state.promised:
-            return state, reject(BALLOT_TOO_LOW)
-        state = state._replace(promised=request.ballot)
-        return state, make_reply(request, True, highest_ballot=state.promised)
+        return _apply_prepare(state, request)
+    return _apply_propose(state, now, request, terms)
+
+
+def _apply_release(state: AcceptorState, now: float, request: Release) -> tuple[AcceptorState, Reply]:
+    if state.holder == request.proposer and state.ballot == request.ballot:
+        state = state._replace(held_until=min(state.held_until, now), waiters=())
+    return state, accept(request, highest_ballot=state.promised)
+
+
+def _reject_while_held(
+    state: AcceptorState, now: float, request: Prepare | Propose
+) -> tuple[AcceptorState, Reply]:
+    """Reject a request of another proposer than the holder, and remember that it is waiting."""
+    other_waiters = [name for name in state.waiters if name != request.proposer]
+    waiters = (*other_waiters, request.proposer)[-MAX_WAITERS:]
+    state = state._replace(contended_at=now, waiters=waiters)
+    remaining = state.held_until - now
+    reply = reject(request, RejectReason.LEASE_HELD, highest_ballot=state.promised, remaining=remaining)
+    return state, reply
+
+
+def _apply_prepare(state: AcceptorState, request: Prepare) -> tuple[AcceptorState, Reply]:
+    if request.ballot <= state.promised:
+        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+    state = state._replace(promised=request.ballot)
+    return state, accept(request, highest_ballot=state.promised)
+
+
+def _apply_propose(
+    state: AcceptorState, now: float, request: Propose, terms: LeaseTerms
+) -> tuple[AcceptorState, Reply]:
     if request.ballot < state.promised:
-        return state, reject(BALLOT_TOO_LOW)
+        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
     if not 0 < request.lease_duration <= terms.lease_duration:
-        return state, reject(OUT_OF_RANGE)
+        return state, reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised)
     contended = now - state.contended_at < terms.lease_duration
     state = state._replace(
         promised=request.ballot,
@@ -89,63 +136,54 @@
         holder=request.proposer,
         held_until=now + request.lease_duration,
     )
-    return state, make_reply(request, True, highest_ballot=request.ballot, contended=contended)
-
-
-class PersistBallots(NamedTuple):
-    """Write to disk, before any answer that needs it, that numbers under this one may have been promised."""
-
-    persisted_below: int
+    return state, accept(request, highest_ballot=request.ballot, contended=contended)
 
 
 class Acceptor:
-    """One keeper: all tasks, its silence after a start, and the numbers that it may promise."""
+    """The acceptor of one process, for all tasks."""
 
     def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
-        """Start with what disk says: no number under `floor` is promised again.
+        """Start with the persisted ballot: none below `ballot_floor` is promised again.
 
-        What it promised and granted before is forgotten. Numbers start over the floor; grants are waited out
-        in silence, as long as the longest of them lasts by this same clock.
+        Earlier promises and grants are lost. New ballots start above the floor; earlier grants are waited
+        out, for as long as the longest of them lasts by this same clock.
         """
         self.terms = terms
         self.serving_from = now + terms.lease_duration + terms.margin
-        self.ballot_floor = ballot_floor  # promised before the start, at most
-        self.persisted_below = ballot_floor  # numbers under it are on disk
-        self.states: dict[
-            str, AcceptorState
-        ] = {}  # TASKS at most; a task whose lease has long ended makes room
-
-    def handle(
-        self, now: float, request: Prepare | Propose | Release
-    ) -> tuple[Reply, PersistBallots | None, tuple]:
-        """Answer; say what has to be on disk before the next answer of that kind can be a yes, and who are to
-        be told that the holder has let go."""
+        self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
+        self.persisted_below = ballot_floor  # ballots below it may be promised
+        self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
+
+    def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
+        """Handle one request; a ballot that must be persisted first is rejected, and the proposer retries."""
+        floor = self.ballot_floor
         if now < self.serving_from:
-            return make_reply(request, False, NOT_READY, self.ballot_floor, self.serving_from - now), None, ()
+            remaining = self.serving_from - now
+            return AcceptorDecision(
+                reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
+            )
         if not 0 < request.ballot < BALLOT_LIMIT:
-            return make_reply(request, False, OUT_OF_RANGE, self.ballot_floor), None, ()
+            return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
         if request.ballot >= self.persisted_below:
-            # The number has to outlive us before anybody counts on it; the asker comes again.
-            return (
-                make_reply(request, False, NOT_READY, self.ballot_floor),
-                PersistBallots(request.ballot + BALLOT_BLOCK),
-                (),
-            )
-        state = self.states.get(request.task)
-        if state is None:
+            # A crash after an unpersisted promise would allow the same ballot twice.
+            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
+            return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
+        before = self.states.get(request.task)
+        if before is None:
             if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
-                return make_reply(request, False, TASK_LIMIT, self.ballot_floor), None, ()
-            state = AcceptorState(promised=self.ballot_floor)
-        after, reply = apply_request(state, now, request, self.terms)
+                return AcceptorDecision(reject(request, RejectReason.TASK_LIMIT, highest_ballot=floor))
+            before = AcceptorState(promised=self.ballot_floor)
+        after, reply = apply_request(before, now, request, self.terms)
         self.states[request.task] = after
-        return reply, None, () if after.waiters else state.waiters
+        released = before.waiters and not after.waiters
+        return AcceptorDecision(reply, notify=before.waiters if released else ())
 
-    def ballots_persisted(self, persisted_below: int) -> None:
-        """Disk has it."""
-        self.persisted_below = max(self.persisted_below, persisted_below)
+    def ballots_persisted(self, below: int) -> None:
+        """Record that `PersistBallots(below)` has been carried out."""
+        self.persisted_below = max(self.persisted_below, below)
 
     def _evict_expired(self, now: float) -> bool:
-        """Forget the task that ended longest ago; its numbers stay forbidden, by the floor."""
+        """Forget the task that expired first; the floor keeps its ballots from being promised again."""
         task, state = min(self.states.items(), key=lambda item: item[1].held_until)
         if state.held_until + self.terms.lease_duration > now:
             return False
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -1,37 +1,53 @@
-"""What askers and keepers of leases say to one another, and the terms that both hold to.
+"""Messages between lease proposers and acceptors, the events and actions of a proposer, and the lease terms.
 
-Owns the words and the terms. It must never hold state, read a clock or know how a word travels.
+The protocol is PaxosLease (Trencseni, Gazso and Reinhardt 2012): a proposer asks a majority of acceptors for
+a time-limited lease on a task. The order of fields of every request and of `Reply` is the wire format.
 
-All times are milliseconds of the one clock that the speaker has; no two clocks are ever compared, only
-lengths of time cross the link.
+All times are milliseconds of the local clock. Clocks of two processes are never compared: messages carry
+durations only.
 """
 
+from enum import StrEnum
 from typing import NamedTuple
 
 LEASE_DURATION = (
-    3_000.0  # ms: no holder for so long after one is killed; shorter ones are lost to a stall of a second
+    3_000.0  # ms without a holder after one is killed; a one-second stall would cost a shorter lease
 )
-CLOCK_DRIFT = 0.01  # share by which a clock may run fast or slow: a hundred times what machines' clocks do
-SAFETY_MARGIN = 50.0  # ms off the end: a step of the reactor, in which an act that was begun is carried out
-RENEW_FRACTION = 0.5  # share of the time held after which it is renewed: two more tries fit in before it ends
+CLOCK_DRIFT = 0.01  # maximum rate error of any clock, as a fraction: a hundred times what real clocks show
+SAFETY_MARGIN = (
+    50.0  # ms subtracted from the holder's end: one reactor iteration, to finish an act in progress
+)
+RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews: leaves time for two more attempts
 REQUEST_TIMEOUT = (
-    400.0  # ms for keepers to answer: far ways and a busy core, and a lease has room for several
+    400.0  # ms to wait for acceptors: long paths and busy cores fit, and several fit into a lease
 )
-RETRY_BACKOFF = (
-    100.0,
-    400.0,
-)  # ms, drawn, before one who was refused asks again: two that split the keepers part
-MAX_TENURE = 60_000.0  # ms after which a holder gives way where somebody else asks
+RETRY_BACKOFF = 100.0, 400.0  # ms, range of the random backoff that separates two competing proposers
+MAX_TENURE = 60_000.0  # ms after which a holder yields if another proposer asks for the task
 STALL_THRESHOLD = (
-    1_000.0  # ms between two looks at the clock after which a holder thinks itself stalled and gives way
+    1_000.0  # ms between two events after which a holder assumes that it was stalled, and yields
 )
 
-# Why a keeper refuses.
-NOT_READY, LEASE_HELD, BALLOT_TOO_LOW, OUT_OF_RANGE, TASK_LIMIT = "silent", "held", "low", "long", "full"
+
+class RequestKind(StrEnum):
+    """The kind of a request; the value is the call kind on the wire and is echoed in `Reply.kind`."""
+
+    PREPARE = "prepare"
+    PROPOSE = "propose"
+    RELEASE = "release"
+
+
+class RejectReason(StrEnum):
+    """Why an acceptor rejects a request; the value is on the wire and part of a counter's name."""
+
+    NOT_READY = "silent"  # it restarted less than a lease ago, or the ballot is not persisted yet
+    LEASE_HELD = "held"  # another proposer holds the lease here
+    BALLOT_TOO_LOW = "low"  # it has promised an equal or higher ballot
+    OUT_OF_RANGE = "long"  # ballot or lease duration outside the permitted range
+    TASK_LIMIT = "full"  # it tracks the maximum number of tasks already
 
 
 class LeaseTerms(NamedTuple):
-    """What all of a fleet agree on, from the operator's file."""
+    """The parameters that every process of a fleet must agree on; durations in ms."""
 
     acceptors: tuple[str, ...]
     lease_duration: float = LEASE_DURATION
@@ -43,7 +59,7 @@
 
     @property
     def majority(self) -> int:
-        """How many keepers must say yes: any two such sets share one.
+        """The quorum size: any two sets of so many acceptors share one.
 
         >>> LeaseTerms(("a", "b", "c")).majority, LeaseTerms(tuple("abcde")).majority
         (2, 3)
@@ -52,29 +68,37 @@
 
     @property
     def holder_duration(self) -> float:
-        """How long an asker may think it holds, by its own clock, from before it proposed.
+        """How long a proposer may consider itself the holder, by its own clock, from before it proposed.
 
-        A keeper counts the whole lease from when the proposal came, by a clock that may run fast: it lets go
-        no sooner than lease / (1 + drift). The asker's clock may run slow, so that what it counts as h lasts
-        up to h / (1 - drift) (Gray and Cheriton 1989, section 5).
+        An acceptor counts the full lease from the arrival of the proposal, possibly by a fast clock: it
+        expires no sooner than lease_duration / (1 + drift). The proposer's clock may be slow, so that what it
+        measures as h lasts up to h / (1 - drift) (Gray and Cheriton 1989, section 5).
 
-        >>> round(LeaseTerms(("a",), lease=3_000.0, drift=0.01, margin=50.0).held, 1)
+        >>> round(LeaseTerms(("a",), lease_duration=3_000.0, drift=0.01, margin=50.0).holder_duration, 1)
         2890.6
         """
         return self.lease_duration * (1 - self.drift) / (1 + self.drift) - self.margin
 
 
+# Requests of a proposer and the acceptor's reply
+
+
 class Prepare(NamedTuple):
-    """An asker wants a keeper's word that no lower number gets the task."""
+    """Phase 1: asks an acceptor to promise the ballot, that is to accept no lower one for the task."""
 
     task: str
     ballot: int
     proposer: str
-    round: int  # of all that the asker asked: an answer counts in the round that it was given in
+    round: int  # counts the proposer's phases: a reply is valid only in the round that it answers
+
+    @property
+    def kind(self) -> RequestKind:
+        """The kind of this request on the wire."""
+        return RequestKind.PREPARE
 
 
 class Propose(NamedTuple):
-    """An asker takes the task under its number, or has it for longer."""
+    """Phase 2: takes the lease under the ballot, or renews it."""
 
     task: str
     ballot: int
@@ -82,75 +106,106 @@
     round: int
     lease_duration: float
 
+    @property
+    def kind(self) -> RequestKind:
+        """The kind of this request on the wire."""
+        return RequestKind.PROPOSE
+
 
 class Release(NamedTuple):
-    """A holder, or one that did not become it, lets go."""
+    """Gives up a lease, or a proposal that did not win a majority."""
 
     task: str
     ballot: int
     proposer: str
     round: int
 
+    @property
+    def kind(self) -> RequestKind:
+        """The kind of this request on the wire."""
+        return RequestKind.RELEASE
+
+
+LeaseRequest = Prepare | Propose | Release
+
+REQUEST_TYPES: dict[str, type[Prepare] | type[Propose] | type[Release]] = {
+    RequestKind.PREPARE: Prepare,
+    RequestKind.PROPOSE: Propose,
+    RequestKind.RELEASE: Release,
+}
+
 
 class Reply(NamedTuple):
-    """A keeper's answer to one of these."""
+    """An acceptor's reply to a request, which it identifies by task, ballot, kind and round."""
 
     task: str
     ballot: int
-    kind: str  # "prepare", "propose" or "release"
+    kind: str  # a RequestKind
     round: int
     accepted: bool
-    reason: str = ""
-    highest_ballot: int = 0  # the highest number that the keeper has promised
-    remaining: float = 0.0  # ms until another's lease ends there
-    contended: bool = False  # another has asked for the task within a lease
+    reason: str = ""  # a RejectReason, unless accepted
+    highest_ballot: int = 0  # the highest ballot that the acceptor has promised
+    remaining: float = 0.0  # ms until the other holder's lease expires there
+    contended: bool = False  # another proposer asked for the task within the last lease duration
+
+
+# Events that a proposer handles
 
 
 class RequestLease(NamedTuple):
-    """This balancer would do the task."""
+    """This process wants to hold the task from now on."""
 
     task: str
 
 
 class ReleaseLease(NamedTuple):
-    """It would do it no longer."""
+    """This process does not want the task any longer."""
 
     task: str
 
 
 class ReplyReceived(NamedTuple):
-    """A keeper has answered."""
+    """A reply of an acceptor arrived."""
 
     acceptor: str
     reply: Reply
 
 
 class LeaseReleased(NamedTuple):
-    """A keeper tells those who asked that the holder has let go."""
+    """An acceptor notifies a waiting proposer that the holder released the lease; on the wire too."""
 
     task: str
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Time has passed; see `Proposer.next_tick_in`."""
+
+
+LeaseEvent = RequestLease | ReleaseLease | ReplyReceived | LeaseReleased | Tick
+
+
+# Actions that a proposer returns
 
 
 class SendRequest(NamedTuple):
-    """Say this to a keeper."""
+    """Send the request to an acceptor."""
 
     acceptor: str
-    request: Prepare | Propose | Release
+    request: LeaseRequest
 
 
 class LeaseAcquired(NamedTuple):
-    """The task is this balancer's; every act of it carries the fence."""
+    """This process holds the task now; every act for it has to carry the fencing token."""
 
     task: str
     fencing_token: int
 
 
 class LeaseLost(NamedTuple):
-    """The task is this balancer's no longer."""
+    """This process does not hold the task any longer."""
 
     task: str
     reason: str
+
+
+LeaseAction = SendRequest | LeaseAcquired | LeaseLost
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -1,147 +1,189 @@
-"""One that asks for leases: prepares, proposes, renews, lets go.
+"""The proposer of the lease protocol: acquires, renews and releases leases for one process.
 
-Owns what one balancer knows of the tasks that it would do. It must never do I/O, read a clock, think that it
-holds a task for longer than a majority of keepers does, or take part in a decision about a flow.
+Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds with each event,
+carries out the returned actions, and sends a `Tick` when `next_tick_in` has elapsed. A proposer never
+considers itself the holder for longer than a majority of acceptors does; see `LeaseTerms.holder_duration`.
 """
 
 import math
 import random
+from enum import StrEnum
 from typing import NamedTuple
 
 from lotusroute.leases.messages import (
-    LEASE_HELD,
     RENEW_FRACTION,
     RETRY_BACKOFF,
     LeaseAcquired,
+    LeaseAction,
+    LeaseEvent,
     LeaseLost,
     LeaseReleased,
+    LeaseRequest,
     LeaseTerms,
     Prepare,
     Propose,
+    RejectReason,
     Release,
     ReleaseLease,
     Reply,
     ReplyReceived,
     RequestLease,
     SendRequest,
-    Tick,
 )
 
-IDLE, PREPARE, PROPOSE = "idle", "prepare", "propose"
-MAX_TASKS = 64  # tasks that one asks for: names come from the program
+MAX_TASKS = 64  # tasks of one proposer; their names come from the program
+NEVER = -math.inf  # a time that has not come yet, or that no longer matters
+
+
+class Phase(StrEnum):
+    """Which request of a task is in flight; the values are shown to operators."""
+
+    IDLE = "idle"
+    PREPARE = "prepare"
+    PROPOSE = "propose"
 
 
 class ProposerState(NamedTuple):
-    """What an asker knows of one task; times by its own clock."""
+    """What a proposer knows of one task; times by its own clock."""
 
-    requested: bool = False
-    phase: str = IDLE
-    ballot: int = 0  # of the step in hand, and the fence while it holds
-    round: int = 0  # of the step in hand
-    phase_started_at: float = 0.0  # when the step in hand was begun: a lease counts from there
+    requested: bool = False  # this process wants to hold the task
+    phase: Phase = Phase.IDLE
+    ballot: int = 0  # of the current phase; the fencing token while it holds the lease
+    round: int = 0  # of the current phase
+    phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
     accepted_by: frozenset[str] = frozenset()
     rejected_by: frozenset[str] = frozenset()
-    held_until: float = -math.inf  # thinks itself the holder before this
-    held_since: float = 0.0  # holder since
-    retry_at: float = -math.inf  # asks again from then on
-    highest_ballot: int = 0  # the highest number that it heard of
-    contended: bool = False  # another waits
+    held_until: float = NEVER  # it considers itself the holder before this time
+    held_since: float = 0.0
+    retry_at: float = NEVER  # it does not prepare again before this time
+    highest_ballot: int = 0  # the highest ballot seen in any reply
+    contended: bool = False  # an acceptor reported that another proposer asked for the task
+
+    @property
+    def acquired(self) -> bool:
+        """Whether it holds a lease, or held one whose expiry has not been handled yet."""
+        return self.held_until > NEVER
 
     def holds(self, now: float) -> bool:
-        """Whether the task is this asker's."""
+        """Whether the lease is this proposer's at that time."""
         return now < self.held_until
 
 
 class Proposer:
-    """One balancer's claims on all tasks.
+    """The leases of one process, for all tasks.
 
-    `name` has to be new with each start: what a process that died holds is not its successor's.
+    `name` must be unique to each start of the process: what a crashed process holds is not its successor's.
     """
 
     def __init__(self, name: str, terms: LeaseTerms, rng: random.Random) -> None:
-        self.name, self.terms, self.rng = name, terms, rng
-        self.states: dict[str, ProposerState] = {}  # TASKS at most; a task leaves when it is wanted no more
-        self.last_event_at = -math.inf  # at the clock, last
-        self.round = 0  # of all steps begun
-        self.actions: list = []
-
-    def handle(
-        self, now: float, event: RequestLease | ReleaseLease | ReplyReceived | LeaseReleased | Tick
-    ) -> list[SendRequest | LeaseAcquired | LeaseLost]:
-        """Take what happened and return what is to be said and what has changed."""
+        self.name = name
+        self.terms = terms
+        self.rng = rng
+        self.states: dict[str, ProposerState] = {}  # by task; at most MAX_TASKS, removed when released
+        self.last_event_at = NEVER
+        self.round = 0  # of all phases started so far
+        self.actions: list[LeaseAction] = []
+
+    def handle(self, now: float, event: LeaseEvent) -> list[LeaseAction]:
+        """Handle one event; returns the requests to send and the changes of lease holdership, in order."""
         self.actions = []
-        stalled = now - self.last_event_at > self.terms.stall_threshold and self.last_event_at > -math.inf
+        self._yield_if_stalled(now)
         self.last_event_at = now
-        if stalled:
-            # Whoever stood still for so long serves no fleet: the task is better off elsewhere.
-            for task in self.states:
-                self._give_up_lease(task, now, "stalled", self.terms.lease_duration)
-        if isinstance(event, RequestLease):
-            if event.task in self.states or len(self.states) < MAX_TASKS:
-                self.states[event.task] = self.states.get(event.task, ProposerState())._replace(
-                    requested=True
-                )
-                self._check_deadlines(event.task, now)
-        elif isinstance(event, ReleaseLease):
-            if event.task in self.states:
-                self._give_up_lease(event.task, now, "released")
-                del self.states[event.task]
-        elif isinstance(event, ReplyReceived):
-            if event.reply.task in self.states and event.acceptor in self.terms.acceptors:
-                self._on_reply(event.acceptor, event.reply, now)
-        elif isinstance(event, LeaseReleased):
-            state = self.states.get(event.task)
-            if state is not None and state.phase == IDLE and not state.holds(now):
-                # Drawn, for others were told too: who asks first has it.
-                retry_at = now + self.rng.uniform(0.0, RETRY_BACKOFF[0])
-                self.states[event.task] = state._replace(retry_at=min(state.retry_at, retry_at))
-        else:
-            for task in list(self.states):
-                self._check_deadlines(task, now)
+        match event:
+            case RequestLease(task):
+                if task in self.states or len(self.states) < MAX_TASKS:
+                    self.states[task] = self.states.get(task, ProposerState())._replace(requested=True)
+                    self._check_deadlines(task, now)
+            case ReleaseLease(task):
+                if task in self.states:
+                    self._give_up_lease(task, now, "released")
+                    del self.states[task]
+            case ReplyReceived(acceptor, reply):
+                if reply.task in self.states and acceptor in self.terms.acceptors:
+                    self._on_reply(acceptor, reply, now)
+            case LeaseReleased(task):
+                self._on_released(task, now)
+            case _:
+                for task in list(self.states):
+                    self._check_deadlines(task, now)
         return self.actions
 
     def fencing_token(self, task: str, now: float, max_duration: float = 0.0) -> int:
-        """The fence for an act that takes `longest` ms at most by this clock; 0 where it must not begin.
+        """Return the fencing token for an act that takes at most `max_duration` ms; 0 if it must not begin.
 
-        It would go on after the lease's end if it began later. Between this look and the act a process may
-        stand still; that the act is then refused is the target's part.
+        Such an act ends before the lease does. The process may still be stalled between this call and the
+        act: rejecting the late act is the responsibility of its target, which checks the token.
         """
         state = self.states.get(task)
-        return state.ballot if state is not None and state.holds(now + max_duration) else 0
+        if state is None or not state.holds(now + max_duration):
+            return 0
+        return state.ballot
 
     def next_tick_in(self, now: float) -> float:
-        """Ms until the next `Tick` is due; infinite where nothing is wanted.
+        """Return the ms until the next `Tick` is due; infinite if no lease is wanted.
 
-        Twice within a stall's time, or quiet is taken for one: three processes of which each was told to come
-        back after a lease of a second thought themselves stalled when they did, and rested, for good.
+        There are two ticks per stall threshold, or idleness would be taken for a stall: three processes, each
+        told to retry after a lease duration above the threshold, considered themselves stalled when they
+        woke up, and backed off forever.
         """
-        times = [self.last_event_at + self.terms.stall_threshold / 2 if self.states else math.inf]
+        if not self.states:
+            return math.inf
+        deadlines = [self.last_event_at + self.terms.stall_threshold / 2]
         for state in self.states.values():
-            if state.held_until > -math.inf:
-                times += (
-                    [state.held_until, self._renewal_due(state)]
-                    if state.phase == IDLE
-                    else [state.held_until]
-                )
-            if state.phase != IDLE:
-                times.append(state.phase_started_at + self.terms.request_timeout)
-            elif state.requested and state.held_until == -math.inf:
-                times.append(state.retry_at)
-        return max(0.0, min(times) - now)
-
-    # The steps
-
-    def _broadcast(self, request: Prepare | Propose | Release) -> None:
-        self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
+            deadlines += self._deadlines(state)
+        return max(0.0, min(deadlines) - now)
+
+    def _deadlines(self, state: ProposerState) -> list[float]:
+        """Return the times at which `_check_deadlines` has something to do for a task."""
+        deadlines = []
+        if state.acquired:
+            deadlines.append(state.held_until)
+            if state.phase == Phase.IDLE:
+                deadlines.append(self._renewal_due(state))
+        if state.phase != Phase.IDLE:
+            deadlines.append(state.phase_started_at + self.terms.request_timeout)
+        elif state.requested and not state.acquired:
+            deadlines.append(state.retry_at)
+        return deadlines
+
+    def _renewal_due(self, state: ProposerState) -> float:
+        """Return when a lease is renewed."""
+        return max(state.retry_at, state.held_until - self.terms.holder_duration * (1 - RENEW_FRACTION))
+
+    def _yield_if_stalled(self, now: float) -> None:
+        """Give up all leases after a stall: another process will serve the tasks better."""
+        if self.last_event_at > NEVER and now - self.last_event_at > self.terms.stall_threshold:
+            for task in self.states:
+                self._give_up_lease(task, now, "stalled", self.terms.lease_duration)
+
+    def _check_deadlines(self, task: str, now: float) -> None:
+        """Do what is due by time alone: expiry, a phase that timed out, renewal, the next attempt."""
+        state = self.states[task]
+        if state.acquired and not state.holds(now):
+            state = self._give_up_lease(task, now, "expired")
+        if state.phase != Phase.IDLE and now >= state.phase_started_at + self.terms.request_timeout:
+            state = self._abandon_phase(task, state, now)
+        if state.phase == Phase.IDLE and state.holds(now):
+            if now >= self._renewal_due(state):
+                state = self._start_phase(task, state, Phase.PROPOSE, now)
+        elif state.phase == Phase.IDLE and state.requested and now >= state.retry_at:
+            ballot = state.highest_ballot + 1
+            state = state._replace(ballot=ballot, highest_ballot=ballot)
+            state = self._start_phase(task, state, Phase.PREPARE, now)
+        self.states[task] = state
+
+    def _start_phase(self, task: str, state: ProposerState, phase: Phase, now: float) -> ProposerState:
+        """Send a phase's request to all acceptors, in a round of its own.
 
-    def _start_phase(self, task: str, state: ProposerState, phase: str, now: float) -> ProposerState:
-        """Ask all keepers. An answer from an earlier renewal under the same number must not count in this
-        round: its keeper lets go a lease after that one."""
+        A late reply to an earlier renewal under the same ballot must not count in this round: the acceptor
+        that sent it counts the lease from that renewal.
+        """
         self.round += 1
-        if phase == PREPARE:
+        if phase == Phase.PREPARE:
             self._broadcast(Prepare(task, state.ballot, self.name, self.round))
         else:
-            self._broadcast(Propose(task, state.ballot, self.name, self.round, self.terms.lease_duration))
+            duration = self.terms.lease_duration
+            self._broadcast(Propose(task, state.ballot, self.name, self.round, duration))
         return state._replace(
             phase=phase,
             round=self.round,
@@ -151,85 +193,77 @@
             contended=False,
         )
 
-    def _renewal_due(self, state: ProposerState) -> float:
-        return max(state.retry_at, state.held_until - self.terms.holder_duration * (1 - RENEW_FRACTION))
+    def _broadcast(self, request: LeaseRequest) -> None:
+        self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
 
-    def _check_deadlines(self, task: str, now: float) -> None:
-        """What time alone brings: an end, a step given up, a renewal, the next try."""
-        state, terms = self.states[task], self.terms
-        if state.held_until > -math.inf and not state.holds(now):
-            state = self._give_up_lease(task, now, "expired")
-        if state.phase != IDLE and now >= state.phase_started_at + terms.request_timeout:
-            state = self._abandon_phase(task, state, now)
-        if state.phase == IDLE and state.holds(now):
-            if now >= self._renewal_due(state):
-                state = self._start_phase(task, state, PROPOSE, now)
-        elif state.phase == IDLE and state.requested and now >= state.retry_at:
-            ballot = state.highest_ballot + 1
-            state = self._start_phase(
-                task, state._replace(ballot=ballot, highest_ballot=ballot), PREPARE, now
-            )
-        self.states[task] = state
+    def _on_released(self, task: str, now: float) -> None:
+        """Retry soon, at a random time, for other waiting proposers were notified too."""
+        state = self.states.get(task)
+        if state is None or state.phase != Phase.IDLE or state.holds(now):
+            return
+        retry_at = now + self.rng.uniform(0.0, RETRY_BACKOFF[0])
+        self.states[task] = state._replace(retry_at=min(state.retry_at, retry_at))
 
     def _on_reply(self, acceptor: str, reply: Reply, now: float) -> None:
-        task, terms = reply.task, self.terms
+        """Count a reply if it belongs to the current phase and round."""
+        task = reply.task
         state = self.states[task]
         state = state._replace(highest_ballot=max(state.highest_ballot, reply.highest_ballot))
-        if state.phase == IDLE or (reply.ballot, reply.kind, reply.round) != (
-            state.ballot,
-            state.phase,
-            state.round,
-        ):
+        current = (state.ballot, state.phase, state.round)
+        if state.phase == Phase.IDLE or (reply.ballot, reply.kind, reply.round) != current:
             self.states[task] = state
             return
         if reply.accepted:
-            state = state._replace(
-                accepted_by=state.accepted_by | {acceptor}, contended=state.contended or reply.contended
-            )
+            contended = state.contended or reply.contended
+            state = state._replace(accepted_by=state.accepted_by | {acceptor}, contended=contended)
         else:
             state = state._replace(rejected_by=state.rejected_by | {acceptor})
-        if len(state.accepted_by) >= terms.majority:
+        if len(state.accepted_by) >= self.terms.majority:
             state = self._on_majority(task, state, now)
-        elif len(state.rejected_by) > len(terms.acceptors) - terms.majority:
-            state = self._abandon_phase(
-                task, state, now, reply.remaining if reply.reason == LEASE_HELD else 0.0
-            )
+        elif len(state.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
+            remaining = reply.remaining if reply.reason == RejectReason.LEASE_HELD else 0.0
+            state = self._abandon_phase(task, state, now, remaining)
         self.states[task] = state
 
     def _on_majority(self, task: str, state: ProposerState, now: float) -> ProposerState:
-        terms = self.terms
-        if state.phase == PREPARE:
-            # The lease counts from here, before the proposal leaves: keepers count from when it comes.
-            return self._start_phase(task, state, PROPOSE, now)
-        renewed, held_until = state.holds(now), state.phase_started_at + terms.holder_duration
+        """Go on to the propose phase, or hold the lease, once a majority has accepted."""
+        if state.phase == Phase.PREPARE:
+            # The holder's duration starts before the proposal is sent: acceptors count from its arrival.
+            return self._start_phase(task, state, Phase.PROPOSE, now)
+        renewed = state.holds(now)
+        held_until = state.phase_started_at + self.terms.holder_duration
         if now >= held_until:
             return self._abandon_phase(task, state, now)
-        state = state._replace(
-            phase=IDLE, held_until=held_until, held_since=state.held_since if renewed else now
-        )
+        held_since = state.held_since if renewed else now
+        state = state._replace(phase=Phase.IDLE, held_until=held_until, held_since=held_since)
         if not renewed:
             self.actions.append(LeaseAcquired(task, state.ballot))
-        elif state.contended and now - state.held_since >= terms.max_tenure:
+        elif state.contended and now - state.held_since >= self.terms.max_tenure:
             self.states[task] = state
-            state = self._give_up_lease(task, now, "tenure ended", terms.lease_duration)
+            state = self._give_up_lease(task, now, "tenure ended", self.terms.lease_duration)
         return state
 
     def _abandon_phase(
         self, task: str, state: ProposerState, now: float, remaining: float = 0.0
     ) -> ProposerState:
-        """The step in hand came to nothing; what it holds from before goes on to its end."""
-        if state.phase == PROPOSE and not state.holds(now):
-            # Those that said yes would keep all others out for a whole lease.
+        """End a phase without a majority and back off; a lease acquired before stays valid until it expires.
+
+        `remaining` is how long another holder's lease still lasts, in ms.
+        """
+        if state.phase == Phase.PROPOSE and not state.holds(now):
+            # The acceptors that accepted would reject everybody else for a full lease.
             self._broadcast(Release(task, state.ballot, self.name, state.round))
-        return state._replace(phase=IDLE, retry_at=now + remaining + self.rng.uniform(*RETRY_BACKOFF))
+        retry_at = now + remaining + self.rng.uniform(*RETRY_BACKOFF)
+        return state._replace(phase=Phase.IDLE, retry_at=retry_at)
 
     def _give_up_lease(self, task: str, now: float, reason: str, cooldown: float = 0.0) -> ProposerState:
-        """Hold the task no longer, and ask for it again after a rest at the soonest."""
+        """Stop holding a task, and do not ask for it again before `cooldown` ms have passed."""
         state = self.states[task]
-        if state.held_until > -math.inf:
+        if state.acquired:
             self.actions.append(LeaseLost(task, reason))
-        if state.held_until > -math.inf or state.phase == PROPOSE:
+        if state.acquired or state.phase == Phase.PROPOSE:
             self._broadcast(Release(task, state.ballot, self.name, state.round))
-        state = state._replace(phase=IDLE, held_until=-math.inf, retry_at=max(state.retry_at, now + cooldown))
+        retry_at = max(state.retry_at, now + cooldown)
+        state = state._replace(phase=Phase.IDLE, held_until=NEVER, retry_at=retry_at)
         self.states[task] = state
         return state
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -9,15 +9,13 @@
 from lotusroute.leases import proposer as proposer_module
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor
 from lotusroute.leases.messages import (
-    BALLOT_TOO_LOW,
-    LEASE_HELD,
-    NOT_READY,
     LeaseAcquired,
     LeaseLost,
     LeaseReleased,
     LeaseTerms,
     Prepare,
     Propose,
+    RejectReason,
     Release,
     ReleaseLease,
     ReplyReceived,
@@ -56,7 +54,7 @@
                 acceptor = self.acceptors[action.acceptor]
                 reply, reserve, waiters = acceptor.handle(self.now, action.request)
                 if reserve:
-                    acceptor.ballots_persisted(reserve.persisted_below)
+                    acceptor.ballots_persisted(reserve.below)
                 self.tell(name, ReplyReceived(action.acceptor, reply))
                 for waiting in waiters:
                     self.tell(waiting, LeaseReleased("t"))
@@ -161,16 +159,16 @@
     reply, reserve, _ = back.handle(3_000.0, Prepare("t", 5, "b", 1))
     assert (reply.accepted, reply.reason, reply.highest_ballot, reserve) == (
         False,
-        NOT_READY,
+        RejectReason.NOT_READY,
         BALLOT_BLOCK,
         None,
     )
     assert (
-        back.handle(3_200.0, Prepare("t", 5, "b", 2))[0].reason == BALLOT_TOO_LOW
+        back.handle(3_200.0, Prepare("t", 5, "b", 2))[0].reason == RejectReason.BALLOT_TOO_LOW
     )  # it may have been promised before
     _, reserve, _ = back.handle(3_300.0, Prepare("t", BALLOT_BLOCK + 1, "b", 3))
-    assert reserve.persisted_below > BALLOT_BLOCK + 1  # on disk first, and the asker comes again
-    back.ballots_persisted(reserve.persisted_below)
+    assert reserve.below > BALLOT_BLOCK + 1  # on disk first, and the asker comes again
+    back.ballots_persisted(reserve.below)
     assert back.handle(3_400.0, Prepare("t", BALLOT_BLOCK + 1, "b", 4))[0].accepted
 
 
@@ -191,14 +189,14 @@
     acceptor = Acceptor(TERMS, -10_000.0, 0)
     acceptor.ballots_persisted(BALLOT_BLOCK)
     assert acceptor.handle(0.0, Prepare("t", 3, "a", 1))[0].accepted
-    assert acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].reason == BALLOT_TOO_LOW
+    assert acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].reason == RejectReason.BALLOT_TOO_LOW
     assert acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0))[0].reason == "long"
     assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0))[0].accepted
     held = acceptor.handle(1_000.0, Prepare("t", 4, "b", 1))[0]
-    assert (held.reason, held.remaining) == (LEASE_HELD, 2_000.0)
+    assert (held.reason, held.remaining) == (RejectReason.LEASE_HELD, 2_000.0)
     assert acceptor.handle(1_100.0, Propose("t", 3, "a", 4, 3_000.0))[0].contended
     assert acceptor.handle(1_200.0, Release("t", 3, "b", 1))[0].accepted  # not its own: nothing is let go
-    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2))[0].reason == LEASE_HELD
+    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2))[0].reason == RejectReason.LEASE_HELD
     acceptor.handle(1_400.0, Release("t", 3, "a", 5))
     assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3))[0].accepted
 
