--- /dev/null
+++ b/lotusroute/config_validation.py
@@ -0,0 +1,93 @@
+"""Reading and checking of the operators' TOML files; shared by the fleet and the relay configuration.
+
+Every error is a `ConfigError` whose message names the key and how to correct it. `load_toml_config` prepends
+the environment variable and the file.
+"""
+
+import os
+import pathlib
+import tomllib
+from collections.abc import Callable, Collection
+from typing import Any, TypeVar
+
+from lotusroute.errors import ConfigError, InvalidValueError
+from lotusroute.net.config import parse_address
+
+ConfigT = TypeVar("ConfigT")
+
+
+def load_toml_config(
+    variable: str, path: str | os.PathLike[str], parse: Callable[[dict[str, Any]], ConfigT]
+) -> ConfigT:
+    """Read a TOML file and parse its document; `variable` is the environment variable that names the file."""
+    try:
+        document = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"{variable}: {path}: {error}") from None
+    try:
+        return parse(document)
+    except InvalidValueError as error:
+        raise ConfigError(f"{variable}: {path}: {error}") from None
+
+
+def check_known_keys(document: dict[str, Any], known: Collection[str]) -> None:
+    """Reject a document with a key that does not exist.
+
+    >>> check_known_keys({"nmae": "f"}, {"name", "zone"})
+    Traceback (most recent call last):
+    lotusroute.errors.ConfigError: nmae: no such key; there are name, zone
+    """
+    unknown = sorted(set(document) - set(known))
+    if unknown:
+        raise ConfigError(f"{unknown[0]}: no such key; there are {', '.join(sorted(known))}")
+
+
+def parse_fleet_name(document: dict[str, Any]) -> str:
+    """Return the required name of the fleet."""
+    name = document.get("name")
+    if not isinstance(name, str) or not name:
+        raise ConfigError("name: not set; give the fleet's")
+    return name
+
+
+def parse_name_list(document: dict[str, Any], key: str) -> list[str]:
+    """Return a list of distinct names; empty if the key is missing.
+
+    >>> parse_name_list({"tasks": ["watch", "watch"]}, "tasks")
+    Traceback (most recent call last):
+    lotusroute.errors.ConfigError: tasks: a name stands twice
+    """
+    names = document.get(key, [])
+    if not isinstance(names, list) or not all(isinstance(name, str) and name for name in names):
+        raise ConfigError(f"{key}: give a list of names")
+    if len(set(names)) < len(names):
+        raise ConfigError(f"{key}: a name stands twice")
+    return names
+
+
+def parse_milliseconds(document: dict[str, Any], key: str, default: float, low: float, high: float) -> float:
+    """Return a duration in ms within a range, or the default if the key is missing."""
+    value = document.get(key, default)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
+        raise ConfigError(f"{key}: give milliseconds from {low:g} to {high:g}")
+    return float(value)
+
+
+def parse_count(document: dict[str, Any], key: str, high: int) -> int:
+    """Return a whole number from 0 to `high`; 0 if the key is missing."""
+    value = document.get(key, 0)
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= high:
+        raise ConfigError(f"{key}: give a number from 0 to {high}")
+    return value
+
+
+def parse_address_entry(key: str, value: object) -> tuple[str, int]:
+    """Return the HOST:PORT under a key of a table.
+
+    >>> parse_address_entry("peers.a", "127.0.0.1:1")
+    ('127.0.0.1', 1)
+    """
+    try:
+        return parse_address(str(value))
+    except InvalidValueError as error:
+        raise ConfigError(f"{key}: {error}") from None
--- a/lotusroute/fleet/__init__.py
+++ b/lotusroute/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The link between balancers and what stands on it. Off in `run`; the file in LB_FLEET turns it on."""
+"""The connections between balancers and the services on them; enabled by the file that LB_FLEET names."""
--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -1,50 +1,60 @@
-"""What a keeper has on disk: the number under which it may have promised all.
+"""The acceptor's file on disk: the ballot below which it may have promised any.
 
-Owns the one file in the state folder and its form. It must never be called on the reactor's thread but at the
-start, say that a number is kept before the disk has it, or start from a file that it can't read.
+The file has one line, the ballot and its CRC-32 in hexadecimal. Calls block on the disk: after the start they
+belong on a thread, not on the reactor.
 """
 
 import os
 import pathlib
 import zlib
 
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError
 
-FILE = "promised"  # in the state folder
+FILE = "promised"  # in the state directory
 
 
-def load(folder: str) -> int:
-    """Read the number; 0 where there is no file yet. Raises InvalidValueError where the file is spoilt.
+def _checksum(text: str) -> str:
+    return f"{zlib.crc32(text.encode()):08x}"
 
-    A keeper that took a spoilt file for none could promise a number again.
+
+def load(state_dir: str | os.PathLike[str]) -> int:
+    """Read the persisted ballot; 0 if there is no file yet.
+
+    Raises ConfigError for an unreadable or corrupt file: an acceptor that took it for a missing one could
+    promise a ballot twice.
     """
-    path = pathlib.Path(folder, FILE)
+    path = pathlib.Path(state_dir, FILE)
     try:
         text = path.read_text(encoding="ascii")
     except FileNotFoundError:
         return 0
-    except (OSError, ValueError) as fault:
-        raise InvalidValueError(f"{path}: {fault}") from None
-    number, _, check = text.strip().partition(" ")
-    if not number.isdecimal() or check != f"{zlib.crc32(number.encode()):08x}":
-        raise InvalidValueError(
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"{path}: {error}") from None
+    ballot, _, checksum = text.strip().partition(" ")
+    if not ballot.isdecimal() or checksum != _checksum(ballot):
+        raise ConfigError(
             f"{path}: spoilt; put back a copy, or remove it while no balancer of the fleet runs"
         )
-    return int(number)
+    return int(ballot)
 
 
-def store(folder: str, number: int) -> None:
-    """Write the number, wait for the disk; a crash at any moment leaves the old one or the new one."""
-    text = str(number)
-    path = pathlib.Path(folder, FILE)
-    fresh = path.with_suffix(".new")
-    with open(fresh, "w", encoding="ascii") as file:
-        file.write(f"{text} {zlib.crc32(text.encode()):08x}\n")
+def store(state_dir: str | os.PathLike[str], ballot: int) -> None:
+    """Write the ballot and wait for the disk; after a crash at any moment the old or the new one is there."""
+    text = str(ballot)
+    path = pathlib.Path(state_dir, FILE)
+    temporary = path.with_suffix(".new")
+    with open(temporary, "w", encoding="ascii") as file:
+        file.write(f"{text} {_checksum(text)}\n")
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
-    handle = os.open(folder, os.O_RDONLY)
+    os.replace(temporary, path)
+    _sync_directory(state_dir)
+
+
+def _sync_directory(path: str | os.PathLike[str]) -> None:
+    """Make a rename in the directory durable."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
