--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -17,7 +17,8 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.transport import OBSERVER, CallFailed, PeerTransport
+from lotusroute.fleet.peer_connection import OBSERVER, CallFailed
+from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
     REQUEST_TYPES,
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.transport import MAX_BODY_BYTES, CallFailed
+from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallFailed
 from lotusroute.net.discovery import HOLD
 from lotusroute.net.structured_log import log_event
 
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer
 
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.transport import CallFailed
+from lotusroute.fleet.peer_connection import CallFailed
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -17,7 +17,8 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.transport import CallFailed, PeerTransport
+from lotusroute.fleet.peer_connection import CallFailed
+from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.net.config import parse_address
 from lotusroute.net.discovery import LINE, REFUSED
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -18,8 +18,9 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
 from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.fleet.peer_connection import CallFailed, PeerConnection
 from lotusroute.fleet.shared_discovery import SharedDiscovery
-from lotusroute.fleet.transport import CallFailed, PeerConnection, PeerTransport
+from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import Acceptor, AcceptorState
 from lotusroute.leases.messages import ReleaseLease, RequestLease
 from lotusroute.leases.proposer import Proposer
