--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -17,7 +17,7 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import OBSERVER, CallFailed
+from lotusroute.fleet.peer_connection import OBSERVER, CallError
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
 from lotusroute.leases.messages import (
@@ -177,7 +177,7 @@
 
     def _on_request_failed(self, reason) -> None:
         """A keeper that is away says nothing, and time does the rest."""
-        reason.trap(CallFailed, msgspec.MsgspecError)
+        reason.trap(CallError, msgspec.MsgspecError)
         self.counters["lease_requests_unanswered"] += 1
 
     # The keeper
@@ -186,22 +186,22 @@
         if kind == "show":
             return msgspec.json.encode(self.show())
         if peer == OBSERVER:
-            raise CallFailed("a command may only look")
+            raise CallError("a command may only look")
         if kind == "freed":
             self.handle_event(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
         if kind in self.call_handlers:
             return self.call_handlers[kind](peer, body)
         if kind not in REQUEST_TYPES or self.acceptor is None:
-            raise CallFailed(f"no keeper, or no call '{kind[:32]}'")
+            raise CallError(f"no keeper, or no call '{kind[:32]}'")
         try:
             request = msgspec.msgpack.decode(body, type=REQUEST_TYPES[kind])
         except msgspec.MsgspecError as fault:
             self.counters["peer_malformed_input"] += 1
-            raise CallFailed(f"{kind}: {fault}") from None
+            raise CallError(f"{kind}: {fault}") from None
         if request.proposer.partition("#")[0] != peer:
             self.counters["lease_requests_spoofed"] += 1
-            raise CallFailed(f"{kind}: asked for another")
+            raise CallError(f"{kind}: asked for another")
         return msgspec.msgpack.encode(self._answer_request(request))
 
     def _answer_request(self, request: Prepare | Propose | Release) -> Reply | None:
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -32,7 +32,7 @@
 CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]
 
 
-class CallError(StrEnum):
+class CallFailure(StrEnum):
     """Why a call failed without reaching its handler; the values may be on the wire."""
 
     UNREACHABLE = "unreachable"
@@ -42,14 +42,14 @@
     TOO_LARGE = "large"
 
 
-class CallFailed(Exception):
-    """A call without a result; the message is a `CallError` or the reason that the peer's handler gave."""
+class CallError(Exception):
+    """A call without a result; the message is a `CallFailure` or the reason that the peer's handler gave."""
 
 
 class Hello(amp.Command):
     """Identifies the connecting process; the first call on a connection."""
 
-    commandName = b"Hello"
+    commandName = b"Hello"  # noqa: N815 - Twisted's name
     arguments = [(b"fleet", amp.Unicode()), (b"form", amp.Integer()), (b"name", amp.Unicode())]
     response = [(b"name", amp.Unicode())]
 
@@ -57,10 +57,10 @@
 class Call(amp.Command):
     """A call of a kind that the services above define."""
 
-    commandName = b"Call"
+    commandName = b"Call"  # noqa: N815 - Twisted's name
     arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]
     response = [(b"body", amp.String())]
-    errors = {CallFailed: b"FAILED"}
+    errors = {CallError: b"FAILED"}
 
 
 class ConnectionOwner(Protocol):
@@ -88,7 +88,7 @@
     noisy = False
 
     def __init__(self, owner: ConnectionOwner, peer: str = "") -> None:
-        """`peer` is the name of the process connected to; empty for an inbound connection before its Hello."""
+        """`peer` is the name of the process connected to; empty if inbound, until its Hello."""
         super().__init__()
         self.owner = owner
         self.peer = peer
@@ -171,14 +171,14 @@
         """Handle a call of the peer."""
         if not self.greeted:
             self.owner.reactor.callLater(0, self._reject_unknown_peer, "called before it said who it is")
-            raise CallFailed(CallError.UNKNOWN_PEER)
+            raise CallError(CallFailure.UNKNOWN_PEER)
         self.owner.counters["peer_calls_received"] += 1
         response = defer.maybeDeferred(self.owner.handle_call, self.peer, kind, body)
         return response.addCallbacks(lambda result: {"body": result}, self._call_rejected)
 
     def _call_rejected(self, failure: Failure) -> None:
         self.owner.counters["peer_calls_rejected"] += 1
-        raise CallFailed(str(failure.value)[:200])
+        raise CallError(str(failure.value)[:200])
 
     # Calls to the peer
 
@@ -188,13 +188,13 @@
         return hello.addCallback(lambda response: response["name"])
 
     def call(self, kind: str, body: bytes) -> "defer.Deferred[bytes]":
-        """Call the peer; the result is the response's body, or fails with `CallFailed`."""
+        """Call the peer; the result is the response's body, or fails with `CallError`."""
         if len(body) > MAX_BODY_BYTES:
-            return defer.fail(CallFailed(CallError.TOO_LARGE))
+            return defer.fail(CallError(CallFailure.TOO_LARGE))
         bytes_in_flight = self.bytes_in_flight + len(body)
         if self.calls_in_flight >= MAX_CALLS_IN_FLIGHT or bytes_in_flight > MAX_BYTES_IN_FLIGHT:
             self.owner.counters["peer_calls_over_limit"] += 1
-            return defer.fail(CallFailed(CallError.OVER_LIMIT))
+            return defer.fail(CallError(CallFailure.OVER_LIMIT))
         self.calls_in_flight += 1
         self.bytes_in_flight = bytes_in_flight
         self.owner.counters["peer_calls_sent"] += 1
@@ -207,7 +207,7 @@
     def _call_timed_out(self, response: "defer.Deferred[bytes]") -> None:
         self.owner.counters["peer_call_timeouts"] += 1
         self.consecutive_timeouts += 1
-        response.errback(CallFailed(CallError.TIMEOUT))
+        response.errback(CallError(CallFailure.TIMEOUT))
         if self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             # The peer takes our bytes and does not respond: a new connection may do better.
             self.transport.abortConnection()
@@ -229,7 +229,7 @@
         if not isinstance(result, Failure):
             self.consecutive_timeouts = 0
             response.callback(result["body"])
-        elif result.check(CallFailed):
+        elif result.check(CallError):
             response.errback(result)
         else:
-            response.errback(CallFailed(CallError.UNREACHABLE))
+            response.errback(CallError(CallFailure.UNREACHABLE))
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallFailed
+from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
 from lotusroute.net.discovery import HOLD
 from lotusroute.net.structured_log import log_event
 
@@ -117,7 +117,7 @@
 
     def _on_send_failed(self, reason) -> None:
         """One that was not reached calls by itself."""
-        reason.trap(CallFailed)
+        reason.trap(CallError)
         self.counters["shared_discovery_unsent"] += 1
 
     # The others
@@ -127,9 +127,9 @@
         update = msgspec.msgpack.decode(body, type=SharedUpdate)
         if update.fencing_token < self.highest_fencing_token:
             self.counters["shared_discovery_fenced"] += 1
-            raise CallFailed("a later holder has spoken")
+            raise CallError("a later holder has spoken")
         if self.discovery is None or update.discovery_url != self.discovery.base or self.fencing_token:
-            raise CallFailed("not followed here")
+            raise CallError("not followed here")
         if update.fencing_token > self.highest_fencing_token:
             log_event("shared discovery followed", holder=peer, fence=update.fencing_token)
         self.highest_fencing_token, self.last_update_at, self.holder_seq = (
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -22,7 +22,7 @@
     OBSERVER,
     SHOW,
     CallError,
-    CallFailed,
+    CallFailure,
     CallHandler,
     PeerConnection,
 )
@@ -55,7 +55,7 @@
     ) -> None:
         """Set up without connecting.
 
-        `handle_call(peer, kind, body)` returns the response's body, or raises `CallFailed`.
+        `handle_call(peer, kind, body)` returns the response's body, or raises `CallError`.
         `on_connected(peer)` is called when an outbound connection is up, `on_disconnected(peer)` when it is
         lost or could not be opened, or when the last inbound connection of a peer is lost.
         """
@@ -100,18 +100,18 @@
     # Calls
 
     def call(self, peer: str, kind: str, body: bytes) -> "defer.Deferred[bytes]":
-        """Call a peer on the outbound connection; the result is its response, or fails with `CallFailed`."""
+        """Call a peer on the outbound connection; the result is its response, or fails with `CallError`."""
         connection = self.outbound.get(peer)
         if connection is None:
             self.connect(peer)
-            return defer.fail(CallFailed(CallError.UNREACHABLE))
+            return defer.fail(CallError(CallFailure.UNREACHABLE))
         return connection.call(kind, body)
 
     def call_inbound(self, peer: str, kind: str, body: bytes) -> "defer.Deferred[bytes]":
         """Call a process that connected to this one, on its newest connection."""
         connections = self.inbound.get(peer)
         if not connections:
-            return defer.fail(CallFailed(CallError.UNREACHABLE))
+            return defer.fail(CallError(CallFailure.UNREACHABLE))
         return connections[-1].call(kind, body)
 
     # Outbound connections
@@ -180,7 +180,7 @@
     # Called by the connections
 
     def admits_subscriber(self, name: str) -> bool:
-        """Whether a process that is not a peer may connect: its name is valid and the limit is not reached."""
+        """Whether a process that is not a peer may connect: a valid name, and below the limit."""
         if SUBSCRIBER_NAME.fullmatch(name) is None:
             return False
         subscribers = len(self.inbound) - len(self.inbound.keys() & self.config.peers.keys())
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer
 
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.peer_connection import CallFailed
+from lotusroute.fleet.peer_connection import CallError
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
@@ -108,7 +108,7 @@
                 self.counters["update_bytes_sent"] += len(body)
                 told = await call(to, "news", body)
             at = messages.at(told)
-        except (CallFailed, msgspec.MsgspecError):
+        except (CallError, msgspec.MsgspecError):
             self.counters["updates_unacknowledged"] += 1
             self.fan.leave(to)
             return
@@ -123,10 +123,10 @@
     def _follow(self, peer: str, body: bytes) -> bytes:
         """A subscriber wants to follow, from a version."""
         if self.old() > NEVER / 2:
-            raise CallFailed("nothing to tell yet")
+            raise CallError("nothing to tell yet")
         if peer not in self.taken and len(self.fan.followers) >= self.fan.most:
             self.counters["subscribers_dropped_full"] += 1
-            raise CallFailed("full")
+            raise CallError("full")
         self.taken[peer] = "guest"
         version = messages.at(body)
         self.reactor.callLater(0, self._begin, peer, version)
@@ -142,7 +142,7 @@
         fence = word.version[0]
         if peer not in self.part.config.peers or fence < self.highest or self.fence >= fence:
             self.counters["updates_fenced"] += 1
-            raise CallFailed("a later origin has spoken")
+            raise CallError("a later origin has spoken")
         if fence > self.highest:
             log_event("origin followed", origin=peer, fence=fence)
         self.highest = fence
@@ -157,7 +157,7 @@
                 elif outcome == SPOILT:
                     return messages.acknowledged(Version())
                 elif outcome == OLDER:
-                    raise CallFailed("a later origin has spoken")
+                    raise CallError("a later origin has spoken")
         if self.store.version == word.version:
             self.known_at = max(self.known_at, now - word.age)
         return messages.acknowledged(self.store.version)
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -17,7 +17,7 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import CallFailed
+from lotusroute.fleet.peer_connection import CallError
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.net.config import parse_address
@@ -132,17 +132,17 @@
             log_event("relay joined", relay=relay, version=self.store.version.number)
 
     def _refused(self, relay: str, reason) -> None:
-        reason.trap(CallFailed)
+        reason.trap(CallError)
         self._lost(relay)
 
     # What comes
 
     def _serve(self, peer: str, kind: str, body: bytes) -> bytes:
         if kind != "news":
-            raise CallFailed(f"no call '{kind[:32]}'")
+            raise CallError(f"no call '{kind[:32]}'")
         word, now = messages.read(body), self.clock()
         if not self.follower.word(now, peer):
-            raise CallFailed("not followed here")
+            raise CallError("not followed here")
         if word.parts or word.since is not None:
             self.counters["updates_received"] += 1
             news = self.assembly.take(word)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -18,7 +18,7 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.peer_connection import CallFailed, PeerConnection
+from lotusroute.fleet.peer_connection import CallError, PeerConnection
 from lotusroute.fleet.shared_discovery import SharedDiscovery
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import Acceptor, AcceptorState
@@ -109,12 +109,12 @@
     assert asked.result == b"\0back"
     refused = connection.call("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
     _exchange(connection, transport, REFUSED.replace(b"\x012", b"\x013"))
-    assert type(refused.result) is CallFailed and str(refused.result) == "low"
+    assert type(refused.result) is CallError and str(refused.result) == "low"
     assert not transport.disconnecting
 
 
 def test_the_link_answers_these_boxes():
-    heard, answers = [], iter([b"\0back", defer.fail(CallFailed("low"))])
+    heard, answers = [], iter([b"\0back", defer.fail(CallError("low"))])
 
     def serve(*said):
         heard.append(said)
