--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -1,33 +1,37 @@
-"""Leases on the link: the one module that joins the pure machines to sockets, timers and the disk.
+"""The lease service of one process: connects the pure proposer and acceptor to peers, timers and the disk.
 
-Owns this balancer's asker, its keeper where it is one, and what travels between them. It must never grant or
-hold by itself, write to disk on the reactor's thread, or touch a flow: with all of it gone the balancer goes
-on as without.
+It sends the proposer's requests to the acceptors, answers those of other processes with the own acceptor, if
+this process is one, and persists ballots on a thread. The process serves traffic without it all the same: no
+decision about a flow depends on a lease.
 """
 
 import math
 import os
 import random
 import time
+from collections import Counter
 from collections.abc import Callable
+from typing import Any
 
 import msgspec
-from twisted.internet import threads
+from twisted.internet import defer, threads
+from twisted.internet.base import DelayedCall, ReactorBase
+from twisted.python.failure import Failure
 
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import OBSERVER, CallError
-from lotusroute.fleet.transport import PeerTransport
-from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, PersistBallots
+from lotusroute.fleet.peer_connection import OBSERVER, SHOW, CallError
+from lotusroute.fleet.transport import PeerTransport, ignore_peer
+from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, AcceptorState, PersistBallots
 from lotusroute.leases.messages import (
     REQUEST_TYPES,
     LeaseAcquired,
+    LeaseAction,
+    LeaseEvent,
     LeaseLost,
     LeaseReleased,
-    Prepare,
-    Propose,
-    Release,
+    LeaseRequest,
     ReleaseLease,
     Reply,
     ReplyReceived,
@@ -35,248 +39,285 @@
     SendRequest,
     Tick,
 )
-from lotusroute.leases.proposer import Proposer
+from lotusroute.leases.proposer import Proposer, ProposerState
 from lotusroute.net.structured_log import log_event
 
-MIN_TICK_INTERVAL = 5.0  # ms between two looks at the clock
+FREED = "freed"  # the kind of the call that notifies a waiting proposer of a release
+MIN_TICK_INTERVAL = 5.0  # ms
+
+
+def ignore_lease(task: str, fencing_token: int) -> None:
+    """Ignore a change of leases; the default callback."""
+
+
+def peer_of(proposer: str) -> str:
+    """Return the name of the process that a proposer belongs to.
+
+    >>> peer_of("n1#0a1b2c3d")
+    'n1'
+    """
+    return proposer.partition("#")[0]
 
 
 class LeaseService:
-    """The fleet's part of one balancer."""
+    """The proposer of one process, its acceptor if it is one, and their connections to the peers."""
 
     def __init__(
         self,
-        reactor,
+        reactor: ReactorBase,
         config: FleetConfig,
         name: str,
-        counters,
-        on_lease_changed: Callable = lambda task, fencing_token: None,
+        counters: Counter,
+        on_lease_changed: Callable[[str, int], object] = ignore_lease,
     ) -> None:
-        """`changed(task, fence)` is called as a task becomes this balancer's, and with 0 as it ends."""
+        """Set up without connecting; raises `ConfigError` where the configuration does not fit this process.
+
+        `on_lease_changed(task, fencing_token)` is called when this process acquires a lease, and with 0 when
+        it loses one.
+        """
         if name not in config.peers:
-            raise InvalidValueError(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
-        self.reactor, self.config, self.name, self.counters, self.on_lease_changed = (
-            reactor,
-            config,
-            name,
-            counters,
-            on_lease_changed,
-        )
+            raise ConfigError(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
+        self.reactor = reactor
+        self.config = config
+        self.name = name
+        self.counters = counters
+        self.on_lease_changed = on_lease_changed
+        self.on_peer_disconnected: Callable[[str], object] = ignore_peer
+        # Further kinds of calls and further sections of the status; services add theirs before the start.
+        self.call_handlers: dict[str, Callable[[str, bytes], bytes]] = {}
+        self.status_providers: dict[str, Callable[[], object]] = {}
         rng = random.Random(os.urandom(16))
-        # A process that comes back under its name is not the one that held.
+        # The suffix is unique to this start: what an earlier process of this name holds is not ours.
         self.proposer = Proposer(f"{name}#{os.urandom(4).hex()}", config.terms, rng)
-        self.call_handlers: dict[
-            str, Callable[[str, bytes], bytes]
-        ] = {}  # further calls, by kind; set at the start
-        self.status_providers: dict[
-            str, Callable[[], object]
-        ] = {}  # what further parts show, by name; set at the start
-        self.on_peer_disconnected: Callable[[str], object] = (
-            str  # called as a peer's last connection here ends
-        )
         self.transport = PeerTransport(
-            reactor,
-            config,
-            name,
-            rng,
-            counters,
-            self.handle_call,
-            on_disconnected=lambda peer: self.on_peer_disconnected(peer),
+            reactor, config, name, rng, counters, self.handle_call, on_disconnected=self._peer_disconnected
         )
-        self.acceptor: Acceptor | None = None
+        self.acceptor = self._create_acceptor()
         self.persisting = False
-        self.tick_timer = None
+        self.tick_timer: DelayedCall | None = None
         self.stopped = False
-        if name in config.terms.acceptors:
-            if not config.state_dir or not os.path.isdir(config.state_dir):
-                raise InvalidValueError(
-                    f"LB_FLEET: state: '{config.state_dir}' is no folder, and a keeper needs one"
-                )
-            self.acceptor = Acceptor(config.terms, self.clock(), acceptor_storage.load(config.state_dir))
+
+    def _create_acceptor(self) -> Acceptor | None:
+        """Create the acceptor with its persisted ballot; None if this process is not an acceptor."""
+        if self.name not in self.config.terms.acceptors:
+            return None
+        state_dir = self.config.state_dir
+        if not state_dir or not os.path.isdir(state_dir):
+            raise ConfigError(f"LB_FLEET: state: '{state_dir}' is no folder, and a keeper needs one")
+        return Acceptor(self.config.terms, self.clock(), acceptor_storage.load(state_dir))
 
     @staticmethod
     def clock() -> float:
-        """Milliseconds of the machine's own clock, which nothing sets."""
+        """Return the monotonic time in milliseconds."""
         return time.monotonic() * 1000
 
-    def start(self):
-        """Open the link and ask for the tasks; brings the listening, or its failure."""
+    def start(self) -> "defer.Deferred[None]":
+        """Connect to the acceptors and request the configured tasks; the result is that of listening."""
         for acceptor in self.config.terms.acceptors:
             if acceptor != self.name:
                 self.transport.connect(acceptor)
         if self.acceptor is not None:
-            self._persist_ballots(PersistBallots(self.acceptor.ballot_floor + BALLOT_BLOCK))
-            silent = self.acceptor.serving_from - self.clock()
-            self.reactor.callLater(
-                max(0.0, silent) / 1000, log_event, "acceptor serving", floor=self.acceptor.ballot_floor
-            )
+            self._start_acceptor(self.acceptor)
         for task in self.config.tasks:
             self.handle_event(RequestLease(task))
         return self.transport.listen()
 
+    def _start_acceptor(self, acceptor: Acceptor) -> None:
+        floor = acceptor.ballot_floor
+        self._persist_ballots(acceptor, PersistBallots(floor + BALLOT_BLOCK))
+        silent = max(0.0, acceptor.serving_from - self.clock())
+        self.reactor.callLater(silent / 1000, log_event, "acceptor serving", floor=floor)
+
     def stop(self) -> None:
-        """Let go of all, so that the next holder has it at once."""
+        """Release all leases, so that other processes can acquire them at once."""
         if self.stopped:
             return
         self.stopped = True
         for task in list(self.proposer.states):
             self.handle_event(ReleaseLease(task))
-        if self.tick_timer is not None and self.tick_timer.active():
-            self.tick_timer.cancel()
+        self._cancel_tick()
 
     def fencing_token(self, task: str, max_duration: float) -> int:
-        """The fence for an act that takes `longest` ms at most; 0 where it must not begin."""
+        """Return the fencing token for an act of at most `max_duration` ms; 0 if it must not begin."""
         return self.proposer.fencing_token(task, self.clock(), max_duration)
 
     def other_peers(self) -> list[str]:
-        """All balancers of the fleet but this one."""
+        """Return all processes of the fleet but this one."""
         return [peer for peer in self.config.peers if peer != self.name]
 
-    # The asker
+    def _peer_disconnected(self, peer: str) -> None:
+        self.on_peer_disconnected(peer)
 
-    def handle_event(self, event) -> None:
+    # The proposer
+
+    def handle_event(self, event: LeaseEvent) -> None:
+        """Pass an event to the proposer and carry out its actions."""
         for action in self.proposer.handle(self.clock(), event):
-            if isinstance(action, SendRequest):
-                self._send_request(action)
-            elif isinstance(action, LeaseAcquired):
-                self.counters["leases_acquired"] += 1
-                log_event("lease acquired", task=action.task, fence=action.fencing_token)
-                self.on_lease_changed(action.task, action.fencing_token)
-            elif isinstance(action, LeaseLost):
-                self.counters[f"leases_lost_{action.reason.replace(' ', '_')}"] += 1
-                log_event("lease lost", task=action.task, why=action.reason)
-                self.on_lease_changed(action.task, 0)
+            self._carry_out(action)
         self._schedule_tick()
 
+    def _carry_out(self, action: LeaseAction) -> None:
+        match action:
+            case SendRequest(acceptor, request):
+                self._send_request(acceptor, request)
+            case LeaseAcquired(task, fencing_token):
+                self.counters["leases_acquired"] += 1
+                log_event("lease acquired", task=task, fence=fencing_token)
+                self.on_lease_changed(task, fencing_token)
+            case LeaseLost(task, reason):
+                self.counters[f"leases_lost_{reason.replace(' ', '_')}"] += 1
+                log_event("lease lost", task=task, why=reason)
+                self.on_lease_changed(task, 0)
+
     def _schedule_tick(self) -> None:
         if self.stopped:
             return
-        due = self.proposer.next_tick_in(self.clock())
+        delay = self.proposer.next_tick_in(self.clock())
+        self._cancel_tick()
+        if delay < math.inf:
+            delay = max(MIN_TICK_INTERVAL, delay)
+            self.tick_timer = self.reactor.callLater(delay / 1000, self.handle_event, Tick())
+
+    def _cancel_tick(self) -> None:
         if self.tick_timer is not None and self.tick_timer.active():
             self.tick_timer.cancel()
-        if due < math.inf:
-            self.tick_timer = self.reactor.callLater(
-                max(MIN_TICK_INTERVAL, due) / 1000, self.handle_event, Tick()
-            )
-
-    def _send_request(self, request: SendRequest) -> None:
-        if request.acceptor == self.name:
-            # In a turn of its own: the asker is in the middle of deciding.
-            self.reactor.callLater(
-                0, lambda: self._on_reply(self.name, self._answer_request(request.request))
-            )
+
+    def _send_request(self, acceptor: str, request: LeaseRequest) -> None:
+        if acceptor == self.name:
+            # On the reactor's next iteration: the proposer is still handling an event.
+            self.reactor.callLater(0, self._request_locally, request)
             return
-        kind = request.request.kind
-        call = self.transport.call(request.acceptor, kind, msgspec.msgpack.encode(request.request))
-        call.addCallback(msgspec.msgpack.decode, type=Reply)
-        call.addCallbacks(lambda reply: self._on_reply(request.acceptor, reply), self._on_request_failed)
+        call = self.transport.call(acceptor, request.kind, msgspec.msgpack.encode(request))
+        reply = call.addCallback(msgspec.msgpack.decode, type=Reply)
+        reply.addCallbacks(lambda reply: self._on_reply(acceptor, reply), self._on_call_failed)
+
+    def _request_locally(self, request: LeaseRequest) -> None:
+        """Send a request of the own proposer to the own acceptor."""
+        if self.acceptor is not None:
+            self._on_reply(self.name, self._answer_request(self.acceptor, request))
 
-    def _on_reply(self, acceptor: str, reply: Reply | None) -> None:
-        if reply is not None and not self.stopped:
+    def _on_reply(self, acceptor: str, reply: Reply) -> None:
+        if not self.stopped:
             self.handle_event(ReplyReceived(acceptor, reply))
 
-    def _on_request_failed(self, reason) -> None:
-        """A keeper that is away says nothing, and time does the rest."""
-        reason.trap(CallError, msgspec.MsgspecError)
+    def _on_call_failed(self, failure: Failure) -> None:
+        """Count an unanswered call; the proposer's timeouts handle it."""
+        failure.trap(CallError, msgspec.MsgspecError)
         self.counters["lease_requests_unanswered"] += 1
 
-    # The keeper
+    # Calls from peers
 
-    def handle_call(self, peer: str, kind: str, body: bytes):
-        if kind == "show":
+    def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
+        """Handle a call of a peer and return the response's body; raises `CallError` to reject it."""
+        if kind == SHOW:
             return msgspec.json.encode(self.show())
         if peer == OBSERVER:
             raise CallError("a command may only look")
-        if kind == "freed":
+        if kind == FREED:
             self.handle_event(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
         if kind in self.call_handlers:
             return self.call_handlers[kind](peer, body)
+        return self._handle_request(peer, kind, body)
+
+    # The acceptor
+
+    def _handle_request(self, peer: str, kind: str, body: bytes) -> bytes:
         if kind not in REQUEST_TYPES or self.acceptor is None:
             raise CallError(f"no keeper, or no call '{kind[:32]}'")
         try:
             request = msgspec.msgpack.decode(body, type=REQUEST_TYPES[kind])
-        except msgspec.MsgspecError as fault:
+        except msgspec.MsgspecError as error:
             self.counters["peer_malformed_input"] += 1
-            raise CallError(f"{kind}: {fault}") from None
-        if request.proposer.partition("#")[0] != peer:
+            raise CallError(f"{kind}: {error}") from None
+        if peer_of(request.proposer) != peer:
             self.counters["lease_requests_spoofed"] += 1
             raise CallError(f"{kind}: asked for another")
-        return msgspec.msgpack.encode(self._answer_request(request))
+        return msgspec.msgpack.encode(self._answer_request(self.acceptor, request))
 
-    def _answer_request(self, request: Prepare | Propose | Release) -> Reply | None:
-        if self.acceptor is None:
-            return None
-        reply, reserve, waiters = self.acceptor.handle(self.clock(), request)
-        if not reply.accepted:
-            self.counters[f"acceptor_rejected_{reply.reason}"] += 1
-        if reserve is not None:
-            self._persist_ballots(reserve)
-        for waiter in waiters:
-            self._notify_released(waiter, request.task)
-        return reply
+    def _answer_request(self, acceptor: Acceptor, request: LeaseRequest) -> Reply:
+        decision = acceptor.handle(self.clock(), request)
+        if not decision.reply.accepted:
+            self.counters[f"acceptor_rejected_{decision.reply.reason}"] += 1
+        if decision.persist is not None:
+            self._persist_ballots(acceptor, decision.persist)
+        for proposer in decision.notify:
+            self._notify_released(proposer, request.task)
+        return decision.reply
 
     def _notify_released(self, proposer: str, task: str) -> None:
-        peer = proposer.partition("#")[0]
+        """Notify a waiting proposer that the holder released the lease."""
+        peer = peer_of(proposer)
+        released = LeaseReleased(task)
         if peer == self.name:
-            self.reactor.callLater(0, lambda: self.stopped or self.handle_event(LeaseReleased(task)))
+            self.reactor.callLater(0, self._on_local_release, released)
             return
-        call = self.transport.call_inbound(peer, "freed", msgspec.msgpack.encode(LeaseReleased(task)))
-        call.addErrback(self._on_request_failed)
+        call = self.transport.call_inbound(peer, FREED, msgspec.msgpack.encode(released))
+        call.addErrback(self._on_call_failed)
+
+    def _on_local_release(self, released: LeaseReleased) -> None:
+        if not self.stopped:
+            self.handle_event(released)
 
-    def _persist_ballots(self, reserve: PersistBallots) -> None:
+    def _persist_ballots(self, acceptor: Acceptor, persist: PersistBallots) -> None:
+        """Write a ballot on a thread; one write at a time."""
         if self.persisting:
             return
         self.persisting = True
-        writing = threads.deferToThread(acceptor_storage.store, self.config.state_dir, reserve.below)
+        writing = threads.deferToThread(acceptor_storage.store, self.config.state_dir, persist.below)
+        writing.addCallbacks(lambda _: self._persisted(acceptor, persist.below), self._persist_failed)
 
-        def stored(_: object) -> None:
-            self.persisting = False
-            self.acceptor.ballots_persisted(reserve.below)
-
-        def failed(reason) -> None:
-            # Nothing above what disk has is promised: the fleet goes on with the other keepers.
-            self.persisting = False
-            self.counters["acceptor_storage_failures"] += 1
-            log_event("acceptor storage failed", why=str(reason.value)[:200])
+    def _persisted(self, acceptor: Acceptor, below: int) -> None:
+        self.persisting = False
+        acceptor.ballots_persisted(below)
 
-        writing.addCallbacks(stored, failed)
+    def _persist_failed(self, failure: Failure) -> None:
+        # No ballot above the persisted one is promised: the fleet goes on with the other acceptors.
+        self.persisting = False
+        self.counters["acceptor_storage_failures"] += 1
+        log_event("acceptor storage failed", why=str(failure.value)[:200])
 
-    # What operators see
+    # The status
 
-    def show(self) -> dict:
-        """Tasks, connections and keeper, for `leases show` and `fleet show`; times in ms from now."""
+    def show(self) -> dict[str, Any]:
+        """Return the status for `leases show` and `fleet show`; times in ms from now."""
         now = self.clock()
-        tasks = {
-            task: {
-                "holds": state.holds(now),
-                "fence": state.ballot if state.holds(now) else 0,
-                "left_ms": round(state.held_until - now) if state.holds(now) else 0,
-                "step": state.phase,
-                "asks_in_ms": round(max(0.0, state.retry_at - now)) if state.retry_at > -math.inf else 0,
-                "highest_seen": state.highest_ballot,
-            }
-            for task, state in self.proposer.states.items()
-        }
-        acceptor_states = {}
+        acceptor_states: dict[str, AcceptorState] = {}
+        silent = 0
         if self.acceptor is not None:
-            acceptor_states = {
-                task: {
-                    "holder": entry.holder,
-                    "fence": entry.ballot,
-                    "promised": entry.promised,
-                    "left_ms": round(max(0.0, entry.held_until - now)) if entry.holder else 0,
-                }
-                for task, entry in self.acceptor.states.items()
-            }
-        silent = round(max(0.0, self.acceptor.serving_from - now)) if self.acceptor else 0
+            acceptor_states = self.acceptor.states
+            silent = round(max(0.0, self.acceptor.serving_from - now))
         return {
             "name": self.name,
             "fleet": self.config.name,
-            "tasks": tasks,
-            "keeps": acceptor_states,
+            "tasks": {task: _show_proposer(state, now) for task, state in self.proposer.states.items()},
+            "keeps": {task: _show_acceptor(state, now) for task, state in acceptor_states.items()},
             "keeper": self.acceptor is not None,
             "keeper_silent_ms": silent,
             "connections": {"out": sorted(self.transport.outbound), "in": sorted(self.transport.inbound)},
-            **{name: show() for name, show in self.status_providers.items()},
+            **{name: provide() for name, provide in self.status_providers.items()},
         }
+
+
+def _show_proposer(state: ProposerState, now: float) -> dict[str, Any]:
+    holds = state.holds(now)
+    retry_in = 0.0
+    if state.retry_at > -math.inf:
+        retry_in = max(0.0, state.retry_at - now)
+    return {
+        "holds": holds,
+        "fence": state.ballot if holds else 0,
+        "left_ms": round(state.held_until - now) if holds else 0,
+        "step": state.phase,
+        "asks_in_ms": round(retry_in),
+        "highest_seen": state.highest_ballot,
+    }
+
+
+def _show_acceptor(state: AcceptorState, now: float) -> dict[str, Any]:
+    return {
+        "holder": state.holder,
+        "fence": state.ballot,
+        "promised": state.promised,
+        "left_ms": round(max(0.0, state.held_until - now)) if state.holder else 0,
+    }
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -1,92 +1,111 @@
-"""The task `watch`: its holder follows discovery and hands on what it hears, the others call when they must.
+"""The leased task `watch`: one balancer polls discovery and sends each update to all others.
 
-Owns who calls discovery, and what is taken from a holder's word. It must never keep a balancer from calling
-for longer than STALE, take a list under a lower fence than one it has seen, or pass on what discovery did not
-tell.
+The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
+discovery themselves once no message has come for `HOLDER_TIMEOUT`, or while the holder has a newer version
+than they do. Updates under a lower fencing token than one seen are rejected, and a holder that discovery does
+not answer stays silent. `Discovery` awaits `turn` before each poll and reports each outcome to `answered` or
+`failed`.
 """
 
+from typing import Any
+
 import msgspec
 from twisted.internet import defer
+from twisted.python.failure import Failure
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
-from lotusroute.net.discovery import HOLD
+from lotusroute.net.discovery import HOLD, Discovery
 from lotusroute.net.structured_log import log_event
 
-TASK = "watch"
-HEARTBEAT_INTERVAL = 0.4  # s between a holder's words: three fit into STALE, one lost is nothing
-HOLDER_TIMEOUT = 1_500.0  # ms without a word until a balancer calls by itself: within a drain's 2 s
-MAX_ANSWER_AGE = HOLD + 1_000.0  # ms after discovery's last answer in which a holder still speaks
-MAX_SEND_DURATION = 50.0  # ms that handing on takes at most: so much of the lease must be left
+TASK = "watch"  # the leased task, and the kind of the call that carries an update
+HEARTBEAT_INTERVAL = 0.4  # s; three fit into HOLDER_TIMEOUT, so that a lost one does no harm
+HOLDER_TIMEOUT = 1_500.0  # ms without a message until a balancer polls itself: within the 2 s for a drain
+MAX_ANSWER_AGE = HOLD + 1_000.0  # ms after discovery's last answer in which the holder sends heartbeats
+MAX_SEND_DURATION = 50.0  # ms that sending takes at most: so much of the lease must be left
+NEVER = -1e12  # ms, a time before any other
+NO_SEQ = -1
 
 
 class SharedUpdate(msgspec.Struct, array_like=True):
-    """What a holder tells: that it listens, and a list or changes where there are any."""
+    """A heartbeat, or an update with endpoints; the order of fields is the wire format."""
 
     fencing_token: int
-    discovery_url: str  # discovery's address: versions of another say nothing
+    discovery_url: str  # versions of another discovery service cannot be compared
     seq: int  # the version that the holder has
-    since: int = -1  # the version that `hosts` are changes to; -1 where they are all or there are none
+    since: int = NO_SEQ  # the version that `entries` are changes to; NO_SEQ if complete, or a heartbeat
     complete: bool = False
-    entries: list | None = None
+    entries: list | None = None  # discovery's entries; None in a heartbeat
 
 
 class SharedDiscovery:
-    """This balancer's part in the task; what `Discovery` asks before it calls."""
+    """One balancer's part in the task, as holder or as follower."""
 
     def __init__(self, lease_service: LeaseService) -> None:
-        self.lease_service, self.reactor, self.counters = (
-            lease_service,
-            lease_service.reactor,
-            lease_service.counters,
-        )
-        self.discovery = None  # the one that follows now; another after a reload
+        self.lease_service = lease_service
+        self.reactor = lease_service.reactor
+        self.counters = lease_service.counters
+        self.discovery: Discovery | None = None  # the current one; replaced at a reload
         self.fencing_token = 0  # while this balancer holds the task
-        self.highest_fencing_token = 0  # the highest fence under which a word was taken
-        self.last_update_at = -1e12  # ms, when a word was last taken
-        self.holder_seq = -1  # the version that the holder had, by its last word
-        self.answered_at = -1e12  # ms, when discovery last answered this balancer well
-        self.waiting: defer.Deferred | None = None
-        lease_service.call_handlers["watch"] = self.on_update
+        self.highest_fencing_token = 0  # of the messages accepted so far
+        self.last_update_at = NEVER  # ms, when a message was last accepted
+        self.holder_seq = NO_SEQ  # the version that the holder had at its last message
+        self.answered_at = NEVER  # ms, when discovery last answered this balancer
+        self.waiting: defer.Deferred[None] | None = None
+        lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
-    # What Discovery asks and tells
+    # Called by Discovery
 
-    async def turn(self, discovery) -> None:
-        """Wait until this balancer has to call discovery by itself, or this one is followed no more."""
+    async def turn(self, discovery: Discovery) -> None:
+        """Wait until this balancer has to poll discovery itself, or this discovery is closed."""
         while not (self.fencing_token or self._behind() or discovery.closed):
-            left = self.last_update_at + HOLDER_TIMEOUT - self.lease_service.clock()
-            if left <= 0:
+            remaining = self.last_update_at + HOLDER_TIMEOUT - self.lease_service.clock()
+            if remaining <= 0:
                 break
             self.waiting = defer.Deferred()
-            timer = self.reactor.callLater(left / 1000, self.wake)
+            timer = self.reactor.callLater(remaining / 1000, self.wake)
             await self.waiting
             if timer.active():
                 timer.cancel()
         self.counters["shared_discovery_fallback_requests"] += 1
 
+    def wake(self) -> None:
+        """Make a waiting `turn` check again whether to poll."""
+        waiting = self.waiting
+        self.waiting = None
+        if waiting is not None:
+            waiting.callback(None)
+
     def age(self) -> float:
-        """How long ago a holder's word was last taken, in s: so old is the list at most."""
+        """Return the maximum age of the endpoint list in s: the time since the holder's last message."""
         return (self.lease_service.clock() - self.last_update_at) / 1000
 
-    def answered(self, answer: dict, since: int | None) -> None:
-        """Discovery has answered this balancer; a holder hands it on."""
+    def answered(self, answer: dict[str, Any], since: int | None) -> None:
+        """Send discovery's answer to the others, if this balancer is the holder."""
         self.answered_at = self.lease_service.clock()
-        if self.lease_service.fencing_token(TASK, MAX_SEND_DURATION) and (answer["hosts"] or answer["whole"]):
-            update = SharedUpdate(
-                self.fencing_token, self.discovery.base, answer["seq"], -1 if since is None else since
+        if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
+            return
+        if answer["hosts"] or answer["whole"]:
+            self._broadcast(
+                SharedUpdate(
+                    self.fencing_token,
+                    self.discovery.base,
+                    answer["seq"],
+                    NO_SEQ if since is None else since,
+                    answer["whole"],
+                    answer["hosts"],
+                )
             )
-            update.complete, update.entries = answer["whole"], answer["hosts"]
-            self._broadcast(update)
 
     def failed(self) -> None:
-        """Discovery has not: a holder says nothing until it does, and the others call for themselves."""
-        self.answered_at = -1e12
+        """Stop the heartbeats after a failed poll until the next answer: the others poll themselves."""
+        self.answered_at = NEVER
 
     # The holder
 
     def on_lease_changed(self, task: str, fencing_token: int) -> None:
-        """The task came to this balancer or left it."""
+        """Start or stop sending, as this balancer acquires or loses the lease."""
         if task != TASK:
             return
         self.fencing_token = fencing_token
@@ -97,61 +116,62 @@
             self._send_heartbeat(fencing_token)
 
     def _send_heartbeat(self, fencing_token: int) -> None:
+        """Send heartbeats for as long as this lease is held."""
         if fencing_token != self.fencing_token:
             return
         self.reactor.callLater(HEARTBEAT_INTERVAL, self._send_heartbeat, fencing_token)
-        known = self.discovery is not None and self.discovery.seq is not None
+        if self.discovery is None or self.discovery.seq is None:
+            return
         fresh = self.lease_service.clock() - self.answered_at < MAX_ANSWER_AGE
-        if known and fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
+        if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
             self._broadcast(SharedUpdate(fencing_token, self.discovery.base, self.discovery.seq))
 
     def _broadcast(self, update: SharedUpdate) -> None:
         body = msgspec.msgpack.encode(update)
         if len(body) > MAX_BODY_BYTES:
-            # Too long for one call: the version in the next beat tells them to call.
+            # The version in the next heartbeat makes the others poll.
             self.counters["shared_discovery_oversized"] += 1
             return
         self.counters["shared_discovery_sent"] += 1
         for peer in self.lease_service.other_peers():
-            self.lease_service.transport.call(peer, "watch", body).addErrback(self._on_send_failed)
+            self.lease_service.transport.call(peer, TASK, body).addErrback(self._on_send_failed)
 
-    def _on_send_failed(self, reason) -> None:
-        """One that was not reached calls by itself."""
-        reason.trap(CallError)
+    def _on_send_failed(self, failure: Failure) -> None:
+        """Count an update that did not arrive; its receiver will poll."""
+        failure.trap(CallError)
         self.counters["shared_discovery_unsent"] += 1
 
-    # The others
+    # The followers
 
     def on_update(self, peer: str, body: bytes) -> bytes:
-        """A holder's word came."""
+        """Handle a message of the holder; raises `CallError` to reject it."""
         update = msgspec.msgpack.decode(body, type=SharedUpdate)
         if update.fencing_token < self.highest_fencing_token:
             self.counters["shared_discovery_fenced"] += 1
             raise CallError("a later holder has spoken")
-        if self.discovery is None or update.discovery_url != self.discovery.base or self.fencing_token:
+        discovery = self.discovery
+        if discovery is None or update.discovery_url != discovery.base or self.fencing_token:
             raise CallError("not followed here")
         if update.fencing_token > self.highest_fencing_token:
             log_event("shared discovery followed", holder=peer, fence=update.fencing_token)
-        self.highest_fencing_token, self.last_update_at, self.holder_seq = (
-            update.fencing_token,
-            self.lease_service.clock(),
-            update.seq,
-        )
+        self.highest_fencing_token = update.fencing_token
+        self.last_update_at = self.lease_service.clock()
+        self.holder_seq = update.seq
         if update.entries is not None:
-            answer = {"seq": update.seq, "whole": update.complete, "hosts": update.entries}
-            self.counters["shared_discovery_applied"] += self.discovery.handed(
-                answer, None if update.since < 0 else update.since
-            )
+            self._apply(discovery, update)
         if self._behind():
             self.wake()
         return b""
 
-    def _behind(self) -> bool:
-        """Whether the holder knows a list that has not come here."""
-        return self.discovery is None or self.discovery.seq is None or self.discovery.seq < self.holder_seq
+    def _apply(self, discovery: Discovery, update: SharedUpdate) -> None:
+        """Hand the update to discovery, which checks it like an answer of its own."""
+        answer = {"seq": update.seq, "whole": update.complete, "hosts": update.entries}
+        since = None if update.since < 0 else update.since
+        applied = discovery.handed(answer, since)
+        self.counters["shared_discovery_applied"] += applied
 
-    def wake(self) -> None:
-        """Look again whether a call is due."""
-        waiting, self.waiting = self.waiting, None
-        if waiting is not None:
-            waiting.callback(None)
+    def _behind(self) -> bool:
+        """Whether the holder has a version that has not arrived here."""
+        if self.discovery is None or self.discovery.seq is None:
+            return True
+        return self.discovery.seq < self.holder_seq
