--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -15,7 +15,7 @@
 from twisted.internet.base import DelayedCall
 
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.transport import CallFailed
+from lotusroute.fleet.peer_connection import CallError
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
@@ -121,7 +121,7 @@
                 self.counters["update_bytes_sent"] += len(body)
                 acknowledgement = await call(subscriber, messages.UPDATE_CALL, body)
             version = messages.decode_acknowledgement(acknowledgement)
-        except (CallFailed, msgspec.MsgspecError):
+        except (CallError, msgspec.MsgspecError):
             self.counters["updates_unacknowledged"] += 1
             self.fanout.remove(subscriber)
             return
@@ -154,10 +154,10 @@
     def _on_subscribe(self, peer: str, body: bytes) -> bytes:
         """Accept a subscriber, which says which version it has."""
         if self.age_ms() > UNKNOWN_AGE / 2:
-            raise CallFailed("nothing to tell yet")
+            raise CallError("nothing to tell yet")
         if peer not in self.routes and len(self.fanout.subscribers) >= self.fanout.max_subscribers:
             self.counters["subscribers_dropped_full"] += 1
-            raise CallFailed("full")
+            raise CallError("full")
         self.routes[peer] = Route.INBOUND
         version = messages.decode_acknowledgement(body)
         # After the answer, so that the subscriber knows that it was accepted when the first update arrives.
@@ -174,7 +174,7 @@
     # Updates from the origin
 
     def _on_update(self, peer: str, body: bytes) -> bytes:
-        """Apply an update; returns the acknowledgement, raises CallFailed for that of a deposed origin."""
+        """Apply an update; returns the acknowledgement, raises CallError for that of a deposed origin."""
         message = messages.decode_update(body)
         fencing_token = message.version[0]
         self._check_origin(peer, fencing_token)
@@ -193,7 +193,7 @@
         deposed = fencing_token < self.highest_fencing_token or self.fencing_token >= fencing_token
         if not known or deposed:
             self.counters["updates_fenced"] += 1
-            raise CallFailed("a later origin has spoken")
+            raise CallError("a later origin has spoken")
 
     def _receive(self, message: messages.UpdateMessage, now: float) -> UpdateOutcome | None:
         """Apply the update that is complete with this message; None where more parts are to come."""
@@ -205,7 +205,7 @@
         if outcome == UpdateOutcome.APPLIED:
             self._on_store_changed(now)
         elif outcome == UpdateOutcome.STALE:
-            raise CallFailed("a later origin has spoken")
+            raise CallError("a later origin has spoken")
         return outcome
 
     # The origin
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -15,7 +15,8 @@
 from twisted.python.failure import Failure
 
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.transport import CallFailed, PeerTransport
+from lotusroute.fleet.peer_connection import CallError
+from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.net.discovery import LINE, REFUSED
 from lotusroute.net.discovery_source import DiscoveryClient
@@ -91,7 +92,7 @@
             log_event("relay joined", relay=relay, version=self.store.version.sequence_number)
 
     def _on_rejected(self, relay: str, reason: Failure) -> None:
-        reason.trap(CallFailed)
+        reason.trap(CallError)
         self._on_lost(relay)
 
     def _on_lost(self, relay: str) -> None:
@@ -100,13 +101,13 @@
     # Updates
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
-        """Handle an update of a relay; returns the acknowledgement, raises CallFailed for other calls."""
+        """Handle an update of a relay; returns the acknowledgement, raises CallError for other calls."""
         if kind != messages.UPDATE_CALL:
-            raise CallFailed(f"no call '{kind[:32]}'")
+            raise CallError(f"no call '{kind[:32]}'")
         message = messages.decode_update(body)
         now = self.clock()
         if not self.selector.on_message(now, peer):
-            raise CallFailed("not followed here")
+            raise CallError("not followed here")
         if not message.is_heartbeat and self._receive(message) == UpdateOutcome.CORRUPT:
             return messages.encode_acknowledgement(Version())  # asks for a snapshot
         if self.store.version == message.version:
