--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -1,8 +1,7 @@
-"""The link between balancers: calls with a name, bytes there and bytes back, over Twisted's AMP.
+"""The connections of one process to its peers: listening, connecting, reconnecting with backoff.
 
-Owns the connections between peers, who they are with, and the bounds on all of it: bytes and calls in flight,
-the time of a call, connections, redials. It must never know what a call means, hold the reactor up, let one
-peer's stall cost another anything, or fall over what a peer sends.
+A connection to a peer is opened at the first call and kept up from then on. What the calls mean is up to the
+services above, which pass a handler for the calls of peers.
 """
 
 import contextlib
@@ -12,330 +11,229 @@
 from collections.abc import Callable
 
 from twisted.internet import defer, endpoints
+from twisted.internet.base import DelayedCall, ReactorBase
+from twisted.internet.interfaces import IListeningPort
 from twisted.internet.protocol import Factory
-from twisted.protocols import amp
-from twisted.python import failure
+from twisted.python.failure import Failure
 
 from lotusroute.fleet.config import FleetConfig
+from lotusroute.fleet.peer_connection import (
+    HELLO_TIMEOUT,
+    OBSERVER,
+    SHOW,
+    CallError,
+    CallFailure,
+    CallHandler,
+    PeerConnection,
+)
 from lotusroute.net.structured_log import log_event
 
-FORM = 1  # of what is said on the link: who speaks another is let go
-BODY = 60_000  # bytes of one call or answer: AMP carries 65,535
-CALLS = 64  # calls in flight to one peer: more wait for nothing, they fail at once
-BYTES = 262_144  # the same in bytes: what a stalled peer may hold of our memory
-CALL = 1.0  # s for an answer: a lease's patience is less, a list may take longer than a word
-STALLED = 3  # calls in a row without an answer after which a connection is given up
-HELLO = 2.0  # s for a newcomer to say who it is
-REDIAL = 0.1, 5.0  # s, first and longest pause before dialling again; doubled, and half of it drawn
-DIAL = 2.0  # s for a connection to come up
-BACKLOG = 64  # connections that may wait to be accepted
-GUEST = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}")  # names of those that come in without being peers
-EACH = 4  # connections that one peer may have here: one, and those that died without a word
-
-
-class CallFailed(Exception):
-    """A call that brought nothing; says why: unreachable, crowded, late, stranger, large."""
-
-
-class Hello(amp.Command):
-    """Who we are; the first call on a connection."""
-
-    arguments = [(b"fleet", amp.Unicode()), (b"form", amp.Integer()), (b"name", amp.Unicode())]
-    response = [(b"name", amp.Unicode())]
-
-
-class Call(amp.Command):
-    """A call by its name."""
-
-    arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]
-    response = [(b"body", amp.String())]
-    errors = {CallFailed: b"FAILED"}
-
-
-class PeerConnection(amp.AMP):
-    """One connection, whoever dialled it."""
-
-    noisy = False
-
-    def __init__(self, link: "PeerTransport", peer: str = "") -> None:
-        super().__init__()
-        self.link, self.peer = link, peer  # empty until a newcomer has said it
-        self.calls = self.bytes = self.unanswered = 0
-        self.greeted = False
-        self.timer = None
-
-    def connectionMade(self) -> None:
-        super().connectionMade()
-        self.transport.setTcpNoDelay(True)
-        self.transport.setTcpKeepAlive(True)
-        if not self.peer:
-            self.timer = self.link.reactor.callLater(HELLO, self._stranger, "said nothing")
-
-    def sendBox(self, box: amp.Box) -> None:
-        data = box.serialize()
-        self.link.counters["peer_bytes_sent"] += len(data)
-        self.transport.write(data)
-
-    def dataReceived(self, data: bytes) -> None:
-        self.link.counters["peer_bytes_received"] += len(data)
-        try:
-            super().dataReceived(data)
-        except Exception:  # whatever a peer sends ends its connection, and nothing else
-            self.link.counters["peer_malformed_input"] += 1
-            self.transport.abortConnection()
-
-    def unhandledError(self, reason: failure.Failure) -> None:
-        """A call that nobody here knows, or an answer that does not fit."""
-        self.link.counters["peer_malformed_input"] += 1
-        self.transport.abortConnection()
-
-    def connectionLost(self, reason: failure.Failure) -> None:
-        # AMP fails all calls in hand, which were taken off the bounds as they end.
-        super().connectionLost(reason)
-        self._quiet()
-        self.link.lost(self)
-
-    def _quiet(self) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-
-    def _stranger(self, why: str) -> None:
-        self._quiet()
-        self.link.counters["unknown_peers"] += 1
-        log_event("unknown peer disconnected", why=why)
-        self.transport.abortConnection()
-
-    @Hello.responder
-    def hello(self, fleet: str, form: int, name: str) -> dict:
-        """A newcomer says who it is."""
-        plan = self.link.plan
-        known = name in plan.peers or name == LOOKER or self.link.guest(name)
-        if self.greeted or self.peer or (fleet, form) != (plan.name, FORM) or not known:
-            self.link.reactor.callLater(0, self._stranger, f"fleet {fleet[:64]} form {form} name {name[:64]}")
-            return {"name": self.link.name}
-        self._quiet()
-        self.peer, self.greeted = name, True
-        self.link.came(self)
-        return {"name": self.link.name}
-
-    @Call.responder
-    def called(self, kind: str, body: bytes):
-        """A peer calls."""
-        if not self.greeted:
-            self.link.reactor.callLater(0, self._stranger, "called before it said who it is")
-            raise CallFailed("stranger")
-        self.link.counters["peer_calls_received"] += 1
-        answer = defer.maybeDeferred(self.link.serve, self.peer, kind, body)
-        answer.addCallbacks(lambda back: {"body": back}, self._refused)
-        return answer
-
-    def _refused(self, reason: failure.Failure) -> None:
-        self.link.counters["peer_calls_rejected"] += 1
-        raise CallFailed(str(reason.value)[:200])
-
-    def greet(self, fleet: str, name: str) -> defer.Deferred:
-        """Say who we are; brings who the other is."""
-        hello = self.callRemote(Hello, fleet=fleet, form=FORM, name=name)
-        return hello.addCallback(lambda told: told["name"])
-
-    def ask(self, kind: str, body: bytes) -> defer.Deferred:
-        """Call the peer, within the bounds."""
-        counters, reactor = self.link.counters, self.link.reactor
-        if len(body) > BODY:
-            return defer.fail(CallFailed("large"))
-        if self.calls >= CALLS or self.bytes + len(body) > BYTES:
-            counters["peer_calls_over_limit"] += 1
-            return defer.fail(CallFailed("crowded"))
-        self.calls, self.bytes = self.calls + 1, self.bytes + len(body)
-        counters["peer_calls_sent"] += 1
-        told: defer.Deferred = defer.Deferred()
-
-        def ended(result: object) -> None:
-            # Only now: one that is late still takes a place with the peer.
-            self.calls, self.bytes = self.calls - 1, self.bytes - len(body)
-            timer.cancel() if timer.active() else None
-            if told.called:
-                return
-            if isinstance(result, failure.Failure):
-                if not result.check(CallFailed):
-                    result = failure.Failure(CallFailed("unreachable"))
-                told.errback(result)
-            else:
-                self.unanswered = 0
-                told.callback(result["body"])
-
-        def late() -> None:
-            counters["peer_call_timeouts"] += 1
-            self.unanswered += 1
-            told.errback(CallFailed("late"))
-            if self.unanswered >= STALLED:
-                # It takes our bytes and answers nothing: another connection may do better.
-                self.transport.abortConnection()
-
-        timer = reactor.callLater(CALL, late)
-        self.callRemote(Call, kind=kind, body=body).addBoth(ended)
-        return told
-
-
-LOOKER = "-"  # the name of a command that only looks
+RECONNECT_BACKOFF = 0.1, 5.0  # s, first and longest; doubled at each failure, with a jitter of half of it
+CONNECT_TIMEOUT = 2.0  # s
+LISTEN_BACKLOG = 64  # connections waiting to be accepted
+SUBSCRIBER_NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}")  # names of processes that are not peers
+MAX_CONNECTIONS_PER_PEER = 4  # inbound: one in use, and those whose end has not been noticed yet
+
+
+def ignore_peer(peer: str) -> None:
+    """Ignore a connection event; the default callback."""
 
 
 class PeerTransport:
-    """All connections of one balancer; those to peers are dialled when first called, and kept up then."""
+    """All connections of one process to and from its peers."""
 
     def __init__(
         self,
-        reactor,
-        plan: FleetConfig,
+        reactor: ReactorBase,
+        config: FleetConfig,
         name: str,
-        chance: random.Random,
-        counters,
-        serve: Callable[[str, str, bytes], object],
-        up: Callable[[str], object] = str,
-        left: Callable[[str], object] = str,
+        rng: random.Random,
+        counters: Counter,
+        handle_call: CallHandler,
+        on_connected: Callable[[str], object] = ignore_peer,
+        on_disconnected: Callable[[str], object] = ignore_peer,
     ) -> None:
-        """`up(peer)`: one that we dialled is greeted; `left(peer)`: that, or the last from there, ended."""
-        self.reactor, self.plan, self.name, self.chance, self.counters = reactor, plan, name, chance, counters
-        self.up, self.left = up, left
-        self.kept: set[str] = set()  # peers to which a connection is kept up; leave with `drop`
-        self.serve = serve  # (peer, kind, body) to bytes or a Deferred of them; raises Failed to refuse
-        self.out: dict[str, PeerConnection] = {}  # by peer, greeted; leave when lost
-        self.came_in: dict[
-            str, list[PeerConnection]
-        ] = {}  # by peer, EACH at most, newest last; leave when lost
-        self.dialling: dict[str, float] = {}  # peers that are dialled, and the pause after the next failure
-        self.redials: dict[str, object] = {}  # by peer, the next try; leave as it begins or is taken back
-        self.port = None
+        """Set up without connecting.
+
+        `handle_call(peer, kind, body)` returns the response's body, or raises `CallError`.
+        `on_connected(peer)` is called when an outbound connection is up, `on_disconnected(peer)` when it is
+        lost or could not be opened, or when the last inbound connection of a peer is lost.
+        """
+        self.reactor = reactor
+        self.config = config
+        self.name = name
+        self.rng = rng
+        self.counters = counters
+        self.handle_call = handle_call
+        self.on_connected = on_connected
+        self.on_disconnected = on_disconnected
+        self.wanted_peers: set[str] = set()  # peers to stay connected to; removed by `disconnect`
+        self.outbound: dict[str, PeerConnection] = {}  # by peer; established ones only
+        self.inbound: dict[str, list[PeerConnection]] = {}  # by peer; MAX_CONNECTIONS_PER_PEER, newest last
+        self.connecting: dict[str, float] = {}  # peers being connected to, with the backoff after a failure
+        self.reconnect_timers: dict[str, DelayedCall] = {}  # by peer, the next attempt
+        self.port: IListeningPort | None = None
         self.closed = False
 
-    def listen(self) -> defer.Deferred:
-        """Take connections at the own address."""
-        host, port = self.plan.peers[self.name]
+    def listen(self) -> "defer.Deferred[None]":
+        """Accept connections at this process's own address."""
+        host, port = self.config.peers[self.name]
         factory = Factory.forProtocol(lambda: PeerConnection(self))
         factory.noisy = False
-        found = endpoints.TCP4ServerEndpoint(self.reactor, port, BACKLOG, host).listen(factory)
-        return found.addCallback(lambda port: setattr(self, "port", port))
+        endpoint = endpoints.TCP4ServerEndpoint(self.reactor, port, LISTEN_BACKLOG, host)
+        return endpoint.listen(factory).addCallback(self._listening)
+
+    def _listening(self, port: IListeningPort) -> None:
+        self.port = port
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections and open no more."""
         self.closed = True
         if self.port is not None:
             self.port.stopListening()
-        for connection in [*self.out.values(), *(one for came in self.came_in.values() for one in came)]:
+        connections = list(self.outbound.values())
+        for inbound in self.inbound.values():
+            connections += inbound
+        for connection in connections:
             connection.transport.loseConnection()
 
-    def call(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
-        """Call a peer; brings its answer, or fails with Failed."""
-        connection = self.out.get(peer)
+    # Calls
+
+    def call(self, peer: str, kind: str, body: bytes) -> "defer.Deferred[bytes]":
+        """Call a peer on the outbound connection; the result is its response, or fails with `CallError`."""
+        connection = self.outbound.get(peer)
         if connection is None:
-            self.dial(peer)
-            return defer.fail(CallFailed("unreachable"))
-        return connection.ask(kind, body)
+            self.connect(peer)
+            return defer.fail(CallError(CallFailure.UNREACHABLE))
+        return connection.call(kind, body)
 
-    def call_back(self, peer: str, kind: str, body: bytes) -> defer.Deferred:
-        """Call one that has dialled us, on its own connection."""
-        connections = self.came_in.get(peer)
-        return connections[-1].ask(kind, body) if connections else defer.fail(CallFailed("unreachable"))
+    def call_inbound(self, peer: str, kind: str, body: bytes) -> "defer.Deferred[bytes]":
+        """Call a process that connected to this one, on its newest connection."""
+        connections = self.inbound.get(peer)
+        if not connections:
+            return defer.fail(CallError(CallFailure.UNREACHABLE))
+        return connections[-1].call(kind, body)
 
-    def guest(self, name: str) -> bool:
-        """Whether one that no file names may come in: as many as the plan has room for."""
-        guests = len(self.came_in) - len(self.came_in.keys() & self.plan.peers.keys())
-        return GUEST.fullmatch(name) is not None and (name in self.came_in or guests < self.plan.guests)
+    # Outbound connections
 
-    def dial(self, peer: str) -> None:
+    def connect(self, peer: str) -> None:
         """Keep a connection to a peer up from now on."""
-        self.kept.add(peer)
-        if self.closed or peer in self.out or peer in self.dialling or peer not in self.plan.peers:
+        self.wanted_peers.add(peer)
+        if self.closed or peer in self.outbound or peer in self.connecting or peer not in self.config.peers:
             return
-        self.dialling[peer] = REDIAL[0]
-        self._dial(peer)
-
-    def drop(self, peer: str) -> None:
-        """Keep no connection to a peer any more."""
-        self.kept.discard(peer)
-        self.dialling.pop(peer, None)
-        if redial := self.redials.pop(peer, None):
-            redial.cancel()
-        if connection := self.out.get(peer):
+        self.connecting[peer] = RECONNECT_BACKOFF[0]
+        self._open_connection(peer)
+
+    def disconnect(self, peer: str) -> None:
+        """Close the connection to a peer and do not reconnect."""
+        self.wanted_peers.discard(peer)
+        self.connecting.pop(peer, None)
+        timer = self.reconnect_timers.pop(peer, None)
+        if timer is not None:
+            timer.cancel()
+        connection = self.outbound.get(peer)
+        if connection is not None:
             connection.transport.loseConnection()
 
-    def _dial(self, peer: str) -> None:
-        self.redials.pop(peer, None)
+    def _open_connection(self, peer: str) -> None:
+        self.reconnect_timers.pop(peer, None)
         if self.closed:
             return
-        host, port = self.plan.peers[peer]
-        point = endpoints.TCP4ClientEndpoint(self.reactor, host, port, timeout=DIAL)
+        host, port = self.config.peers[peer]
+        endpoint = endpoints.TCP4ClientEndpoint(self.reactor, host, port, timeout=CONNECT_TIMEOUT)
         connection = PeerConnection(self, peer)
-        trying = endpoints.connectProtocol(point, connection)
-        trying.addCallback(lambda connection: connection.greet(self.plan.name, self.name))
-        trying.addTimeout(DIAL + HELLO, self.reactor)
-        trying.addCallbacks(
-            lambda name: self._up(peer, connection, name), lambda _: self._down(peer, connection)
+        attempt = endpoints.connectProtocol(endpoint, connection)
+        attempt.addCallback(lambda _: connection.send_hello(self.config.name, self.name))
+        attempt.addTimeout(CONNECT_TIMEOUT + HELLO_TIMEOUT, self.reactor)
+        attempt.addCallbacks(
+            lambda name: self._hello_answered(peer, connection, name),
+            lambda _: self._connect_failed(peer, connection),
         )
 
-    def _up(self, peer: str, connection: PeerConnection, name: str) -> None:
-        unfit = connection.transport is None or connection.transport.disconnecting
-        if name != peer or unfit or self.closed or peer not in self.dialling:
-            self.counters["unknown_peers"] += name != peer
-            self._down(peer, connection)
+    def _hello_answered(self, peer: str, connection: PeerConnection, name: str) -> None:
+        if name != peer:
+            self.counters["unknown_peers"] += 1
+        lost = connection.transport is None or connection.transport.disconnecting
+        if name != peer or lost or self.closed or peer not in self.connecting:
+            self._connect_failed(peer, connection)
             return
         connection.greeted = True
-        del self.dialling[peer]
-        self.out[peer] = connection
+        del self.connecting[peer]
+        self.outbound[peer] = connection
         self.counters["peer_connects"] += 1
         log_event("peer connected", peer=peer)
-        self.up(peer)
+        self.on_connected(peer)
 
-    def _down(self, peer: str, connection: PeerConnection) -> None:
+    def _connect_failed(self, peer: str, connection: PeerConnection) -> None:
+        """Schedule the next attempt, with exponential backoff."""
         if connection.transport is not None:
             connection.transport.abortConnection()
         self.counters["peer_connect_failures"] += 1
-        if peer not in self.dialling or peer in self.redials:
-            return  # taken back, or dialled anew meanwhile
-        pause = self.dialling[peer]
-        self.dialling[peer] = min(2 * pause, REDIAL[1])
-        later = self.reactor.callLater(pause * self.chance.uniform(0.5, 1.0), self._dial, peer)
-        self.redials[peer] = later
-        self.left(peer)
-
-    def came(self, connection: PeerConnection) -> None:
-        """A newcomer has said who it is."""
-        connections = self.came_in.setdefault(connection.peer, [])
+        if peer not in self.connecting or peer in self.reconnect_timers:
+            return  # disconnected on request, or being connected to anew
+        backoff = self.connecting[peer]
+        self.connecting[peer] = min(2 * backoff, RECONNECT_BACKOFF[1])
+        delay = backoff * self.rng.uniform(0.5, 1.0)
+        self.reconnect_timers[peer] = self.reactor.callLater(delay, self._open_connection, peer)
+        self.on_disconnected(peer)
+
+    # Called by the connections
+
+    def admits_subscriber(self, name: str) -> bool:
+        """Whether a process that is not a peer may connect: a valid name, and below the limit."""
+        if SUBSCRIBER_NAME.fullmatch(name) is None:
+            return False
+        subscribers = len(self.inbound) - len(self.inbound.keys() & self.config.peers.keys())
+        return name in self.inbound or subscribers < self.config.max_subscribers
+
+    def peer_identified(self, connection: PeerConnection) -> None:
+        """Handle the valid Hello of an inbound connection."""
+        connections = self.inbound.setdefault(connection.peer, [])
         connections.append(connection)
-        if len(connections) > EACH:
+        if len(connections) > MAX_CONNECTIONS_PER_PEER:
             self.counters["peer_connections_over_limit"] += 1
             connections[0].transport.abortConnection()
 
-    def lost(self, connection: PeerConnection) -> None:
-        """A connection is over."""
-        if self.out.get(connection.peer) is connection:
-            del self.out[connection.peer]
-            self.counters["peer_disconnects"] += 1
-            log_event("peer disconnected", peer=connection.peer)
-            if connection.peer in self.kept:
-                self.dial(connection.peer)
-            self.left(connection.peer)
-        connections = self.came_in.get(connection.peer, [])
+    def connection_lost(self, connection: PeerConnection) -> None:
+        """Handle the end of a connection."""
+        peer = connection.peer
+        if self.outbound.get(peer) is connection:
+            self._outbound_lost(peer)
+        connections = self.inbound.get(peer, [])
         with contextlib.suppress(ValueError):
             connections.remove(connection)
-        if not connections and self.came_in.pop(connection.peer, None) is not None:
-            self.left(connection.peer)
-
-
-def query_peer(reactor, plan: FleetConfig, peer: str) -> defer.Deferred:
-    """Ask one balancer once what it shows, for a command; brings its bytes."""
-    link = PeerTransport(reactor, plan, LOOKER, random.Random(), Counter(), lambda *_: b"")
-    connection = PeerConnection(link, peer)
-    point = endpoints.TCP4ClientEndpoint(reactor, *plan.peers[peer], timeout=DIAL)
-    asked = endpoints.connectProtocol(point, connection)
-    asked.addCallback(lambda connection: connection.greet(plan.name, LOOKER))
-    asked.addCallback(lambda _: connection.ask("show", b""))
-    asked.addTimeout(DIAL + HELLO, reactor)
-
-    def end(result: object) -> object:
-        link.closed = True
+        if not connections and self.inbound.pop(peer, None) is not None:
+            self.on_disconnected(peer)
+
+    def _outbound_lost(self, peer: str) -> None:
+        del self.outbound[peer]
+        self.counters["peer_disconnects"] += 1
+        log_event("peer disconnected", peer=peer)
+        if peer in self.wanted_peers:
+            self.connect(peer)
+        self.on_disconnected(peer)
+
+
+def query_peer(reactor: ReactorBase, config: FleetConfig, peer: str) -> "defer.Deferred[bytes]":
+    """Read the status of one balancer for a command; the result is JSON."""
+    transport = PeerTransport(reactor, config, OBSERVER, random.Random(), Counter(), _empty_response)
+    connection = PeerConnection(transport, peer)
+    host, port = config.peers[peer]
+    endpoint = endpoints.TCP4ClientEndpoint(reactor, host, port, timeout=CONNECT_TIMEOUT)
+    query = endpoints.connectProtocol(endpoint, connection)
+    query.addCallback(lambda _: connection.send_hello(config.name, OBSERVER))
+    query.addCallback(lambda _: connection.call(SHOW, b""))
+    query.addTimeout(CONNECT_TIMEOUT + HELLO_TIMEOUT, reactor)
+
+    def close(result: bytes | Failure) -> bytes | Failure:
+        transport.closed = True
         if connection.transport is not None:
             connection.transport.loseConnection()
         return result
 
-    return asked.addBoth(end)
+    return query.addBoth(close)
+
+
+def _empty_response(peer: str, kind: str, body: bytes) -> bytes:
+    """Respond to the calls of a peer that is only queried."""
+    return b""
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -1,137 +1,192 @@
-"""A keeper of leases: grants a task to one asker at a time.
+"""The acceptor of the lease protocol: grants each task to one proposer at a time.
 
-Owns what one keeper remembers and how it answers. It must never do I/O, read a clock, start a call of its
-own, or grant what it may have granted to another before it forgot.
+Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds, sends the reply
+and persists ballots when told to. After a restart an acceptor has lost its state. It stays silent until every
+lease that it may have granted has expired, and promises no ballot below the persisted one.
 """
 
 import math
 from typing import NamedTuple
 
 from lotusroute.leases.messages import (
-    FULL,
-    HELD,
-    LONG,
-    LOW,
-    SILENT,
+    LeaseRequest,
     LeaseTerms,
     Prepare,
     Propose,
+    RejectReason,
     Release,
     Reply,
 )
 
-WAITING = 8  # who are told when a holder lets go: one of them will have it, the others find it by time
-TASKS = 256  # tasks that a keeper remembers: names come from the program, so that more are a defect or a liar
-BLOCK = 1_024  # numbers reserved on disk at a time: written once a start and once in so many hand-overs
-NUMBERS = 2**62  # a number beyond this is a liar's: a fence has to grow on after it
+MAX_WAITERS = 8  # proposers notified when a lease is released: one of them gets it, the others retry by timer
+MAX_TASKS = 256  # task names come from the program: more of them mean a defect or a malicious peer
+BALLOT_BLOCK = 1_024  # ballots persisted at a time: one write at a start and one in so many changes of holder
+BALLOT_LIMIT = 2**62  # a ballot beyond this is malicious: fencing tokens must be able to grow after it
 
 
 class AcceptorState(NamedTuple):
-    """What a keeper remembers of one task; times by its own clock."""
+    """What an acceptor remembers of one task; times by its own clock."""
 
-    promised: int = 0  # the highest number that it gave its word to
-    fence: int = 0  # the number of the last holder
+    promised: int = 0  # the highest ballot that it has promised
+    ballot: int = 0  # of the last holder
     holder: str = ""
-    until: float = -math.inf
-    asked: float = -math.inf  # when another than the holder last wanted it
-    waiting: tuple[str, ...] = ()  # WAITING at most, who asked last; emptied when they are told
+    held_until: float = -math.inf
+    contended_at: float = -math.inf  # when a proposer other than the holder last asked for it
+    waiters: tuple[str, ...] = ()  # the latest MAX_WAITERS that were rejected; cleared when notified
 
 
-def reply(ask: Prepare | Propose | Release, yes: bool, *rest: object, **more: object) -> Reply:
-    """Answer what was asked, in the round in which it was."""
-    return Reply(ask.task, ask.number, type(ask).__name__.lower(), ask.round, yes, *rest, **more)
+class PersistBallots(NamedTuple):
+    """Persist that any ballot below this one may have been promised."""
+
+    below: int
+
+
+class AcceptorDecision(NamedTuple):
+    """The acceptor's reply to a request, and what the caller has to do besides sending it."""
+
+    reply: Reply
+    persist: PersistBallots | None = None
+    notify: tuple[str, ...] = ()  # waiting proposers to notify that the lease was released
+
+
+def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
+    """Build the reply that accepts a request."""
+    return Reply(
+        request.task,
+        request.ballot,
+        request.kind,
+        request.round,
+        accepted=True,
+        highest_ballot=highest_ballot,
+        contended=contended,
+    )
+
+
+def reject(
+    request: LeaseRequest, reason: RejectReason, *, highest_ballot: int, remaining: float = 0.0
+) -> Reply:
+    """Build the reply that rejects a request."""
+    return Reply(
+        request.task,
+        request.ballot,
+        request.kind,
+        request.round,
+        accepted=False,
+        reason=reason,
+        highest_ballot=highest_ballot,
+        remaining=remaining,
+    )
+
+
+def apply_request(
+    state: AcceptorState, now: float, request: LeaseRequest, terms: LeaseTerms
+) -> tuple[AcceptorState, Reply]:
+    """Apply a request about one task; returns the task's new state and the reply.
+
+    The ballot that a majority has promised is the fencing token: each acceptor promises a ballot once and two
+    majorities share an acceptor, so that no two holders have the same token and the later one's is higher
+    (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
+    """
+    if isinstance(request, Release):
+        return _apply_release(state, now, request)
+    if now < state.held_until and state.holder != request.proposer:
+        # No promise either: it would end the holder's renewals here although nobody else gets the task.
+        return _reject_while_held(state, now, request)
+    if isinstance(request, Prepare):
+        return _apply_prepare(state, request)
+    return _apply_propose(state, now, request, terms)
+
 
+def _apply_release(state: AcceptorState, now: float, request: Release) -> tuple[AcceptorState, Reply]:
+    if state.holder == request.proposer and state.ballot == request.ballot:
+        state = state._replace(held_until=min(state.held_until, now), waiters=())
+    return state, accept(request, highest_ballot=state.promised)
 
-def answer(
-    kept: AcceptorState, now: float, ask: Prepare | Propose | Release, terms: LeaseTerms
+
+def _reject_while_held(
+    state: AcceptorState, now: float, request: Prepare | Propose
 ) -> tuple[AcceptorState, Reply]:
-    """Answer one asker about one task.
+    """Reject a request of another proposer than the holder, and remember that it is waiting."""
+    other_waiters = [name for name in state.waiters if name != request.proposer]
+    waiters = (*other_waiters, request.proposer)[-MAX_WAITERS:]
+    state = state._replace(contended_at=now, waiters=waiters)
+    remaining = state.held_until - now
+    reply = reject(request, RejectReason.LEASE_HELD, highest_ballot=state.promised, remaining=remaining)
+    return state, reply
 
-    The number of a majority of promises is the fence: each keeper promises a number once, two majorities
-    share a keeper, so that two holders never have the same number and the later one's is higher (Lamport
-    2001; Trencseni, Gazso and Reinhardt 2012).
-    """
-    other = now < kept.until and kept.holder != ask.asker
-
-    def no(why: str, left: float = 0.0) -> Reply:
-        return reply(ask, False, why, kept.promised, left)
-
-    if isinstance(ask, Release):
-        if kept.holder == ask.asker and kept.fence == ask.number:
-            kept = kept._replace(until=min(kept.until, now), waiting=())
-        return kept, reply(ask, True, seen=kept.promised)
-    if other:
-        # No promise either: it would end the holder's renewals here without anybody having the task.
-        waiting = (*(name for name in kept.waiting if name != ask.asker), ask.asker)[-WAITING:]
-        kept = kept._replace(asked=now, waiting=waiting)
-        return kept, no(HELD, kept.until - now)
-    if isinstance(ask, Prepare):
-        if ask.number <= kept.promised:
-            return kept, no(LOW)
-        kept = kept._replace(promised=ask.number)
-        return kept, reply(ask, True, seen=kept.promised)
-    if ask.number < kept.promised:
-        return kept, no(LOW)
-    if not 0 < ask.lease <= terms.lease:
-        return kept, no(LONG)
-    wanted = now - kept.asked < terms.lease
-    kept = kept._replace(promised=ask.number, fence=ask.number, holder=ask.asker, until=now + ask.lease)
-    return kept, reply(ask, True, seen=ask.number, wanted=wanted)
 
+def _apply_prepare(state: AcceptorState, request: Prepare) -> tuple[AcceptorState, Reply]:
+    if request.ballot <= state.promised:
+        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+    state = state._replace(promised=request.ballot)
+    return state, accept(request, highest_ballot=state.promised)
 
-class PersistBallots(NamedTuple):
-    """Write to disk, before any answer that needs it, that numbers under this one may have been promised."""
 
-    under: int
+def _apply_propose(
+    state: AcceptorState, now: float, request: Propose, terms: LeaseTerms
+) -> tuple[AcceptorState, Reply]:
+    if request.ballot < state.promised:
+        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+    if not 0 < request.lease_duration <= terms.lease_duration:
+        return state, reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised)
+    contended = now - state.contended_at < terms.lease_duration
+    state = state._replace(
+        promised=request.ballot,
+        ballot=request.ballot,
+        holder=request.proposer,
+        held_until=now + request.lease_duration,
+    )
+    return state, accept(request, highest_ballot=request.ballot, contended=contended)
 
 
 class Acceptor:
-    """One keeper: all tasks, its silence after a start, and the numbers that it may promise."""
+    """The acceptor of one process, for all tasks."""
 
-    def __init__(self, terms: LeaseTerms, now: float, floor: int) -> None:
-        """Start with what disk says: no number under `floor` is promised again.
+    def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
+        """Start with the persisted ballot: none below `ballot_floor` is promised again.
 
-        What it promised and granted before is forgotten. Numbers start over the floor; grants are waited out
-        in silence, as long as the longest of them lasts by this same clock.
+        Earlier promises and grants are lost. New ballots start above the floor; earlier grants are waited
+        out, for as long as the longest of them lasts by this same clock.
         """
         self.terms = terms
-        self.open_from = now + terms.lease + terms.margin
-        self.floor = floor  # promised before the start, at most
-        self.under = floor  # numbers under it are on disk
-        self.kept: dict[
-            str, AcceptorState
-        ] = {}  # TASKS at most; a task whose lease has long ended makes room
-
-    def decide(
-        self, now: float, ask: Prepare | Propose | Release
-    ) -> tuple[Reply, PersistBallots | None, tuple]:
-        """Answer; say what has to be on disk before the next answer of that kind can be a yes, and who are to
-        be told that the holder has let go."""
-        if now < self.open_from:
-            return reply(ask, False, SILENT, self.floor, self.open_from - now), None, ()
-        if not 0 < ask.number < NUMBERS:
-            return reply(ask, False, LONG, self.floor), None, ()
-        if ask.number >= self.under:
-            # The number has to outlive us before anybody counts on it; the asker comes again.
-            return reply(ask, False, SILENT, self.floor), PersistBallots(ask.number + BLOCK), ()
-        kept = self.kept.get(ask.task)
-        if kept is None:
-            if len(self.kept) >= TASKS and not self._make_room(now):
-                return reply(ask, False, FULL, self.floor), None, ()
-            kept = AcceptorState(promised=self.floor)
-        after, answered = answer(kept, now, ask, self.terms)
-        self.kept[ask.task] = after
-        return answered, None, () if after.waiting else kept.waiting
-
-    def reserved(self, under: int) -> None:
-        """Disk has it."""
-        self.under = max(self.under, under)
-
-    def _make_room(self, now: float) -> bool:
-        """Forget the task that ended longest ago; its numbers stay forbidden, by the floor."""
-        task, kept = min(self.kept.items(), key=lambda item: item[1].until)
-        if kept.until + self.terms.lease > now:
+        self.serving_from = now + terms.lease_duration + terms.margin
+        self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
+        self.persisted_below = ballot_floor  # ballots below it may be promised
+        self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
+
+    def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
+        """Handle one request; a ballot that must be persisted first is rejected, and the proposer retries."""
+        floor = self.ballot_floor
+        if now < self.serving_from:
+            remaining = self.serving_from - now
+            return AcceptorDecision(
+                reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
+            )
+        if not 0 < request.ballot < BALLOT_LIMIT:
+            return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
+        if request.ballot >= self.persisted_below:
+            # A crash after an unpersisted promise would allow the same ballot twice.
+            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
+            return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
+        before = self.states.get(request.task)
+        if before is None:
+            if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
+                return AcceptorDecision(reject(request, RejectReason.TASK_LIMIT, highest_ballot=floor))
+            before = AcceptorState(promised=self.ballot_floor)
+        after, reply = apply_request(before, now, request, self.terms)
+        self.states[request.task] = after
+        released = before.waiters and not after.waiters
+        return AcceptorDecision(reply, notify=before.waiters if released else ())
+
+    def ballots_persisted(self, below: int) -> None:
+        """Record that `PersistBallots(below)` has been carried out."""
+        self.persisted_below = max(self.persisted_below, below)
+
+    def _evict_expired(self, now: float) -> bool:
+        """Forget the task that expired first; the floor keeps its ballots from being promised again."""
+        task, state = min(self.states.items(), key=lambda item: item[1].held_until)
+        if state.held_until + self.terms.lease_duration > now:
             return False
-        self.floor = max(self.floor, kept.promised)
-        del self.kept[task]
+        self.ballot_floor = max(self.ballot_floor, state.promised)
+        del self.states[task]
         return True
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -1,214 +1,269 @@
-"""One that asks for leases: prepares, proposes, renews, lets go.
+"""The proposer of the lease protocol: acquires, renews and releases leases for one process.
 
-Owns what one balancer knows of the tasks that it would do. It must never do I/O, read a clock, think that it
-holds a task for longer than a majority of keepers does, or take part in a decision about a flow.
+Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds with each event,
+carries out the returned actions, and sends a `Tick` when `next_tick_in` has elapsed. A proposer never
+considers itself the holder for longer than a majority of acceptors does; see `LeaseTerms.holder_duration`.
 """
 
 import math
 import random
+from enum import StrEnum
 from typing import NamedTuple
 
 from lotusroute.leases.messages import (
-    HELD,
-    PAUSE,
-    RENEW,
+    RENEW_FRACTION,
+    RETRY_BACKOFF,
     LeaseAcquired,
+    LeaseAction,
+    LeaseEvent,
     LeaseLost,
     LeaseReleased,
+    LeaseRequest,
     LeaseTerms,
     Prepare,
     Propose,
+    RejectReason,
     Release,
     ReleaseLease,
     Reply,
     ReplyReceived,
     RequestLease,
     SendRequest,
-    Tick,
 )
 
-IDLE, PREPARE, PROPOSE = "idle", "prepare", "propose"
-TASKS = 64  # tasks that one asks for: names come from the program
+MAX_TASKS = 64  # tasks of one proposer; their names come from the program
+NEVER = -math.inf  # a time that has not come yet, or that no longer matters
+
+
+class Phase(StrEnum):
+    """Which request of a task is in flight; the values are shown to operators."""
+
+    IDLE = "idle"
+    PREPARE = "prepare"
+    PROPOSE = "propose"
 
 
 class ProposerState(NamedTuple):
-    """What an asker knows of one task; times by its own clock."""
-
-    wants: bool = False
-    step: str = IDLE
-    number: int = 0  # of the step in hand, and the fence while it holds
-    round: int = 0  # of the step in hand
-    began: float = 0.0  # when the step in hand was begun: a lease counts from there
-    yes: frozenset[str] = frozenset()
-    no: frozenset[str] = frozenset()
-    until: float = -math.inf  # thinks itself the holder before this
-    since: float = 0.0  # holder since
-    at: float = -math.inf  # asks again from then on
-    seen: int = 0  # the highest number that it heard of
-    wanted: bool = False  # another waits
+    """What a proposer knows of one task; times by its own clock."""
+
+    requested: bool = False  # this process wants to hold the task
+    phase: Phase = Phase.IDLE
+    ballot: int = 0  # of the current phase; the fencing token while it holds the lease
+    round: int = 0  # of the current phase
+    phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
+    accepted_by: frozenset[str] = frozenset()
+    rejected_by: frozenset[str] = frozenset()
+    held_until: float = NEVER  # it considers itself the holder before this time
+    held_since: float = 0.0
+    retry_at: float = NEVER  # it does not prepare again before this time
+    highest_ballot: int = 0  # the highest ballot seen in any reply
+    contended: bool = False  # an acceptor reported that another proposer asked for the task
+
+    @property
+    def acquired(self) -> bool:
+        """Whether it holds a lease, or held one whose expiry has not been handled yet."""
+        return self.held_until > NEVER
 
     def holds(self, now: float) -> bool:
-        """Whether the task is this asker's."""
-        return now < self.until
+        """Whether the lease is this proposer's at that time."""
+        return now < self.held_until
 
 
 class Proposer:
-    """One balancer's claims on all tasks.
+    """The leases of one process, for all tasks.
 
-    `name` has to be new with each start: what a process that died holds is not its successor's.
+    `name` must be unique to each start of the process: what a crashed process holds is not its successor's.
     """
 
-    def __init__(self, name: str, terms: LeaseTerms, chance: random.Random) -> None:
-        self.name, self.terms, self.chance = name, terms, chance
-        self.claims: dict[str, ProposerState] = {}  # TASKS at most; a task leaves when it is wanted no more
-        self.looked = -math.inf  # at the clock, last
-        self.round = 0  # of all steps begun
-        self.out: list = []
-
-    def decide(
-        self, now: float, event: RequestLease | ReleaseLease | ReplyReceived | LeaseReleased | Tick
-    ) -> list[SendRequest | LeaseAcquired | LeaseLost]:
-        """Take what happened and return what is to be said and what has changed."""
-        self.out = []
-        stalled = now - self.looked > self.terms.stall and self.looked > -math.inf
-        self.looked = now
-        if stalled:
-            # Whoever stood still for so long serves no fleet: the task is better off elsewhere.
-            for task in self.claims:
-                self._let_go(task, now, "stalled", self.terms.lease)
-        if isinstance(event, RequestLease):
-            if event.task in self.claims or len(self.claims) < TASKS:
-                self.claims[event.task] = self.claims.get(event.task, ProposerState())._replace(wants=True)
-                self._look(event.task, now)
-        elif isinstance(event, ReleaseLease):
-            if event.task in self.claims:
-                self._let_go(event.task, now, "released")
-                del self.claims[event.task]
-        elif isinstance(event, ReplyReceived):
-            if event.reply.task in self.claims and event.keeper in self.terms.keepers:
-                self._told(event.keeper, event.reply, now)
-        elif isinstance(event, LeaseReleased):
-            claim = self.claims.get(event.task)
-            if claim is not None and claim.step == IDLE and not claim.holds(now):
-                # Drawn, for others were told too: who asks first has it.
-                soon = now + self.chance.uniform(0.0, PAUSE[0])
-                self.claims[event.task] = claim._replace(at=min(claim.at, soon))
-        else:
-            for task in list(self.claims):
-                self._look(task, now)
-        return self.out
+    def __init__(self, name: str, terms: LeaseTerms, rng: random.Random) -> None:
+        self.name = name
+        self.terms = terms
+        self.rng = rng
+        self.states: dict[str, ProposerState] = {}  # by task; at most MAX_TASKS, removed when released
+        self.last_event_at = NEVER
+        self.round = 0  # of all phases started so far
+        self.actions: list[LeaseAction] = []
 
-    def fence(self, task: str, now: float, longest: float = 0.0) -> int:
-        """The fence for an act that takes `longest` ms at most by this clock; 0 where it must not begin.
+    def handle(self, now: float, event: LeaseEvent) -> list[LeaseAction]:
+        """Handle one event; returns the requests to send and the changes of lease holdership, in order."""
+        self.actions = []
+        self._yield_if_stalled(now)
+        self.last_event_at = now
+        match event:
+            case RequestLease(task):
+                if task in self.states or len(self.states) < MAX_TASKS:
+                    self.states[task] = self.states.get(task, ProposerState())._replace(requested=True)
+                    self._check_deadlines(task, now)
+            case ReleaseLease(task):
+                if task in self.states:
+                    self._give_up_lease(task, now, "released")
+                    del self.states[task]
+            case ReplyReceived(acceptor, reply):
+                if reply.task in self.states and acceptor in self.terms.acceptors:
+                    self._on_reply(acceptor, reply, now)
+            case LeaseReleased(task):
+                self._on_released(task, now)
+            case _:
+                for task in list(self.states):
+                    self._check_deadlines(task, now)
+        return self.actions
 
-        It would go on after the lease's end if it began later. Between this look and the act a process may
-        stand still; that the act is then refused is the target's part.
+    def fencing_token(self, task: str, now: float, max_duration: float = 0.0) -> int:
+        """Return the fencing token for an act that takes at most `max_duration` ms; 0 if it must not begin.
+
+        Such an act ends before the lease does. The process may still be stalled between this call and the
+        act: rejecting the late act is the responsibility of its target, which checks the token.
         """
-        claim = self.claims.get(task)
-        return claim.number if claim is not None and claim.holds(now + longest) else 0
+        state = self.states.get(task)
+        if state is None or not state.holds(now + max_duration):
+            return 0
+        return state.ballot
+
+    def next_tick_in(self, now: float) -> float:
+        """Return the ms until the next `Tick` is due; infinite if no lease is wanted.
+
+        There are two ticks per stall threshold, or idleness would be taken for a stall: three processes, each
+        told to retry after a lease duration above the threshold, considered themselves stalled when they
+        woke up, and backed off forever.
+        """
+        if not self.states:
+            return math.inf
+        deadlines = [self.last_event_at + self.terms.stall_threshold / 2]
+        for state in self.states.values():
+            deadlines += self._deadlines(state)
+        return max(0.0, min(deadlines) - now)
+
+    def _deadlines(self, state: ProposerState) -> list[float]:
+        """Return the times at which `_check_deadlines` has something to do for a task."""
+        deadlines = []
+        if state.acquired:
+            deadlines.append(state.held_until)
+            if state.phase == Phase.IDLE:
+                deadlines.append(self._renewal_due(state))
+        if state.phase != Phase.IDLE:
+            deadlines.append(state.phase_started_at + self.terms.request_timeout)
+        elif state.requested and not state.acquired:
+            deadlines.append(state.retry_at)
+        return deadlines
 
-    def due(self, now: float) -> float:
-        """Ms until the next `Tick` is due; infinite where nothing is wanted.
+    def _renewal_due(self, state: ProposerState) -> float:
+        """Return when a lease is renewed."""
+        return max(state.retry_at, state.held_until - self.terms.holder_duration * (1 - RENEW_FRACTION))
 
-        Twice within a stall's time, or quiet is taken for one: three processes of which each was told to come
-        back after a lease of a second thought themselves stalled when they did, and rested, for good.
+    def _yield_if_stalled(self, now: float) -> None:
+        """Give up all leases after a stall: another process will serve the tasks better."""
+        if self.last_event_at > NEVER and now - self.last_event_at > self.terms.stall_threshold:
+            for task in self.states:
+                self._give_up_lease(task, now, "stalled", self.terms.lease_duration)
+
+    def _check_deadlines(self, task: str, now: float) -> None:
+        """Do what is due by time alone: expiry, a phase that timed out, renewal, the next attempt."""
+        state = self.states[task]
+        if state.acquired and not state.holds(now):
+            state = self._give_up_lease(task, now, "expired")
+        if state.phase != Phase.IDLE and now >= state.phase_started_at + self.terms.request_timeout:
+            state = self._abandon_phase(task, state, now)
+        if state.phase == Phase.IDLE and state.holds(now):
+            if now >= self._renewal_due(state):
+                state = self._start_phase(task, state, Phase.PROPOSE, now)
+        elif state.phase == Phase.IDLE and state.requested and now >= state.retry_at:
+            ballot = state.highest_ballot + 1
+            state = state._replace(ballot=ballot, highest_ballot=ballot)
+            state = self._start_phase(task, state, Phase.PREPARE, now)
+        self.states[task] = state
+
+    def _start_phase(self, task: str, state: ProposerState, phase: Phase, now: float) -> ProposerState:
+        """Send a phase's request to all acceptors, in a round of its own.
+
+        A late reply to an earlier renewal under the same ballot must not count in this round: the acceptor
+        that sent it counts the lease from that renewal.
         """
-        times = [self.looked + self.terms.stall / 2 if self.claims else math.inf]
-        for claim in self.claims.values():
-            if claim.until > -math.inf:
-                times += [claim.until, self._renewal(claim)] if claim.step == IDLE else [claim.until]
-            if claim.step != IDLE:
-                times.append(claim.began + self.terms.patience)
-            elif claim.wants and claim.until == -math.inf:
-                times.append(claim.at)
-        return max(0.0, min(times) - now)
-
-    # The steps
-
-    def _say(self, words: Prepare | Propose | Release) -> None:
-        self.out += [SendRequest(keeper, words) for keeper in self.terms.keepers]
-
-    def _begin(self, task: str, claim: ProposerState, step: str, now: float) -> ProposerState:
-        """Ask all keepers. An answer from an earlier renewal under the same number must not count in this
-        round: its keeper lets go a lease after that one."""
         self.round += 1
-        if step == PREPARE:
-            self._say(Prepare(task, claim.number, self.name, self.round))
+        if phase == Phase.PREPARE:
+            self._broadcast(Prepare(task, state.ballot, self.name, self.round))
         else:
-            self._say(Propose(task, claim.number, self.name, self.round, self.terms.lease))
-        return claim._replace(
-            step=step, round=self.round, began=now, yes=frozenset(), no=frozenset(), wanted=False
+            duration = self.terms.lease_duration
+            self._broadcast(Propose(task, state.ballot, self.name, self.round, duration))
+        return state._replace(
+            phase=phase,
+            round=self.round,
+            phase_started_at=now,
+            accepted_by=frozenset(),
+            rejected_by=frozenset(),
+            contended=False,
         )
 
-    def _renewal(self, claim: ProposerState) -> float:
-        return max(claim.at, claim.until - self.terms.held * (1 - RENEW))
-
-    def _look(self, task: str, now: float) -> None:
-        """What time alone brings: an end, a step given up, a renewal, the next try."""
-        claim, terms = self.claims[task], self.terms
-        if claim.until > -math.inf and not claim.holds(now):
-            claim = self._let_go(task, now, "expired")
-        if claim.step != IDLE and now >= claim.began + terms.patience:
-            claim = self._give_up(task, claim, now)
-        if claim.step == IDLE and claim.holds(now):
-            if now >= self._renewal(claim):
-                claim = self._begin(task, claim, PROPOSE, now)
-        elif claim.step == IDLE and claim.wants and now >= claim.at:
-            number = claim.seen + 1
-            claim = self._begin(task, claim._replace(number=number, seen=number), PREPARE, now)
-        self.claims[task] = claim
-
-    def _told(self, keeper: str, reply: Reply, now: float) -> None:
-        task, terms = reply.task, self.terms
-        claim = self.claims[task]
-        claim = claim._replace(seen=max(claim.seen, reply.seen))
-        if claim.step == IDLE or (reply.number, reply.step, reply.round) != (
-            claim.number,
-            claim.step,
-            claim.round,
-        ):
-            self.claims[task] = claim
+    def _broadcast(self, request: LeaseRequest) -> None:
+        self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
+
+    def _on_released(self, task: str, now: float) -> None:
+        """Retry soon, at a random time, for other waiting proposers were notified too."""
+        state = self.states.get(task)
+        if state is None or state.phase != Phase.IDLE or state.holds(now):
+            return
+        retry_at = now + self.rng.uniform(0.0, RETRY_BACKOFF[0])
+        self.states[task] = state._replace(retry_at=min(state.retry_at, retry_at))
+
+    def _on_reply(self, acceptor: str, reply: Reply, now: float) -> None:
+        """Count a reply if it belongs to the current phase and round."""
+        task = reply.task
+        state = self.states[task]
+        state = state._replace(highest_ballot=max(state.highest_ballot, reply.highest_ballot))
+        current = (state.ballot, state.phase, state.round)
+        if state.phase == Phase.IDLE or (reply.ballot, reply.kind, reply.round) != current:
+            self.states[task] = state
             return
-        if reply.yes:
-            claim = claim._replace(yes=claim.yes | {keeper}, wanted=claim.wanted or reply.wanted)
+        if reply.accepted:
+            contended = state.contended or reply.contended
+            state = state._replace(accepted_by=state.accepted_by | {acceptor}, contended=contended)
         else:
-            claim = claim._replace(no=claim.no | {keeper})
-        if len(claim.yes) >= terms.majority:
-            claim = self._agreed(task, claim, now)
-        elif len(claim.no) > len(terms.keepers) - terms.majority:
-            claim = self._give_up(task, claim, now, reply.left if reply.why == HELD else 0.0)
-        self.claims[task] = claim
-
-    def _agreed(self, task: str, claim: ProposerState, now: float) -> ProposerState:
-        terms = self.terms
-        if claim.step == PREPARE:
-            # The lease counts from here, before the proposal leaves: keepers count from when it comes.
-            return self._begin(task, claim, PROPOSE, now)
-        held, until = claim.holds(now), claim.began + terms.held
-        if now >= until:
-            return self._give_up(task, claim, now)
-        claim = claim._replace(step=IDLE, until=until, since=claim.since if held else now)
-        if not held:
-            self.out.append(LeaseAcquired(task, claim.number))
-        elif claim.wanted and now - claim.since >= terms.term:
-            self.claims[task] = claim
-            claim = self._let_go(task, now, "tenure ended", terms.lease)
-        return claim
-
-    def _give_up(self, task: str, claim: ProposerState, now: float, left: float = 0.0) -> ProposerState:
-        """The step in hand came to nothing; what it holds from before goes on to its end."""
-        if claim.step == PROPOSE and not claim.holds(now):
-            # Those that said yes would keep all others out for a whole lease.
-            self._say(Release(task, claim.number, self.name, claim.round))
-        return claim._replace(step=IDLE, at=now + left + self.chance.uniform(*PAUSE))
-
-    def _let_go(self, task: str, now: float, why: str, rest: float = 0.0) -> ProposerState:
-        """Hold the task no longer, and ask for it again after a rest at the soonest."""
-        claim = self.claims[task]
-        if claim.until > -math.inf:
-            self.out.append(LeaseLost(task, why))
-        if claim.until > -math.inf or claim.step == PROPOSE:
-            self._say(Release(task, claim.number, self.name, claim.round))
-        claim = claim._replace(step=IDLE, until=-math.inf, at=max(claim.at, now + rest))
-        self.claims[task] = claim
-        return claim
+            state = state._replace(rejected_by=state.rejected_by | {acceptor})
+        if len(state.accepted_by) >= self.terms.majority:
+            state = self._on_majority(task, state, now)
+        elif len(state.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
+            remaining = reply.remaining if reply.reason == RejectReason.LEASE_HELD else 0.0
+            state = self._abandon_phase(task, state, now, remaining)
+        self.states[task] = state
+
+    def _on_majority(self, task: str, state: ProposerState, now: float) -> ProposerState:
+        """Go on to the propose phase, or hold the lease, once a majority has accepted."""
+        if state.phase == Phase.PREPARE:
+            # The holder's duration starts before the proposal is sent: acceptors count from its arrival.
+            return self._start_phase(task, state, Phase.PROPOSE, now)
+        renewed = state.holds(now)
+        held_until = state.phase_started_at + self.terms.holder_duration
+        if now >= held_until:
+            return self._abandon_phase(task, state, now)
+        held_since = state.held_since if renewed else now
+        state = state._replace(phase=Phase.IDLE, held_until=held_until, held_since=held_since)
+        if not renewed:
+            self.actions.append(LeaseAcquired(task, state.ballot))
+        elif state.contended and now - state.held_since >= self.terms.max_tenure:
+            self.states[task] = state
+            state = self._give_up_lease(task, now, "tenure ended", self.terms.lease_duration)
+        return state
+
+    def _abandon_phase(
+        self, task: str, state: ProposerState, now: float, remaining: float = 0.0
+    ) -> ProposerState:
+        """End a phase without a majority and back off; a lease acquired before stays valid until it expires.
+
+        `remaining` is how long another holder's lease still lasts, in ms.
+        """
+        if state.phase == Phase.PROPOSE and not state.holds(now):
+            # The acceptors that accepted would reject everybody else for a full lease.
+            self._broadcast(Release(task, state.ballot, self.name, state.round))
+        retry_at = now + remaining + self.rng.uniform(*RETRY_BACKOFF)
+        return state._replace(phase=Phase.IDLE, retry_at=retry_at)
+
+    def _give_up_lease(self, task: str, now: float, reason: str, cooldown: float = 0.0) -> ProposerState:
+        """Stop holding a task, and do not ask for it again before `cooldown` ms have passed."""
+        state = self.states[task]
+        if state.acquired:
+            self.actions.append(LeaseLost(task, reason))
+        if state.acquired or state.phase == Phase.PROPOSE:
+            self._broadcast(Release(task, state.ballot, self.name, state.round))
+        retry_at = max(state.retry_at, now + cooldown)
+        state = state._replace(phase=Phase.IDLE, held_until=NEVER, retry_at=retry_at)
+        self.states[task] = state
+        return state
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -18,8 +18,9 @@
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
 from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.fleet.peer_connection import CallError, PeerConnection
 from lotusroute.fleet.shared_discovery import SharedDiscovery
-from lotusroute.fleet.transport import CallFailed, PeerConnection, PeerTransport
+from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import Acceptor, AcceptorState
 from lotusroute.leases.messages import ReleaseLease, RequestLease
 from lotusroute.leases.proposer import Proposer
@@ -27,6 +28,7 @@
 from lotusroute.net import line_protocol
 from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_open_request
 from lotusroute.net.owner import Owner
+from lotusroute.relay import config as relays_config
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Heartbeat
 from lotusroute.relay.server import RelayServer
@@ -42,10 +44,10 @@
     """Records calls as (way, peer, kind, body) and leaves the answers to the test."""
 
     def __init__(self):
-        self.calls, self.answers, self.out, self.came_in = [], [], {}, {}
+        self.calls, self.answers, self.outbound, self.inbound = [], [], {}, {}
         self.call = lambda *said: self._record("call", *said)
-        self.call_back = lambda *said: self._record("back", *said)
-        self.dial = self.drop = lambda peer: None
+        self.call_inbound = lambda *said: self._record("back", *said)
+        self.connect = self.disconnect = lambda peer: None
 
     def _record(self, *said):
         self.calls.append(said)
@@ -62,11 +64,11 @@
     part = LeaseService(
         task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
     )
-    part.clock, part.link = lambda: NOW, FakeLink()
-    part.asker = Proposer(f"{name}#0a1b2c3d", part.plan.terms, random.Random(1))
-    if part.keeper is not None:
-        part.keeper = Acceptor(part.plan.terms, 0.0, 0)
-        part.keeper.reserved(4096)
+    part.clock, part.transport = lambda: NOW, FakeLink()
+    part.proposer = Proposer(f"{name}#0a1b2c3d", part.config.terms, random.Random(1))
+    if part.acceptor is not None:
+        part.acceptor = Acceptor(part.config.terms, 0.0, 0)
+        part.acceptor.ballots_persisted(4096)
     return part
 
 
@@ -97,23 +99,23 @@
 
 def test_the_link_sends_these_boxes_and_reads_the_answers():
     connection, transport = _connection("b")
-    greeted = connection.greet("f", "a")
+    greeted = connection.send_hello("f", "a")
     assert transport.value() == FROM_ME
     _exchange(connection, transport, IT_IS_B)
     assert greeted.result == "b"
     transport.clear()
-    asked = connection.ask("prepare", b"\x01\xff")
+    asked = connection.call("prepare", b"\x01\xff")
     assert transport.value() == CALL
     _exchange(connection, transport, BACK)
     assert asked.result == b"\0back"
-    refused = connection.ask("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
+    refused = connection.call("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
     _exchange(connection, transport, REFUSED.replace(b"\x012", b"\x013"))
-    assert type(refused.result) is CallFailed and str(refused.result) == "low"
+    assert type(refused.result) is CallError and str(refused.result) == "low"
     assert not transport.disconnecting
 
 
 def test_the_link_answers_these_boxes():
-    heard, answers = [], iter([b"\0back", defer.fail(CallFailed("low"))])
+    heard, answers = [], iter([b"\0back", defer.fail(CallError("low"))])
 
     def serve(*said):
         heard.append(said)
@@ -141,17 +143,17 @@
 def test_an_asker_says_these_calls_and_reads_these_answers(tmp_path):
     part, keepers = _part("d", tmp_path), ["a", "b", "c"]
     tail = b"\xa5watch\x01\xaad#0a1b2c3d"
-    part._decide(RequestLease("watch"))
-    assert part.link.taken() == [("call", at, "prepare", b"\x94" + tail + b"\x01") for at in keepers]
-    for answer in part.link.answers[:2]:
+    part.handle_event(RequestLease("watch"))
+    assert part.transport.taken() == [("call", at, "prepare", b"\x94" + tail + b"\x01") for at in keepers]
+    for answer in part.transport.answers[:2]:
         answer.callback(b"\x99\xa5watch\x01\xa7prepare\x01\xc3\xa0\x01" + ZERO + b"\xc2")
     body = b"\x95" + tail + b"\x02" + MS_3000
-    assert part.link.taken() == [("call", at, "propose", body) for at in keepers]
-    for answer in part.link.answers[3:5]:
+    assert part.transport.taken() == [("call", at, "propose", body) for at in keepers]
+    for answer in part.transport.answers[3:5]:
         answer.callback(b"\x99\xa5watch\x01\xa7propose\x02\xc3\xa0\x01" + ZERO + b"\xc2")
-    assert part.fence("watch", 0.0) == 1
-    part._decide(ReleaseLease("watch"))
-    assert part.link.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
+    assert part.fencing_token("watch", 0.0) == 1
+    part.handle_event(ReleaseLease("watch"))
+    assert part.transport.taken() == [("call", at, "release", b"\x94" + tail + b"\x02") for at in keepers]
 
 
 PREPARES, PROPOSES = ("b", "prepare", FROM_B), ("b", "propose", PROPOSE_B)
@@ -174,24 +176,24 @@
 )
 def test_a_keeper_answers_these_bytes(asked, answer, tmp_path):
     part = _part("a", tmp_path)
-    assert [part._serve(*said) for said in asked][-1] == REPLY + answer
+    assert [part.handle_call(*said) for said in asked][-1] == REPLY + answer
 
 
 def test_a_keeper_that_is_silent_or_full_answers_these_bytes(tmp_path):
     part = _part("a", tmp_path)
-    part.keeper.kept = {str(at): AcceptorState(until=NOW) for at in range(256)}
-    assert part._serve(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
-    part.keeper = Acceptor(part.plan.terms, NOW - 1000.0, 7)
+    part.acceptor.states = {str(at): AcceptorState(held_until=NOW) for at in range(256)}
+    assert part.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
+    part.acceptor = Acceptor(part.config.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
-    assert part._serve("b", "release", FROM_B) == REPLY + silent
+    assert part.handle_call("b", "release", FROM_B) == REPLY + silent
 
 
 def test_those_who_wait_are_told_that_a_task_is_free(tmp_path):
     part = _part("a", tmp_path)
     for said in [PROPOSES, ("c", "prepare", FROM_C), ("b", "release", FROM_B)]:
-        part._serve(*said)
-    assert part.link.taken() == [("back", "c", "freed", b"\x91\xa5watch")]
-    assert part._serve("b", "freed", b"\x91\xa5watch") == b""
+        part.handle_call(*said)
+    assert part.transport.taken() == [("back", "c", "freed", b"\x91\xa5watch")]
+    assert part.handle_call("b", "freed", b"\x91\xa5watch") == b""
 
 
 WATCHED = b"\x96\x07\xd9\x20http://10.0.0.9:8500/api/targets"
@@ -208,7 +210,7 @@
     def __init__(self):
         self.taken = []
 
-    def handed(self, *told):
+    def apply_shared_update(self, *told):
         self.taken.append(told)
         return True
 
@@ -222,15 +224,19 @@
 @pytest.mark.parametrize("told, since, body", [(TOLD_CHANGED, 12, CHANGED), (TOLD_ALL, None, ALL)])
 def test_the_holder_of_the_watch_sends_these_bytes_and_another_reads_them(told, since, body, tmp_path):
     holder = _watch(tmp_path)
-    holder.fence, holder.part.fence = 7, lambda *_: 7
-    holder.answered(told, since)
-    assert holder.part.link.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
-    holder._beat(7)
-    assert holder.part.link.taken() == [("call", at, "watch", BEAT) for at in ("a", "b", "c")]
+    holder.fencing_token, holder.lease_service.fencing_token = 7, lambda *_: 7
+    holder.on_response(told, since)
+    assert holder.lease_service.transport.taken() == [("call", at, "watch", body) for at in ("a", "b", "c")]
+    holder._send_heartbeat(7)
+    assert holder.lease_service.transport.taken() == [("call", at, "watch", BEAT) for at in ("a", "b", "c")]
     other = _watch(tmp_path)
-    assert other.part._serve("a", "watch", body) == other.part._serve("a", "watch", BEAT) == b""
+    assert (
+        other.lease_service.handle_call("a", "watch", body)
+        == other.lease_service.handle_call("a", "watch", BEAT)
+        == b""
+    )
     assert other.discovery.taken == [(told, since)]
-    assert (other.highest, other.said) == (7, 12)
+    assert (other.highest_fencing_token, other.holder_seq) == (7, 12)
 
 
 ITEMS = {
@@ -257,35 +263,35 @@
     """A relay that is the origin under fence 3 and has published 250 ms ago."""
     part = _part("a", state)
     relay = RelayServer(part, ("10.0.0.9", 8500), Counter())
-    relay.fence, part.fence = 3, lambda *_: 3
-    relay.answered({"seq": 4, "whole": True, "hosts": HOSTS}, None)
+    relay.fencing_token, part.fencing_token = 3, lambda *_: 3
+    relay.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     part.clock = lambda: NOW + 250.0
     return relay
 
 
 def test_a_relay_sends_these_bytes_and_a_balancer_reads_them(tmp_path):
     relay = _relay(tmp_path)
-    part, link = relay.part, relay.part.link
+    part, link = relay.lease_service, relay.lease_service.transport
     assert relay.store.items == ITEMS
-    assert part._serve("n1", "follow", b"\x92\x00\x00") == b""
+    assert part.handle_call("n1", "follow", b"\x92\x00\x00") == b""
     part.reactor.advance(0)
     assert link.taken() == [("back", "n1", "news", WHOLE)]
     link.answers[-1].callback(b"\x92\x03\x01")
-    assert relay.fan.followers["n1"].version == (3, 1)
+    assert relay.fanout.subscribers["n1"].version == (3, 1)
     part.clock = lambda: NOW
-    relay.answered({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
+    relay.on_response({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
     part.clock = lambda: NOW + 250.0
-    relay._act(relay.fan.tick(part.clock() + 1000.0, relay.old()))
+    relay.perform(relay.fanout.tick(part.clock() + 1000.0, relay.age_ms()))
     assert link.taken() == [("back", "n1", "news", DELTA)]
 
-    relays = subscription.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
+    relays = relays_config.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
     balancer = subscription.Subscription(task.Clock(), relays, "n1", Counter())
-    balancer.link, balancer.discovery = FakeLink(), FakeDiscovery()
-    balancer.follower.asked = "r1"
-    balancer._up("r1")
-    assert balancer.link.taken() == [("call", "r1", "follow", b"\x92\x00\x00")]
-    balancer.link.answers[-1].callback(b"")
-    acknowledged = [balancer._serve("r1", "news", body) for body in (*CUT, DELTA, NO_NEWS)]
+    balancer.transport, balancer.discovery = FakeLink(), FakeDiscovery()
+    balancer.selector.joining = "r1"
+    balancer.on_connected("r1")
+    assert balancer.transport.taken() == [("call", "r1", "follow", b"\x92\x00\x00")]
+    balancer.transport.answers[-1].callback(b"")
+    acknowledged = [balancer.handle_call("r1", "news", body) for body in (*CUT, DELTA, NO_NEWS)]
     assert acknowledged == 2 * [b"\x92\x00\x00"] + [b"\x92\x03\x01"] + 2 * [b"\x92\x03\x02"]
     gone = {"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}
     assert balancer.discovery.taken == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (gone, 4)]
@@ -295,18 +301,24 @@
     snapshot = Snapshot(Version(3, 1), 0x8A86D8C31D5BF2FE, ITEMS)
     left = {"s-2": None, "#list": b'{"where": "10.0.0.9:8500", "seq": 5}'}
     delta = Delta(Version(3, 1), Version(3, 2), 0x2BD98F5510662E89, left)
-    assert messages.written(snapshot, 250.0) == [WHOLE]
-    assert messages.written(delta, 250.0) == [DELTA]
-    assert messages.written(Heartbeat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
-    monkeypatch.setattr(messages, "PART", 1)
-    assert messages.written(snapshot, 250.0) == CUT
+    assert messages.encode_update(snapshot, 250.0) == [WHOLE]
+    assert messages.encode_update(delta, 250.0) == [DELTA]
+    assert messages.encode_update(Heartbeat(Version(3, 2), 0.0), 250.0) == [NO_NEWS]
+    monkeypatch.setattr(messages, "MAX_PART_BYTES", 1)
+    assert messages.encode_update(snapshot, 250.0) == CUT
     for bodies, news in ((CUT, snapshot), ([WHOLE], snapshot), ([DELTA], delta)):
-        assembly = messages.Assembly()
-        assert [assembly.take(messages.read(body)) for body in bodies][-1] == news
-    beat = messages.read(NO_NEWS)
-    assert (beat.version, beat.age, beat.since, beat.parts, beat.items) == ((3, 2), 250.0, None, 0, {})
-    assert messages.acknowledged(Version(3, 2)) == b"\x92\x03\x02"
-    assert messages.at(b"\x92\x03\x02") == (3, 2)
+        assembler = messages.SnapshotAssembler()
+        assert [assembler.add(messages.decode_update(body)) for body in bodies][-1] == news
+    beat = messages.decode_update(NO_NEWS)
+    assert (beat.version, beat.age_ms, beat.base_version, beat.part_count, beat.items) == (
+        (3, 2),
+        250.0,
+        None,
+        0,
+        {},
+    )
+    assert messages.encode_acknowledgement(Version(3, 2)) == b"\x92\x03\x02"
+    assert messages.decode_acknowledgement(b"\x92\x03\x02") == (3, 2)
 
 
 def test_the_number_on_disk_is_this_file(tmp_path):
@@ -347,7 +359,11 @@
     assert tasks == ("watch", "cold", "check", "origin")
     assert terms == (("n1", "n2", "n3"), 1500.0, 0.01, 50.0, 400.0, 90000.0, 1000.0)
     file.write_text(RELAYS_FILE)
-    assert subscription.read(file) == ("example", {"r1": ("10.0.0.1", 9800)}, {"r3": ("10.0.0.3", 9800)})
+    assert relays_config.load_relays_config(file) == (
+        "example",
+        {"r1": ("10.0.0.1", 9800)},
+        {"r3": ("10.0.0.3", 9800)},
+    )
     file.write_text(CONFIG)
     told = net_config.load_config({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     known = json.loads(CONFIG)["known"]
@@ -477,9 +493,9 @@
 
 def test_what_is_shown_has_these_keys(tmp_path):
     relay = _relay(tmp_path)
-    relay.part._decide(RequestLease("watch"))
-    relay.part._serve("b", "propose", PROPOSE_B)
-    shown = json.loads(relay.part._serve("-", "show", b""))
+    relay.lease_service.handle_event(RequestLease("watch"))
+    relay.lease_service.handle_call("b", "propose", PROPOSE_B)
+    shown = json.loads(relay.lease_service.handle_call("-", "show", b""))
     assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
     assert " ".join(shown["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
     kept = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
