--- a/lotusroute/capacity/direct_followers.py
+++ b/lotusroute/capacity/direct_discovery_clients.py
@@ -3,7 +3,7 @@
 Owns how many share the process. It must never hold a copy of what follows: that is the program's own
 `Discovery`.
 
-    python -m lotusroute.capacity.direct_followers followers.json
+    python -m lotusroute.capacity.direct_discovery_clients followers.json
 """
 
 import json
--- a/lotusroute/capacity/hollow.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -3,7 +3,7 @@
 Owns how many of them share a process. It must never hold a copy of what they are made of: each is the very
 code that a balancer runs. Started by `lotusroute scale`, with a file that names them:
 
-    python -m lotusroute.capacity.hollow hollow.json
+    python -m lotusroute.capacity.hollow_balancers hollow.json
 """
 
 import json
--- a/lotusroute/capacity/roles.py
+++ b/lotusroute/capacity/roles.py
@@ -130,7 +130,7 @@
                 "names": names[at : at + HOLLOW_EACH],
                 "discovery": f"127.0.0.1:{where}",
             }
-            one = Started(["-m", "lotusroute.capacity.hollow", write(folder / f"hollow{at}.json", told)], {})
+            one = Started(["-m", "lotusroute.capacity.hollow_balancers", write(folder / f"hollow{at}.json", told)], {})
             stack.callback(one.end)
             hollow.append(one)
         for one in hollow:
@@ -201,7 +201,7 @@
     with processes.folder() as folder, discovery(hosts) as (targets, where):
         names = [f"n{at + 1}" for at in range(size)]
         told = {"names": names, "discovery": f"127.0.0.1:{where}"}
-        one = Started(["-m", "lotusroute.capacity.direct_followers", write(folder / "f.json", told)], {})
+        one = Started(["-m", "lotusroute.capacity.direct_discovery_clients", write(folder / "f.json", told)], {})
         try:
             one.wait("event=ready")
             time.sleep(SETTLE)
