--- a/lotusroute/capacity/command.py
+++ b/lotusroute/capacity/command.py
@@ -10,8 +10,9 @@
 
 import click
 
-from lotusroute.capacity.processes import TooLarge
-from lotusroute.capacity.regression_line import SIZES, grown, line
+from lotusroute.capacity.measurement import Measurement, MeasurementOptions, Series, group_into_series
+from lotusroute.capacity.processes import RunTooLargeError
+from lotusroute.capacity.regression_line import MIN_SIZES, find_growth, fit_line
 from lotusroute.capacity.target import Target
 
 
@@ -32,35 +33,37 @@
 
     Example: lotusroute scale measure fleet --sizes 8,30,65,125 --json fleet.json
     """
-    from lotusroute.capacity import update_propagation
     from lotusroute.capacity.roles import ROLES
 
-    do, usual = {**ROLES, "relays": (update_propagation.relays, (20, 50, 100, 150))}[role]
     try:
-        asked = [int(size) for size in sizes.split(",")] if sizes else list(usual)
+        asked = [int(size) for size in sizes.split(",")] if sizes else list(ROLES[role].default_sizes)
     except ValueError:
         raise click.UsageError(f"--sizes {sizes}: give whole numbers, as 8,30,65,125") from None
     if len(set(asked)) < 2 or min(asked) < 1:
         raise click.UsageError(f"--sizes {sizes}: give two or more, each above 0")
-    points: dict = {}
+    measurements: list[Measurement] = []
     try:
         for size in asked:
-            told = f"{role} {size}: "
-            do(size, seconds, hosts, points, lambda said, told=told: click.echo(told + said, err=True))
-    except TooLarge as fault:
+            prefix = f"{role} {size}: "
+            options = MeasurementOptions(
+                seconds, hosts, lambda text, prefix=prefix: click.echo(prefix + text, err=True)
+            )
+            measurements += ROLES[role].measure(size, options)
+    except RunTooLargeError as fault:
         click.echo(f"lotusroute: {role}: {fault}", err=True)
         sys.exit(2)
-    told = [{"name": name, "unit": unit, "points": found} for name, (unit, found) in points.items()]
-    lines = [line(one["name"], one["unit"], one["points"]) for one in told]
+    series = group_into_series(measurements)
+    lines = [fit_line(one) for one in series]
     for one in lines:
-        few = "" if len(asked) >= SIZES else f"  (only {len(asked)} sizes)"
+        few = "" if len(asked) >= MIN_SIZES else f"  (only {len(asked)} sizes)"
         found = " ".join(f"{x:g}:{y:.4g}" for x, y in one.points)
         click.echo(
-            f"{one.name}: {one.slope:.5g} +- {one.error:.2g} {one.unit} by one, "
-            f"{one.start:.4g} at none; {found}{few}"
+            f"{one.name}: {one.slope:.5g} +- {one.slope_error:.2g} {one.unit} by one, "
+            f"{one.intercept:.4g} at none; {found}{few}"
         )
     if file:
-        pathlib.Path(file).write_text(json.dumps({"role": role, "seconds": seconds, "lines": told}, indent=1))
+        document = {"role": role, "seconds": seconds, "lines": [one.as_json() for one in series]}
+        pathlib.Path(file).write_text(json.dumps(document, indent=1))
     if plot:
         _plot(lines, plot)
 
@@ -77,7 +80,7 @@
     for one, (axis,) in zip(lines, axes, strict=True):
         axis.plot(*zip(*one.points, strict=True), "o")
         ends = [0, max(size for size, _ in one.points)]
-        axis.plot(ends, [one.at(size) for size in ends])
+        axis.plot(ends, [one.value_at(size) for size in ends])
         axis.set_title(one.name, fontsize=8)
         axis.set_ylabel(one.unit, fontsize=7)
     figure.tight_layout()
@@ -94,7 +97,8 @@
     """
     try:
         runs = [json.loads(pathlib.Path(file).read_text())["lines"] for file in (before, after)]
-        found = grown(*runs)
+        old_run, new_run = ([Series.from_json(document) for document in run] for run in runs)
+        found = find_growth(old_run, new_run)
     except (ValueError, KeyError, TypeError) as fault:
         click.echo(f"lotusroute: {before}, {after}: no runs of `scale measure --json`: {fault}", err=True)
         sys.exit(2)
@@ -117,14 +121,17 @@
 
     Example: lotusroute scale news --relays 40 --real 20 --hollow 6140 --zones 19
     """
-    from lotusroute.capacity.update_propagation import SCENARIOS, play
+    from lotusroute.capacity.propagation_fleet import FleetSize
+    from lotusroute.capacity.update_propagation import SCENARIOS, run_scenarios
 
     for scenario in scenarios:
         if scenario not in SCENARIOS:
             raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
     try:
-        out = play(**sizes, scenarios=scenarios or SCENARIOS, say=lambda said: click.echo(said, err=True))
-    except TooLarge as fault:
+        out = run_scenarios(
+            FleetSize(**sizes), scenarios or SCENARIOS, lambda text: click.echo(text, err=True)
+        )
+    except RunTooLargeError as fault:
         click.echo(f"lotusroute: news: {fault}", err=True)
         sys.exit(2)
     click.echo(json.dumps(out) if as_json else "\n".join(f"{key} {value}" for key, value in out.items()))
@@ -162,5 +169,5 @@
 
     Example: lotusroute scale target --json
     """
-    figures = {**Target()._asdict(), **Target().worked_out()}
+    figures = {**Target()._asdict(), **Target().derived_figures()}
     click.echo(json.dumps(figures) if as_json else "\n".join(f"{k} {v:.6g}" for k, v in figures.items()))
--- /dev/null
+++ b/lotusroute/capacity/data_plane_role.py
@@ -0,0 +1,146 @@
+"""Measures the data plane of one balancer by the number of connections: flows, idle connections, lines.
+
+The balancer is the program itself; servers and discovery are stubs, clients run in the measuring process.
+"""
+
+import asyncio
+import contextlib
+import resource
+import time
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from lotusroute.capacity.client_stub import StubClient
+from lotusroute.capacity.deployment import (
+    allocate_port,
+    run_discovery,
+    run_folder,
+    start_balancer,
+    wait_until_listening,
+)
+from lotusroute.capacity.measurement import Measurement, MeasurementOptions
+from lotusroute.capacity.processes import MeasuredProcess, RunTooLargeError, check_footprint
+from lotusroute.capacity.stubs import entry
+
+SETTLE_SECONDS = 4.0  # after the last connection was opened, before idle ones are measured
+SERVERS = (
+    8  # names of one server stub: a single server that is slow for a moment would be ejected, with none left
+)
+LINES_PER_CLIENT = 20  # one after the other
+CONCURRENT_CLIENTS = 16  # that open flows or exchange lines at a time
+CONCURRENT_OPENS = 32  # connections opened at a time
+WARM_UP_FLOWS = 32
+SPARE_DESCRIPTORS = 256
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerSample:
+    """What the balancer has used at one moment."""
+
+    timestamp: float  # s of the monotonic clock
+    cpu_seconds: float
+    resident_mb: float
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionSamples:
+    """Samples of the balancer around two intervals."""
+
+    idle: BalancerSample  # all connections are open, none is used
+    exchange: BalancerSample  # clients begin to exchange lines
+    end: BalancerSample  # all lines were exchanged
+
+    def idle_cpu_share(self) -> float:
+        """Share of a core that idle connections take."""
+        cpu_seconds = self.exchange.cpu_seconds - self.idle.cpu_seconds
+        return cpu_seconds / (self.exchange.timestamp - self.idle.timestamp)
+
+    def exchange_cpu_seconds(self) -> float:
+        """CPU seconds of all lines, without what the connections would have taken if idle."""
+        cpu_seconds = self.end.cpu_seconds - self.exchange.cpu_seconds
+        idle_cpu_seconds = self.idle_cpu_share() * (self.end.timestamp - self.exchange.timestamp)
+        return max(0.0, cpu_seconds - idle_cpu_seconds)
+
+
+def measure_data_plane(size: int, options: MeasurementOptions) -> list[Measurement]:
+    """Measure a balancer with so many connections."""
+    options.report(check_footprint(3))
+    _raise_descriptor_limit(size)
+    with _run_balancer() as (balancer, port):
+        asyncio.run(_open_flows(port, WARM_UP_FLOWS))
+        cpu_before = balancer.cpu_seconds()
+        asyncio.run(_open_flows(port, size))
+        flow_cpu_seconds = balancer.cpu_seconds() - cpu_before
+        empty_mb = balancer.resident_mb()
+
+        def sample() -> BalancerSample:
+            cpu_seconds = balancer.cpu_seconds()
+            return BalancerSample(time.monotonic(), cpu_seconds, balancer.resident_mb())
+
+        samples = asyncio.run(_use_connections(port, size, options.seconds, sample))
+    memory_mb = samples.idle.resident_mb - empty_mb
+    lines = LINES_PER_CLIENT * size
+    return [
+        Measurement("flow.cpu", "s of CPU", size, flow_cpu_seconds),
+        Measurement("standing.memory", "MB over an empty one", size, memory_mb),
+        Measurement("standing.cpu", "% of a core", size, 100 * samples.idle_cpu_share()),
+        Measurement("line.cpu", "s of CPU", lines, samples.exchange_cpu_seconds()),
+    ]
+
+
+def _raise_descriptor_limit(connections: int) -> None:
+    needed = 2 * connections + SPARE_DESCRIPTORS
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if needed > hard:
+        raise RunTooLargeError(f"{connections} connections need {needed} descriptors, {hard} are to be had")
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
+
+
+@contextlib.contextmanager
+def _run_balancer() -> Iterator[tuple[MeasuredProcess, int]]:
+    """Run a balancer with its discovery and servers; yields it with its port."""
+    server_port = allocate_port()
+    port = allocate_port()
+    hosts = [entry(f"s-{index}", server_port) for index in range(SERVERS)]
+    with (
+        run_folder() as folder,
+        run_discovery(SERVERS, server_port) as (_, discovery_port),
+        MeasuredProcess("lotusroute.capacity.server_stub", [str(server_port)]),
+        start_balancer(folder, "n1", port, discovery_port, {}, hosts) as balancer,
+    ):
+        wait_until_listening(port)
+        yield balancer, port
+
+
+async def _open_flows(port: int, count: int) -> None:
+    """Open and close connections, some at a time."""
+
+    async def open_some(first: int) -> None:
+        for key in range(first, count, CONCURRENT_CLIENTS):
+            client = await StubClient.open(port, key)
+            await client.close()
+
+    await asyncio.gather(*(open_some(first) for first in range(CONCURRENT_CLIENTS)))
+
+
+async def _use_connections(
+    port: int, count: int, seconds: float, sample: Callable[[], BalancerSample]
+) -> ConnectionSamples:
+    """Open connections, leave them idle for some seconds, then exchange lines over all of them."""
+    clients: list[StubClient] = []
+    for first in range(0, count, CONCURRENT_OPENS):
+        keys = range(first, min(count, first + CONCURRENT_OPENS))
+        clients += await asyncio.gather(*(StubClient.open(port, key) for key in keys))
+    await asyncio.sleep(SETTLE_SECONDS)
+    idle = sample()
+    await asyncio.sleep(seconds)
+    exchange = sample()
+
+    async def exchange_lines(some: list[StubClient]) -> None:
+        for _ in range(LINES_PER_CLIENT):
+            for client in some:
+                await client.exchange_line()
+
+    groups = [clients[first::CONCURRENT_CLIENTS] for first in range(CONCURRENT_CLIENTS)]
+    await asyncio.gather(*(exchange_lines(group) for group in groups))
+    return ConnectionSamples(idle, exchange, sample())
--- a/lotusroute/capacity/direct_discovery_clients.py
+++ b/lotusroute/capacity/direct_discovery_clients.py
@@ -1,47 +1,38 @@
-"""A process of followers that call discovery by themselves, as each balancer does in `run`.
+"""A process of members that each poll discovery directly, as every balancer does in `run`.
 
-Owns how many share the process. It must never hold a copy of what follows: that is the program's own
-`Discovery`.
+Each member is the program's own `Discovery`. SIGUSR1 logs the counters of all.
 
-    python -m lotusroute.capacity.direct_discovery_clients followers.json
+    python -m lotusroute.capacity.direct_discovery_clients settings.json
 """
 
-import json
-import pathlib
 import signal
 import sys
 
-from lotusroute.net import epoll_reactor
-
-epoll_reactor.install()
-
-# Nothing may import Twisted's reactor before ours is installed.
-# ruff: noqa: E402, I001
-from twisted.internet import defer, reactor
+from twisted.internet import defer
 
+from lotusroute.capacity import member_process
+from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
+START_INTERVAL = 0.005  # s
 
-def main(file: str) -> int:
-    """Run until killed."""
-    told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    structured_log.configure_logging("WARNING")
-    structured_log.LOGGER.setLevel("INFO")
+
+def main(file: str) -> None:
+    """Run the members that a settings file names until killed."""
+    settings = MemberSettings.read(file)
     counters = structured_log.Counters()
-    host, _, port = told["discovery"].rpartition(":")
 
-    def begin(seed: int) -> None:
-        one = Discovery((host, int(port)), 0, seed, lambda news: counters.update(lists_taken=1), counters)
-        defer.ensureDeferred(one.follow())
+    def count_update(_update: object) -> None:
+        counters["lists_taken"] += 1
+
+    def start(_name: str, index: int) -> None:
+        discovery = Discovery(settings.discovery_address(), 0, index, count_update, counters)
+        defer.ensureDeferred(discovery.follow())
 
-    for at in range(len(told["names"])):
-        reactor.callLater(0.005 * at, begin, at)
-    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(counters.print))
-    reactor.callLater(0.005 * len(told["names"]), structured_log.log_event, "ready")
-    reactor.run(installSignalHandlers=False)
-    return 0
+    handlers = {signal.SIGUSR1: counters.print}
+    member_process.run_members(settings.names, start, START_INTERVAL, handlers)
 
 
 if __name__ == "__main__":
-    sys.exit(main(sys.argv[1]))
+    main(sys.argv[1])
--- a/lotusroute/capacity/discovery_stub.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -1,8 +1,10 @@
-"""A stand-in discovery as a process.
+"""A stub of discovery as a process on loopback.
 
-    python -m lotusroute.capacity.discovery_stub PORT HOSTS ANSWERS [EVERY [DIAL]]
+    python -m lotusroute.capacity.discovery_stub PORT HOSTS ANSWERS [INTERVAL [SERVER_PORT]]
 
-Owns its start and its counters. It must never listen anywhere but on loopback.
+HOSTS servers are listed, all on SERVER_PORT; ANSWERS polls a second are answered; every INTERVAL seconds one
+entry of the list changes. SIGUSR1 logs the counters, SIGUSR2 makes one change, SIGHUP a burst of changes.
+Each change is logged with its number and with the time of the monotonic clock, which all processes share.
 """
 
 import itertools
@@ -13,43 +15,54 @@
 from twisted.internet import reactor, task
 from twisted.web import server
 
-from lotusroute.capacity.stubs import Targets, entry
+from lotusroute.capacity.discovery_resource import DiscoveryResource
+from lotusroute.capacity.signals import call_on_signal
+from lotusroute.capacity.stubs import BURST_CHANGES, CHANGED_HOST, entry
 from lotusroute.net import structured_log
 
-BURST = 50  # changes in a second, on SIGHUP; SIGUSR2 makes one
 
+class DiscoveryStub:
+    """The resource, its counters, and changes of its list."""
 
-def main(port: str, hosts: str, answers: str, every: str = "0", dial: str = "9") -> int:
-    """Run until killed; with `every`, an entry is told anew each so many seconds. `dial` is all's port."""
-    structured_log.configure_logging("WARNING")
-    structured_log.LOGGER.setLevel("INFO")
-    targets = Targets([entry(f"s-{at}", int(dial)) for at in range(int(hosts))], float(answers))
-    reactor.listenTCP(int(port), server.Site(targets), interface="127.0.0.1")
-    counters = structured_log.Counters()
+    def __init__(self, hosts: int, answers: float, server_port: int) -> None:
+        self.server_port = server_port
+        self.resource = DiscoveryResource(
+            [entry(f"s-{index}", server_port) for index in range(hosts)], answers
+        )
+        self.counters = structured_log.Counters()
+        self._change_numbers = itertools.count(1)
 
-    def tell() -> None:
-        counters.update(calls=len(targets.calls) - counters["calls"], bytes=targets.bytes - counters["bytes"])
-        counters.print()
+    def log_counters(self) -> None:
+        """Log how many polls came and how many bytes were sent."""
+        self.counters["calls"] = len(self.resource.poll_times)
+        self.counters["bytes"] = self.resource.bytes_sent
+        self.counters.print()
 
-    changes = itertools.count(1)
+    def change(self) -> None:
+        """Change one entry of the list."""
+        number = next(self._change_numbers)
+        self.resource.change([{**entry(CHANGED_HOST, self.server_port), "block": number}])
+        structured_log.log_event("changed", change=number, at=time.monotonic(), of=CHANGED_HOST)
 
-    def change() -> None:
-        number = next(changes)
-        targets.change([{**entry("s-0", int(dial)), "block": number}])
-        structured_log.log_event("changed", change=number, at=time.monotonic(), of="s-0")
+    def change_in_burst(self) -> None:
+        """Change the entry many times within a second."""
+        for index in range(BURST_CHANGES):
+            reactor.callLater(index / BURST_CHANGES, self.change)
 
-    def burst() -> None:
-        for at in range(BURST):
-            reactor.callLater(at / BURST, change)
 
-    if float(every):
-        task.LoopingCall(change).start(float(every), now=False)
-    for number, call in ((signal.SIGUSR1, tell), (signal.SIGUSR2, change), (signal.SIGHUP, burst)):
-        signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
+def main(port: str, hosts: str, answers: str, interval: str = "0", server_port: str = "9") -> None:
+    """Run until killed."""
+    structured_log.configure_logging("INFO")
+    stub = DiscoveryStub(int(hosts), float(answers), int(server_port))
+    reactor.listenTCP(int(port), server.Site(stub.resource), interface="127.0.0.1")
+    if float(interval):
+        task.LoopingCall(stub.change).start(float(interval), now=False)
+    call_on_signal(reactor, signal.SIGUSR1, stub.log_counters)
+    call_on_signal(reactor, signal.SIGUSR2, stub.change)
+    call_on_signal(reactor, signal.SIGHUP, stub.change_in_burst)
     reactor.callWhenRunning(structured_log.log_event, "ready")
     reactor.run(installSignalHandlers=False)
-    return 0
 
 
 if __name__ == "__main__":
-    sys.exit(main(*sys.argv[1:]))
+    main(*sys.argv[1:])
--- /dev/null
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -0,0 +1,69 @@
+"""Measures an endpoint list by its number of servers: its bytes, parsing it, applying it, routing by it."""
+
+import itertools
+import json
+import time
+from collections.abc import Callable
+
+from lotusroute.capacity.measurement import Measurement, MeasurementOptions
+from lotusroute.capacity.processes import check_footprint
+from lotusroute.capacity.stubs import entry
+from lotusroute.net.discovery import parse_endpoint_list
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
+
+REPETITIONS = 3  # of each timing; the shortest counts
+FLOWS = 200  # of one timing
+SERVER_PORT = 9_000
+
+
+def measure_endpoint_list(size: int, options: MeasurementOptions) -> list[Measurement]:
+    """Measure a list of so many servers."""
+    options.report(check_footprint(1))
+    hosts = [entry(f"s-{index:08x}", SERVER_PORT) for index in range(size)]
+    document = {"seq": 1, "whole": True, "hosts": hosts}
+    body = json.dumps(document).encode()
+    update = parse_endpoint_list(document, events.COMPLETE)
+    complete = events.EndpointList(events.COMPLETE, update.servers)
+    change = events.EndpointList(events.CHANGES, update.servers[:1])
+    director = Director(
+        events.ServiceConfig({"live": events.ServiceType(300.0)}, groups_share_work=True, max_attempts=4), 1
+    )
+    flow_ids = itertools.count(1)
+
+    def parse() -> None:
+        parse_endpoint_list(json.loads(body), events.COMPLETE)
+
+    def apply_complete() -> None:
+        director.decide(0.0, complete)
+
+    def apply_change() -> None:
+        director.decide(0.0, change)
+
+    def route_flows() -> None:
+        for _ in range(FLOWS):
+            _route_flow(director, next(flow_ids))
+
+    flow_unit = "ms of CPU, each in a segment of its own"
+    return [
+        Measurement("list.bytes", "B", size, len(body)),
+        Measurement("list.read", "ms of CPU", size, _shortest_cpu_ms(parse)),
+        Measurement("list.take", "ms of CPU", size, _shortest_cpu_ms(apply_complete)),
+        Measurement("list.change", "ms of CPU", size, _shortest_cpu_ms(apply_change)),
+        Measurement("decisions.flow", flow_unit, size, _shortest_cpu_ms(route_flows) / FLOWS),
+    ]
+
+
+def _route_flow(director: Director, flow_id: int) -> None:
+    flow = events.Flow(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", 2_000.0)
+    director.decide(1.0, flow)
+    director.decide(2.0, events.ClientDisconnected(flow_id))
+
+
+def _shortest_cpu_ms(function: Callable[[], None]) -> float:
+    shortest = float("inf")
+    for _ in range(REPETITIONS):
+        started = time.process_time()
+        function()
+        shortest = min(shortest, time.process_time() - started)
+    return 1000 * shortest
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -1,97 +1,98 @@
-"""A process of hollow subscribers: the program's own `Subscription` and `Discovery`, without flows.
+"""A process of hollow subscribers of relays: balancers without flows.
 
-Owns how many share the process, and when each of them had which change. It must never hold a copy of what
-they are made of. SIGUSR1 writes what came to the file that it was told, SIGUSR2 ends all ways at once and
-begins anew.
+Each is the program's own `Subscription` and `Discovery`. The process records when each of them received which
+change. SIGUSR1 writes a SubscriberReport; SIGUSR2 makes all subscribers lose their state and start again at
+once.
 
-    python -m lotusroute.capacity.hollow_subscribers subscribers.json
+    python -m lotusroute.capacity.hollow_subscribers settings.json
 """
 
-import json
 import pathlib
 import signal
 import sys
 import time
 
-from lotusroute.net import epoll_reactor
-
-epoll_reactor.install()
-
-# Nothing may import Twisted's reactor before ours is installed.
-# ruff: noqa: E402, I001
-from twisted.internet import defer, reactor
+from twisted.internet import defer
 
+from lotusroute.capacity import member_process, stubs
+from lotusroute.capacity.deployment import FLEET_NAME
+from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
 from lotusroute.net import structured_log
-from lotusroute.net.discovery import Discovery
+from lotusroute.net.discovery import Discovery, EndpointUpdate
 from lotusroute.relay import subscription
 
-EACH = 0.15  # s between the starts of two in a process: thousands that start at once on one machine's cores
-#             all fell back on discovery, whose one process then kept them from joining a relay
+# s. Thousands that started at once on one machine's cores all fell back on discovery, and its one process
+# then kept the relays from taking them.
+START_INTERVAL = 0.15
+DRAIN_GRACE = 500.0  # ms
+RESTART_SEED = 1_000  # first seed of the subscribers that start again
 
 
-class Hollow:
-    """All subscribers of one process."""
+class HollowSubscribers:
+    """The hollow subscribers of one process."""
 
-    def __init__(self, told: dict) -> None:
-        self.told, self.counters = told, structured_log.Counters()
-        self.came: dict[str, dict[int, float]] = {name: {} for name in told["names"]}  # by name: change, when
+    def __init__(self, settings: HollowSubscriberSettings) -> None:
+        self.settings = settings
+        self.counters = structured_log.Counters()
+        self.received: dict[str, dict[int, float]] = {name: {} for name in settings.names}
         self.subscriptions: dict[str, subscription.Subscription] = {}
-        host, _, port = told["discovery"].rpartition(":")
-        self.where = host, int(port)
 
-    def begin(self, name: str, seed: int) -> None:
+    def start(self, name: str, seed: int) -> None:
         """Start one."""
-        zone = self.told["zones"][name]
-        relays = subscription.relays({"name": "scale", "zone": zone, "relays": self.told["relays"]})
-        one = subscription.Subscription(reactor, relays, name, self.counters)
-        following = Discovery(self.where, 0, seed, lambda news: self.heard(name, news), self.counters, 500.0)
-        following.watch, one.discovery = one, following
-        self.subscriptions[name] = one
-        one.start()
-        defer.ensureDeferred(following.follow())
-
-    def heard(self, name: str, news) -> None:
-        """One has a list or a change of it; `cell` says which change it is."""
-        now, came = time.monotonic(), self.came[name]
-        for server in news.servers:
-            if server.id == "s-0":
-                came.setdefault(server.cell, now)
-
-    def write(self) -> None:
-        """Write what came, and the digests."""
-        stores = {name: f"{one.store.version} {one.store.digest}" for name, one in self.subscriptions.items()}
-        file = pathlib.Path(self.told["file"])
-        part = file.with_suffix(".part")
-        part.write_text(json.dumps({"came": self.came, "stores": stores, "counts": self.counters}))
-        part.rename(file)
-        structured_log.log_event("written")
+        relays = subscription.relays(
+            {"name": FLEET_NAME, "zone": self.settings.zone, "relays": self.settings.relays}
+        )
+        subscribed = subscription.Subscription(member_process.reactor, relays, name, self.counters)
+
+        def record(update: EndpointUpdate) -> None:
+            self._record(name, update)
+
+        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, DRAIN_GRACE)
+        discovery.watch = subscribed
+        subscribed.discovery = discovery
+        self.subscriptions[name] = subscribed
+        subscribed.start()
+        defer.ensureDeferred(discovery.follow())
+
+    def _record(self, name: str, update: EndpointUpdate) -> None:
+        now = time.monotonic()
+        for server in update.servers:
+            if server.id == stubs.CHANGED_HOST:
+                # A discovery stub writes the number of the change into the field that is read as `cell`.
+                self.received[name].setdefault(server.cell, now)
+
+    def write_report(self) -> None:
+        """Write what each one received and holds."""
+        digests = {
+            name: f"{one.store.version} {one.store.digest}" for name, one in self.subscriptions.items()
+        }
+        report = SubscriberReport(self.received, digests, dict(self.counters))
+        report.write(pathlib.Path(self.settings.report_file))
 
     def restart(self) -> None:
-        """All lose what they have and come back at once."""
-        for name, one in self.subscriptions.items():
-            one.link.close()
-            one.link.closed = True
-            one.discovery.close()
-            one.start = lambda: None
-            self.came[name] = {}
-        for at, name in enumerate(list(self.subscriptions)):
-            self.begin(name, 1_000 + at)
-
-
-def main(file: str) -> int:
-    """Run until killed."""
-    told = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-    structured_log.configure_logging("ERROR")
-    structured_log.LOGGER.setLevel("WARNING")
-    hollow = Hollow(told)
-    for at, name in enumerate(told["names"]):
-        reactor.callLater(EACH * at, hollow.begin, name, at)
-    for number, call in ((signal.SIGUSR1, hollow.write), (signal.SIGUSR2, hollow.restart)):
-        signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
-    reactor.callLater(EACH * len(told["names"]), print, "event=ready", file=sys.stderr, flush=True)
-    reactor.run(installSignalHandlers=False)
-    return 0
+        """Drop all subscriptions with their state and start them again at once."""
+        for name, subscribed in self.subscriptions.items():
+            subscribed.link.close()
+            subscribed.link.closed = True
+            subscribed.discovery.close()
+            # A subscription schedules its own `start` again and again: this one is to stop there.
+            subscribed.start = _do_nothing
+            self.received[name] = {}
+        for index, name in enumerate(list(self.subscriptions)):
+            self.start(name, RESTART_SEED + index)
+
+
+def _do_nothing() -> None:
+    pass
+
+
+def main(file: str) -> None:
+    """Run the subscribers that a settings file names until killed."""
+    settings = HollowSubscriberSettings.read(file)
+    subscribers = HollowSubscribers(settings)
+    handlers = {signal.SIGUSR1: subscribers.write_report, signal.SIGUSR2: subscribers.restart}
+    member_process.run_members(settings.names, subscribers.start, START_INTERVAL, handlers, "WARNING")
 
 
 if __name__ == "__main__":
-    sys.exit(main(sys.argv[1]))
+    main(sys.argv[1])
--- /dev/null
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -0,0 +1,282 @@
+"""A fleet for runs of update propagation: discovery, relays, balancers, and hollow subscribers.
+
+Times are in seconds of the monotonic clock, which all processes of a machine share.
+"""
+
+import contextlib
+import pathlib
+import signal
+import time
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Self
+
+from lotusroute.capacity import processes
+from lotusroute.capacity.deployment import (
+    address,
+    allocate_port,
+    run_folder,
+    start_balancer,
+    write_fleet_file,
+    write_relays_file,
+)
+from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
+from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage, log_field
+from lotusroute.capacity.stubs import CHANGED_HOST
+
+HOLLOW_PER_PROCESS = 160
+LARGE_ACCEPTOR_GROUP = 5  # relays that are acceptors of the lease, where there are so many
+SMALL_ACCEPTOR_GROUP = 3
+LEASE_MS = 1_500
+MAX_SUBSCRIBERS = 4_000  # of a relay
+START_TIMEOUT = 60.0
+LEASE_TIMEOUT = 30.0
+REPORT_TIMEOUT = 20.0
+SETTLE_SECONDS = 8.0  # after the last start
+
+
+@dataclass(frozen=True, slots=True)
+class FleetSize:
+    """How many processes and members a fleet has."""
+
+    relays: int
+    real: int  # balancers that are the program itself
+    hollow: int  # hollow subscribers
+    zones: int  # that all are spread over
+    hosts: int  # servers in the endpoint list
+
+
+@dataclass(frozen=True, slots=True)
+class RestFigures:
+    """What relays and balancers use at rest: means, but for the relay that is the origin."""
+
+    origin: dict[str, float]  # cpu_percent and bytes_s
+    relay_cpu_percent: float  # of one core
+    relay_bytes_s: float  # both ways
+    relay_rss_mb: float
+    balancer_cpu_percent: float
+    balancer_bytes_s: float
+    balancer_rss_mb: float
+
+
+@dataclass(frozen=True, slots=True)
+class HollowGroup:
+    """A process of hollow subscribers of one zone."""
+
+    process: MeasuredProcess
+    zone: str
+    report_file: pathlib.Path
+
+
+class PropagationFleet:
+    """The processes of a run; a context manager that starts and kills them."""
+
+    def __init__(self, size: FleetSize, report: Callable[[str], None]) -> None:
+        self.size = size
+        self.relays: dict[str, MeasuredProcess] = {}  # by name
+        self.balancers: dict[str, MeasuredProcess] = {}  # by name; hollow ones are not among them
+        self.hollow: list[HollowGroup] = []
+        self.discovery: MeasuredProcess
+        names = [f"r{index + 1}" for index in range(size.relays)]
+        self.relay_zones = {name: f"z{index % size.zones}" for index, name in enumerate(names)}
+        self._relay_ports = {name: allocate_port() for name in names}
+        self._discovery_port = allocate_port()
+        self._report = report
+        self._resources = contextlib.ExitStack()
+
+    def __enter__(self) -> Self:
+        groups = (self.size.hollow + HOLLOW_PER_PROCESS - 1) // HOLLOW_PER_PROCESS
+        process_count = self.size.relays + self.size.real + groups + 1
+        self._report(processes.check_footprint(process_count, self.size.hollow))
+        with contextlib.ExitStack() as stack:
+            folder = stack.enter_context(run_folder())
+            self._start_discovery(stack)
+            self._start_relays(folder, stack)
+            self._start_balancers(folder, stack)
+            self._start_hollow(folder, groups, stack)
+            time.sleep(SETTLE_SECONDS)
+            self._resources = stack.pop_all()
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self._resources.close()
+
+    # Start
+
+    def _start_discovery(self, stack: contextlib.ExitStack) -> None:
+        arguments = [str(self._discovery_port), str(self.size.hosts), "1e6"]
+        process = MeasuredProcess("lotusroute.capacity.discovery_stub", arguments)
+        self.discovery = stack.enter_context(process)
+        self.discovery.wait_for_line("event=ready")
+
+    def _start_relays(self, folder: pathlib.Path, stack: contextlib.ExitStack) -> None:
+        names = list(self._relay_ports)
+        large = len(names) >= LARGE_ACCEPTOR_GROUP
+        acceptors = names[: LARGE_ACCEPTOR_GROUP if large else SMALL_ACCEPTOR_GROUP]
+        for name in names:
+            state = folder / name
+            state.mkdir()
+            file = write_fleet_file(
+                folder / f"{name}.toml",
+                self._relay_ports,
+                acceptors,
+                "origin",
+                state=str(state),
+                lease_ms=LEASE_MS,
+                guests=MAX_SUBSCRIBERS,
+            )
+            options = ["--fleet", file, "--name", name, "--discovery", address(self._discovery_port)]
+            process = MeasuredProcess("lotusroute", ["relay", "run", *options])
+            self.relays[name] = stack.enter_context(process)
+        for relay in self.relays.values():
+            relay.wait_for_line("relay ready", timeout=START_TIMEOUT)
+        self._wait_for_origin()
+
+    def _wait_for_origin(self) -> None:
+        deadline = time.monotonic() + LEASE_TIMEOUT
+        while not any("lease acquired" in line for relay in self.relays.values() for line in relay.lines):
+            if time.monotonic() > deadline:
+                raise RuntimeError("no relay holds the lease `origin`")
+            time.sleep(0.1)
+
+    def _start_balancers(self, folder: pathlib.Path, stack: contextlib.ExitStack) -> None:
+        relays = self._relay_addresses()
+        for index in range(self.size.real):
+            name = f"b{index}"
+            file = write_relays_file(folder / f"{name}.toml", self._zone(index), relays)
+            environment = {"LB_RELAYS": file, "LB_LOG": "DEBUG"}
+            process = start_balancer(folder, name, allocate_port(), self._discovery_port, environment)
+            self.balancers[name] = stack.enter_context(process)
+
+    def _start_hollow(self, folder: pathlib.Path, groups: int, stack: contextlib.ExitStack) -> None:
+        relays = self._relay_addresses()
+        for group in range(groups):
+            first = group * HOLLOW_PER_PROCESS
+            last = min(self.size.hollow, first + HOLLOW_PER_PROCESS)
+            report_file = folder / f"report{group}.json"
+            settings = HollowSubscriberSettings(
+                names=[f"h{index}" for index in range(first, last)],
+                discovery=address(self._discovery_port),
+                zone=self._zone(group),
+                relays=relays,
+                report_file=str(report_file),
+            )
+            settings_file = settings.write(folder / f"subscribers{group}.json")
+            process = MeasuredProcess("lotusroute.capacity.hollow_subscribers", [settings_file])
+            self.hollow.append(HollowGroup(stack.enter_context(process), settings.zone, report_file))
+        for hollow_group in self.hollow:
+            hollow_group.process.wait_for_line("event=ready", timeout=START_TIMEOUT)
+
+    def _zone(self, index: int) -> str:
+        return f"z{index % self.size.zones}"
+
+    def _relay_addresses(self) -> dict[str, dict[str, str]]:
+        """Addresses of the relays by zone and name."""
+        addresses: dict[str, dict[str, str]] = {}
+        for name, zone in self.relay_zones.items():
+            addresses.setdefault(zone, {})[name] = address(self._relay_ports[name])
+        return addresses
+
+    # Relays
+
+    def running_relays(self) -> list[str]:
+        """Names of the relays that have not ended, sorted."""
+        return sorted(name for name, relay in self.relays.items() if relay.is_running())
+
+    def origin(self) -> str:
+        """Return the relay that acquired the lease `origin` last and did not log its loss."""
+        acquired_at: dict[str, float] = {}
+        for name, relay in self.relays.items():
+            for line in relay.lines:
+                if "lease acquired" in line:
+                    acquired_at[name] = float(log_field(line, "time"))
+                elif "lease lost" in line:
+                    acquired_at.pop(name, None)
+        return max((timestamp, name) for name, timestamp in acquired_at.items())[1]
+
+    # Changes of the endpoint list
+
+    def publish_change(self, number: int) -> float:
+        """Have discovery change a server's entry, for the `number`th time; returns when it did."""
+        return self._publish(signal.SIGUSR2, number)
+
+    def publish_burst(self, last_number: int) -> float:
+        """Have discovery change the entry 50 times within a second; returns when the last change was made."""
+        return self._publish(signal.SIGHUP, last_number)
+
+    def _publish(self, number: signal.Signals, change: int) -> float:
+        line = self.discovery.signal_and_wait(number, f"change={change} ")
+        return float(log_field(line, "at"))
+
+    def collect_reports(self) -> list[SubscriberReport]:
+        """Have all processes of hollow subscribers write their reports; returns these."""
+        for group in self.hollow:
+            group.report_file.unlink(missing_ok=True)
+        for group in self.hollow:
+            group.process.send_signal(signal.SIGUSR1)
+        deadline = time.monotonic() + REPORT_TIMEOUT
+        for group in self.hollow:
+            while not group.report_file.exists():
+                if time.monotonic() > deadline:
+                    raise RuntimeError(f"{group.report_file.name} was not written")
+                time.sleep(0.05)
+        return [SubscriberReport.read(group.report_file) for group in self.hollow]
+
+    def balancer_update_times(self, change: int) -> dict[str, float]:
+        """When each balancer, the program itself, logged a change."""
+        # Logs hold the wall clock's time.
+        clock_offset = time.time() - time.monotonic()
+        times: dict[str, float] = {}
+        for name, balancer in self.balancers.items():
+            for line in balancer.lines:
+                if _logs_change(line, change):
+                    times.setdefault(name, float(log_field(line, "time")) - clock_offset)
+        return times
+
+    # Usage
+
+    def measure_at_rest(self, seconds: float) -> RestFigures:
+        """Measure CPU, bytes and memory of relays and balancers."""
+        origin = self.origin()
+        measured = {**self.relays, **self.balancers}
+        before = processes.sample_all(measured)
+        started = time.monotonic()
+        time.sleep(seconds)
+        elapsed = time.monotonic() - started
+        after = processes.sample_all(measured)
+        usage = {name: processes.usage_between(before[name], after[name], elapsed) for name in measured}
+        relays = [usage[name] for name in self.relays if name != origin]
+        balancers = [usage[name] for name in self.balancers]
+        return RestFigures(
+            origin={
+                "cpu_percent": round(usage[origin].cpu_percent, 2),
+                "bytes_s": round(_bytes_per_second(usage[origin])),
+            },
+            relay_cpu_percent=_mean([relay.cpu_percent for relay in relays]),
+            relay_bytes_s=_mean([_bytes_per_second(relay) for relay in relays]),
+            relay_rss_mb=_mean_resident_mb(self.relays),
+            balancer_cpu_percent=_mean([balancer.cpu_percent for balancer in balancers]),
+            balancer_bytes_s=_mean([_bytes_per_second(balancer) for balancer in balancers]),
+            balancer_rss_mb=_mean_resident_mb(self.balancers),
+        )
+
+
+def _logs_change(line: str, change: int) -> bool:
+    # The number of a change is logged in the field `cell`, which may be the last of the line.
+    return (
+        'event="endpoint update"' in line
+        and f"server={CHANGED_HOST}" in line
+        and f"cell={change} " in line.rstrip() + " "
+    )
+
+
+def _bytes_per_second(usage: ProcessUsage) -> float:
+    return usage.rate(*processes.PEER_BYTE_COUNTERS)
+
+
+def _mean(values: list[float]) -> float:
+    return round(sum(values) / max(1, len(values)), 3)
+
+
+def _mean_resident_mb(measured: Mapping[str, MeasuredProcess]) -> float:
+    return _mean([process.resident_mb() for process in measured.values()])
--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -1,74 +1,88 @@
-"""Lines through what was measured, and the comparison of two runs.
+"""Least-squares lines through measured series, and the comparison of two runs by their lines."""
 
-Owns the fit, its error, what an extrapolation is worth, and the bound on growth. It must never measure.
-"""
-
-from typing import NamedTuple
+from collections.abc import Sequence
+from dataclasses import dataclass
 
 import numpy
 
-GROWTH = 1.25  # times: a slope that grew by more than a quarter is a finding
-SIZES = 4  # points that a line needs at least
+from lotusroute.capacity.measurement import Series
+
+MAX_GROWTH = 1.25  # factor from one run to the next; more is reported
+MIN_SIZES = 4  # sizes that a line needs before its slope can be relied on
 
 
-class Line(NamedTuple):
-    """A line through points of (size, value)."""
+@dataclass(frozen=True, slots=True)
+class RegressionLine:
+    """A line through the points of a series."""
 
-    name: str  # role.what
-    unit: str  # of the value, by one of the size
-    slope: float
-    start: float  # at size 0
-    error: float  # standard error of the slope
-    points: tuple[tuple[float, float], ...]
+    name: str  # role.figure
+    unit: str
+    slope: float  # units for each one of the size
+    intercept: float  # value at size 0
+    slope_error: float  # standard error of the slope
+    points: tuple[tuple[float, float], ...]  # (size, value)
 
-    def at(self, size: float) -> float:
-        """The value at a size."""
-        return self.start + self.slope * size
+    def value_at(self, size: float) -> float:
+        """Return the line's value at a size."""
+        return self.intercept + self.slope * size
 
-    def beyond(self, size: float) -> float:
-        """By which factor a size goes beyond what was run; 1 within it."""
-        return max(1.0, size / max(point[0] for point in self.points))
+    def extrapolation_factor(self, size: float) -> float:
+        """Return by which factor a size exceeds the largest that was measured; 1 within that range."""
+        return max(1.0, size / max(measured for measured, _ in self.points))
 
 
-def line(name: str, unit: str, points: list[tuple[float, float]]) -> Line:
-    """Fit by least squares.
+def fit_line(series: Series) -> RegressionLine:
+    """Fit a line by least squares; raises ValueError for a series of fewer than two sizes.
 
-    >>> through = line("r.cpu", "ms", [(1, 3.0), (2, 5.0), (3, 7.0), (4, 9.0)])
-    >>> round(through.slope, 6), round(through.start, 6), round(through.error, 6), through.beyond(40)
-    (2.0, 1.0, 0.0, 10.0)
+    >>> series = Series("r.cpu", "ms", ((1, 3.0), (2, 5.0), (3, 7.0), (4, 9.0)))
+    >>> fitted = fit_line(series)
+    >>> round(fitted.slope, 6), round(fitted.intercept, 6), round(fitted.slope_error, 6)
+    (2.0, 1.0, 0.0)
+    >>> fitted.extrapolation_factor(40)
+    10.0
     """
-    if len({size for size, _ in points}) < 2:
-        raise ValueError(f"{name}: {len(points)} points at one size make no line")
-    sizes, values = (numpy.array(side, dtype=float) for side in zip(*points, strict=True))
-    slope, start = numpy.polyfit(sizes, values, 1)
-    rest = values - (start + slope * sizes)
-    spread = ((sizes - sizes.mean()) ** 2).sum()
-    error = (rest @ rest / max(1, len(points) - 2) / spread) ** 0.5
-    return Line(name, unit, float(slope), float(start), float(error), tuple(map(tuple, points)))
-
-
-def grown(before: list[dict], after: list[dict]) -> list[str]:
-    """What grew by over a quarter from one run to the next: lines by their slope, where it is more than its
-    own error, or else by their value at the largest size. A line that is gone is told too.
-
-    >>> run = [{"name": "r.bytes", "unit": "B", "points": [[1, 10.0], [2, 20.0]]}]
-    >>> more = [{"name": "r.bytes", "unit": "B", "points": [[1, 10.0], [2, 24.0]]}]
-    >>> grown(run, run), len(grown(run, more)), grown(run, [])
+    if len({size for size, _ in series.points}) < 2:
+        raise ValueError(f"{series.name}: {len(series.points)} points at one size make no line")
+    sizes = numpy.array([size for size, _ in series.points], dtype=float)
+    values = numpy.array([value for _, value in series.points], dtype=float)
+    slope, intercept = numpy.polyfit(sizes, values, 1)
+    residuals = values - (intercept + slope * sizes)
+    degrees_of_freedom = max(1, len(sizes) - 2)
+    size_variation = ((sizes - sizes.mean()) ** 2).sum()
+    slope_error = (residuals @ residuals / degrees_of_freedom / size_variation) ** 0.5
+    return RegressionLine(
+        series.name, series.unit, float(slope), float(intercept), float(slope_error), series.points
+    )
+
+
+def find_growth(before: Sequence[Series], after: Sequence[Series]) -> list[str]:
+    """Describe each figure that grew by over a quarter, or is missing, in the second of two runs.
+
+    >>> run = [Series("r.bytes", "B", ((1, 10.0), (2, 20.0)))]
+    >>> larger = [Series("r.bytes", "B", ((1, 10.0), (2, 24.0)))]
+    >>> find_growth(run, run), len(find_growth(run, larger)), find_growth(run, [])
     ([], 1, ['r.bytes: not measured any more'])
     """
-    found = []
-    later = {told["name"]: line(told["name"], told["unit"], told["points"]) for told in after}
-    for told in before:
-        name = told["name"]
-        old, new = line(name, told["unit"], told["points"]), later.get(name)
-        if new is None:
-            found.append(f"{name}: not measured any more")
+    findings = []
+    new_lines = {series.name: fit_line(series) for series in after}
+    for series in before:
+        old_line = fit_line(series)
+        new_line = new_lines.get(series.name)
+        if new_line is None:
+            findings.append(f"{series.name}: not measured any more")
             continue
-        if old.slope > 2 * old.error and old.slope > 0:
-            was, now = old.slope, new.slope - 2 * new.error
-        else:
-            size = old.points[-1][0]
-            was, now = old.at(size), new.at(size)
-        if was > 0 and now > GROWTH * was:
-            found.append(f"{name}: {was:.4g} to {now:.4g} {told['unit']}, {now / was:.2f} times")
-    return found
+        old, new = _comparable_values(old_line, new_line)
+        if old > 0 and new > MAX_GROWTH * old:
+            findings.append(f"{series.name}: {old:.4g} to {new:.4g} {series.unit}, {new / old:.2f} times")
+    return findings
+
+
+def _comparable_values(old: RegressionLine, new: RegressionLine) -> tuple[float, float]:
+    """Slopes where the old one exceeds its own error, or else the values at the largest size of the old run.
+
+    The new slope is taken at the lower end of its error, so that noise is not reported as growth.
+    """
+    if old.slope > 2 * old.slope_error and old.slope > 0:
+        return old.slope, new.slope - 2 * new.slope_error
+    last_size, _ = old.points[-1]
+    return old.value_at(last_size), new.value_at(last_size)
--- a/lotusroute/capacity/server_stub.py
+++ b/lotusroute/capacity/server_stub.py
@@ -1,18 +1,33 @@
-"""A stand-in server as a process: `python -m lotusroute.capacity.server_stub PORT`.
+"""A stub of a server as a process on loopback.
 
-Owns its start. It must never listen anywhere but on loopback.
+    python -m lotusroute.capacity.server_stub PORT
+
+It accepts each connection with a receipt, echoes each line, and ends with BYE after the client's end.
 """
 
 import asyncio
+import contextlib
 import sys
 
-from lotusroute.capacity.stubs import serve
+BACKLOG = 1_024  # connections that wait to be accepted
+
+
+async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serve one connection until its client ends it."""
+    with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+        await reader.readuntil(b"\r\n")
+        writer.write(b"UP r1\r\n")
+        while line := await reader.readline():
+            writer.write(line)
+        writer.write(b"BYE\r\n")
+        await writer.drain()
+    writer.close()
 
 
 async def main(port: str) -> None:
     """Serve until killed."""
-    serving = await asyncio.start_server(serve, "127.0.0.1", int(port), backlog=1_024)
-    await serving.serve_forever()
+    listener = await asyncio.start_server(serve, "127.0.0.1", int(port), backlog=BACKLOG)
+    await listener.serve_forever()
 
 
 if __name__ == "__main__":
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -1,317 +1,205 @@
-"""The way of news at scale: an origin, real relays, real balancers, and hollow ones up to the target.
+"""Measures how long a change of the endpoint list takes until it is in force at all subscribers of relays.
 
-Owns the processes of such a run, what is done to them, and by when each change was in force where. It must
-never run longer than its scenarios take, or call in force what was not seen to be.
+One fleet goes through scenarios, each a fault and a change of the list at the same time.
 """
 
 import contextlib
 import json
-import pathlib
 import random
 import signal
 import time
-from collections.abc import Callable
-from typing import NamedTuple
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import AbstractContextManager
+from dataclasses import asdict, dataclass
+from enum import StrEnum
 
-from lotusroute.capacity.processes import Started, cpu, fits, folder, rss, write
-from lotusroute.capacity.roles import add, balancer, port
+from lotusroute.capacity.processes import MeasuredProcess
+from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet
+from lotusroute.capacity.stubs import BURST_CHANGES
 
-RELAYS = 3  # of a measure
-EACH = 160  # hollow subscribers in one process
-SETTLE = 8.0  # s after all are started
-PATIENCE = 12.0  # s for a change to be in force everywhere
-BYTES = "peer_bytes_received", "peer_bytes_sent"
-SCENARIOS = ("calm", "burst", "kill", "stop", "two", "origin", "zone")
+REST_SECONDS = 6.0  # for which the fleet is measured before the first scenario
+MAX_PROPAGATION_SECONDS = 12.0  # a change that is not in force after them is counted as lacking
+POLL_INTERVAL = 0.5  # s between reports of the subscribers
+PAUSE_SECONDS = 3.0  # after each scenario
 
 
-class Fleet(NamedTuple):
-    """A run's processes."""
+class Scenario(StrEnum):
+    """What happens together with a change of the endpoint list."""
 
-    relays: dict[str, Started]
-    zones: dict[str, str]  # of relays
-    hollow: list[Started]
-    hollow_zones: list[str]
-    files: list[pathlib.Path]
-    real: dict[str, Started]
-    targets: Started
+    CALM = "calm"  # nothing else
+    BURST = "burst"  # 50 changes within a second
+    KILL = "kill"  # a relay is killed
+    STOP = "stop"  # a relay is stopped and continues afterwards
+    TWO = "two"  # two relays of a zone are stopped
+    ORIGIN = "origin"  # the relay that polls discovery is killed
+    ZONE = "zone"  # all hollow subscribers of a zone start again
+
+
+SCENARIOS = tuple(Scenario)
+
+
+@dataclass(frozen=True, slots=True)
+class PropagationFigures:
+    """How long one change took, over all subscribers that received it."""
+
+    p50_s: float
+    p99_s: float
+    worst_s: float
+    of: int  # subscribers that received it
+    lack: int  # hollow subscribers that did not
+    real: int  # balancers, the program itself, that received it
+    states: int  # distinct endpoint lists that hollow subscribers hold; 1 if they agree
+    own_calls: int  # times that a hollow subscriber fell back to polling discovery, from the start on
+
+
+@dataclass(frozen=True, slots=True)
+class Situation:
+    """A fleet as a scenario finds it."""
+
+    fleet: PropagationFleet
+    origin: str  # name of the relay that polls discovery
+    other_relays: list[str]  # names of the others that run
+    rng: random.Random
+
+    def any_other_relay(self) -> str:
+        """Choose a relay other than the origin at random."""
+        return self.rng.choice(self.other_relays)
+
+
+@contextlib.contextmanager
+def no_fault(_situation: Situation) -> Iterator[None]:
+    """Leave the fleet as it is."""
+    yield
+
+
+@contextlib.contextmanager
+def kill_relay(situation: Situation) -> Iterator[None]:
+    """Kill a relay other than the origin."""
+    situation.fleet.relays[situation.any_other_relay()].send_signal(signal.SIGKILL)
+    yield
+
+
+@contextlib.contextmanager
+def kill_origin(situation: Situation) -> Iterator[None]:
+    """Kill the relay that polls discovery."""
+    situation.fleet.relays[situation.origin].send_signal(signal.SIGKILL)
+    yield
+
+
+@contextlib.contextmanager
+def stop_relay(situation: Situation) -> Iterator[None]:
+    """Stop a relay other than the origin for as long as the change is followed."""
+    with _stopped([situation.fleet.relays[situation.any_other_relay()]]):
+        yield
+
+
+@contextlib.contextmanager
+def stop_two_relays(situation: Situation) -> Iterator[None]:
+    """Stop two relays other than the origin, of one zone if it has as many."""
+    zones = situation.fleet.relay_zones
+    zone = zones[situation.any_other_relay()]
+    of_zone = [name for name in situation.other_relays if zones[name] == zone]
+    names = (of_zone + situation.other_relays)[:2]
+    with _stopped([situation.fleet.relays[name] for name in names]):
+        yield
+
+
+@contextlib.contextmanager
+def restart_zone(situation: Situation) -> Iterator[None]:
+    """Have all hollow subscribers of the first zone lose their state and start again."""
+    zone = situation.fleet.hollow[0].zone
+    for group in situation.fleet.hollow:
+        if group.zone == zone:
+            group.process.send_signal(signal.SIGUSR2)
+    yield
 
 
 @contextlib.contextmanager
-def fleet(relays: int, real: int, hollow: int, zones: int, hosts: int, say: Callable[[str], None]):
-    """Start all; hollow subscribers of one process are of one zone."""
-    groups = (hollow + EACH - 1) // EACH
-    say(fits(relays + real + groups + 1, hollow))
-    names = [f"r{at + 1}" for at in range(relays)]
-    zone_of = {name: f"z{at % zones}" for at, name in enumerate(names)}
-    ports = {name: port() for name in names}
-    where = port()
-    tables: dict[str, dict[str, str]] = {}
-    for name in names:
-        tables.setdefault(zone_of[name], {})[name] = f"127.0.0.1:{ports[name]}"
-    with folder() as place, contextlib.ExitStack() as stack:
-        targets = Started(["-m", "lotusroute.capacity.discovery_stub", str(where), str(hosts), "1e6"], {})
-        stack.callback(targets.end)
-        targets.wait("event=ready")
-        peers = "\n".join(f'{name} = "127.0.0.1:{at}"' for name, at in ports.items())
-        keepers = ", ".join(f'"{name}"' for name in names[: 5 if relays >= 5 else 3])
-        running = {}
-        for name in names:
-            (place / name).mkdir()
-            file = place / f"{name}.toml"
-            file.write_text(
-                f'name = "scale"\nstate = "{place / name}"\nkeepers = [{keepers}]\n'
-                'lease_ms = 1500\ntasks = ["origin"]\nguests = 4000\n'
-                f"[peers]\n{peers}\n"
-            )
-            running[name] = Started(
-                [
-                    "-m",
-                    "lotusroute",
-                    "relay",
-                    "run",
-                    "--fleet",
-                    str(file),
-                    "--name",
-                    name,
-                    "--discovery",
-                    f"127.0.0.1:{where}",
-                ],
-                {},
-            )
-            stack.callback(running[name].end)
-        for one in running.values():
-            one.wait("relay ready", patience=60.0)
-        until = time.monotonic() + 30.0
-        while not any("lease acquired" in text for one in running.values() for text in one.lines):
-            if time.monotonic() > until:
-                raise RuntimeError("no relay holds `origin`")
-            time.sleep(0.1)
-        reals = {}
-        for at in range(real):
-            zone = f"z{at % zones}"
-            file = place / f"b{at}.toml"
-            file.write_text(
-                f'name = "scale"\nzone = "{zone}"\n'
-                + "".join(
-                    f"[relays.{z}]\n" + "".join(f'{r} = "{a}"\n' for r, a in table.items())
-                    for z, table in tables.items()
-                )
-            )
-            reals[f"b{at}"] = balancer(
-                place, f"b{at}", port(), where, {"LB_RELAYS": str(file), "LB_LOG": "DEBUG"}
-            )
-            stack.callback(reals[f"b{at}"].end)
-        hollows, group_zones, files = [], [], []
-        for group in range(groups):
-            mine = [f"h{at}" for at in range(group * EACH, min(hollow, (group + 1) * EACH))]
-            zone = f"z{group % zones}"
-            file = place / f"came{group}.json"
-            told = {
-                "names": mine,
-                "zones": dict.fromkeys(mine, zone),
-                "relays": tables,
-                "file": str(file),
-                "discovery": f"127.0.0.1:{where}",
-            }
-            one = Started(
-                ["-m", "lotusroute.capacity.hollow_subscribers", write(place / f"s{group}.json", told)], {}
-            )
-            stack.callback(one.end)
-            hollows.append(one)
-            group_zones.append(zone)
-            files.append(file)
-        for one in hollows:
-            one.wait("event=ready", patience=60.0)
-        time.sleep(SETTLE)
-        yield Fleet(running, zone_of, hollows, group_zones, files, reals, targets)
-
-
-def origin(fleet: Fleet) -> str:
-    """Which relay holds `origin` now."""
-    held = {}
-    for name, one in fleet.relays.items():
-        for text in one.lines:
-            if "lease acquired" in text or "lease lost" in text:
-                at = float(text.split("time=", 1)[1].split()[0])
-                held[name] = at, "lease acquired" in text
-    return max((at, name) for name, (at, holds) in held.items() if holds)[1]
-
-
-def change(fleet: Fleet, number: int) -> float:
-    """Have discovery change a server's entry; returns when, by the clock that all processes share."""
-    after = len(fleet.targets.lines)
-    fleet.targets.process.send_signal(signal.SIGUSR2)
-    text = fleet.targets.wait(f"change={number} ", after)
-    return float(text.split("at=", 1)[1].split()[0])
-
-
-def came(fleet: Fleet) -> tuple[dict[str, dict[int, float]], set[str], dict[str, int]]:
-    """When each hollow subscriber had which change, what they hold, and what they counted."""
-    for file in fleet.files:
-        file.unlink(missing_ok=True)
-    for one in fleet.hollow:
-        one.process.send_signal(signal.SIGUSR1)
-    found, stores, counts = {}, set(), {}
-    until = time.monotonic() + 20.0
-    for file in fleet.files:
-        while not file.exists():
-            if time.monotonic() > until:
-                raise RuntimeError(f"{file.name} was not written")
-            time.sleep(0.05)
-        told = json.loads(file.read_text())
-        found.update({name: {int(n): at for n, at in mine.items()} for name, mine in told["came"].items()})
-        stores |= set(told["stores"].values())
-        for key, value in told["counts"].items():
-            counts[key] = counts.get(key, 0) + value
-    return found, stores, counts
-
-
-def real_came(fleet: Fleet, number: int) -> dict[str, float]:
-    """When each real balancer had a change, by its log; wall time turned into the shared clock."""
-    apart = time.time() - time.monotonic()
-    found = {}
-    for name, one in fleet.real.items():
-        for text in one.lines:
-            if (
-                'event="endpoint update"' in text
-                and "server=s-0" in text
-                and f"cell={number} " in text.rstrip() + " "
-            ):
-                found.setdefault(name, float(text.split("time=", 1)[1].split()[0]) - apart)
-    return found
-
-
-def spread(fleet: Fleet, number: int, at: float, names: set[str] | None = None) -> dict:
-    """How long a change took to be in force: p50, p99, worst, and how many lack it after PATIENCE."""
-    until = time.monotonic() + PATIENCE
+def _stopped(stopped: Sequence[MeasuredProcess]) -> Iterator[None]:
+    for process in stopped:
+        process.send_signal(signal.SIGSTOP)
+    try:
+        yield
+    finally:
+        for process in stopped:
+            process.send_signal(signal.SIGCONT)
+
+
+FAULTS: dict[Scenario, Callable[[Situation], AbstractContextManager[None]]] = {
+    Scenario.CALM: no_fault,
+    Scenario.BURST: no_fault,
+    Scenario.KILL: kill_relay,
+    Scenario.STOP: stop_relay,
+    Scenario.TWO: stop_two_relays,
+    Scenario.ORIGIN: kill_origin,
+    Scenario.ZONE: restart_zone,
+}
+
+
+def run_scenarios(
+    size: FleetSize, scenarios: Sequence[str], report: Callable[[str], None]
+) -> dict[str, dict]:
+    """Run scenarios one after the other on one fleet; returns the figures at rest and of each scenario.
+
+    Raises RunTooLargeError where the fleet does not fit on this machine, ValueError for an unknown scenario.
+    """
+    rng = random.Random(1)
+    change = 0
+    figures: dict[str, dict] = {}
+    with PropagationFleet(size, report) as fleet:
+        figures["rest"] = asdict(fleet.measure_at_rest(REST_SECONDS))
+        report(f"rest: {json.dumps(figures['rest'])}")
+        for scenario in map(Scenario, scenarios):
+            change += BURST_CHANGES if scenario is Scenario.BURST else 1
+            origin = fleet.origin()
+            others = [name for name in fleet.running_relays() if name != origin]
+            with FAULTS[scenario](Situation(fleet, origin, others, rng)):
+                result = _propagate(fleet, scenario, change)
+            figures[scenario.value] = asdict(result)
+            report(f"{scenario.value}: {json.dumps(figures[scenario.value])}")
+            time.sleep(PAUSE_SECONDS)
+    return figures
+
+
+def _propagate(fleet: PropagationFleet, scenario: Scenario, change: int) -> PropagationFigures:
+    """Publish changes up to the `change`th and follow that one."""
+    if scenario is Scenario.BURST:
+        return follow_change(fleet, change, fleet.publish_burst(change))
+    return follow_change(fleet, change, fleet.publish_change(change))
+
+
+def follow_change(fleet: PropagationFleet, change: int, published_at: float) -> PropagationFigures:
+    """Wait until all hollow subscribers have a change, 12 s at most; returns how long it took."""
+    deadline = time.monotonic() + MAX_PROPAGATION_SECONDS
     while True:
-        found, stores, counts = came(fleet)
-        # A later change carries an earlier one with it: the first that is as new counts.
-        took = [
-            min((when for n, when in mine.items() if n >= number), default=None)
-            for name, mine in found.items()
-            if names is None or name in names
+        reports = fleet.collect_reports()
+        received = [
+            _first_received(changes, change) for part in reports for changes in part.received.values()
         ]
-        lack = sum(when is None for when in took)
-        if not lack or time.monotonic() > until:
+        lacking = received.count(None)
+        if not lacking or time.monotonic() > deadline:
             break
-        time.sleep(0.5)
-    reals = real_came(fleet, number)
-    times = sorted(when - at for when in [*took, *reals.values()] if when is not None)
-    pick = lambda share: round(times[min(len(times) - 1, int(share * len(times)))], 3)  # noqa: E731
-    return {
-        "p50_s": pick(0.5),
-        "p99_s": pick(0.99),
-        "worst_s": round(times[-1], 3),
-        "of": len(times),
-        "lack": lack,
-        "real": len(reals),
-        "states": len(stores),
-        "own_calls": counts.get("relay_stale", 0),
-    }
-
-
-def rates(fleet: Fleet, seconds: float) -> dict:
-    """CPU and bytes of relays, and of the origin, at rest."""
-    first = origin(fleet)
-    before = {name: (cpu(one.pid), one.counters()) for name, one in fleet.relays.items()}
-    reals = {name: (cpu(one.pid), one.counters()) for name, one in fleet.real.items()}
-    began = time.monotonic()
-    time.sleep(seconds)
-    took = time.monotonic() - began
-    figures: dict[str, list[float]] = {"cpu": [], "bytes": []}
-    of_origin = {}
-    for name, one in fleet.relays.items():
-        old, counts = before[name]
-        new = one.counters()
-        percent = 100 * (cpu(one.pid) - old) / took
-        size = sum(new.get(key, 0) - counts.get(key, 0) for key in BYTES) / took
-        if name == first:
-            of_origin = {"cpu_percent": round(percent, 2), "bytes_s": round(size)}
-        else:
-            figures["cpu"].append(percent)
-            figures["bytes"].append(size)
-    real_cpu = [100 * (cpu(one.pid) - reals[name][0]) / took for name, one in fleet.real.items()]
-    real_bytes = []
-    for name, one in fleet.real.items():
-        new, old = one.counters(), reals[name][1]
-        real_bytes.append(sum(new.get(key, 0) - old.get(key, 0) for key in BYTES) / took)
-    mean = lambda values: round(sum(values) / max(1, len(values)), 3)  # noqa: E731
-    memory = [rss(one.pid) for one in fleet.relays.values()]
-    return {
-        "origin": of_origin,
-        "relay_cpu_percent": mean(figures["cpu"]),
-        "relay_bytes_s": mean(figures["bytes"]),
-        "relay_rss_mb": mean(memory),
-        "balancer_cpu_percent": mean(real_cpu),
-        "balancer_bytes_s": mean(real_bytes),
-        "balancer_rss_mb": mean([rss(one.pid) for one in fleet.real.values()]),
-    }
-
-
-def relays(size: int, seconds: float, hosts: int, points: dict, say: Callable[[str], None]) -> None:
-    """Three relays with so many subscribers each, at rest: what one costs by them."""
-    with fleet(RELAYS, 2, RELAYS * size, 1, hosts, say) as running:
-        found = rates(running, seconds)
-        for name, unit, value in (
-            ("relay.cpu", "% of a core", found["relay_cpu_percent"]),
-            ("relay.bytes", "B a second, both ways", found["relay_bytes_s"]),
-            ("relay.memory", "MB", found["relay_rss_mb"]),
-            ("subscriber.cpu", "% of a core", found["balancer_cpu_percent"]),
-            ("subscriber.bytes", "B a second, both ways", found["balancer_bytes_s"]),
-            ("subscriber.memory", "MB", found["balancer_rss_mb"]),
-        ):
-            add(points, name, unit, size, value)
-
-
-def play(
-    relays: int,
-    real: int,
-    hollow: int,
-    zones: int,
-    hosts: int,
-    scenarios: tuple[str, ...],
-    say: Callable[[str], None],
-) -> dict:
-    """Play scenarios one after the other on one fleet; returns their figures."""
-    draw, number, out = random.Random(1), 0, {}
-    with fleet(relays, real, hollow, zones, hosts, say) as running:
-        out["rest"] = rates(running, 6.0)
-        say(f"rest: {json.dumps(out['rest'])}")
-        for scenario in scenarios:
-            number += 1
-            alive = sorted(name for name, one in running.relays.items() if one.process.poll() is None)
-            first = origin(running)
-            others = [name for name in alive if name != first]
-            stopped: list[Started] = []
-            if scenario == "kill":
-                running.relays[draw.choice(others)].process.kill()
-            elif scenario == "stop":
-                stopped = [running.relays[draw.choice(others)]]
-            elif scenario == "two":
-                zone = running.zones[draw.choice(others)]
-                mine = [name for name in others if running.zones[name] == zone] + others
-                stopped = [running.relays[name] for name in mine[:2]]
-            elif scenario == "origin":
-                running.relays[first].process.kill()
-            elif scenario == "zone":
-                zone = running.hollow_zones[0]
-                for one, where in zip(running.hollow, running.hollow_zones, strict=True):
-                    if where == zone:
-                        one.process.send_signal(signal.SIGUSR2)
-            for one in stopped:
-                one.process.send_signal(signal.SIGSTOP)
-            if scenario == "burst":
-                after = len(running.targets.lines)
-                running.targets.process.send_signal(signal.SIGHUP)
-                text = running.targets.wait(f"change={number + 49} ", after)
-                number += 49
-                at = float(text.split("at=", 1)[1].split()[0])
-            else:
-                at = change(running, number)
-            out[scenario] = spread(running, number, at)
-            for one in stopped:
-                one.process.send_signal(signal.SIGCONT)
-            say(f"{scenario}: {json.dumps(out[scenario])}")
-            time.sleep(3.0)
-    return out
+        time.sleep(POLL_INTERVAL)
+    balancer_times = fleet.balancer_update_times(change)
+    all_times = [*received, *balancer_times.values()]
+    durations = sorted(timestamp - published_at for timestamp in all_times if timestamp is not None)
+    return PropagationFigures(
+        p50_s=_quantile(durations, 0.5),
+        p99_s=_quantile(durations, 0.99),
+        worst_s=round(durations[-1], 3),
+        of=len(durations),
+        lack=lacking,
+        real=len(balancer_times),
+        states=len({digest for part in reports for digest in part.digests.values()}),
+        own_calls=sum(part.counters.get("relay_stale", 0) for part in reports),
+    )
+
+
+def _first_received(changes: dict[int, float], change: int) -> float | None:
+    """When a change was received, alone or, as a later change contains the earlier ones, with a later one."""
+    return min((timestamp for number, timestamp in changes.items() if number >= change), default=None)
+
+
+def _quantile(ascending: list[float], share: float) -> float:
+    index = min(len(ascending) - 1, int(share * len(ascending)))
+    return round(ascending[index], 3)
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -1,4 +1,4 @@
-"""Stories of the scale runs: exact counts at two sizes, and commands that refuse what does not fit."""
+"""Tests of the capacity runs: deterministic counts at two sizes, commands, and rejected arguments."""
 
 import json
 import subprocess
@@ -7,13 +7,14 @@
 import pytest
 
 from lotusroute.capacity import deterministic_counts
-from lotusroute.capacity.processes import TooLarge, fits
-from lotusroute.capacity.regression_line import line
+from lotusroute.capacity.measurement import Series
+from lotusroute.capacity.processes import RunTooLargeError, check_footprint
+from lotusroute.capacity.regression_line import fit_line
 
 
-def scale(*words):
-    call = [sys.executable, "-m", "lotusroute", "scale", *words]
-    return subprocess.run(call, capture_output=True, text=True, timeout=60, check=False)
+def run_command(*arguments):
+    command = [sys.executable, "-m", "lotusroute", "scale", *arguments]
+    return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
 @pytest.mark.parametrize(
@@ -25,28 +26,40 @@
         (deterministic_counts.holder, 21, 320, 14_460),
     ],
 )
-def test_messages_and_bytes_of_a_role_are_what_they_were(role, size, messages, size_bytes):
+def test_messages_and_bytes_of_a_role_do_not_change(role, size, messages, size_bytes):
     assert role(size) == {"messages": messages, "bytes": size_bytes}
 
 
-def test_a_run_is_measured_kept_and_compared_and_growth_by_over_a_quarter_is_an_exit_of_1(tmp_path):
-    kept, grown = tmp_path / "kept.json", tmp_path / "grown.json"
-    done = scale("measure", "list", "--sizes", "50,100", "--json", str(kept))
+def write_run(file, *lines):
+    file.write_text(json.dumps({"lines": lines}))
+    return str(file)
+
+
+def test_measure_prints_lines_and_writes_the_points_as_json(tmp_path):
+    file = tmp_path / "run.json"
+    done = run_command("measure", "list", "--sizes", "50,100", "--json", str(file))
     assert done.returncode == 0 and "list.bytes: " in done.stdout and "(only 2 sizes)" in done.stdout
-    assert "1 processes" in done.stderr  # what it takes is said beforehand
-    told = json.loads(kept.read_text())
-    (size,) = [one for one in told["lines"] if one["name"] == "list.bytes"]
-    told["lines"] = [{**size, "points": [[x, 1.3 * y] for x, y in size["points"]]}]
-    grown.write_text(json.dumps(told))
-    kept.write_text(json.dumps({"lines": [size]}))
-    done = scale("compare", str(kept), str(grown))
+    assert "1 processes" in done.stderr  # the footprint is printed before the run
+    run = json.loads(file.read_text())
+    assert (run["role"], run["seconds"]) == ("list", 8.0)
+    (series,) = [line for line in run["lines"] if line["name"] == "list.bytes"]
+    assert series == {"name": "list.bytes", "unit": "B", "points": [[50, 4_986], [100, 9_936]]}
+    assert run_command("compare", str(file), str(file)).returncode == 0
+
+
+def test_compare_exits_with_1_where_a_figure_grew_by_over_a_quarter(tmp_path):
+    series = {"name": "list.bytes", "unit": "B", "points": [[50, 4_986], [100, 9_936]]}
+    larger = {**series, "points": [[size, 1.3 * value] for size, value in series["points"]]}
+    before = write_run(tmp_path / "before.json", series)
+    after = write_run(tmp_path / "after.json", larger)
+    done = run_command("compare", before, after)
     assert done.returncode == 1 and "list.bytes: " in done.stdout and "1.30 times" in done.stdout
-    assert scale("compare", str(kept), str(kept)).returncode == 0
-    assert scale("compare", str(grown), str(kept)).returncode == 0
+    assert run_command("compare", before, before).returncode == 0
+    assert run_command("compare", after, before).returncode == 0
 
 
 @pytest.mark.parametrize(
-    "words, says",
+    "arguments, message",
     [
         (("measure", "list", "--sizes", "50"), "give two or more"),
         (("measure", "list", "--sizes", "many"), "give whole numbers"),
@@ -56,16 +69,16 @@
         (("compare", __file__, __file__), "no runs of `scale measure --json`"),
     ],
 )
-def test_wrong_use_and_what_does_not_fit_are_refused_with_the_mend(words, says):
-    done = scale(*words)
-    assert done.returncode == 2 and says in done.stderr, done.stderr
+def test_wrong_use_and_too_large_runs_exit_with_2_and_say_how_to_correct_it(arguments, message):
+    done = run_command(*arguments)
+    assert done.returncode == 2 and message in done.stderr, done.stderr
 
 
-def test_memory_over_half_of_the_machines_is_refused():
-    with pytest.raises(TooLarge, match="half of this machine's"):
-        fits(10, 10_000_000)
+def test_over_half_of_the_machines_memory_is_rejected():
+    with pytest.raises(RunTooLargeError, match="half of this machine's"):
+        check_footprint(10, 10_000_000)
 
 
-def test_one_size_makes_no_line():
+def test_no_line_is_fitted_to_one_size():
     with pytest.raises(ValueError, match="at one size"):
-        line("r", "ms", [(1, 2.0), (1, 3.0)])
+        fit_line(Series("r", "ms", ((1, 2.0), (1, 3.0))))
