--- a/lotusroute/capacity/__init__.py
+++ b/lotusroute/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the program costs by size: slopes measured, the target they are held against. Never part of `run`."""
+"""Measures what the program costs by size and compares it with the capacity target. No balancer uses it."""
--- a/lotusroute/capacity/command.py
+++ b/lotusroute/capacity/command.py
@@ -33,10 +33,10 @@
 
     Example: lotusroute scale measure fleet --sizes 8,30,65,125 --json fleet.json
     """
-    from lotusroute.capacity.roles import ROLES
+    from lotusroute.capacity.role_registry import ROLE_BY_NAME
 
     try:
-        asked = [int(size) for size in sizes.split(",")] if sizes else list(ROLES[role].default_sizes)
+        asked = [int(size) for size in sizes.split(",")] if sizes else list(ROLE_BY_NAME[role].default_sizes)
     except ValueError:
         raise click.UsageError(f"--sizes {sizes}: give whole numbers, as 8,30,65,125") from None
     if len(set(asked)) < 2 or min(asked) < 1:
@@ -48,7 +48,7 @@
             options = MeasurementOptions(
                 seconds, hosts, lambda text, prefix=prefix: click.echo(prefix + text, err=True)
             )
-            measurements += ROLES[role].measure(size, options)
+            measurements += ROLE_BY_NAME[role].measure(size, options)
     except RunTooLargeError as fault:
         click.echo(f"lotusroute: {role}: {fault}", err=True)
         sys.exit(2)
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -29,7 +29,7 @@
 LINES_PER_CLIENT = 20  # one after the other
 CONCURRENT_CLIENTS = 16  # that open flows or exchange lines at a time
 CONCURRENT_OPENS = 32  # connections opened at a time
-WARM_UP_FLOWS = 32
+UNMEASURED_FLOWS = 32  # first ones, which are slower
 SPARE_DESCRIPTORS = 256
 
 
@@ -67,7 +67,7 @@
     options.report(check_footprint(3))
     _raise_descriptor_limit(size)
     with _run_balancer() as (balancer, port):
-        asyncio.run(_open_flows(port, WARM_UP_FLOWS))
+        asyncio.run(_open_flows(port, UNMEASURED_FLOWS))
         cpu_before = balancer.cpu_seconds()
         asyncio.run(_open_flows(port, size))
         flow_cpu_seconds = balancer.cpu_seconds() - cpu_before
--- a/lotusroute/capacity/roles.py
+++ b/lotusroute/capacity/role_registry.py
@@ -7,7 +7,7 @@
 from lotusroute.capacity.measurement import Role
 from lotusroute.capacity.relay_role import measure_relays
 
-ROLES: dict[str, Role] = {
+ROLE_BY_NAME: dict[str, Role] = {
     "fleet": Role(measure_fleet, (8, 30, 65, 125)),
     "followers": Role(measure_direct_discovery, (25, 50, 100, 200)),
     "list": Role(measure_endpoint_list, (100, 400, 1_600, 6_400)),
