--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,66 +1,80 @@
-"""Stories of docs/CAPACITY.md: each figure says how it is known; what is worked out is worked out anew."""
+"""Tests of docs/CAPACITY.md: how each figure is known, and that derived figures agree with their formulas."""
 
 import ast
 import operator
 import pathlib
 import re
+from typing import NamedTuple
 
 import pytest
 
 from lotusroute.capacity.target import Target
 
 PAGE = pathlib.Path(__file__).parents[1] / "docs" / "CAPACITY.md"
-DOES = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
-KNOWN = "target|measured|worked out|guessed"
-ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({KNOWN}) \| ([^|]*) \|$", re.M)
-ROUNDED = 0.006  # share by which a figure on the page may differ: three digits are kept
+OPERATORS = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
+ORIGINS = "target|measured|worked out|guessed"
+ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.M)
+ROUNDING = 0.006  # relative difference that a figure on the page may have: it has three digits
 
 
-def rows():
-    """All figures of the page: name, value, how it is known, from what."""
+class Figure(NamedTuple):
+    """A row of the page's table of figures."""
+
+    name: str
+    value: float
+    origin: str  # how it is known
+    source: str  # a command or a formula
+
+
+@pytest.fixture(scope="module")
+def figures():
     return [
-        (name, float(value.replace(",", "")), known, source.strip())
-        for name, value, _, known, source in ROW.findall(PAGE.read_text())
+        Figure(name, float(value.replace(",", "")), origin, source.strip())
+        for name, value, _, origin, source in ROW.findall(PAGE.read_text())
     ]
 
 
-def worked_out(formula, figures):
-    """The value of a formula over named figures."""
+def evaluate(formula, values):
+    """Evaluate a formula of numbers, named values and the four operations."""
 
-    def value(node):
+    def evaluate_node(node):
         if isinstance(node, ast.Expression):
-            return value(node.body)
+            return evaluate_node(node.body)
         if isinstance(node, ast.BinOp):
-            return DOES[type(node.op)](value(node.left), value(node.right))
+            return OPERATORS[type(node.op)](evaluate_node(node.left), evaluate_node(node.right))
         if isinstance(node, ast.Name):
-            return figures[node.id]
+            return values[node.id]
         if isinstance(node, ast.Constant) and isinstance(node.value, int | float):
             return node.value
         raise ValueError(f"{formula}: {ast.dump(node)}")
 
-    return value(ast.parse(formula, mode="eval"))
+    return evaluate_node(ast.parse(formula, mode="eval"))
 
 
-def test_what_is_worked_out_is_what_its_formula_gives():
-    figures = {}
-    for name, value, known, source in rows():
-        assert name not in figures, f"{name} stands twice"
-        figures[name] = value
-        if known == "worked out":
-            formula = source.strip("`").strip()
-            assert value == pytest.approx(worked_out(formula, figures), rel=ROUNDED), (name, formula)
-    assert sum(known == "worked out" for _, _, known, _ in rows()) > 30
+def test_derived_figures_agree_with_their_formulas(figures):
+    values = {}
+    for figure in figures:
+        assert figure.name not in values, f"{figure.name} is listed twice"
+        values[figure.name] = figure.value
+        if figure.origin == "worked out":
+            formula = figure.source.strip("`").strip()
+            expected = pytest.approx(evaluate(formula, values), rel=ROUNDING)
+            assert figure.value == expected, (figure.name, formula)
+    assert sum(figure.origin == "worked out" for figure in figures) > 30
 
 
-def test_each_row_of_the_table_is_read_and_each_measured_figure_names_its_command():
+def test_every_row_of_the_table_is_parsed(figures):
     table = PAGE.read_text().split("## Figures", 1)[1].split("\n## ", 1)[0]
-    lines = [text for text in table.splitlines() if text.startswith("| `")]
-    assert len(lines) == len(rows()), [text for text in lines if not ROW.match(text)]
-    for name, _, known, source in rows():
-        assert known != "measured" or "`" in source, f"{name}: no command"
+    rows = [line for line in table.splitlines() if line.startswith("| `")]
+    assert len(rows) == len(figures), [row for row in rows if not ROW.match(row)]
+
+
+def test_measured_figures_name_their_command(figures):
+    for figure in figures:
+        assert figure.origin != "measured" or "`" in figure.source, f"{figure.name}: no command"
 
 
-def test_the_target_on_the_page_is_the_programs():
-    figures = {name: value for name, value, known, _ in rows() if known == "target"}
-    told = Target()._asdict()
-    assert {name: told[name] for name in figures} == figures and len(figures) >= 12
+def test_the_page_states_the_target_of_the_program(figures):
+    stated = {figure.name: figure.value for figure in figures if figure.origin == "target"}
+    target = Target()._asdict()
+    assert {name: target[name] for name in stated} == stated and len(stated) >= 12
