--- /dev/null
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -0,0 +1,59 @@
+"""A process of hollow balancers: members of a fleet without flows.
+
+Each is made of the very code that a balancer runs: transport, leases, shared discovery and discovery client.
+SIGUSR1 logs the counters of all.
+
+    python -m lotusroute.capacity.hollow_balancers settings.json
+"""
+
+import signal
+import sys
+
+from twisted.internet import defer
+
+from lotusroute.capacity import member_process
+from lotusroute.capacity.member_settings import HollowBalancerSettings
+from lotusroute.fleet import config, lease_service, shared_discovery
+from lotusroute.net import structured_log
+from lotusroute.net.discovery import Discovery
+
+START_INTERVAL = 0.01  # s
+DRAIN_GRACE = 2_000.0  # ms
+
+
+class HollowBalancers:
+    """The hollow balancers of one process."""
+
+    def __init__(self, settings: HollowBalancerSettings) -> None:
+        self.fleet = config.load_fleet_config(settings.fleet)
+        self.discovery_address = settings.discovery_address()
+        self.counters = structured_log.Counters()
+
+    def start(self, name: str, seed: int) -> None:
+        """Start one."""
+        leases = lease_service.LeaseService(member_process.reactor, self.fleet, name, self.counters)
+        discovery = Discovery(
+            self.discovery_address, 0, seed, self._count_update, self.counters, DRAIN_GRACE, False
+        )
+        if self.fleet.tasks:
+            discovery.watch = shared_discovery.SharedDiscovery(leases)
+            discovery.watch.discovery = discovery
+        leases.start().addErrback(
+            lambda failure: structured_log.log_event("no address", name=name, why=str(failure.value))
+        )
+        defer.ensureDeferred(discovery.follow())
+
+    def _count_update(self, _update: object) -> None:
+        self.counters["lists_taken"] += 1
+
+
+def main(file: str) -> None:
+    """Run the balancers that a settings file names until killed."""
+    settings = HollowBalancerSettings.read(file)
+    balancers = HollowBalancers(settings)
+    handlers = {signal.SIGUSR1: balancers.counters.print}
+    member_process.run_members(settings.names, balancers.start, START_INTERVAL, handlers)
+
+
+if __name__ == "__main__":
+    main(sys.argv[1])
--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -7,8 +7,9 @@
 
 import click
 
-from lotusroute.capacity.processes import TooLarge
-from lotusroute.capacity.regression_line import SIZES, Line, grown, line
+from lotusroute.capacity.measurement import Measurement, MeasurementOptions, Series, group_into_series
+from lotusroute.capacity.processes import RunTooLargeError
+from lotusroute.capacity.regression_line import MIN_SIZES, RegressionLine, find_growth, fit_line
 from lotusroute.capacity.target import Target
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
 
@@ -25,25 +26,23 @@
 
     Example: lotusroute capacity measure fleet --sizes 8,30,65,125 --json fleet.json
     """
-    from lotusroute.capacity import update_propagation
-    from lotusroute.capacity.roles import ROLES
+    from lotusroute.capacity.role_registry import ROLE_BY_NAME
 
-    roles = {**ROLES, "relays": (update_propagation.relays, (20, 50, 100, 150))}
-    measure_role, default_sizes = roles[role]
-    size_list = _parse_sizes(sizes) if sizes else list(default_sizes)
-    points: dict = {}
+    measured_role = ROLE_BY_NAME[role]
+    size_list = _parse_sizes(sizes) if sizes else list(measured_role.default_sizes)
+    measurements: list[Measurement] = []
     try:
         for size in size_list:
             report = functools.partial(_report, prefix=f"{role} {size}: ")
-            measure_role(size, seconds, hosts, points, report)
-    except TooLarge as error:
+            measurements += measured_role.measure(size, MeasurementOptions(seconds, hosts, report))
+    except RunTooLargeError as error:
         exit_with_wrong_use(f"{role}: {error}")
-    documents = [{"name": name, "unit": unit, "points": found} for name, (unit, found) in points.items()]
-    lines = [line(document["name"], document["unit"], document["points"]) for document in documents]
+    series = group_into_series(measurements)
+    lines = [fit_line(one) for one in series]
     for fitted in lines:
         click.echo(_line_summary(fitted, len(size_list)))
     if file:
-        run = {"role": role, "seconds": seconds, "lines": documents}
+        run = {"role": role, "seconds": seconds, "lines": [one.as_json() for one in series]}
         pathlib.Path(file).write_text(json.dumps(run, indent=1))
     if plot:
         _plot(lines, plot)
@@ -63,16 +62,16 @@
     click.echo(prefix + text, err=True)
 
 
-def _line_summary(fitted: Line, size_count: int) -> str:
+def _line_summary(fitted: RegressionLine, size_count: int) -> str:
     points = " ".join(f"{size:g}:{value:.4g}" for size, value in fitted.points)
-    caution = "" if size_count >= SIZES else f"  (only {size_count} sizes)"
+    caution = "" if size_count >= MIN_SIZES else f"  (only {size_count} sizes)"
     return (
-        f"{fitted.name}: {fitted.slope:.5g} +- {fitted.error:.2g} {fitted.unit} by one, "
-        f"{fitted.start:.4g} at none; {points}{caution}"
+        f"{fitted.name}: {fitted.slope:.5g} +- {fitted.slope_error:.2g} {fitted.unit} by one, "
+        f"{fitted.intercept:.4g} at none; {points}{caution}"
     )
 
 
-def _plot(lines: list[Line], file: str) -> None:
+def _plot(lines: list[RegressionLine], file: str) -> None:
     try:
         import matplotlib
     except ImportError:
@@ -84,7 +83,7 @@
     for fitted, (axis,) in zip(lines, axes, strict=True):
         axis.plot(*zip(*fitted.points, strict=True), "o")
         ends = [0, max(size for size, _ in fitted.points)]
-        axis.plot(ends, [fitted.at(size) for size in ends])
+        axis.plot(ends, [fitted.value_at(size) for size in ends])
         axis.set_title(fitted.name, fontsize=8)
         axis.set_ylabel(fitted.unit, fontsize=7)
     figure.tight_layout()
@@ -101,7 +100,8 @@
     """
     try:
         runs = [json.loads(pathlib.Path(file).read_text())["lines"] for file in (before, after)]
-        findings = grown(*runs)
+        old_run, new_run = ([Series.from_json(document) for document in run] for run in runs)
+        findings = find_growth(old_run, new_run)
     except (ValueError, KeyError, TypeError) as error:
         exit_with_wrong_use(f"{before}, {after}: no runs of `capacity measure --json`: {error}")
     for finding in findings:
@@ -125,14 +125,15 @@
 
     Example: lotusroute capacity propagation --relays 40 --real 20 --hollow 6140 --zones 19
     """
-    from lotusroute.capacity.update_propagation import SCENARIOS, play
+    from lotusroute.capacity.propagation_fleet import FleetSize
+    from lotusroute.capacity.update_propagation import SCENARIOS, run_scenarios
 
     for scenario in scenarios:
         if scenario not in SCENARIOS:
             raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
     try:
-        figures = play(**sizes, scenarios=scenarios or SCENARIOS, say=_report)
-    except TooLarge as error:
+        figures = run_scenarios(FleetSize(**sizes), scenarios or SCENARIOS, _report)
+    except RunTooLargeError as error:
         exit_with_wrong_use(f"propagation: {error}")
     if as_json:
         click.echo(json.dumps(figures))
@@ -176,7 +177,7 @@
 
     Example: lotusroute capacity target --json
     """
-    figures = {**Target()._asdict(), **Target().worked_out()}
+    figures = {**Target()._asdict(), **Target().derived_figures()}
     if as_json:
         click.echo(json.dumps(figures))
     else:
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -19,7 +19,7 @@
 # Client keys by their default server: a balancer that does not know that it is draining sends them there.
 KEYS_BY_SERVER = {
     f"s{index}": [
-        key for key in map(str, range(200)) if FakeHost(servers=SERVERS).default(key) == f"s{index}"
+        key for key in map(str, range(200)) if FakeHost(servers=SERVERS).default_server(key) == f"s{index}"
     ]
     for index in range(SERVERS)
 }
