--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -162,7 +162,13 @@
             self.discovery.close()
         told = self.posting
         self.discovery = Discovery(
-            told.discovery, seq, told.seed, self.owner.put, self.counters, told.grace, told.pushed
+            told.discovery,
+            seq,
+            told.seed,
+            self.owner.put,
+            self.counters,
+            told.drain_grace,
+            told.discovery_pushed,
         )
         self.discovery.heard, self.owner.relist = heard, self.discovery.forget
         if self.watch is not None:
@@ -191,7 +197,7 @@
 
 def _remembered(posting: config.BalancerConfig):
     try:
-        return parse_endpoint_list(posting.known, events.CACHED)
+        return parse_endpoint_list(posting.cached_list, events.CACHED)
     except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as fault:
         raise InvalidValueError(f"known: {type(fault).__name__} {fault}") from None
 
@@ -199,7 +205,7 @@
 def _remembered_seq(posting: config.BalancerConfig) -> int | None:
     """Of a list that is remembered whole; anything else is named, and the whole list asked for."""
     try:
-        return parse_version(posting.known.get("seq")) if posting.known["hosts"] else None
+        return parse_version(posting.cached_list.get("seq")) if posting.cached_list["hosts"] else None
     except InvalidValueError as fault:
         structured_log.log_event("cached list without version", logging.WARNING, why=str(fault))
         return None
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -21,7 +21,24 @@
 LONGEST = 3_000.0  # ms, the connect timeout of a service type for which none is told
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 APPLIED = {"discovery", "sockets", "memory_mb"}  # what a running balancer takes over; else it must restart
-FRESH = {"seed", "known"}  # new at each start, and nothing to one that runs
+FRESH = {"seed", "cached_list"}  # new at each start, and nothing to one that runs
+# The name of each field in the log's `needs_restart=`, which operators read: it outlives a renamed field.
+LOGGED_NAMES = {
+    "name": "name",
+    "listen": "listen",
+    "discovery": "discovery",
+    "seed": "seed",
+    "sockets": "sockets",
+    "memory_mb": "memory_mb",
+    "tenants": "tenants",
+    "cached_list": "known",
+    "service": "vip",
+    "connect_timeout": "come_up",
+    "longest_connect_timeout": "longest",
+    "drain_grace": "grace",
+    "discovery_pushed": "pushed",
+    "log_level": "log_level",
+}
 
 
 class BalancerConfig(NamedTuple):
@@ -34,12 +51,12 @@
     sockets: int
     memory_mb: float
     tenants: frozenset[str]  # those that may ask; empty where none are told
-    known: dict  # the server list as last held, in discovery's form
-    vip: ServiceConfig
-    come_up: float  # ms for a connection to a server to come up
-    longest: float  # connect timeout of the most patient service type
-    grace: float  # ms after news of a drain until nothing may be sent to the server any more
-    pushed: bool  # an agent of this machine has the server list
+    cached_list: dict  # the server list as last held, in discovery's form
+    service: ServiceConfig
+    connect_timeout: float  # ms for a connection to a server to come up
+    longest_connect_timeout: float  # connect timeout of the most patient service type
+    drain_grace: float  # ms after news of a drain until nothing may be sent to the server any more
+    discovery_pushed: bool  # an agent of this machine has the server list
     log_level: str
 
 
@@ -143,15 +160,15 @@
         sockets=int(figure("limits.sockets", limits.get("sockets"), SOCKETS)),
         memory_mb=figure("limits.memory_mb", limits.get("memory_mb"), MEMORY),
         tenants=frozenset(env[key] for key in env if re.fullmatch(r"tenants\.\d+\.name", key)),
-        known=known,
+        cached_list=known,
         # The protocol has no frame in which a server says it is slow.
-        vip=vip._replace(reports_latency=False),
-        come_up=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"), COME_UP),
-        longest=max(figure(f"settings.{path}", env.get(path), LONGEST) for path in deadlines),
-        grace=figure(
+        service=vip._replace(reports_latency=False),
+        connect_timeout=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"), COME_UP),
+        longest_connect_timeout=max(figure(f"settings.{path}", env.get(path), LONGEST) for path in deadlines),
+        drain_grace=figure(
             "settings.rules.stop_sending_within", env.get("rules.stop_sending_within"), GRACE, none=True
         ),
-        pushed=env.get("discovery") == "push",
+        discovery_pushed=env.get("discovery") == "push",
         log_level=level,
     )
 
@@ -159,4 +176,4 @@
 def settings_needing_restart(old: BalancerConfig, new: BalancerConfig) -> list[str]:
     """Name what has changed and cannot be taken over by a balancer that runs."""
     changed = (name for name in BalancerConfig._fields if getattr(old, name) != getattr(new, name))
-    return [name for name in changed if name not in APPLIED | FRESH]
+    return [LOGGED_NAMES[name] for name in changed if name not in APPLIED | FRESH]
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -87,7 +87,7 @@
 
     def __init__(self, posting: BalancerConfig, counters) -> None:
         self.posting, self.counters = posting, counters
-        self.director = Director(posting.vip, posting.seed)
+        self.director = Director(posting.service, posting.seed)
         self.chance = random.Random(posting.seed + 1)  # its own row: what is drawn here shifts no decision
         # Unix time, as servers' starts are told in it and balancers take turns by it, but steady.
         self.epoch = time.time() * 1000 - time.monotonic() * 1000
@@ -202,7 +202,7 @@
             self.next += 1
             self.ids.add(opening.id)
             due = event.at + opening.wait - min(MARGIN, MARGIN_SHARE * opening.wait)
-            kind = self.posting.vip.service_types[opening.service_type]
+            kind = self.posting.service.service_types[opening.service_type]
             held = self.flows[self.next] = ActiveFlow(self.next, opening, kind, due, side)
             side.number = held.number
             self._trace(
@@ -223,7 +223,7 @@
         """Whether no server could use it. The id of an open flow, sent by another client, had servers answer
         ERR to healthy flows' namesakes, and the servers set aside for it."""
         tenants, tenant = self.posting.tenants, opening.tenant
-        unknown = opening.service_type not in self.posting.vip.service_types
+        unknown = opening.service_type not in self.posting.service.service_types
         return unknown or opening.id in self.ids or bool(tenants and tenant and tenant not in tenants)
 
     def _flow(self, held: ActiveFlow) -> events.Flow:
@@ -238,7 +238,7 @@
 
     def _busy(self, advice: float) -> bytes:
         """A refusal, with the ms after which to come again where that may be said."""
-        advice = round(min(advice, self.posting.vip.max_retry_after))
+        advice = round(min(advice, self.posting.service.max_retry_after))
         return b"%b %d" % (BUSY, advice) if advice > 0 else BUSY
 
     def _stand(self, held: ActiveFlow) -> None:
@@ -250,7 +250,7 @@
             self._stand_again(held)
 
     def _stand_again(self, held: ActiveFlow) -> None:
-        if held.tries >= self.posting.vip.max_attempts or self.clock() + AGAIN >= held.due:
+        if held.tries >= self.posting.service.max_attempts or self.clock() + AGAIN >= held.due:
             self.counters["existing_connections_lost"] += 1
             self._answer(held, ERR)
         else:
@@ -275,9 +275,9 @@
             self.put,
             self.clock,
             self.counters,
-            wanted=lambda: held.wanted(self.clock(), self.posting.grace),
+            wanted=lambda: held.wanted(self.clock(), self.posting.drain_grace),
         )
-        limit = self.posting.come_up
+        limit = self.posting.connect_timeout
         held.until = until
         link.start(self.dials[server], wait < limit)
         held.timer = self._later(min(limit, wait), Overdue(held.number, link))
@@ -559,7 +559,7 @@
             self._move(events.Migrate(held.number))
 
     def _stop_on(self, gone: float, up: list[ActiveFlow]) -> None:
-        last = min(self.posting.longest, STOP_LONGEST) + STOP_REST
+        last = min(self.posting.longest_connect_timeout, STOP_LONGEST) + STOP_REST
         if gone >= STOP_MOVES:
             # Where all connect timeouts are short the kill comes before the spread is over.
             self._send_away(up, min(STOP_MOVES + STOP_SPREAD, last - STOP_REST) - gone)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -398,7 +398,7 @@
         line_protocol.PING,
     ]
     assert words == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
-    told = SimpleNamespace(posting=SimpleNamespace(vip=events.ServiceConfig({}, max_retry_after=900.0)))
+    told = SimpleNamespace(posting=SimpleNamespace(service=events.ServiceConfig({}, max_retry_after=900.0)))
     assert [Owner._busy(told, ms) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
     asked = parse_opening(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
     assert asked[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
