--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -179,7 +179,7 @@
         """Read the file again; open flows and all that the decisions know stay as they are."""
         self.counters["reloads"] += 1
         try:
-            new = config.load_config(os.environ, anew=True)
+            new = config.load_config(os.environ, reloading=True)
         except InvalidValueError as fault:
             # A file that was spoilt must not end a balancer that serves.
             structured_log.log_event("reload rejected", logging.WARNING, why=str(fault))
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -1,27 +1,34 @@
-"""What a balancer is told at its start, and anew while it runs.
+"""The balancer's configuration: the LB_* environment variables and the JSON file that LB_CONFIG names.
 
-Owns the LB_* variables and the file that LB_CONFIG names: the one place where they are read, checked and
-given defaults. It must never open a socket, and nothing else may look at the environment.
+This is the one place where they are read, checked and given defaults; no other module of the balancer reads
+variables. Errors are `ConfigError`s whose message starts with the key at fault.
 """
 
 import json
 import os
 import re
-from collections.abc import Mapping
-from typing import NamedTuple
+from collections.abc import Callable, Mapping
+from typing import NamedTuple, TypeVar
 
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.routing.events import ServiceConfig
 from lotusroute.service_config import flatten, parse_number, parse_service_config
 
-SOCKETS = 1024.0  # descriptors, where no limit is told: what a process usually may hold
-MEMORY = 1024.0  # MB, where no limit is told: more than all descriptors can fill
-COME_UP = 250.0  # ms for a connection to come up, where none is told: a far site and one lost packet
-GRACE = 500.0  # ms after news of a drain in which a server may be sent to, where none is told: the least met
-LONGEST = 3_000.0  # ms, the connect timeout of a service type for which none is told
-LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-APPLIED = {"discovery", "sockets", "memory_mb"}  # what a running balancer takes over; else it must restart
-FRESH = {"seed", "cached_list"}  # new at each start, and nothing to one that runs
+Value = TypeVar("Value")
+Parsed = TypeVar("Parsed")
+
+DEFAULT_SOCKETS = 1024.0  # descriptors: what a process usually may hold
+DEFAULT_MEMORY_MB = 1024.0  # more than all descriptors can fill
+DEFAULT_CONNECT_TIMEOUT = 250.0  # ms: a distant location and one lost packet
+DEFAULT_DRAIN_GRACE = 500.0  # ms: the least that any deployment has asked for
+DEFAULT_DEADLINE = 3_000.0  # ms, of a service type that has none
+MAX_PORT = 65535
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
+
+# What a reload does with a field: it is applied, it only matters at the start, or else it needs a restart.
+APPLIED_ON_RELOAD = frozenset({"discovery", "sockets", "memory_mb"})
+USED_AT_START_ONLY = frozenset({"seed", "cached_list"})
 # The name of each field in the log's `needs_restart=`, which operators read: it outlives a renamed field.
 LOGGED_NAMES = {
     "name": "name",
@@ -42,138 +49,183 @@
 
 
 class BalancerConfig(NamedTuple):
-    """Where this balancer stands and what it serves."""
+    """The configuration of one balancer process, checked and complete."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    seed: int
-    sockets: int
+    seed: int  # of the random number generators
+    sockets: int  # the limit of open descriptors
     memory_mb: float
-    tenants: frozenset[str]  # those that may ask; empty where none are told
-    cached_list: dict  # the server list as last held, in discovery's form
+    tenants: frozenset[str]  # those whose flows are accepted; empty accepts all
+    cached_list: dict  # the endpoint list of an earlier run, in discovery's form
     service: ServiceConfig
-    connect_timeout: float  # ms for a connection to a server to come up
-    longest_connect_timeout: float  # connect timeout of the most patient service type
-    drain_grace: float  # ms after news of a drain until nothing may be sent to the server any more
-    discovery_pushed: bool  # an agent of this machine has the server list
+    connect_timeout: float  # ms, of one connection to a server
+    longest_connect_timeout: float  # ms, the longest deadline of any service type
+    drain_grace: float  # ms from the notice of a drain until nothing may be sent to that server
+    discovery_pushed: bool  # an agent on this machine holds the endpoint list
     log_level: str
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read host:port.
+    """Parse host:port; raises InvalidValueError, for addresses come in files and in messages.
 
     >>> parse_address("10.0.0.4:9000")
     ('10.0.0.4', 9000)
     """
     host, colon, port = text.rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
+    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         raise InvalidValueError(f"'{text}' is not host:port")
     return host, int(port)
 
 
-def load_config(environ: Mapping[str, str], anew: bool = False) -> BalancerConfig:
-    """Read all that the balancer is told; a key that is missing or bad is named.
+def load_config(environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
+    """Read the file that LB_CONFIG names and the environment.
 
-    Read `anew`, the file goes before the environment: that is still the one of the start, and following its
-    address of discovery after the file has named another left a balancer with a list that nobody renews.
+    The environment has precedence at the start. On a reload the file has: the environment is still that of
+    the start, and following its discovery address after the file named another left a balancer with an
+    endpoint list that nothing updates.
     """
     path = environ.get("LB_CONFIG")
     if not path:
-        raise InvalidValueError("LB_CONFIG: not set")
+        raise ConfigError("LB_CONFIG: not set")
     try:
-        told = read_json_object(path)
-    except InvalidValueError as fault:
-        raise InvalidValueError(f"LB_CONFIG: {fault}") from None
-    return parse_config(told, environ, anew)
+        document = read_json_object(path)
+    except ConfigError as error:
+        raise ConfigError(f"LB_CONFIG: {error}") from None
+    return parse_config(document, environ, reloading)
 
 
 def fleet_config_path(environ: Mapping[str, str]) -> str:
-    """The operator's file on the fleet; empty where the fleet's parts are off, as on the platform."""
+    """Return the path of the fleet's configuration file; empty where the fleet's features are off."""
     return environ.get("LB_FLEET", "")
 
 
 def relays_config_path(environ: Mapping[str, str]) -> str:
-    """The operator's file on relays; empty where they are off, as on the platform."""
+    """Return the path of the relays' configuration file; empty where relays are off."""
     return environ.get("LB_RELAYS", "")
 
 
 def read_json_object(path: str | os.PathLike) -> dict:
-    """Read the file, as far as that it is a JSON object."""
+    """Read a file that holds a JSON object; its contents are not checked."""
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-    except (OSError, ValueError) as fault:
-        raise InvalidValueError(str(fault)) from None
-    if not isinstance(told, dict):
-        raise InvalidValueError("not a JSON object")
-    return told
-
-
-def parse_config(told: dict, environ: Mapping[str, str], anew: bool = False) -> BalancerConfig:
-    """Check what a file tells, beside what the environment does."""
-    settings = told.get("settings") or {}
-    if not isinstance(settings, dict):
-        raise InvalidValueError("settings: not a JSON object")
-    env = dict(flatten(settings))
+            document = json.load(file)
+    except (OSError, ValueError) as error:
+        raise ConfigError(str(error)) from None
+    if not isinstance(document, dict):
+        raise ConfigError("not a JSON object")
+    return document
+
+
+def parse_config(document: dict, environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
+    """Check a file's contents together with the environment."""
+    settings = _parse_section(document, "settings")
+    flat_settings = dict(flatten(settings))
+    service = _parse_service(settings, flat_settings)
+    cached_list = _parse_cached_list(document)
+    limits = _parse_section(document, "limits")
+    log_level = _parse_log_level(environ)
 
     def text(key: str) -> str:
-        said = environ.get(f"LB_{key.upper()}"), told.get(key)
-        value = (said[1] or said[0]) if anew else (said[0] or said[1])
-        if not isinstance(value, str):
-            raise InvalidValueError(f"LB_{key.upper()}: not set, and no {key} in LB_CONFIG")
-        return value
-
-    def checked(key: str, read, value: object):
-        try:
-            return read(value)
-        except InvalidValueError as fault:
-            raise InvalidValueError(f"{key}: {fault}") from None
-
-    def figure(key: str, value: object, default: float, none: bool = False) -> float:
-        value = default if value is None else checked(key, parse_number, str(value))
-        if value < 0 or not (value or none):
-            raise InvalidValueError(f"{key}: {value:g} is not above 0")
-        return value
-
-    vip = checked("settings", parse_service_config, env)
-    types = settings.get("service_types")
-    if not (vip.service_types and isinstance(types, list)):
-        raise InvalidValueError("settings.service_types: none given")
-    if "" in vip.service_types or len(vip.service_types) < len(types):
-        raise InvalidValueError("settings.service_types: each needs a name of its own")
-    deadlines = (f"service_types.{at}.deadline" for at in range(len(types)))
-    known = told.get("known") or {"seq": 0, "hosts": []}
-    if not (isinstance(known, dict) and isinstance(known.get("hosts"), list)):
-        raise InvalidValueError("known: not a server list")
-    limits = told.get("limits") or {}
-    if not isinstance(limits, dict):
-        raise InvalidValueError("limits: not a JSON object")
-    level = environ.get("LB_LOG", "INFO").upper()
-    if level not in LEVELS:
-        raise InvalidValueError(f"LB_LOG: '{level}' is none of {', '.join(LEVELS)}")
+        return _parse_text(key, document, environ, reloading)
+
     return BalancerConfig(
         name=text("name"),
-        listen=checked("LB_LISTEN", parse_address, text("listen")),
-        discovery=checked("LB_DISCOVERY", parse_address, text("discovery")),
-        seed=int.from_bytes(str(told.get("seed", "")).encode()),
-        sockets=int(figure("limits.sockets", limits.get("sockets"), SOCKETS)),
-        memory_mb=figure("limits.memory_mb", limits.get("memory_mb"), MEMORY),
-        tenants=frozenset(env[key] for key in env if re.fullmatch(r"tenants\.\d+\.name", key)),
-        cached_list=known,
-        # The protocol has no frame in which a server says it is slow.
-        service=vip._replace(reports_latency=False),
-        connect_timeout=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"), COME_UP),
-        longest_connect_timeout=max(figure(f"settings.{path}", env.get(path), LONGEST) for path in deadlines),
-        drain_grace=figure(
-            "settings.rules.stop_sending_within", env.get("rules.stop_sending_within"), GRACE, none=True
+        listen=_parse_keyed("LB_LISTEN", parse_address, text("listen")),
+        discovery=_parse_keyed("LB_DISCOVERY", parse_address, text("discovery")),
+        seed=int.from_bytes(str(document.get("seed", "")).encode()),
+        sockets=int(_parse_amount("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS)),
+        memory_mb=_parse_amount("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB),
+        tenants=_parse_tenants(flat_settings),
+        cached_list=cached_list,
+        service=service,
+        connect_timeout=_parse_setting(flat_settings, "limits.connect_timeout", DEFAULT_CONNECT_TIMEOUT),
+        longest_connect_timeout=_parse_longest_deadline(settings, flat_settings),
+        drain_grace=_parse_setting(
+            flat_settings, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE, zero_allowed=True
         ),
-        discovery_pushed=env.get("discovery") == "push",
-        log_level=level,
+        discovery_pushed=flat_settings.get("discovery") == "push",
+        log_level=log_level,
     )
 
 
 def settings_needing_restart(old: BalancerConfig, new: BalancerConfig) -> list[str]:
-    """Name what has changed and cannot be taken over by a balancer that runs."""
-    changed = (name for name in BalancerConfig._fields if getattr(old, name) != getattr(new, name))
-    return [LOGGED_NAMES[name] for name in changed if name not in APPLIED | FRESH]
+    """Return the logged names of the fields that have changed and that a running balancer cannot apply."""
+    changed = [field for field in BalancerConfig._fields if getattr(old, field) != getattr(new, field)]
+    without_restart = APPLIED_ON_RELOAD | USED_AT_START_ONLY
+    return [LOGGED_NAMES[field] for field in changed if field not in without_restart]
+
+
+def _parse_section(document: dict, key: str) -> dict:
+    section = document.get(key) or {}
+    if not isinstance(section, dict):
+        raise ConfigError(f"{key}: not a JSON object")
+    return section
+
+
+def _parse_service(settings: dict, flat_settings: Mapping[str, str]) -> ServiceConfig:
+    service = _parse_keyed("settings", parse_service_config, flat_settings)
+    service_types = settings.get("service_types")
+    if not (service.service_types and isinstance(service_types, list)):
+        raise ConfigError("settings.service_types: none given")
+    if "" in service.service_types or len(service.service_types) < len(service_types):
+        raise ConfigError("settings.service_types: each needs a name of its own")
+    # The line protocol has no message in which a server reports its latency.
+    return service._replace(reports_latency=False)
+
+
+def _parse_cached_list(document: dict) -> dict:
+    cached_list = document.get("known") or {"seq": 0, "hosts": []}
+    if not (isinstance(cached_list, dict) and isinstance(cached_list.get("hosts"), list)):
+        raise ConfigError("known: not a server list")
+    return cached_list
+
+
+def _parse_log_level(environ: Mapping[str, str]) -> str:
+    level = environ.get("LB_LOG", "INFO").upper()
+    if level not in LOG_LEVELS:
+        raise ConfigError(f"LB_LOG: '{level}' is none of {', '.join(LOG_LEVELS)}")
+    return level
+
+
+def _parse_tenants(flat_settings: Mapping[str, str]) -> frozenset[str]:
+    return frozenset(name for path, name in flat_settings.items() if TENANT_NAME_PATH.fullmatch(path))
+
+
+def _parse_longest_deadline(settings: dict, flat_settings: Mapping[str, str]) -> float:
+    paths = [f"service_types.{index}.deadline" for index in range(len(settings["service_types"]))]
+    return max(_parse_setting(flat_settings, path, DEFAULT_DEADLINE) for path in paths)
+
+
+def _parse_text(key: str, document: dict, environ: Mapping[str, str], reloading: bool) -> str:
+    """Read a text of the file that an environment variable may override."""
+    variable = f"LB_{key.upper()}"
+    from_environment = environ.get(variable)
+    from_file = document.get(key)
+    value = (from_file or from_environment) if reloading else (from_environment or from_file)
+    if not isinstance(value, str):
+        raise ConfigError(f"{variable}: not set, and no {key} in LB_CONFIG")
+    return value
+
+
+def _parse_setting(
+    flat_settings: Mapping[str, str], path: str, default: float, zero_allowed: bool = False
+) -> float:
+    return _parse_amount(f"settings.{path}", flat_settings.get(path), default, zero_allowed)
+
+
+def _parse_amount(key: str, value: object, default: float, zero_allowed: bool = False) -> float:
+    """Parse a number that must be positive."""
+    amount = default if value is None else _parse_keyed(key, parse_number, str(value))
+    if amount < 0 or (amount == 0 and not zero_allowed):
+        raise ConfigError(f"{key}: {amount:g} is not above 0")
+    return amount
+
+
+def _parse_keyed(key: str, parse: Callable[[Value], Parsed], value: Value) -> Parsed:
+    """Parse a value; the message of an error gets the key before it."""
+    try:
+        return parse(value)
+    except InvalidValueError as error:
+        raise ConfigError(f"{key}: {error}") from None
