--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -1,25 +1,33 @@
-"""Decodes what is known of a virtual ip at the start, for every host of the decisions.
+"""Parses the settings of a service, for every host of the routing decisions.
 
-The settings come as a flat table of paths and texts; `flatten` makes one of nested JSON.
+The settings come as a flat mapping from dotted paths to texts; `flatten` makes one from nested JSON. Unknown
+settings are ignored; a value that cannot be used raises `ConfigError` with its path.
 """
 
 import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping
+from typing import TypeVar
 
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.routing import events
 
-FLAGS = {"true": True, "false": False}
-UNTOLD = "non_idempotent"  # the effect where none is told: the one that is never repeated in error
-KINDS = {
+Key = TypeVar("Key")
+Value = TypeVar("Value")
+
+BOOLEANS = {"true": True, "false": False}
+EFFECTS = {
     "read_like": events.IDEMPOTENT,
     "idempotency_key": events.IDEMPOTENCY_KEY,
     "non_idempotent": events.NON_IDEMPOTENT,
 }
+DEFAULT_EFFECT = "non_idempotent"  # the one that is never retried by mistake
+STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that stay the same between endpoint lists
+DEFAULT_POLL_INTERVAL = 10_000.0  # ms
+LATENCY_OBJECTIVES = "family_info.message_aim"
 
 
 def parse_number(text: str) -> float:
-    """Read a finite number; `-` is 0.
+    """Parse a finite number; `-` is 0. Raises InvalidValueError, for settings and messages hold numbers.
 
     >>> parse_number("8652.25"), parse_number("-")
     (8652.25, 0.0)
@@ -35,82 +43,126 @@
     return value
 
 
-def look_up(table: Mapping, text: str, what: str):
-    """Translate a word by a table."""
+def look_up(table: Mapping[Key, Value], key: Key, what: str) -> Value:
+    """Return the table's value; raises InvalidValueError that says `what` is unknown."""
     try:
-        return table[text]
+        return table[key]
     except KeyError:
-        raise InvalidValueError(f"unknown {what} '{text}'") from None
+        raise InvalidValueError(f"unknown {what} '{key}'") from None
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Write nested JSON as paths and texts; a list has its length under `.count`.
+    """Yield the dotted paths of nested JSON with their values as texts; a list's length is under `.count`.
 
     >>> dict(flatten({"a": {"b": True, "c": None}, "d": [{"e": 1.5}], "f": ["x", "y"]}))
     {'a.b': 'true', 'd.count': '1', 'd.0.e': '1.5', 'f.count': '2', 'f.0': 'x', 'f.1': 'y'}
     """
-    if isinstance(value, dict):
-        inner = value.items()
-    elif isinstance(value, list):
-        yield f"{path}.count", str(len(value))
-        inner = enumerate(value)
-    else:
-        if value is not None:
-            yield path, str(value).lower() if isinstance(value, bool) else str(value)
-        return
-    for key, item in inner:
+    items: Iterable[tuple[object, object]]
+    match value:
+        case None:
+            return
+        case dict():
+            items = value.items()
+        case list():
+            yield f"{path}.count", str(len(value))
+            items = enumerate(value)
+        case bool():
+            yield path, str(value).lower()
+            return
+        case _:
+            yield path, str(value)
+            return
+    for key, item in items:
         yield from flatten(item, f"{path}.{key}" if path else str(key))
 
 
-def parse_service_config(env: Mapping[str, str]) -> events.ServiceConfig:
-    """Decode the settings; unknown ones are passed over, a bad one is named.
+def parse_service_config(settings: Mapping[str, str]) -> events.ServiceConfig:
+    """Parse the settings of a service.
 
     >>> parse_service_config({"service_types.count": "1", "service_types.0.name": "live"}).service_types
     {'live': ServiceType(setup_target=0.0, effect='once-only', dedup_scope='all', dedup_window=0.0)}
     """
-
-    def figure(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
-        try:
-            value = parse_number(text)
-        except InvalidValueError as fault:
-            raise InvalidValueError(f"{path}: {fault}") from None
-        if not least <= value <= most:
-            raise InvalidValueError(f"{path}: {value:g} is not between {least:g} and {most:g}")
-        return value
-
-    def get(path: str, default: float = 0.0, **bounds: float) -> float:
-        return figure(path, env[path], **bounds) if path in env else default
-
-    def flag(path: str) -> bool:
-        return look_up(FLAGS, env.get(path, "false"), f"{path}, which is true or false:")
-
-    # One figure a service type: the wire joins them with commas, nested JSON tells their number.
-    path = "family_info.message_aim"
-    targets = env.get(path, "").split(",")
-    targets += [env.get(f"{path}.{at}", "") for at in range(int(get(f"{path}.count")))]
-    message_target = min((figure(path, text) for text in targets if text), default=0.0)
-    service_types = {}
-    for at in range(int(get("service_types.count"))):
-        path = f"service_types.{at}."
-        service_types[env.get(path + "name", "")] = events.ServiceType(
-            setup_target=get(path + "setup_target"),
-            effect=look_up(KINDS, env.get(path + "effect", UNTOLD), path + "effect"),
-            dedup_scope=env.get(path + "group", "all"),
-            dedup_window=get(path + "window"),
-        )
+    latency_objective = _parse_latency_objective(settings)
+    service_types = _parse_service_types(settings)
     return events.ServiceConfig(
         service_types=service_types,
-        instance_index=int(get("me")),
-        instance_count=int(get("siblings", 1, least=1)),
-        groups_share_work=flag("family_info.groups"),
-        trusts_weights=env.get("weights", "silent") in ("nominal", "rough"),
-        reports_latency=flag("family_info.tells_delay"),
-        latency_objective=message_target,
-        polls_discovery=env.get("discovery") == "ask",
-        poll_interval=get("rules.ask_every", 10_000.0),
-        max_attempts=int(get("limits.max_connects", 1, least=1)),
-        max_retry_after=get("limits.max_retry_after") if flag("limits.retry_after") else 0.0,
-        slow_start_share=get("rules.cold_from", 1.0, most=1.0),
-        slow_start_duration=get("rules.warm_after"),
-        slow_start_burst=get("rules.tip_multiple", 1.0),
+        instance_index=int(_parse_setting(settings, "me")),
+        instance_count=int(_parse_setting(settings, "siblings", 1, least=1)),
+        groups_share_work=_parse_boolean(settings, "family_info.groups"),
+        trusts_weights=settings.get("weights", "silent") in STABLE_WEIGHTS,
+        reports_latency=_parse_boolean(settings, "family_info.tells_delay"),
+        latency_objective=latency_objective,
+        polls_discovery=settings.get("discovery") == "ask",
+        poll_interval=_parse_setting(settings, "rules.ask_every", DEFAULT_POLL_INTERVAL),
+        max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, least=1)),
+        max_retry_after=_parse_max_retry_after(settings),
+        slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, most=1.0),
+        slow_start_duration=_parse_setting(settings, "rules.warm_after"),
+        slow_start_burst=_parse_setting(settings, "rules.tip_multiple", 1.0),
+    )
+
+
+def _parse_service_types(settings: Mapping[str, str]) -> dict[str, events.ServiceType]:
+    service_types = {}
+    for index in range(int(_parse_setting(settings, "service_types.count"))):
+        prefix = f"service_types.{index}"
+        name = settings.get(f"{prefix}.name", "")
+        service_types[name] = _parse_service_type(settings, prefix)
+    return service_types
+
+
+def _parse_service_type(settings: Mapping[str, str], prefix: str) -> events.ServiceType:
+    effect = settings.get(f"{prefix}.effect", DEFAULT_EFFECT)
+    return events.ServiceType(
+        setup_target=_parse_setting(settings, f"{prefix}.setup_target"),
+        effect=_parse_choice(EFFECTS, effect, f"{prefix}.effect"),
+        dedup_scope=settings.get(f"{prefix}.group", "all"),
+        dedup_window=_parse_setting(settings, f"{prefix}.window"),
     )
+
+
+def _parse_latency_objective(settings: Mapping[str, str]) -> float:
+    """Return the least of the service types' objectives, in ms; 0 where none has one.
+
+    The simulator joins them with commas; nested JSON has an entry for each.
+    """
+    texts = settings.get(LATENCY_OBJECTIVES, "").split(",")
+    for index in range(int(_parse_setting(settings, f"{LATENCY_OBJECTIVES}.count"))):
+        texts.append(settings.get(f"{LATENCY_OBJECTIVES}.{index}", ""))
+    return min((_parse_amount(LATENCY_OBJECTIVES, text) for text in texts if text), default=0.0)
+
+
+def _parse_max_retry_after(settings: Mapping[str, str]) -> float:
+    """Return the longest Retry-After, in ms; 0 where clients ignore it."""
+    if not _parse_boolean(settings, "limits.retry_after"):
+        return 0.0
+    return _parse_setting(settings, "limits.max_retry_after")
+
+
+def _parse_boolean(settings: Mapping[str, str], path: str) -> bool:
+    return _parse_choice(BOOLEANS, settings.get(path, "false"), f"{path}, which is true or false:")
+
+
+def _parse_choice(choices: Mapping[str, Value], text: str, what: str) -> Value:
+    try:
+        return look_up(choices, text, what)
+    except InvalidValueError as error:
+        raise ConfigError(str(error)) from None
+
+
+def _parse_setting(
+    settings: Mapping[str, str], path: str, default: float = 0.0, least: float = 0.0, most: float = math.inf
+) -> float:
+    if path not in settings:
+        return default
+    return _parse_amount(path, settings[path], least, most)
+
+
+def _parse_amount(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
+    try:
+        value = parse_number(text)
+    except InvalidValueError as error:
+        raise ConfigError(f"{path}: {error}") from None
+    if not least <= value <= most:
+        raise ConfigError(f"{path}: {value:g} is not between {least:g} and {most:g}")
+    return value
