--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -1,19 +1,25 @@
-"""Starts one balancer: reads what it is told, opens its sockets, reads anew, ends in order.
+"""Starts one balancer: loads the configuration, opens the sockets, handles signals and stops in order.
 
-Owns the order of the start and of the end, and the signals. It must never hold state of a flow.
+SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the configuration, SIGUSR1 prints the counters. The
+exit code is 0 after a graceful shutdown and 2 where the start fails. With arguments it is a command of
+`lotusroute.cli`.
 """
 
-import gc
-import logging
-import os
 import signal
 import sys
 
-# A reload or a stop that came while the rest was still imported ended the program by the default, a crash. It
-# is kept until there is somebody to do it; the file is read after this stands, so no change of it is missed.
-EARLY: list[int] = []
-for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-    signal.signal(number, lambda number, _: EARLY.append(number))
+# Signals that come while the rest is still being imported are handled once the reactor runs: by default they
+# ended the program. The configuration is read after this, so that no change of it is missed.
+EARLY_SIGNALS: list[int] = []
+
+
+def _defer_signal(number: int, _frame: object) -> None:
+    EARLY_SIGNALS.append(number)
+
+
+signal.signal(signal.SIGHUP, _defer_signal)
+signal.signal(signal.SIGTERM, _defer_signal)
+signal.signal(signal.SIGINT, _defer_signal)
 
 from lotusroute.net import epoll_reactor
 
@@ -21,194 +27,192 @@
 
 # Nothing may import Twisted's reactor before ours is installed, and the signals come first.
 # ruff: noqa: E402, I001
-from twisted.internet import defer, error, reactor
+import gc
+import logging
+import os
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING, NamedTuple
+
+from twisted.internet import error as twisted_error, reactor
+from twisted.python.failure import Failure
 
-from lotusroute.routing import events
+from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.net import config, structured_log
+from lotusroute.net.discovery_session import DiscoverySession, parse_cached_list
 from lotusroute.net.downstream import DownstreamFactory, Listener
-from lotusroute.net.discovery import Discovery, parse_endpoint_list, parse_version
 from lotusroute.net.owner import Owner
-from lotusroute.errors import InvalidValueError
 
-COLLECT = 5_000, 20, 20  # objects, and younger looks, between looks for garbage: every few hundred flows
-OPENING = 1.0  # s that the listener waits at most for the first word of discovery
-BACKLOG = 1024  # connections that may wait to be accepted when all clients of a peer come at once
+if TYPE_CHECKING:
+    from lotusroute.fleet.lease_service import LeaseService
+
+# Objects, and younger generations' collections, between collections: one every few hundred flows.
+GC_THRESHOLDS = (5_000, 20, 20)
+FIRST_LIST_TIMEOUT = 1.0  # s that the listener waits at most for discovery's first answer
+LISTEN_BACKLOG = 1024  # connections that may wait to be accepted when all clients of a peer reconnect at once
+EXIT_BAD_START = 2
+
+
+class Balancer(NamedTuple):
+    """The parts of a running balancer that its signals reach."""
+
+    listener: Listener
+    session: DiscoverySession
+    shut_down: Callable[[Callable[[], None]], None]  # drains all flows, then calls its argument
 
 
 def main() -> int:
-    """Run until told to stop; 0 after an orderly end, 2 where the start is faulty. Words are a command."""
+    """Run a balancer until it has shut down, or the command that the arguments name; return the exit code."""
     if len(sys.argv) > 1:
         from lotusroute.cli import command
 
         return command(prog_name="lotusroute")
-    try:
-        posting = config.load_config(os.environ)
-        remembered = _remembered(posting)
-    except InvalidValueError as fault:
-        print(f"lotusroute: {fault}", file=sys.stderr)
-        return 2
-    structured_log.configure_logging(posting.log_level)
     counters = structured_log.Counters()
-    owner = Owner(posting, counters)
-    owner.put(remembered)
-    clients = DownstreamFactory(owner.put, owner.clock, owner.ready, posting.sockets, counters)
-    listener = Listener(posting.listen[1], clients, BACKLOG, posting.listen[0], reactor)
     try:
-        listener.startListening()
-    except error.CannotListenError as fault:
-        print(f"lotusroute: LB_LISTEN: {fault}", file=sys.stderr)
-        return 2
-    owner.owing = lambda: clients.sweep(listener)
-    # What discovery has counts as told from our first moment on, and the remembered list may be an old one:
-    # first flows went to servers that had drained long ago. They wait for its first word.
-    listener.stopReading()
-    reactor.callLater(OPENING, listener.startReading)
-    standing = Standing(posting, owner, clients, counters)
-    reactor.callWhenRunning(standing.follow, listener.startReading)
-    try:
-        fleet = _fleet(posting, counters, standing)
-    except InvalidValueError as fault:
-        print(f"lotusroute: {fault}", file=sys.stderr)
-        return 2
-
-    def finish() -> None:
-        if reactor.running:
-            reactor.stop()
-
-    def stop() -> None:
-        listener.startReading()
-        if fleet is not None:
-            fleet.stop()
-        owner.stop(finish)
-
-    # What stands at the start is not looked through again; looks at all flows come seldom, for they stall us.
-    gc.freeze()
-    gc.set_threshold(*COLLECT)
-    calls = {
-        signal.SIGTERM: stop,
-        signal.SIGINT: stop,
-        # The default end on SIGHUP cut off every client when only the address of discovery had changed.
-        signal.SIGHUP: standing.read_anew,
-        signal.SIGUSR1: counters.print,
-    }
-    for number in calls:
-        signal.signal(number, lambda number, _: reactor.callFromThread(calls[number]))
-    for number in EARLY:
-        reactor.callWhenRunning(calls[number])
+        balancer = build_balancer(counters)
+        fleet = start_optional_parts(balancer.session, counters)
+    except InvalidValueError as error:
+        print(f"lotusroute: {error}", file=sys.stderr)
+        return EXIT_BAD_START
+    tune_garbage_collection()
+    install_signal_handlers(balancer, fleet, counters)
     reactor.run(installSignalHandlers=False)
     counters.print()
     return 0
 
 
-def _fleet(posting: config.BalancerConfig, counters: structured_log.Counters, standing: "Standing"):
-    """Start the fleet's parts where the operator's file asks for them; else nothing of them is imported."""
-    file = config.fleet_config_path(os.environ)
-    if not file:
-        return _relays(posting, counters, standing)
+def build_balancer(counters: structured_log.Counters) -> Balancer:
+    """Load the configuration and open the listener; raises InvalidValueError where either fails."""
+    balancer_config = config.load_config(os.environ)
+    cached_list = parse_cached_list(balancer_config)
+    structured_log.configure_logging(balancer_config.log_level)
+    owner = Owner(balancer_config, counters)
+    owner.put(cached_list)
+    downstream = DownstreamFactory(owner.put, owner.clock, owner.ready, balancer_config.sockets, counters)
+    listener = open_listener(balancer_config.listen, downstream)
+
+    def apply_limits(new: config.BalancerConfig) -> None:
+        owner.allow(new)
+        downstream.allow(new.sockets)
+
+    session = DiscoverySession(balancer_config, owner.put, apply_limits, counters)
+    owner.owing = partial(downstream.sweep, listener)
+    owner.relist = session.request_complete_list
+    follow_discovery(session, listener)
+    return Balancer(listener, session, owner.stop)
+
+
+def open_listener(address: tuple[str, int], downstream: DownstreamFactory) -> Listener:
+    """Listen for clients; raises ConfigError where the address cannot be used."""
+    host, port = address
+    listener = Listener(port, downstream, LISTEN_BACKLOG, host, reactor)
+    try:
+        listener.startListening()
+    except twisted_error.CannotListenError as error:
+        raise ConfigError(f"LB_LISTEN: {error}") from None
+    return listener
+
+
+def follow_discovery(session: DiscoverySession, listener: Listener) -> None:
+    """Follow discovery once the reactor runs; clients are accepted from its first answer or a timeout on.
+
+    The cached list may be old, while discovery's changes count as known from our first moment: without the
+    wait, first flows went to servers that had drained long ago.
+    """
+    listener.stopReading()
+    reactor.callLater(FIRST_LIST_TIMEOUT, listener.startReading)
+    reactor.callWhenRunning(session.follow, listener.startReading)
+
+
+def start_optional_parts(
+    session: DiscoverySession, counters: structured_log.Counters
+) -> "LeaseService | None":
+    """Start the fleet or the relay client where it is configured; else nothing of them is imported."""
+    fleet_path = config.fleet_config_path(os.environ)
+    if fleet_path:
+        return start_fleet(fleet_path, session, counters)
+    relays_path = config.relays_config_path(os.environ)
+    if relays_path:
+        start_relay_subscription(relays_path, session, counters)
+    return None
+
+
+def start_fleet(path: str, session: DiscoverySession, counters: structured_log.Counters) -> "LeaseService":
+    """Join the fleet that the file describes, and share discovery's updates if its tasks say so."""
     try:
         from lotusroute.fleet import config as fleet_config
         from lotusroute.fleet import lease_service, shared_discovery
-    except ImportError as fault:
-        raise InvalidValueError(f"LB_FLEET: {fault}; install lotusroute[fleet]") from None
-    fleet = lease_service.LeaseService(reactor, fleet_config.load_fleet_config(file), posting.name, counters)
+    except ImportError as error:
+        raise ConfigError(f"LB_FLEET: {error}; install lotusroute[fleet]") from None
+    fleet = lease_service.LeaseService(
+        reactor, fleet_config.load_fleet_config(path), session.config.name, counters
+    )
     if shared_discovery.TASK in fleet.plan.tasks:
-        standing.watch = shared_discovery.SharedDiscovery(fleet)
+        session.coordinator = shared_discovery.SharedDiscovery(fleet)
 
-    def unheard(reason) -> None:
-        # Without its link this balancer is alone, and serves as without the file.
+    def log_listen_failure(reason: Failure) -> None:
+        # Without its peers this balancer serves as it does without the file.
         structured_log.log_event("fleet listen failed", logging.WARNING, why=str(reason.value))
 
-    reactor.callWhenRunning(lambda: fleet.start().addErrback(unheard))
+    def start() -> None:
+        fleet.start().addErrback(log_listen_failure)
+
+    reactor.callWhenRunning(start)
     return fleet
 
 
-def _relays(posting: config.BalancerConfig, counters: structured_log.Counters, standing: "Standing") -> None:
-    """Follow a relay where the operator's file asks for it; else nothing of that is imported."""
-    file = config.relays_config_path(os.environ)
-    if not file:
-        return
+def start_relay_subscription(path: str, session: DiscoverySession, counters: structured_log.Counters) -> None:
+    """Take discovery's updates from a relay that the file names."""
     try:
         from lotusroute.relay import subscription
-    except ImportError as fault:
-        raise InvalidValueError(f"LB_RELAYS: {fault}; install lotusroute[fleet]") from None
-    told = subscription.read(file)
-    standing.watch = subscription.Subscription(reactor, told, posting.name, counters)
-    reactor.callWhenRunning(standing.watch.start)
-
-
-class Standing:
-    """What the running balancer was last told, and the discovery that it follows by it."""
-
-    def __init__(
-        self,
-        posting: config.BalancerConfig,
-        owner: Owner,
-        clients: DownstreamFactory,
-        counters: structured_log.Counters,
-    ) -> None:
-        self.first = self.posting = posting
-        self.owner, self.clients, self.counters = owner, clients, counters
-        self.discovery: Discovery | None = None
-        self.watch = None  # where balancers share what discovery tells
-
-    def follow(self, heard=None) -> None:
-        """Follow discovery at the address last told: at the start from the list that is remembered, else from
-        the beginning, for another address may count its versions in its own way. `heard` is called once,
-        after the first call, whatever it brought."""
-        seq = None
-        if self.discovery is None:
-            seq = _remembered_seq(self.posting)
-        else:
-            self.discovery.close()
-        told = self.posting
-        self.discovery = Discovery(
-            told.discovery,
-            seq,
-            told.seed,
-            self.owner.put,
-            self.counters,
-            told.drain_grace,
-            told.discovery_pushed,
-        )
-        self.discovery.heard, self.owner.relist = heard, self.discovery.forget
-        if self.watch is not None:
-            self.discovery.watch, self.watch.discovery = self.watch, self.discovery
-        defer.ensureDeferred(self.discovery.follow())
-
-    def read_anew(self) -> None:
-        """Read the file again; open flows and all that the decisions know stay as they are."""
-        self.counters["reloads"] += 1
-        try:
-            new = config.load_config(os.environ, reloading=True)
-        except InvalidValueError as fault:
-            # A file that was spoilt must not end a balancer that serves.
-            structured_log.log_event("reload rejected", logging.WARNING, why=str(fault))
-            return
-        old, self.posting = self.posting, new
-        self.owner.allow(new)
-        self.clients.allow(new.sockets)
-        if new.discovery != old.discovery:
-            self.follow()
-        restart = ",".join(config.settings_needing_restart(self.first, new)) or "nothing"
-        structured_log.log_event(
-            "reloaded", discovery=new.discovery[0], sockets=new.sockets, needs_restart=restart
-        )
-
-
-def _remembered(posting: config.BalancerConfig):
-    try:
-        return parse_endpoint_list(posting.cached_list, events.CACHED)
-    except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as fault:
-        raise InvalidValueError(f"known: {type(fault).__name__} {fault}") from None
+    except ImportError as error:
+        raise ConfigError(f"LB_RELAYS: {error}; install lotusroute[fleet]") from None
+    relays = subscription.read(path)
+    relay_subscription = subscription.Subscription(reactor, relays, session.config.name, counters)
+    session.coordinator = relay_subscription
+    reactor.callWhenRunning(relay_subscription.start)
 
 
-def _remembered_seq(posting: config.BalancerConfig) -> int | None:
-    """Of a list that is remembered whole; anything else is named, and the whole list asked for."""
-    try:
-        return parse_version(posting.cached_list.get("seq")) if posting.cached_list["hosts"] else None
-    except InvalidValueError as fault:
-        structured_log.log_event("cached list without version", logging.WARNING, why=str(fault))
-        return None
+def tune_garbage_collection() -> None:
+    """Exempt the objects of the start from collection, and collect seldom: a full collection stalls us."""
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
+
+
+def install_signal_handlers(
+    balancer: Balancer, fleet: "LeaseService | None", counters: structured_log.Counters
+) -> None:
+    """Handle signals in the reactor, first those that came before it ran."""
+    stop = partial(shut_down, balancer, fleet)
+    handlers: dict[int, Callable[[], None]] = {
+        signal.SIGTERM: stop,
+        signal.SIGINT: stop,
+        # By default SIGHUP ended the program and every client, when only discovery's address had changed.
+        signal.SIGHUP: balancer.session.reload,
+        signal.SIGUSR1: counters.print,
+    }
+
+    def handle(number: int, _frame: object) -> None:
+        reactor.callFromThread(handlers[number])
+
+    for number in handlers:
+        signal.signal(number, handle)
+    for number in EARLY_SIGNALS:
+        reactor.callWhenRunning(handlers[number])
+
+
+def shut_down(balancer: Balancer, fleet: "LeaseService | None") -> None:
+    """Release the fleet's leases, drain all flows and stop the reactor."""
+    balancer.listener.startReading()
+    if fleet is not None:
+        fleet.stop()
+    balancer.shut_down(stop_reactor)
+
+
+def stop_reactor() -> None:
+    """Stop the reactor if it still runs."""
+    if reactor.running:
+        reactor.stop()
 
 
 if __name__ == "__main__":
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -1,7 +1,7 @@
 """The balancer's configuration: the LB_* environment variables and the JSON file that LB_CONFIG names.
 
-They are checked and given their defaults here only; no other module reads environment variables.
-Errors are `ConfigError`s whose message starts with the key at fault.
+They are checked and given their defaults here and nowhere else in the balancer process. Errors are
+`ConfigError`s whose message starts with the key at fault.
 """
 
 import json
--- /dev/null
+++ b/lotusroute/net/discovery_session.py
@@ -0,0 +1,117 @@
+"""Follows discovery by the current configuration, and applies a configuration that was reloaded.
+
+A session outlives its `Discovery` clients: a reload that names another address replaces the client. Flows in
+progress and all that the routing decisions know are not touched by a reload.
+"""
+
+import logging
+import os
+from collections.abc import Callable
+from typing import Protocol
+
+from twisted.internet import defer
+
+from lotusroute.errors import ConfigError, InvalidValueError
+from lotusroute.net import config
+from lotusroute.net.discovery import Discovery, EndpointUpdate, parse_endpoint_list, parse_version
+from lotusroute.net.structured_log import Counters, log_event
+from lotusroute.routing import events
+
+
+class UpdateCoordinator(Protocol):
+    """Decides, where balancers share discovery's updates, when this one calls discovery by itself."""
+
+    discovery: Discovery | None  # the current client, which takes the updates of others
+
+
+class DiscoverySession:
+    """The running balancer's configuration and its current discovery client."""
+
+    def __init__(
+        self,
+        balancer_config: config.BalancerConfig,
+        put: Callable[[object], None],
+        apply_limits: Callable[[config.BalancerConfig], None],
+        counters: Counters,
+    ) -> None:
+        """`put` takes endpoint updates; `apply_limits` takes a reloaded configuration."""
+        self.first_config = balancer_config
+        self.config = balancer_config
+        self.put = put
+        self.apply_limits = apply_limits
+        self.counters = counters
+        self.discovery: Discovery | None = None
+        self.coordinator: UpdateCoordinator | None = None  # set where balancers share discovery's updates
+
+    def follow(self, on_first_result: Callable[[], None] | None = None) -> None:
+        """Follow discovery at the configured address; `on_first_result` is called once, also after a failure.
+
+        The first client continues from the cached list's version. A later one starts without a version, for
+        another address may count its versions in another way.
+        """
+        version = None
+        if self.discovery is None:
+            version = _cached_version(self.config)
+        else:
+            self.discovery.close()
+        self.discovery = Discovery(
+            self.config.discovery,
+            version,
+            self.config.seed,
+            self.put,
+            self.counters,
+            self.config.drain_grace,
+            self.config.discovery_pushed,
+        )
+        self.discovery.heard = on_first_result
+        if self.coordinator is not None:
+            self.discovery.watch = self.coordinator
+            self.coordinator.discovery = self.discovery
+        defer.ensureDeferred(self.discovery.follow())
+
+    def request_complete_list(self) -> None:
+        """Have the next call ask for the complete list, after an update that was not applied."""
+        if self.discovery is not None:
+            self.discovery.forget()
+
+    def reload(self) -> None:
+        """Read the configuration file again and apply what a running balancer can."""
+        self.counters["reloads"] += 1
+        try:
+            new = config.load_config(os.environ, reloading=True)
+        except InvalidValueError as error:
+            # A malformed file must not end a balancer that serves.
+            log_event("reload rejected", logging.WARNING, why=str(error))
+            return
+        old = self.config
+        self.config = new
+        self.apply_limits(new)
+        if new.discovery != old.discovery:
+            self.follow()
+        needs_restart = config.settings_needing_restart(self.first_config, new)
+        log_event(
+            "reloaded",
+            discovery=new.discovery[0],
+            sockets=new.sockets,
+            needs_restart=",".join(needs_restart) or "nothing",
+        )
+
+
+def parse_cached_list(balancer_config: config.BalancerConfig) -> EndpointUpdate:
+    """Parse the configuration's cached endpoint list; raises ConfigError."""
+    try:
+        return parse_endpoint_list(balancer_config.cached_list, events.CACHED)
+    except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as error:
+        raise ConfigError(f"known: {type(error).__name__} {error}") from None
+
+
+def _cached_version(balancer_config: config.BalancerConfig) -> int | None:
+    """Return the version of the cached list; None where it is empty or has none, which is logged."""
+    cached_list = balancer_config.cached_list
+    if not cached_list["hosts"]:
+        return None
+    try:
+        return parse_version(cached_list.get("seq"))
+    except InvalidValueError as error:
+        log_event("cached list without version", logging.WARNING, why=str(error))
+        return None
