--- a/lotusroute/adapter/__init__.py
+++ b/lotusroute/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: plays the decision module on the wire of the users' bench."""
+"""The adapter: runs the routing decisions under the simulator, on its text protocol."""
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -1,9 +1,21 @@
-"""The bench's wire: lines of text in, lines of text out, and the names that end here."""
+"""The simulator's text protocol: parses its messages into events, and formats actions as its lines.
 
-from lotusroute.errors import InvalidValueError
+The names of messages, codes and flags are the protocol's; nothing outside this package knows them. Values are
+separated by single spaces, `-` is an absent value and times are in ms. Input that does not follow the
+protocol raises `InvalidValueError`, mostly a `ProtocolError`.
+"""
+
+from collections.abc import Callable
+from enum import IntEnum
+from typing import NamedTuple
+
+from lotusroute.errors import ProtocolError
 from lotusroute.routing import events
 from lotusroute.service_config import look_up, parse_number, parse_service_config
 
+ABSENT = "-"
+UNSET_SETTINGS = ("null", ABSENT)
+SERVER_VALUES = 7  # in a line of a server list
 STATES = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.REMOVED}
 SCOPES = {
     "changes": events.CHANGES,
@@ -21,118 +33,171 @@
     "X": events.CANCELLED,
     "N": events.UNSENT,
 }
-REPEAT, MID_FLOW, RETURNED = 2, 8, 16
-LOAD_CHANGED, MESSAGES_SLOW = 1, 2
+# Bits of a new flow's flags; plain integers, for each flow of a simulated day passes here.
+FLAG_RETRY = 2
+FLAG_MID_FLOW = 8
+FLAG_RETURNED = 16
+
+
+class NoticeTopic(IntEnum):
+    """What a notice on an open connection is about; others are ignored."""
+
+    LOAD = 1
+    LATENCY = 2
 
 
-def integer(text: str) -> int:
-    """Read a whole number of 0 or more."""
+def parse_integer(text: str) -> int:
+    """Parse an integer of 0 or more."""
     if not (text.isascii() and text.isdigit()):
-        raise InvalidValueError(f"'{text}' is not a whole number")
+        raise ProtocolError(f"'{text}' is not a whole number")
     return int(text)
 
 
-def boolean(text: str) -> bool:
-    """Read 1 or 0."""
+def parse_boolean(text: str) -> bool:
+    """Parse 1 or 0."""
     if text not in ("1", "0"):
-        raise InvalidValueError(f"'{text}' is neither 1 nor 0")
+        raise ProtocolError(f"'{text}' is neither 1 nor 0")
     return text == "1"
 
 
-def text_or_none(text: str) -> str | None:
-    """Read a text that may be absent."""
-    return None if text == "-" else text
+def parse_optional(text: str) -> str | None:
+    """Parse a text that may be absent."""
+    return None if text == ABSENT else text
 
 
-def vip(parts: list[str]) -> events.ServiceConfig:
-    """Decode the settings of an instance."""
-    env: dict[str, str] = {}
-    for part in parts:
-        path, equals, value = part.partition("=")
+def parse_settings(pairs: list[str]) -> events.ServiceConfig:
+    """Parse an instance's settings, PATH=VALUE each."""
+    settings: dict[str, str] = {}
+    for pair in pairs:
+        path, equals, value = pair.partition("=")
         if not equals:
-            raise InvalidValueError(f"'{part}' is not a setting")
-        if value not in ("null", "-"):
-            env[path] = value
-    return parse_service_config(env)
+            raise ProtocolError(f"'{pair}' is not a setting")
+        if value not in UNSET_SETTINGS:
+            settings[path] = value
+    return parse_service_config(settings)
 
 
-def row(parts: list[str]) -> events.Server:
-    """Decode one line of a server list."""
-    if len(parts) != 7:
-        raise InvalidValueError(f"a row has 7 values, not {len(parts)}")
-    server, zone, _, cell, state, size, started = parts
+def parse_server(values: list[str]) -> events.Server:
+    """Parse one line of a server list."""
+    if len(values) != SERVER_VALUES:
+        raise ProtocolError(f"a row has {SERVER_VALUES} values, not {len(values)}")
+    server, zone, _kind, cell, state, weight, started = values
     return events.Server(
         server,
         zone,
-        integer(cell),
+        parse_integer(cell),
         look_up(STATES, state, "lifecycle"),
-        parse_number(size),
+        parse_number(weight),
         parse_number(started),
     )
 
 
-def _ask(v: list[str]) -> events.Flow:
-    marks = integer(v[4])
+def _parse_flow(values: list[str]) -> events.Flow:
+    flow, service_type, tenant, group, flag_bits, key, _hint, deadline = values
+    flags = parse_integer(flag_bits)
     return events.Flow(
-        integer(v[0]),
-        v[1],
-        text_or_none(v[2]),
-        text_or_none(v[3]),
-        text_or_none(v[5]),
-        parse_number(v[7]),
-        bool(marks & MID_FLOW),
-        bool(marks & (REPEAT | RETURNED)),
+        parse_integer(flow),
+        service_type,
+        parse_optional(tenant),
+        parse_optional(group),
+        parse_optional(key),
+        parse_number(deadline),
+        mid_flow=bool(flags & FLAG_MID_FLOW),
+        reconnecting=bool(flags & (FLAG_RETRY | FLAG_RETURNED)),
     )
 
 
-def _already_open(v: list[str]) -> events.ExistingConnection:
-    tenant, key, group = map(text_or_none, (v[2], v[3], v[6]))
-    flow = events.Flow(integer(v[0]), v[1], tenant, group, key, parse_number(v[4]))
-    return events.ExistingConnection(flow, v[8])
+def _parse_existing_connection(values: list[str]) -> events.ExistingConnection:
+    flow, service_type, tenant, key, deadline, _hint, group, _flags, server = values
+    return events.ExistingConnection(
+        events.Flow(
+            parse_integer(flow),
+            service_type,
+            parse_optional(tenant),
+            parse_optional(group),
+            parse_optional(key),
+            parse_number(deadline),
+        ),
+        server,
+    )
+
+
+def _parse_established(values: list[str]) -> events.Established:
+    flow, _attempt, server, _latency = values
+    return events.Established(parse_integer(flow), server)
+
+
+def _parse_connection_ended(values: list[str]) -> events.ConnectionEnded:
+    flow, final, server, latency, attempt, result, _load_report = values
+    parse_number(latency)
+    parse_integer(attempt)
+    return events.ConnectionEnded(
+        parse_integer(flow), server, parse_boolean(final), look_up(RESULTS, result, "outcome")
+    )
+
+
+def _parse_notice(values: list[str]) -> events.LoadReport | events.LatencyReport | None:
+    flow, _attempt, server, topic, amount = values
+    number = parse_integer(topic)
+    value = parse_number(amount)
+    match number:
+        case NoticeTopic.LOAD:
+            return events.LoadReport(parse_integer(flow), value)
+        case NoticeTopic.LATENCY:
+            return events.LatencyReport(server, value)
+        case _:
+            return None
+
+
+def _parse_client_disconnected(values: list[str]) -> events.ClientDisconnected:
+    (flow,) = values
+    return events.ClientDisconnected(parse_integer(flow))
+
+
+def _parse_timer_fired(values: list[str]) -> events.TimerFired:
+    (mark,) = values
+    return events.TimerFired(mark)
+
 
+def _ignore(_values: list[str]) -> None:
+    """Accept results of health checks and messages of peers: this balancer asks for neither."""
 
-def _resolved(v: list[str]) -> events.ConnectionEnded:
-    parse_number(v[3]), integer(v[4])
-    return events.ConnectionEnded(integer(v[0]), v[2], boolean(v[1]), look_up(RESULTS, v[5], "outcome"))
 
+class EventFormat(NamedTuple):
+    """How a message is parsed."""
 
-def _notice(v: list[str]) -> events.LoadReport | events.LatencyReport | None:
-    topic, value = integer(v[3]), parse_number(v[4])
-    if topic == LOAD_CHANGED:
-        return events.LoadReport(integer(v[0]), value)
-    return events.LatencyReport(v[2], value) if topic == MESSAGES_SLOW else None
+    value_count: int
+    parse: Callable[[list[str]], events.Event | None]
 
 
-# name of the message: how many values it has, and how they are read
-EVENTS = {
-    "ask": (8, _ask),
-    "already_open": (9, _already_open),
-    "under_way": (4, lambda v: events.Established(integer(v[0]), v[2])),
-    "notice": (5, _notice),
-    "resolved": (7, _resolved),
-    "withdrawn": (1, lambda v: events.ClientDisconnected(integer(v[0]))),
-    "alarm": (1, lambda v: events.TimerFired(v[0])),
-    "checked": (4, lambda v: None),  # probes and messages of siblings: none are asked for
-    "from_peer": (2, lambda v: None),
+EVENT_FORMATS = {
+    "ask": EventFormat(8, _parse_flow),
+    "already_open": EventFormat(9, _parse_existing_connection),
+    "under_way": EventFormat(4, _parse_established),
+    "notice": EventFormat(5, _parse_notice),
+    "resolved": EventFormat(7, _parse_connection_ended),
+    "withdrawn": EventFormat(1, _parse_client_disconnected),
+    "alarm": EventFormat(1, _parse_timer_fired),
+    "checked": EventFormat(4, _ignore),
+    "from_peer": EventFormat(2, _ignore),
 }
 
 
-def event(name: str, values: list[str]) -> events.Event | None:
-    """Decode one event; None for what this balancer has no use for.
+def parse_event(name: str, values: list[str]) -> events.Event | None:
+    """Parse one event; None for those that the routing decisions do not use.
 
-    >>> event("withdrawn", ["242166553"])
+    >>> parse_event("withdrawn", ["242166553"])
     ClientDisconnected(id=242166553)
     """
-    try:
-        count, read = EVENTS[name]
-    except KeyError:
-        raise InvalidValueError(f"unknown message '{name}'") from None
-    if len(values) != count:
-        raise InvalidValueError(f"{name} has {count} values, not {len(values)}")
-    return read(values)
+    event_format = EVENT_FORMATS.get(name)
+    if event_format is None:
+        raise ProtocolError(f"unknown message '{name}'")
+    if len(values) != event_format.value_count:
+        raise ProtocolError(f"{name} has {event_format.value_count} values, not {len(values)}")
+    return event_format.parse(values)
 
 
-ACTIONS = {
+ACTION_FORMATS = {
     events.Connect: lambda a: f"pass_on {a.id} {a.server} {a.within:.3f}",
     events.Reject: lambda a: f"not_now {a.id} {a.retry_after:.3f}",
     events.Abort: lambda a: f"abort {a.id}",
@@ -143,10 +208,10 @@
 }
 
 
-def line(action: events.Action) -> str:
-    """Write one action.
+def format_action(action: events.Action) -> str:
+    """Format one action as a line.
 
-    >>> line(events.Connect(7, "10.0.0.1:80", 80.0))
+    >>> format_action(events.Connect(7, "10.0.0.1:80", 80.0))
     'pass_on 7 10.0.0.1:80 80.000'
     """
-    return ACTIONS[type(action)](action)
+    return ACTION_FORMATS[type(action)](action)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,24 +1,24 @@
-"""Stories of the adapter: what it says, and what it says when a line is malformed."""
+"""The adapter: its replies to the simulator, and its errors for malformed lines."""
 
 import pytest
 
-from lotusroute.adapter.__main__ import replies
-from lotusroute.errors import InvalidValueError
+from lotusroute.adapter.session import generate_replies
+from lotusroute.errors import ProtocolError
 
 ATTACH = "attach 5 service_types.count=1 service_types.0.name=c service_types.0.setup_target=300 odd.key=1"
 START = ["mark 1.0", "at 3", ATTACH, "roster 0 1", "row a:1 z k 0 IN 1 -", "registry 0 1 remembered"]
-ASK = "ask 7 c - - 0 key - 900.0"
+FLOW = "ask 7 c - - 0 key - 900.0"
 
 
-def test_a_flow_is_passed_on_and_a_restart_within_a_batch_forgets_it():
-    again = ["mark 2.0", "at 3", "stop", *START[2:], "resolved 7 0 a:1 1.0 0 T -", "your_turn"]
-    first, second = replies([*START, ASK, "your_turn", *again])
+def test_a_flow_is_forwarded_and_a_restart_within_a_batch_forgets_it():
+    restart = ["mark 2.0", "at 3", "stop", *START[2:], "resolved 7 0 a:1 1.0 0 T -", "your_turn"]
+    first, second = generate_replies([*START, FLOW, "your_turn", *restart])
     assert "speaking 3\n" in first and "pass_on 7 a:1 " in first
     assert "remind" in second and "pass_on" not in second and "not_now" not in second
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         "asked 7",
         "ask 7 c",
@@ -38,7 +38,7 @@
         "attach 5 pair",
     ],
 )
-def test_a_malformed_line_is_named_with_its_fault(bad):
-    lines = [*START, *bad.split("\n")]
-    with pytest.raises(InvalidValueError, match=rf"^line {len(lines)}: ."):
-        list(replies(lines))
+def test_a_malformed_line_raises_an_error_with_its_number_and_fault(malformed):
+    lines = [*START, *malformed.split("\n")]
+    with pytest.raises(ProtocolError, match=rf"^line {len(lines)}: ."):
+        list(generate_replies(lines))
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -418,7 +418,7 @@
     ],
 )
 def test_each_action_is_written_as_this_line(action, line):
-    assert wire.line(action) == line
+    assert wire.format_action(action) == line
 
 
 OPEN_FLOW = (7, "live", "t", "g", "k", 5.5, False, False)
@@ -457,13 +457,13 @@
 )
 def test_each_line_of_the_simulator_is_read_as_this_event(line, kind, values):
     name, *parts = line.split(" ")
-    event = wire.event(name, parts)
+    event = wire.parse_event(name, parts)
     assert (event is None) if kind is None else (type(event) is kind and event == values)
 
 
 def test_rows_scopes_and_the_names_of_messages_are_these():
     for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.REMOVED)):
-        assert wire.row(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
+        assert wire.parse_server(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
     scopes = {
         "changes": events.CHANGES,
         "all": events.COMPLETE,
@@ -472,7 +472,7 @@
     }
     assert scopes == wire.SCOPES
     names = "ask already_open under_way notice resolved withdrawn alarm checked from_peer"
-    assert " ".join(wire.EVENTS) == names
+    assert " ".join(wire.EVENT_FORMATS) == names
 
 
 def test_what_is_shown_has_these_keys(tmp_path):
