--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -16,14 +16,14 @@
 ABSENT = "-"
 UNSET_SETTINGS = ("null", ABSENT)
 SERVER_VALUES = 7  # in a line of a server list
-STATES = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.REMOVED}
-SCOPES = {
+STATES: dict[str, events.ServerState] = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.REMOVED}
+SCOPES: dict[str, events.ListScope] = {
     "changes": events.CHANGES,
     "all": events.COMPLETE,
     "remembered": events.CACHED,
     "refused": events.REFUSED,
 }
-RESULTS = {
+RESULTS: dict[str, events.ConnectionResult] = {
     "S": events.OK,
     "E": events.ERROR,
     "F": events.FULL,
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,169 +1,194 @@
-"""What the decision module takes in and gives out, in the words of this project.
+"""The events that the routing decisions take, the actions that they return, and the model of a service.
 
-Times are milliseconds with fractions on the host's clock; ids are whatever the host uses for them.
+All times are milliseconds with fractions on the host's clock; ids of flows are chosen by the host. The
+strings of closed sets appear in logs, so they stay as they are whatever their constants are called.
 """
 
-from typing import NamedTuple
-
-IDEMPOTENT, IDEMPOTENCY_KEY, NON_IDEMPOTENT = "repeatable", "referenced", "once-only"
-READY, DRAINING, REMOVED = "ready", "draining", "gone"
-CHANGES, COMPLETE, CACHED, REFUSED = "changes", "whole", "remembered", "refused"
-
-# How a connect ended. The first three prove that it never ran.
-FULL, UNREACHABLE, UNSENT = "full", "unreachable", "unsent"
-OK, ERROR, TIMEOUT, RESET, CANCELLED = "ok", "error", "timeout", "reset", "cancelled"
-NEVER_RAN = frozenset((FULL, UNREACHABLE, UNSENT))
+from typing import Final, Literal, NamedTuple
+
+# What a flow of a service type may do if it runs twice.
+Effect = Literal["repeatable", "referenced", "once-only"]
+IDEMPOTENT: Final = "repeatable"
+IDEMPOTENCY_KEY: Final = "referenced"  # servers drop repeats of a key that they remember
+NON_IDEMPOTENT: Final = "once-only"
+
+# A server's state in an endpoint list.
+ServerState = Literal["ready", "draining", "gone"]
+READY: Final = "ready"
+DRAINING: Final = "draining"
+REMOVED: Final = "gone"
+
+# What an endpoint list is.
+ListScope = Literal["changes", "whole", "remembered", "refused"]
+CHANGES: Final = "changes"  # servers that changed since the last list
+COMPLETE: Final = "whole"  # all servers; those not listed are removed
+CACHED: Final = "remembered"  # all servers, from an earlier run and perhaps outdated
+REFUSED: Final = "refused"  # no list: discovery refused the call
+
+# How a connection attempt, or the connection that it established, ended.
+ConnectionResult = Literal["full", "unreachable", "unsent", "ok", "error", "timeout", "reset", "cancelled"]
+FULL: Final = "full"
+UNREACHABLE: Final = "unreachable"
+UNSENT: Final = "unsent"
+OK: Final = "ok"
+ERROR: Final = "error"
+TIMEOUT: Final = "timeout"
+RESET: Final = "reset"
+CANCELLED: Final = "cancelled"
+NEVER_RAN: Final = frozenset((FULL, UNREACHABLE, UNSENT))  # these prove that the flow never ran
 
 
 class ServiceType(NamedTuple):
-    """One service type of a virtual ip."""
+    """One service type, and what a retry of its flows may do."""
 
-    setup_target: float
-    effect: str = IDEMPOTENT
-    dedup_scope: str = "all"  # who drops the repeats of a referenced flow: "all", "zone" or "cell"
-    dedup_window: float = 0.0  # and for how long they remember it
+    setup_target: float  # ms, within which a connection should be established
+    effect: Effect = IDEMPOTENT
+    dedup_scope: str = "all"  # servers that drop repeats of a key: "all", or of one "zone" or "cell"
+    dedup_window: float = 0.0  # ms, for how long they remember a key
 
     def safe_to_retry(self, ran: bool) -> bool:
-        """Whether a client may be told that to come again is harmless, where the flow may have `ran`."""
+        """Return whether a client may retry without harm; `ran` says that the flow may have run."""
         deduplicated_everywhere = self.effect == IDEMPOTENCY_KEY and self.dedup_scope == "all"
         return not ran or self.effect == IDEMPOTENT or deduplicated_everywhere
 
 
 class ServiceConfig(NamedTuple):
-    """The virtual ip that a director serves: all that is known of it at the start."""
+    """The service that a director routes flows for, as configured at the start."""
 
     service_types: dict[str, ServiceType]
-    instance_index: int = 0
+    instance_index: int = 0  # of this balancer among the service's `instance_count`
     instance_count: int = 1
     groups_share_work: bool = False  # connections of one group share work on a server
-    trusts_weights: bool = True  # listed sizes stay the same between lists
-    reports_latency: bool = False  # servers say when their messages are slow
-    latency_objective: float = 0.0  # ms, the least within which a service type wants its messages; 0 untold
-    polls_discovery: bool = False  # the server list comes only when asked for
-    poll_interval: float = 10_000.0
-    max_attempts: int = 1
-    max_retry_after: float = 0.0  # 0 where clients take no advice
-    slow_start_share: float = 1.0
-    slow_start_duration: float = 0.0
-    slow_start_burst: float = 1.0
+    trusts_weights: bool = True  # a server's weight stays the same between endpoint lists
+    reports_latency: bool = False  # servers report when their messages are slow
+    latency_objective: float = (
+        0.0  # ms, the strictest of the service types' for a message; 0 where none is set
+    )
+    polls_discovery: bool = False  # endpoint lists come only on request
+    poll_interval: float = 10_000.0  # ms between requests
+    max_attempts: int = 1  # connection attempts of one flow
+    max_retry_after: float = 0.0  # ms, the longest Retry-After that clients honour; 0 where they ignore it
+    slow_start_share: float = 1.0  # of its capacity with which a new server begins
+    slow_start_duration: float = 0.0  # ms until it has all of it
+    slow_start_burst: float = 1.0  # multiple of its capacity beyond which a server is overloaded
 
 
 class Server(NamedTuple):
-    """One line of a server list."""
+    """One server of an endpoint list."""
 
     id: str
     zone: str = ""
-    cell: int = 0
-    state: str = READY
-    size: float = 1.0
-    started: float = 0.0
+    cell: int = 0  # group of servers that share idempotency keys
+    state: ServerState = READY
+    size: float = 1.0  # the weight
+    started: float = 0.0  # when it last started; 0 where unknown or long ago
 
 
 class EndpointList(NamedTuple):
-    """The list service has spoken; `scope` says how much of the list this is."""
+    """Discovery has sent an endpoint list, part of one, or a refusal."""
 
-    scope: str
+    scope: ListScope
     servers: tuple[Server, ...] = ()
 
 
 class Flow(NamedTuple):
-    """A client asks for a connection and waits until `due`."""
+    """A client requests a connection and waits for it until the deadline."""
 
     id: int
     service_type: str
     tenant: str | None
-    group: str | None
-    key: str | None
+    group: str | None  # connections of one group may share work on a server
+    key: str | None  # the session or item that the flow is for
     deadline: float
-    mid_flow: bool = False
-    reconnecting: bool = False  # the client has asked before
+    mid_flow: bool = False  # its packets come from a balancer that had it before
+    reconnecting: bool = False  # the client has requested it before
 
 
 class ExistingConnection(NamedTuple):
-    """A connection that already runs through this balancer when it starts."""
+    """A connection that was already open when this balancer started."""
 
     flow: Flow
     server: str
 
 
 class Established(NamedTuple):
-    """A connect succeeded; the connection stays open until its `ConnectionEnded`."""
+    """An attempt succeeded; the connection stays open until its `ConnectionEnded`."""
 
     id: int
     server: str
 
 
 class ConnectionEnded(NamedTuple):
-    """A connect, or the connection that came of it, is over; `final` when nothing more is owed."""
+    """An attempt or an open connection has ended; `final` when the flow needs no further answer."""
 
     id: int
     server: str
     final: bool
-    result: str
+    result: ConnectionResult
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has left."""
+    """The client has disconnected."""
 
     id: int
 
 
 class LoadReport(NamedTuple):
-    """An open connection now asks for this much work a second."""
+    """The work per second that an open connection now causes on its server."""
 
     id: int
     load: float
 
 
 class LatencyReport(NamedTuple):
-    """A message on this server now takes so many milliseconds."""
+    """The time that a message now takes on this server."""
 
     server: str
-    delay: float
+    delay: float  # ms
 
 
 class TimerFired(NamedTuple):
-    """A wake-up asked for earlier."""
+    """A timer set by `SetTimer` has fired."""
 
-    mark: str
+    mark: str  # of that `SetTimer`
 
 
 class Connect(NamedTuple):
-    """Connect this flow to a server, waiting `within` at most; 0 means until the client gives up."""
+    """Connect this flow to a server."""
 
     id: int
     server: str
-    within: float = 0.0
+    within: float = 0.0  # ms, the attempt's timeout; 0 means until the client's deadline
 
 
 class Reject(NamedTuple):
-    """Final answer: a further try is harmless, best after `retry_after`."""
+    """Answer the client that a retry is harmless; the final answer."""
 
     id: int
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # ms to wait before it
 
 
 class Abort(NamedTuple):
-    """Final answer that promises nothing."""
+    """Answer the client with an error, as a retry might run the flow twice; the final answer."""
 
     id: int
 
 
 class Migrate(NamedTuple):
-    """Ask the client of an open connection to leave and come again."""
+    """Ask the client of an open connection to reconnect."""
 
     id: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` after `delay`."""
+    """Set a timer that fires as a `TimerFired`."""
 
-    delay: float
+    delay: float  # ms
     mark: str
 
 
 class Subscribe(NamedTuple):
-    """Ask the list service for changes from now on."""
+    """Ask discovery for changes of the endpoint list from now on."""
 
 
 class LogMessage(NamedTuple):
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -15,7 +15,7 @@
 Value = TypeVar("Value")
 
 BOOLEANS = {"true": True, "false": False}
-EFFECTS = {
+EFFECTS: dict[str, events.Effect] = {
     "read_like": events.IDEMPOTENT,
     "idempotency_key": events.IDEMPOTENCY_KEY,
     "non_idempotent": events.NON_IDEMPOTENT,
