--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
-"""Runs the tests, passing over just those that KNOWN-RED.txt lists: faults known, named and not yet mended.
+"""Runs the tests except those that KNOWN-RED.txt lists: known faults that are not fixed yet.
 
-Owns how that file is read, and that it can't grow stale: three lines at most, each `TEST | CAUSE | ISSUE`; a
-listed test that passes, or does not exist, fails the run. It must never pass over one that is not listed.
+Each of its lines, three at most, is `TEST | CAUSE | ISSUE`. The run fails if a listed test passes or does not
+exist, so that the list cannot become outdated; a failing test that is not listed always fails it.
 
     python .ci/known_red.py [PYTEST ARGUMENT ...]
 """
@@ -9,50 +9,78 @@
 import pathlib
 import subprocess
 import sys
+from typing import NamedTuple
 
-FILE = pathlib.Path("KNOWN-RED.txt")
-MOST = 3  # lines: more, and what is red is the state of the program
-FAILED = 1  # pytest's exit where tests ran and failed; all else is an error of another kind
+LIST_FILE = pathlib.Path("KNOWN-RED.txt")
+MAX_ENTRIES = 3
+FIELD_COUNT = 3
+EXIT_BAD_LIST = 2
+PYTEST = [sys.executable, "-m", "pytest"]
+PYTEST_TESTS_FAILED = 1  # pytest's exit code; any other than 0 means that the tests could not be run
+SHOWN_OUTPUT = 500  # characters of a failed run's output
 
 
-def read(file: pathlib.Path) -> list[tuple[str, str, str]]:
-    """Read the list; raises ValueError that names the line and the mend."""
-    text = file.read_text(encoding="utf-8") if file.exists() else ""
+class KnownFailure(NamedTuple):
+    """One line of the list."""
+
+    test: str
+    cause: str
+    issue: str
+
+
+def read_list(path: pathlib.Path) -> list[KnownFailure]:
+    """Read the list; raises ValueError that says which line to correct, and how."""
+    text = path.read_text(encoding="utf-8") if path.exists() else ""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise ValueError(f"{file}: {len(lines)} lines, {MOST} at most; mend the others")
-    found = []
-    for line in lines:
-        fields = [field.strip() for field in line.split("|")]
-        if len(fields) != 3 or not all(fields):
-            raise ValueError(f"{file}: '{line}': write TEST | CAUSE | ISSUE")
-        found.append((fields[0], fields[1], fields[2]))
-    return found
+    if len(lines) > MAX_ENTRIES:
+        raise ValueError(f"{path}: {len(lines)} lines, {MAX_ENTRIES} at most; mend the others")
+    return [parse_line(path, line) for line in lines]
+
+
+def parse_line(path: pathlib.Path, line: str) -> KnownFailure:
+    """Parse one line of the list."""
+    fields = [field.strip() for field in line.split("|")]
+    if len(fields) != FIELD_COUNT or not all(fields):
+        raise ValueError(f"{path}: '{line}': write TEST | CAUSE | ISSUE")
+    return KnownFailure(*fields)
+
+
+def run_unlisted_tests(arguments: list[str], known_failures: list[KnownFailure]) -> int:
+    """Run all other tests; return pytest's exit code."""
+    deselected = [f"--deselect={known.test}" for known in known_failures]
+    return subprocess.run([*PYTEST, *arguments, *deselected], check=False).returncode
+
+
+def outdated_reason(known: KnownFailure) -> str:
+    """Run a listed test by itself; return why it must be taken off the list, empty if it fails as listed."""
+    done = subprocess.run(
+        [*PYTEST, "-q", "-p", "no:xdist", "-o", "addopts=", known.test],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    if done.returncode == PYTEST_TESTS_FAILED:
+        return ""
+    if done.returncode == 0:
+        return "it passes"
+    return f"it can't be run:\n{done.stdout[-SHOWN_OUTPUT:]}"
 
 
 def main(arguments: list[str]) -> int:
-    """Run; returns the exit code."""
+    """Run the tests; return the exit code."""
     try:
-        known = read(FILE)
-    except ValueError as fault:
-        print(f"known red: {fault}", file=sys.stderr)
-        return 2
-    run = [sys.executable, "-m", "pytest"]
-    without = [f"--deselect={test}" for test, _, _ in known]
-    code = subprocess.run([*run, *arguments, *without], check=False).returncode
-    for test, cause, issue in known:
-        print(f"known red, passed over: {test}: {cause} (issue {issue})", flush=True)
-        alone = subprocess.run(
-            [*run, "-q", "-p", "no:xdist", "-o", "addopts=", test],
-            capture_output=True,
-            text=True,
-            check=False,
-        )
-        if alone.returncode != FAILED:
-            said = "it passes" if alone.returncode == 0 else f"it can't be run:\n{alone.stdout[-500:]}"
-            print(f"known red: {test}: {said}; take it off the list", file=sys.stderr)
-            code = code or 1
-    return code
+        known_failures = read_list(LIST_FILE)
+    except ValueError as error:
+        print(f"known red: {error}", file=sys.stderr)
+        return EXIT_BAD_LIST
+    exit_code = run_unlisted_tests(arguments, known_failures)
+    for known in known_failures:
+        print(f"known red, passed over: {known.test}: {known.cause} (issue {known.issue})", flush=True)
+        reason = outdated_reason(known)
+        if reason:
+            print(f"known red: {known.test}: {reason}; take it off the list", file=sys.stderr)
+            exit_code = exit_code or 1
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/lotusroute/errors.py
+++ b/lotusroute/errors.py
@@ -1,6 +1,6 @@
-"""The exceptions that lotusroute raises for input it cannot use.
+"""The exceptions that lotusroute raises for input that it cannot use.
 
-Each message names the offending key or value, says how to correct it, and is fit to be shown to an operator.
+Each message names the key or value at fault and can be shown to an operator as it is.
 """
 
 
--- a/lotusroute/net/epoll_reactor.py
+++ b/lotusroute/net/epoll_reactor.py
@@ -1,6 +1,6 @@
-"""The reactor that the program runs on: Twisted's own over epoll, without a log context around each event.
+"""Installs the reactor that the program runs on: Twisted's epoll reactor without a log context per event.
 
-Owns which reactor is installed. It must never hold state of a connection, or change what an event does.
+Import this and call `install` before anything imports `twisted.internet.reactor`.
 """
 
 import contextlib
@@ -9,22 +9,27 @@
 
 
 def install() -> None:
-    """Install the reactor, before anything imports Twisted's; where there is no epoll, Twisted chooses."""
+    """Install the reactor unless one is installed; on a system without epoll, Twisted chooses its own."""
     with contextlib.suppress(ImportError, error.ReactorAlreadyInstalledError):
         from twisted.internet import epollreactor, main
 
-        class Poller(epollreactor.EPollReactor):
-            """Twisted's reactor sets up a log context for each read and write, a ninth of a flow's CPU; no
-            line of ours names the socket by it."""
+        class EPollReactor(epollreactor.EPollReactor):
+            """Calls sockets directly.
+
+            Twisted's reactor sets up a log context for each read and write, which took a ninth of a flow's
+            CPU; none of our log lines use it.
+            """
 
             def doPoll(self, timeout: float | None) -> None:
-                ready = self._poller.poll(-1 if timeout is None else timeout, max(1, len(self._selectables)))
-                for fd, event in ready:
-                    # An earlier event of this turn may have closed it.
-                    selectable = self._selectables.get(fd)
+                """Wait for events for at most `timeout` seconds and handle them."""
+                poll_timeout = -1 if timeout is None else timeout
+                ready = self._poller.poll(poll_timeout, max(1, len(self._selectables)))
+                for descriptor, event in ready:
+                    # An earlier event of this iteration may have closed it.
+                    selectable = self._selectables.get(descriptor)
                     if selectable is not None:
-                        self._doReadOrWrite(selectable, fd, event)
+                        self._doReadOrWrite(selectable, descriptor, event)
 
             doIteration = doPoll
 
-        main.installReactor(Poller())
+        main.installReactor(EPollReactor())
--- a/lotusroute/net/structured_log.py
+++ b/lotusroute/net/structured_log.py
@@ -1,8 +1,7 @@
-"""Log lines and counters.
+"""Structured logging to standard error, and the process's counters.
 
-Owns how a line looks (key=value, one event a line, on standard error) and the counters of what this
-balancer took in, sent and answered. It must never write a line per flow unless asked to, touch a disk,
-or know what an event means.
+Each event is one line of key=value pairs. Events of single flows are logged at DEBUG only, so that the log of
+a busy balancer stays small; the counters say how often something happened.
 """
 
 import logging
@@ -11,19 +10,21 @@
 
 from twisted.python import log as twisted_log
 
+QUOTED_CHARACTERS = ' "=\n'
 LOGGER = logging.getLogger("lotusroute")
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Writes a record as key=value pairs; texts with spaces stand in quotes.
+    """Formats a record as key=value pairs; a value with spaces, quotes or `=` is quoted.
 
     >>> fields = {"server": "s-1", "ms": 4.25}
-    >>> record = logging.makeLogRecord({"msg": "set aside", "levelname": "INFO", "fields": fields})
+    >>> record = logging.makeLogRecord({"msg": "outlier ejected", "levelname": "INFO", "fields": fields})
     >>> KeyValueFormatter().format(record).split(" ", 2)[2]
-    'event="set aside" server=s-1 ms=4.250'
+    'event="outlier ejected" server=s-1 ms=4.250'
     """
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line of a record, with its traceback under `trace` where it has one."""
         fields = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -32,19 +33,22 @@
         }
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={self._value(value)}" for key, value in fields.items())
+        return " ".join(f"{key}={_format_value(value)}" for key, value in fields.items())
 
-    @staticmethod
-    def _value(value: object) -> str:
-        text = f"{value:.3f}" if isinstance(value, float) else str(value)
-        plain = text and not any(c in ' "=\n' for c in text)
-        return text if plain else '"' + text.replace('"', "'").replace("\n", " | ") + '"'
 
+def _format_value(value: object) -> str:
+    text = f"{value:.3f}" if isinstance(value, float) else str(value)
+    if text and not any(character in QUOTED_CHARACTERS for character in text):
+        return text
+    escaped = text.replace('"', "'").replace("\n", " | ")
+    return f'"{escaped}"'
 
-class Counters(Counter):
-    """What happened since the start, by name; `print` writes them all in one line."""
+
+class Counters(Counter[str]):
+    """How often each named event has happened since the start of the process."""
 
     def print(self) -> None:
+        """Log all counters in one line."""
         log_event("counters", **dict(sorted(self.items())))
 
 
@@ -54,12 +58,12 @@
 
 
 def log_exception(event: str, **fields: object) -> None:
-    """Log the exception being handled: it stops here."""
+    """Log the exception that is being handled, where it is not propagated any further."""
     LOGGER.error(event, extra={"fields": fields}, exc_info=True)
 
 
 def configure_logging(level: str) -> None:
-    """Send all lines, Twisted's warnings among them, to standard error."""
+    """Write all events from `level` on, and warnings of Twisted, to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=logging.WARNING)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Stories of the list of tests that are known to fail."""
+"""The list of tests that are known to fail, and the run that passes over them."""
 
 import pathlib
 import subprocess
@@ -10,6 +10,7 @@
 
 
 def run(folder, *lines):
+    """Run the tests in a folder with this list."""
     (folder / "test_it.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     return subprocess.run(
@@ -22,25 +23,31 @@
     )
 
 
-def test_a_listed_test_is_passed_over_and_printed(tmp_path):
+def test_a_listed_test_is_skipped_and_printed(tmp_path):
     done = run(tmp_path, f"{BAD} | drains are late | 44")
     assert done.returncode == 0 and "2 passed" in done.stdout
     assert f"known red, passed over: {BAD}: drains are late (issue 44)" in done.stdout
 
 
-def test_a_red_test_that_is_not_listed_fails_the_run(tmp_path):
+def test_a_failing_test_that_is_not_listed_fails_the_run(tmp_path):
     assert run(tmp_path).returncode == 1
 
 
-def test_a_listed_test_that_passes_or_is_not_there_fails_the_run(tmp_path):
+def test_a_listed_test_that_passes_fails_the_run(tmp_path):
     done = run(tmp_path, f"{BAD} | a | 1", f"{GOOD} | b | 2")
     assert done.returncode == 1 and f"{GOOD}: it passes; take it off" in done.stderr
+
+
+def test_a_listed_test_that_does_not_exist_fails_the_run(tmp_path):
     done = run(tmp_path, f"{BAD} | a | 1", "test_it.py::test_gone | b | 2")
     assert done.returncode == 1 and "test_gone: it can't be run" in done.stderr
 
 
-def test_more_than_three_lines_or_one_without_its_cause_or_issue_are_refused(tmp_path):
-    done = run(tmp_path, *(f"{BAD} | a | {at}" for at in range(4)))
+def test_more_than_three_lines_are_rejected(tmp_path):
+    done = run(tmp_path, *(f"{BAD} | a | {index}" for index in range(4)))
     assert done.returncode == 2 and "4 lines, 3 at most" in done.stderr and "passed" not in done.stdout
+
+
+def test_a_line_without_its_cause_or_issue_is_rejected(tmp_path):
     done = run(tmp_path, f"{BAD} | drains are late")
     assert done.returncode == 2 and "write TEST | CAUSE | ISSUE" in done.stderr
