--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -1,4 +1,4 @@
-"""Stories of the migration command, and of the program started with what it wrote."""
+"""The migration command, and the program started with the file that it wrote."""
 
 import json
 import os
@@ -7,10 +7,10 @@
 from harness import SETTINGS, Balancer, FakeServer
 
 from lotusroute import migrate
-from lotusroute.errors import InvalidValueError
+from lotusroute.errors import ConfigError
 from lotusroute.net import config
 
-OLD = {
+OLD_SETTINGS = {
     **SETTINGS,
     "zones": ["caxias", "bento"],
     "my_zone": "bento",
@@ -28,74 +28,101 @@
 def old(tmp_path):
     """An operator's file of the old shape."""
     hosts = [{"host": "s-1", "dial": "127.0.0.1:9", "health": "SERVING", "site": "caxias"}]
-    told = {
+    document = {
         "name": "n1",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
-        "settings": OLD,
+        "settings": OLD_SETTINGS,
         "known": {"seq": 4, "hosts": hosts},
         "api_key": "s3cret",
     }
     file = tmp_path / "old.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(document))
     file.chmod(0o640)
     return file
 
 
-def move(old, *more, new="new.json"):
+def run_migrate(old, *more, new="new.json"):
+    """Run the command on a file; the target is beside it."""
     return migrate.main([str(old), str(old.with_name(new)), "--location", "hall-a", *more])
 
 
-def test_what_cannot_be_carried_is_listed_and_what_is_not_known_is_carried(old, capsys):
-    before = old.read_bytes()
-    assert move(old, "--dry-run") == 0
-    dry = capsys.readouterr().out
+NOT_CARRIED = (
+    "limits.probes",
+    "report.source",
+    "deductions.probe",
+    "deductions.cross_zone",
+    "zones",
+    "my_zone",
+    "family_info.report_x0",
+)
+
+
+def test_a_dry_run_reports_and_writes_nothing(old, capsys):
+    assert run_migrate(old, "--dry-run") == 0
+    output = capsys.readouterr().out
     assert os.listdir(old.parent) == ["old.json"]
-    assert move(old, "--set", "settings.siblings=40") == 0
-    out = capsys.readouterr().out
-    for key in (
-        "limits.probes",
-        "report.source",
-        "deductions.probe",
-        "deductions.cross_zone",
-        "zones",
-        "my_zone",
-        "family_info.report_x0",
-    ):
-        assert f"  settings.{key} " in out and f"  settings.{key} " in dry
-    assert "known: 1 servers" in out and "  settings.rules.warm_after\n" in out
-    assert move(old, "--dry-run", "--set", "settings.rules.warmafter=5") == 0  # misspelt: told, not lost
+    assert all(f"  settings.{key} " in output for key in NOT_CARRIED)
+    assert "  settings.siblings\n" in output
+
+
+def test_keys_that_are_not_carried_or_must_be_given_anew_are_reported(old, capsys):
+    assert run_migrate(old, "--set", "settings.siblings=40") == 0
+    output = capsys.readouterr().out
+    assert all(f"  settings.{key} " in output for key in NOT_CARRIED)
+    assert "known: 1 servers" in output and "  settings.rules.warm_after\n" in output
+    assert "  settings.siblings\n" not in output
+
+
+def test_unknown_keys_are_reported_by_name_and_carried_over(old, capsys):
+    assert run_migrate(old) == 0
+    output = capsys.readouterr().out
+    assert "  api_key\n" in output and "  settings.odd.token\n" in output and "s3cret" not in output
+    new = json.loads(old.with_name("new.json").read_text())
+    assert new["api_key"] == new["settings"]["odd"]["token"] == "s3cret"
+
+
+def test_a_misspelt_override_is_reported_as_unknown(old, capsys):
+    assert run_migrate(old, "--dry-run", "--set", "settings.rules.warmafter=5") == 0
     assert "  settings.rules.warmafter\n" in capsys.readouterr().out
-    assert "  settings.siblings\n" in dry and "  settings.siblings\n" not in out
-    assert "  api_key\n" in out and "  settings.odd.token\n" in out and "s3cret" not in out
+
+
+def test_the_new_file_has_the_overrides_and_one_location_and_the_old_permissions(old):
+    before = old.read_bytes()
+    assert run_migrate(old, "--set", "settings.siblings=40") == 0
     new = json.loads(old.with_name("new.json").read_text())
-    assert new["api_key"] == new["settings"]["odd"]["token"] == "s3cret" and new["settings"]["siblings"] == 40
+    assert new["settings"]["siblings"] == 40
     assert new["settings"]["zones"] == ["hall-a"] and new["settings"]["limits"]["probes"] is False
-    assert new["known"]["hosts"] == [] and new["settings"]["rules"] == OLD["rules"]
+    assert new["known"]["hosts"] == [] and new["settings"]["rules"] == OLD_SETTINGS["rules"]
     assert old.read_bytes() == before and old.with_name("new.json").stat().st_mode & 0o777 == 0o640
 
 
-def test_a_file_of_the_new_shape_comes_out_the_same(old, capsys):
-    assert move(old, "--keep-known") == 0
+def test_migrating_a_file_of_the_new_shape_changes_nothing(old, capsys):
+    assert run_migrate(old, "--keep-known") == 0
     capsys.readouterr()
-    assert move(old.with_name("new.json"), new="again.json") == 0
-    assert "not carried" not in (out := capsys.readouterr().out) and "give anew" not in out
+    assert run_migrate(old.with_name("new.json"), new="again.json") == 0
+    output = capsys.readouterr().out
+    assert "not carried" not in output and "give anew" not in output
     assert old.with_name("again.json").read_bytes() == old.with_name("new.json").read_bytes()
     assert json.loads(old.with_name("new.json").read_text())["known"]["hosts"][0]["site"] == "hall-a"
 
 
-def test_no_file_is_overwritten_unasked_and_the_old_one_never(old, capsys):
+def test_an_existing_file_is_overwritten_only_with_force(old, capsys):
     target = old.with_name("new.json")
     target.write_text("mine")
+    assert run_migrate(old) == 2 and target.read_text() == "mine" and "--force" in capsys.readouterr().err
+    assert run_migrate(old, "--force") == 0 and json.loads(target.read_text())["name"] == "n1"
+    assert sorted(os.listdir(old.parent)) == ["new.json", "old.json"]
+
+
+def test_the_old_file_is_never_overwritten_even_through_a_link(old):
     os.symlink(old, old.with_name("link.json"))
-    assert move(old) == 2 and target.read_text() == "mine" and "--force" in capsys.readouterr().err
-    assert move(old, "--force", new="link.json") == 2 and "api_key" in old.read_text()
-    assert move(old, "--force") == 0 and json.loads(target.read_text())["name"] == "n1"
-    assert sorted(os.listdir(old.parent)) == ["link.json", "new.json", "old.json"]
+    assert run_migrate(old, "--force", new="link.json") == 2 and "api_key" in old.read_text()
+    assert sorted(os.listdir(old.parent)) == ["link.json", "old.json"]
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         (None, "No such file"),
         ("{", "line 1"),
@@ -103,13 +130,16 @@
         ('{"name": "n", "listen": "l"}', "settings.service_types: none given"),
     ],
 )
-def test_a_bad_file_gets_one_line_and_nothing_is_written(old, text, said, capsys):
-    old.unlink() if text is None else old.write_text(text)
-    assert move(old) == 2
+def test_an_invalid_file_gives_one_line_of_error_and_nothing_is_written(old, text, message, capsys):
+    if text is None:
+        old.unlink()
+    else:
+        old.write_text(text)
+    assert run_migrate(old) == 2
     err = capsys.readouterr().err
-    assert err.count("\n") == 1 and str(old) in err and said in err
+    assert err.count("\n") == 1 and str(old) in err and message in err
     assert not old.with_name("new.json").exists()
-    assert move(old, "--set", "settings.siblings=-1") == 2
+    assert run_migrate(old, "--set", "settings.siblings=-1") == 2
 
 
 @pytest.mark.parametrize(
@@ -126,17 +156,17 @@
         ("settings", [1]),
     ],
 )
-def test_a_bad_setting_is_named_at_the_start_too(old, path, value):
-    told = config.read_json_object(old)
-    migrate.put(told, path, value)
+def test_an_invalid_setting_is_named_at_the_start_too(old, path, value):
+    document = config.read_json_object(old)
+    migrate.set_path(document, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
-    with pytest.raises(InvalidValueError, match=rf"^settings[:.].*{named}"):
-        config.parse_config(told, {})
+    with pytest.raises(ConfigError, match=rf"^settings[:.].*{named}"):
+        config.parse_config(document, {})
 
 
-def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_a_probe():
+def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_health_checks():
     server = FakeServer("s1")
-    with Balancer(server, settings=OLD) as before:
+    with Balancer(server, settings=OLD_SETTINGS) as before:
         assert before.ask().readline() == b"UP r1\r\n"
         new = before.file.with_name("new.json")
         assert migrate.main([str(before.file), str(new), "--location", "hall-a"]) == 0
