--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""Stories of the start: many at once, on little of a core, are ready soon whatever discovery does."""
+"""The start: many processes at once, on part of a core each, are ready in time whatever discovery does."""
 
 import contextlib
 import pathlib
@@ -10,38 +10,46 @@
 import pytest
 from harness import SETTINGS, Balancer, FakeServer, free_port
 
-MANY = 10  # processes at once
-SHARE = 0.1  # of a core, for each
-READY = 10.0  # s in which nine in ten have to answer PONG
-KNOWN = {"up": {}, "silent": {"down": True}, "refusing": {"refuses": 1_000}, "closed": {}}
+PROCESSES = 10  # started at once
+CPU_SHARE = 0.1  # of a core, for each
+READY_WITHIN = 10.0  # s in which nine in ten have to answer PONG
+SAMPLE_INTERVAL = 0.004  # s between looks at the CPU time that processes have used
+DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"refuses": 1_000}, "closed": {}}
 
 
 class Throttle(threading.Thread):
-    """Holds processes to a share of a core each, by what they have used, with SIGSTOP and SIGCONT."""
+    """Limits processes to a share of a core each with SIGSTOP and SIGCONT; a context manager."""
 
     def __init__(self, processes):
         super().__init__(daemon=True)
-        self.processes, self.over, self.began = processes, threading.Event(), time.monotonic()
+        self.processes = processes
+        self.stopped = threading.Event()
+        self.started_at = time.monotonic()
 
-    def used(self, process):
-        """Seconds of a core that a process has run."""
+    def __enter__(self):
+        self.start()
+        return self
+
+    def __exit__(self, *_):
+        self.stopped.set()
+        self.join()
+        for process in self.processes:
+            process.send_signal(signal.SIGCONT)
+
+    def cpu_seconds(self, process):
+        """CPU time that a process has used."""
         return int(pathlib.Path(f"/proc/{process.pid}/schedstat").read_text().split()[0]) / 1e9
 
     def run(self):
-        while not self.over.wait(0.004):
-            allowed = SHARE * (time.monotonic() - self.began)
+        while not self.stopped.wait(SAMPLE_INTERVAL):
+            allowed = CPU_SHARE * (time.monotonic() - self.started_at)
             for process in self.processes:
                 with contextlib.suppress(OSError, IndexError):
-                    process.send_signal(signal.SIGSTOP if self.used(process) > allowed else signal.SIGCONT)
-
-    def end(self):
-        self.over.set()
-        self.join()
-        for process in self.processes:
-            process.send_signal(signal.SIGCONT)
+                    over = self.cpu_seconds(process) > allowed
+                    process.send_signal(signal.SIGSTOP if over else signal.SIGCONT)
 
 
-def pong(balancer):
+def answers_pong(balancer):
     """Whether it answers PONG within a second."""
     with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", balancer.port), 1.0) as conn:
         conn.sendall(b"PING\r\n")
@@ -49,27 +57,42 @@
     return False
 
 
-@pytest.mark.parametrize("state", KNOWN)
-def test_ten_that_start_at_once_at_a_tenth_of_a_core_are_ready_in_time(state):
+@contextlib.contextmanager
+def started_balancers(discovery):
+    """Start all processes at once, with discovery in one of its states."""
     server = FakeServer("s1")
     with contextlib.ExitStack() as stack:
         balancers = []
-        start = time.monotonic()
-        for _ in range(MANY):
-            env = {"LB_DISCOVERY": f"127.0.0.1:{free_port()}"}.items() if state == "closed" else ()
+        for _ in range(PROCESSES):
+            env = {"LB_DISCOVERY": f"127.0.0.1:{free_port()}"} if discovery == "closed" else {}
             balancer = Balancer(
-                server, settings=SETTINGS, sockets=4_096, memory=80, known=1, env=env, **KNOWN[state]
+                server,
+                settings=SETTINGS,
+                sockets=4_096,
+                memory=80,
+                known=1,
+                env=env.items(),
+                **DISCOVERY_STATES[discovery],
             )
             stack.callback(balancer.__exit__)
             balancers.append(balancer)
-        throttle = Throttle([balancer.process for balancer in balancers])
-        throttle.start()
-        stack.callback(throttle.end)
-        ready = {}
-        while len(ready) < MANY and time.monotonic() < start + 2 * READY:
-            for at, balancer in enumerate(balancers):
-                if at not in ready and pong(balancer):
-                    ready[at] = time.monotonic() - start, throttle.used(balancer.process)
+        yield balancers
+
+
+@pytest.mark.parametrize("discovery", DISCOVERY_STATES)
+def test_processes_started_at_once_on_a_tenth_of_a_core_are_ready_in_time(discovery):
+    start = time.monotonic()
+    ready = {}
+    with (
+        started_balancers(discovery) as balancers,
+        Throttle([balancer.process for balancer in balancers]) as throttle,
+    ):
+        while len(ready) < PROCESSES and time.monotonic() < start + 2 * READY_WITHIN:
+            for index, balancer in enumerate(balancers):
+                if index not in ready and answers_pong(balancer):
+                    elapsed = time.monotonic() - start
+                    ready[index] = elapsed, throttle.cpu_seconds(balancer.process)
             time.sleep(0.05)
-        assert sum(took < READY for took, _ in ready.values()) >= 0.9 * MANY, ready
+        in_time = [elapsed for elapsed, _ in ready.values() if elapsed < READY_WITHIN]
+        assert len(in_time) >= 0.9 * PROCESSES, ready
         assert all(balancer.process.poll() is None for balancer in balancers)
