--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -96,7 +96,7 @@
         downstream.allow(new.sockets)
 
     session = DiscoverySession(balancer_config, owner.put, apply_limits, counters)
-    owner.owing = partial(downstream.sweep, listener)
+    owner.owing = partial(downstream.accept_pending, listener)
     owner.relist = session.request_complete_list
     follow_discovery(session, listener)
     return Balancer(listener, session, owner.stop)
