--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -148,7 +148,7 @@
         reactor, fleet_config.load_fleet_config(path), session.config.name, counters
     )
     if shared_discovery.TASK in fleet.plan.tasks:
-        session.coordinator = shared_discovery.SharedDiscovery(fleet)
+        session.update_source = shared_discovery.SharedDiscovery(fleet)
 
     def log_listen_failure(reason: Failure) -> None:
         # Without its peers this balancer serves as it does without the file.
@@ -169,7 +169,7 @@
         raise ConfigError(f"LB_RELAYS: {error}; install lotusroute[fleet]") from None
     relays = subscription.read(path)
     relay_subscription = subscription.Subscription(reactor, relays, session.config.name, counters)
-    session.coordinator = relay_subscription
+    session.update_source = relay_subscription
     reactor.callWhenRunning(relay_subscription.start)
 
 
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -18,8 +18,8 @@
 from lotusroute.routing import events
 
 
-class UpdateCoordinator(Protocol):
-    """Decides, where balancers share discovery's updates, when this one calls discovery by itself."""
+class UpdateSource(Protocol):
+    """Shares discovery's updates between balancers, and says when this one has to poll by itself."""
 
     discovery: Discovery | None  # the current client, which takes the updates of others
 
@@ -41,7 +41,7 @@
         self.apply_limits = apply_limits
         self.counters = counters
         self.discovery: Discovery | None = None
-        self.coordinator: UpdateCoordinator | None = None  # set where balancers share discovery's updates
+        self.update_source: UpdateSource | None = None  # set where balancers share discovery's updates
 
     def follow(self, on_first_result: Callable[[], None] | None = None) -> None:
         """Follow discovery at the configured address; `on_first_result` is called once, also after a failure.
@@ -64,9 +64,9 @@
             self.config.discovery_pushed,
         )
         self.discovery.heard = on_first_result
-        if self.coordinator is not None:
-            self.discovery.watch = self.coordinator
-            self.coordinator.discovery = self.discovery
+        if self.update_source is not None:
+            self.discovery.watch = self.update_source
+            self.update_source.discovery = self.discovery
         defer.ensureDeferred(self.discovery.follow())
 
     def request_complete_list(self) -> None:
