--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -414,7 +414,7 @@
         line_protocol.PING,
     ]
     assert words == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
-    told = SimpleNamespace(posting=SimpleNamespace(vip=events.ServiceConfig({}, max_retry_after=900.0)))
+    told = SimpleNamespace(posting=SimpleNamespace(service=events.ServiceConfig({}, max_retry_after=900.0)))
     assert [Owner._busy(told, ms) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
     asked = parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
     assert asked[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
@@ -434,7 +434,7 @@
     ],
 )
 def test_each_action_is_written_as_this_line(action, line):
-    assert wire.line(action) == line
+    assert wire.format_action(action) == line
 
 
 OPEN_FLOW = (7, "live", "t", "g", "k", 5.5, False, False)
@@ -473,13 +473,13 @@
 )
 def test_each_line_of_the_simulator_is_read_as_this_event(line, kind, values):
     name, *parts = line.split(" ")
-    event = wire.event(name, parts)
+    event = wire.parse_event(name, parts)
     assert (event is None) if kind is None else (type(event) is kind and event == values)
 
 
 def test_rows_scopes_and_the_names_of_messages_are_these():
     for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.REMOVED)):
-        assert wire.row(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
+        assert wire.parse_server(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
     scopes = {
         "changes": events.CHANGES,
         "all": events.COMPLETE,
@@ -488,7 +488,7 @@
     }
     assert scopes == wire.SCOPES
     names = "ask already_open under_way notice resolved withdrawn alarm checked from_peer"
-    assert " ".join(wire.EVENTS) == names
+    assert " ".join(wire.EVENT_FORMATS) == names
 
 
 def test_what_is_shown_has_these_keys(tmp_path):
