--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -3,8 +3,7 @@
 The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
 discovery themselves once no message has come for `HOLDER_TIMEOUT`, or while the holder has a newer version
 than they do. Updates under a lower fencing token than one seen are rejected, and a holder that discovery does
-not answer stays silent. `Discovery` awaits `turn` before each poll and reports each outcome to `answered` or
-`failed`.
+not answer stays silent. This is an `UpdateSource` of the discovery client.
 """
 
 from typing import Any
@@ -15,7 +14,8 @@
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
-from lotusroute.net.discovery import HOLD, Discovery
+from lotusroute.net.discovery import HOLD
+from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
@@ -45,7 +45,7 @@
         self.lease_service = lease_service
         self.reactor = lease_service.reactor
         self.counters = lease_service.counters
-        self.discovery: Discovery | None = None  # the current one; replaced at a reload
+        self.discovery: DiscoveryClient | None = None  # the current one; replaced at a reload
         self.fencing_token = 0  # while this balancer holds the task
         self.highest_fencing_token = 0  # of the messages accepted so far
         self.last_update_at = NEVER  # ms, when a message was last accepted
@@ -55,9 +55,9 @@
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
-    # Called by Discovery
+    # The UpdateSource of the discovery client
 
-    async def turn(self, discovery: Discovery) -> None:
+    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to poll discovery itself, or this discovery is closed."""
         while not (self.fencing_token or self._behind() or discovery.closed):
             remaining = self.last_update_at + HOLDER_TIMEOUT - self.lease_service.clock()
@@ -71,7 +71,7 @@
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
-        """Make a waiting `turn` check again whether to poll."""
+        """Make a waiting `wait_for_turn` check again whether to poll."""
         waiting = self.waiting
         self.waiting = None
         if waiting is not None:
@@ -81,7 +81,7 @@
         """Return the maximum age of the endpoint list in s: the time since the holder's last message."""
         return (self.lease_service.clock() - self.last_update_at) / 1000
 
-    def answered(self, answer: dict[str, Any], since: int | None) -> None:
+    def on_response(self, answer: dict[str, Any], since: int | None) -> None:
         """Send discovery's answer to the others, if this balancer is the holder."""
         self.answered_at = self.lease_service.clock()
         if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
@@ -98,7 +98,7 @@
                 )
             )
 
-    def failed(self) -> None:
+    def on_failure(self) -> None:
         """Stop the heartbeats after a failed poll until the next answer: the others poll themselves."""
         self.answered_at = NEVER
 
@@ -163,11 +163,11 @@
             self.wake()
         return b""
 
-    def _apply(self, discovery: Discovery, update: SharedUpdate) -> None:
+    def _apply(self, discovery: DiscoveryClient, update: SharedUpdate) -> None:
         """Hand the update to discovery, which checks it like an answer of its own."""
         answer = {"seq": update.seq, "whole": update.complete, "hosts": update.entries}
         since = None if update.since < 0 else update.since
-        applied = discovery.handed(answer, since)
+        applied = discovery.apply_shared_update(answer, since)
         self.counters["shared_discovery_applied"] += applied
 
     def _behind(self) -> bool:
