--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -63,7 +63,7 @@
     errors = {CallError: b"FAILED"}
 
 
-class ConnectionOwner(Protocol):
+class ConnectionManager(Protocol):
     """What a connection needs from the transport that it belongs to."""
 
     reactor: ReactorBase
@@ -87,10 +87,10 @@
 
     noisy = False
 
-    def __init__(self, owner: ConnectionOwner, peer: str = "") -> None:
+    def __init__(self, manager: ConnectionManager, peer: str = "") -> None:
         """`peer` is the name of the process connected to; empty if inbound, until its Hello."""
         super().__init__()
-        self.owner = owner
+        self.manager = manager
         self.peer = peer
         self.greeted = False  # Hello has been exchanged
         self.calls_in_flight = 0
@@ -106,19 +106,19 @@
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         if not self.peer:
-            self._hello_timer = self.owner.reactor.callLater(
+            self._hello_timer = self.manager.reactor.callLater(
                 HELLO_TIMEOUT, self._reject_unknown_peer, "said nothing"
             )
 
     def sendBox(self, box: amp.Box) -> None:
         """Send a box and count its bytes."""
         data = box.serialize()
-        self.owner.counters["peer_bytes_sent"] += len(data)
+        self.manager.counters["peer_bytes_sent"] += len(data)
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received data; malformed data closes the connection."""
-        self.owner.counters["peer_bytes_received"] += len(data)
+        self.manager.counters["peer_bytes_received"] += len(data)
         try:
             super().dataReceived(data)
         except Exception:  # isolates this connection: whatever a peer sends must not affect the others
@@ -129,13 +129,13 @@
         self._abort_malformed()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Fail all calls in flight, which AMP does, and inform the owner."""
+        """Fail all calls in flight, which AMP does, and inform the manager."""
         super().connectionLost(reason)
         self._cancel_hello_timer()
-        self.owner.connection_lost(self)
+        self.manager.connection_lost(self)
 
     def _abort_malformed(self) -> None:
-        self.owner.counters["peer_malformed_input"] += 1
+        self.manager.counters["peer_malformed_input"] += 1
         self.transport.abortConnection()
 
     def _cancel_hello_timer(self) -> None:
@@ -144,7 +144,7 @@
 
     def _reject_unknown_peer(self, reason: str) -> None:
         self._cancel_hello_timer()
-        self.owner.counters["unknown_peers"] += 1
+        self.manager.counters["unknown_peers"] += 1
         log_event("unknown peer disconnected", why=reason)
         self.transport.abortConnection()
 
@@ -153,31 +153,31 @@
     @Hello.responder
     def hello(self, fleet: str, form: int, name: str) -> dict[str, str]:
         """Handle the Hello of an inbound connection."""
-        config = self.owner.config
+        config = self.manager.config
         same_protocol = (fleet, form) == (config.name, PROTOCOL_VERSION)
-        known = name in config.peers or name == OBSERVER or self.owner.admits_subscriber(name)
+        known = name in config.peers or name == OBSERVER or self.manager.admits_subscriber(name)
         if self.greeted or self.peer or not same_protocol or not known:
             reason = f"fleet {fleet[:64]} form {form} name {name[:64]}"
-            self.owner.reactor.callLater(0, self._reject_unknown_peer, reason)
-            return {"name": self.owner.name}
+            self.manager.reactor.callLater(0, self._reject_unknown_peer, reason)
+            return {"name": self.manager.name}
         self._cancel_hello_timer()
         self.peer = name
         self.greeted = True
-        self.owner.peer_identified(self)
-        return {"name": self.owner.name}
+        self.manager.peer_identified(self)
+        return {"name": self.manager.name}
 
     @Call.responder
     def called(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
         """Handle a call of the peer."""
         if not self.greeted:
-            self.owner.reactor.callLater(0, self._reject_unknown_peer, "called before it said who it is")
+            self.manager.reactor.callLater(0, self._reject_unknown_peer, "called before it said who it is")
             raise CallError(CallFailure.UNKNOWN_PEER)
-        self.owner.counters["peer_calls_received"] += 1
-        response = defer.maybeDeferred(self.owner.handle_call, self.peer, kind, body)
+        self.manager.counters["peer_calls_received"] += 1
+        response = defer.maybeDeferred(self.manager.handle_call, self.peer, kind, body)
         return response.addCallbacks(lambda result: {"body": result}, self._call_rejected)
 
     def _call_rejected(self, failure: Failure) -> None:
-        self.owner.counters["peer_calls_rejected"] += 1
+        self.manager.counters["peer_calls_rejected"] += 1
         raise CallError(str(failure.value)[:200])
 
     # Calls to the peer
@@ -193,19 +193,19 @@
             return defer.fail(CallError(CallFailure.TOO_LARGE))
         bytes_in_flight = self.bytes_in_flight + len(body)
         if self.calls_in_flight >= MAX_CALLS_IN_FLIGHT or bytes_in_flight > MAX_BYTES_IN_FLIGHT:
-            self.owner.counters["peer_calls_over_limit"] += 1
+            self.manager.counters["peer_calls_over_limit"] += 1
             return defer.fail(CallError(CallFailure.OVER_LIMIT))
         self.calls_in_flight += 1
         self.bytes_in_flight = bytes_in_flight
-        self.owner.counters["peer_calls_sent"] += 1
+        self.manager.counters["peer_calls_sent"] += 1
         response: defer.Deferred[bytes] = defer.Deferred()
-        timer = self.owner.reactor.callLater(CALL_TIMEOUT, self._call_timed_out, response)
+        timer = self.manager.reactor.callLater(CALL_TIMEOUT, self._call_timed_out, response)
         request = self.callRemote(Call, kind=kind, body=body)
         request.addBoth(self._call_ended, response, timer, len(body))
         return response
 
     def _call_timed_out(self, response: "defer.Deferred[bytes]") -> None:
-        self.owner.counters["peer_call_timeouts"] += 1
+        self.manager.counters["peer_call_timeouts"] += 1
         self.consecutive_timeouts += 1
         response.errback(CallError(CallFailure.TIMEOUT))
         if self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -120,7 +120,7 @@
     connection, transport, clock, counters = _way()
     connection.dataReceived(HELLO)
     clock.advance(2.1)
-    assert not transport.disconnecting and connection.owner.inbound == {"b": [connection]}
+    assert not transport.disconnecting and connection.manager.inbound == {"b": [connection]}
 
 
 def test_a_stalled_peer_holds_bounded_calls_and_bytes_and_is_given_up():
