--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,10 +1,11 @@
-"""Stories of the leases: the machines by themselves, all orders of what may happen, and mutants."""
+"""Leases: proposer and acceptor by themselves, and the model checker with deliberately broken variants."""
 
 import random
 
 import pytest
 
 from lotusroute.fault_injection import lease_model_checker
+from lotusroute.fault_injection.lease_model import InvariantViolationError, LeaseModel
 from lotusroute.leases import acceptor as acceptor_module
 from lotusroute.leases import proposer as proposer_module
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor
@@ -26,302 +27,362 @@
 from lotusroute.leases.proposer import Proposer
 
 TERMS = LeaseTerms(("k1", "k2", "k3"))
+LONG_AGO = -10_000.0  # ms; an acceptor started then is serving at 0
 
 
-class Fleet:
-    """Three keepers, some askers and a network that loses what `cut` says; all clocks are one."""
+def serving_acceptor(terms=TERMS):
+    """Return an acceptor that serves from the start and may promise the ballots of the first block."""
+    acceptor = Acceptor(terms, LONG_AGO, 0)
+    acceptor.ballots_persisted(BALLOT_BLOCK)
+    return acceptor
+
+
+@pytest.fixture
+def acceptor():
+    return serving_acceptor()
+
+
+class Cluster:
+    """Acceptors and proposers with one clock, and a network that loses the messages of `broken_links`."""
 
     def __init__(self, *proposers, terms=TERMS):
-        self.now, self.terms, self.cut = 0.0, terms, set()
-        self.acceptors = {}
-        for name in terms.acceptors:
-            acceptor = self.acceptors[name] = Acceptor(terms, -10_000.0, 0)
-            acceptor.ballots_persisted(BALLOT_BLOCK)
-        self.proposers = {name: Proposer(name, terms, random.Random(at)) for at, name in enumerate(proposers)}
-        self.log = []
-
-    def tell(self, name, event):
-        """Give an asker an event, and all that follows from it."""
+        self.now = 0.0
+        self.terms = terms
+        self.broken_links = set()  # (proposer, acceptor), both directions
+        self.acceptors = {name: serving_acceptor(terms) for name in terms.acceptors}
+        self.proposers = {}
+        for seed, name in enumerate(proposers):
+            self.add_proposer(name, seed)
+        self.lease_changes = []  # (proposer, LeaseAcquired or LeaseLost)
+
+    def add_proposer(self, name, seed):
+        self.proposers[name] = Proposer(name, self.terms, random.Random(seed))
+
+    def handle(self, name, event):
+        """Pass an event to a proposer, deliver its requests and, recursively, the replies to them."""
         actions = self.proposers[name].handle(self.now, event)
-        for action in actions:
-            if not isinstance(action, SendRequest):
-                self.log.append((name, action))
-        for action in actions:
-            if (
-                isinstance(action, SendRequest)
-                and not {(name, action.acceptor), (action.acceptor, name)} & self.cut
-            ):
-                acceptor = self.acceptors[action.acceptor]
-                reply, reserve, waiters = acceptor.handle(self.now, action.request)
-                if reserve:
-                    acceptor.ballots_persisted(reserve.below)
-                self.tell(name, ReplyReceived(action.acceptor, reply))
-                for waiting in waiters:
-                    self.tell(waiting, LeaseReleased("t"))
-
-    def wait(self, ms, *names):
-        """Let time pass, in steps; those named look at their clocks."""
+        requests = [action for action in actions if isinstance(action, SendRequest)]
+        self.lease_changes += [(name, action) for action in actions if action not in requests]
+        for acceptor, request in requests:
+            if (name, acceptor) not in self.broken_links:
+                self.deliver(name, acceptor, request)
+
+    def deliver(self, proposer, acceptor, request):
+        decision = self.acceptors[acceptor].handle(self.now, request)
+        if decision.persist is not None:
+            self.acceptors[acceptor].ballots_persisted(decision.persist.below)
+        self.handle(proposer, ReplyReceived(acceptor, decision.reply))
+        for waiter in decision.notify:
+            self.handle(waiter, LeaseReleased("t"))
+
+    def request(self, *names):
+        for name in names:
+            self.handle(name, RequestLease("t"))
+
+    def cut_off(self, proposer):
+        self.broken_links = {(proposer, acceptor) for acceptor in self.acceptors}
+
+    def advance(self, ms, *names):
+        """Advance the time in steps, with ticks for the named proposers or all; the others are stalled."""
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 100.0)
             for name in names or self.proposers:
-                self.tell(name, Tick())
-
-    def holders(self):
-        return [name for name, proposer in self.proposers.items() if proposer.fencing_token("t", self.now)]
-
-
-def test_one_asker_holds_and_renews_and_another_takes_over_at_once_when_it_leaves():
-    fleet = Fleet("a", "b")
-    fleet.tell("a", RequestLease("t"))
-    fleet.tell("b", RequestLease("t"))
-    assert fleet.holders() == ["a"] and fleet.log == [("a", LeaseAcquired("t", 1))]
-    fleet.wait(10_000.0)
-    assert fleet.holders() == ["a"] and len(fleet.log) == 1
-    fleet.tell("a", ReleaseLease("t"))
-    fleet.wait(200.0)  # told by the keepers; by time alone it would ask again after a lease
-    fencing_token = fleet.proposers["b"].fencing_token("t", fleet.now)
-    assert (
-        fleet.holders() == ["b"]
-        and fleet.log[-1] == ("b", LeaseAcquired("t", fencing_token))
-        and fencing_token > 1
-    )
+                self.handle(name, Tick())
 
+    def fencing_token(self, name, **options):
+        return self.proposers[name].fencing_token("t", self.now, **options)
 
-def test_a_holder_that_is_cut_off_ends_before_its_keepers_let_go():
-    fleet = Fleet("a", "b")
-    fleet.tell("a", RequestLease("t"))
-    fleet.tell("b", RequestLease("t"))
-    fleet.cut = {("a", acceptor) for acceptor in fleet.acceptors}
-    fleet.wait(2_800.0)
-    assert fleet.holders() == ["a"]
-    fleet.wait(100.0)
-    assert fleet.holders() == [] and fleet.log[-1] == ("a", LeaseLost("t", "expired"))
-    fleet.wait(500.0)
-    assert fleet.holders() == ["b"]
-
-
-def test_a_holder_that_stood_still_gives_way_and_its_act_must_not_begin_near_the_end():
-    fleet = Fleet("a", "b")
-    fleet.tell("a", RequestLease("t"))
-    proposer = fleet.proposers["a"]
-    assert (
-        proposer.fencing_token("t", 0.0, max_duration=2_800.0) == 1
-        and proposer.fencing_token("t", 0.0, max_duration=2_900.0) == 0
-    )
-    fleet.tell("b", RequestLease("t"))
-    fleet.wait(1_500.0, "b")
-    fleet.tell("a", Tick())
-    assert fleet.log[-1] == ("a", LeaseLost("t", "stalled")) and fleet.holders() == []
-    fleet.wait(200.0, "b")
-    assert fleet.holders() == ["b"]
-
-
-def test_one_that_is_told_to_come_back_later_than_a_stall_lasts_does_come_back():
-    # Found by three processes: woken when its time had come, after 1.1 s, it took the quiet for a stall of
-    # its own, rested for a lease, and so for good.
-    fleet = Fleet("a", "b")
-    fleet.tell("a", RequestLease("t"))
-    fleet.tell("b", RequestLease("t"))
-    fleet.cut = {("a", acceptor) for acceptor in fleet.acceptors}
+    def holders(self):
+        return [name for name in self.proposers if self.fencing_token(name)]
+
+
+def test_a_holder_renews_and_another_proposer_takes_over_at_once_after_its_release():
+    cluster = Cluster("a", "b")
+    cluster.request("a", "b")
+    assert cluster.holders() == ["a"]
+    assert cluster.lease_changes == [("a", LeaseAcquired("t", 1))]
+    cluster.advance(10_000.0)
+    assert cluster.holders() == ["a"]
+    assert len(cluster.lease_changes) == 1
+    cluster.handle("a", ReleaseLease("t"))
+    cluster.advance(200.0)  # acceptors notify it; without that it would retry after a lease duration
+    fencing_token = cluster.fencing_token("b")
+    assert cluster.holders() == ["b"]
+    assert cluster.lease_changes[-1] == ("b", LeaseAcquired("t", fencing_token))
+    assert fencing_token > 1
+
+
+def test_a_partitioned_holder_loses_its_lease_before_the_acceptors_grant_another():
+    cluster = Cluster("a", "b")
+    cluster.request("a", "b")
+    cluster.cut_off("a")
+    cluster.advance(2_800.0)
+    assert cluster.holders() == ["a"]
+    cluster.advance(100.0)
+    assert cluster.holders() == []
+    assert cluster.lease_changes[-1] == ("a", LeaseLost("t", "expired"))
+    cluster.advance(500.0)
+    assert cluster.holders() == ["b"]
+
+
+def test_there_is_no_fencing_token_for_an_act_that_would_outlast_the_lease():
+    cluster = Cluster("a")
+    cluster.request("a")
+    assert cluster.fencing_token("a", max_duration=2_800.0) == 1
+    assert cluster.fencing_token("a", max_duration=2_900.0) == 0
+
+
+def test_a_stalled_holder_yields():
+    cluster = Cluster("a", "b")
+    cluster.request("a", "b")
+    cluster.advance(1_500.0, "b")
+    cluster.handle("a", Tick())
+    assert cluster.lease_changes[-1] == ("a", LeaseLost("t", "stalled"))
+    assert cluster.holders() == []
+    cluster.advance(200.0, "b")
+    assert cluster.holders() == ["b"]
+
+
+def test_a_proposer_that_waits_longer_than_the_stall_threshold_is_not_taken_for_stalled():
+    # Found with three processes: woken after a wait of 1.1 s, a proposer took its idleness for a stall,
+    # backed off for a lease duration, and so on forever.
+    cluster = Cluster("a", "b")
+    cluster.request("a", "b")
+    cluster.cut_off("a")
     for _ in range(30):
-        fleet.now += max(5.0, fleet.proposers["b"].next_tick_in(fleet.now))
-        fleet.tell("b", Tick())
-    assert fleet.holders() == ["b"]
-
-
-def test_two_that_split_the_keepers_draw_apart():
-    fleet = Fleet("a", "b")
-    fleet.cut = {("a", "k3"), ("b", "k1")}
-    fleet.tell("a", RequestLease("t"))
-    fleet.tell("b", RequestLease("t"))
-    fleet.cut = set()
-    fleet.wait(5_000.0)
-    assert len(fleet.holders()) == 1
-
-
-def test_a_holder_gives_way_after_its_term_where_another_asks_and_else_goes_on():
-    fleet = Fleet("a", terms=TERMS._replace(max_tenure=5_000.0))
-    fleet.tell("a", RequestLease("t"))
-    fleet.wait(20_000.0)
-    assert len(fleet.log) == 1
-    fleet.proposers["b"] = Proposer("b", fleet.terms, random.Random(9))
-    fleet.tell("b", RequestLease("t"))
-    fleet.wait(10_000.0)
-    assert fleet.log[1] == ("a", LeaseLost("t", "tenure ended")) and fleet.log[2][0] == "b"
-    assert isinstance(fleet.log[2][1], LeaseAcquired) and len(fleet.holders()) == 1
-
-
-def test_a_keeper_that_restarts_is_silent_for_the_longest_lease_and_its_numbers_never_fall():
-    fleet = Fleet("a")
-    fleet.tell("a", RequestLease("t"))
-    back = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
-    reply, reserve, _ = back.handle(3_000.0, Prepare("t", 5, "b", 1))
-    assert (reply.accepted, reply.reason, reply.highest_ballot, reserve) == (
+        cluster.now += max(5.0, cluster.proposers["b"].next_tick_in(cluster.now))
+        cluster.handle("b", Tick())
+    assert cluster.holders() == ["b"]
+
+
+def test_random_backoff_resolves_a_split_vote():
+    cluster = Cluster("a", "b")
+    cluster.broken_links = {("a", "k3"), ("b", "k1")}
+    cluster.request("a", "b")
+    cluster.broken_links = set()
+    cluster.advance(5_000.0)
+    assert len(cluster.holders()) == 1
+
+
+def test_a_holder_yields_after_its_maximum_tenure_only_if_the_lease_is_contended():
+    cluster = Cluster("a", terms=TERMS._replace(max_tenure=5_000.0))
+    cluster.request("a")
+    cluster.advance(20_000.0)
+    assert len(cluster.lease_changes) == 1
+    cluster.add_proposer("b", seed=9)
+    cluster.request("b")
+    cluster.advance(10_000.0)
+    assert cluster.lease_changes[1] == ("a", LeaseLost("t", "tenure ended"))
+    assert cluster.lease_changes[2][0] == "b"
+    assert isinstance(cluster.lease_changes[2][1], LeaseAcquired)
+    assert len(cluster.holders()) == 1
+
+
+def test_a_restarted_acceptor_is_silent_for_a_lease_and_promises_no_earlier_ballot():
+    restarted = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
+    reply, persist, _ = restarted.handle(3_000.0, Prepare("t", 5, "b", 1))
+    assert (reply.accepted, reply.reason, reply.highest_ballot, persist) == (
         False,
         RejectReason.NOT_READY,
         BALLOT_BLOCK,
         None,
     )
-    assert (
-        back.handle(3_200.0, Prepare("t", 5, "b", 2))[0].reason == RejectReason.BALLOT_TOO_LOW
-    )  # it may have been promised before
-    _, reserve, _ = back.handle(3_300.0, Prepare("t", BALLOT_BLOCK + 1, "b", 3))
-    assert reserve.below > BALLOT_BLOCK + 1  # on disk first, and the asker comes again
-    back.ballots_persisted(reserve.below)
-    assert back.handle(3_400.0, Prepare("t", BALLOT_BLOCK + 1, "b", 4))[0].accepted
-
-
-def test_all_keepers_killed_at_once_let_no_fence_fall():
-    fleet = Fleet("a", "b")
-    fleet.tell("a", RequestLease("t"))
-    fencing_token = fleet.proposers["a"].fencing_token("t", 0.0)
-    fleet.acceptors = {name: Acceptor(TERMS, fleet.now, BALLOT_BLOCK) for name in TERMS.acceptors}
-    fleet.proposers = {"c": Proposer("c", TERMS, random.Random(1))}
-    fleet.tell("c", RequestLease("t"))
-    fleet.wait(3_000.0)
-    assert fleet.holders() == []
-    fleet.wait(2_000.0)
-    assert fleet.proposers["c"].fencing_token("t", fleet.now) > BALLOT_BLOCK > fencing_token
-
-
-def test_a_keeper_refuses_a_lower_number_a_longer_lease_and_another_while_one_holds():
-    acceptor = Acceptor(TERMS, -10_000.0, 0)
-    acceptor.ballots_persisted(BALLOT_BLOCK)
-    assert acceptor.handle(0.0, Prepare("t", 3, "a", 1))[0].accepted
-    assert acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0))[0].reason == RejectReason.BALLOT_TOO_LOW
-    assert acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0))[0].reason == "long"
-    assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0))[0].accepted
-    held = acceptor.handle(1_000.0, Prepare("t", 4, "b", 1))[0]
-    assert (held.reason, held.remaining) == (RejectReason.LEASE_HELD, 2_000.0)
-    assert acceptor.handle(1_100.0, Propose("t", 3, "a", 4, 3_000.0))[0].contended
-    assert acceptor.handle(1_200.0, Release("t", 3, "b", 1))[0].accepted  # not its own: nothing is let go
-    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2))[0].reason == RejectReason.LEASE_HELD
+    # The ballot may have been promised before the restart.
+    reply = restarted.handle(3_200.0, Prepare("t", 5, "b", 2)).reply
+    assert reply.reason == RejectReason.BALLOT_TOO_LOW
+
+
+def test_an_acceptor_promises_a_ballot_only_after_it_is_persisted():
+    restarted = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
+    persist = restarted.handle(3_300.0, Prepare("t", BALLOT_BLOCK + 1, "b", 3)).persist
+    assert persist.below > BALLOT_BLOCK + 1
+    restarted.ballots_persisted(persist.below)
+    assert restarted.handle(3_400.0, Prepare("t", BALLOT_BLOCK + 1, "b", 4)).reply.accepted
+
+
+def test_fencing_tokens_grow_after_all_acceptors_are_killed_at_once():
+    cluster = Cluster("a", "b")
+    cluster.request("a")
+    fencing_token = cluster.fencing_token("a")
+    cluster.acceptors = {name: Acceptor(TERMS, cluster.now, BALLOT_BLOCK) for name in TERMS.acceptors}
+    cluster.proposers = {}
+    cluster.add_proposer("c", seed=1)
+    cluster.request("c")
+    cluster.advance(3_000.0)
+    assert cluster.holders() == []
+    cluster.advance(2_000.0)
+    assert cluster.fencing_token("c") > BALLOT_BLOCK > fencing_token
+
+
+def test_an_acceptor_rejects_a_lower_ballot_and_a_longer_lease(acceptor):
+    assert acceptor.handle(0.0, Prepare("t", 3, "a", 1)).reply.accepted
+    reply = acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0)).reply
+    assert reply.reason == RejectReason.BALLOT_TOO_LOW
+    assert acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0)).reply.reason == "long"
+    assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0)).reply.accepted
+
+
+def test_an_acceptor_rejects_others_until_the_holder_releases_the_lease(acceptor):
+    acceptor.handle(0.0, Prepare("t", 3, "a", 1))
+    assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0)).reply.accepted
+    reply = acceptor.handle(1_000.0, Prepare("t", 4, "b", 1)).reply
+    assert (reply.reason, reply.remaining) == (RejectReason.LEASE_HELD, 2_000.0)
+    assert acceptor.handle(1_100.0, Propose("t", 3, "a", 4, 3_000.0)).reply.contended
+    # A release by another process than the holder has no effect.
+    assert acceptor.handle(1_200.0, Release("t", 3, "b", 1)).reply.accepted
+    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2)).reply.reason == RejectReason.LEASE_HELD
     acceptor.handle(1_400.0, Release("t", 3, "a", 5))
-    assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3))[0].accepted
+    assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3)).reply.accepted
 
 
-def test_a_liars_numbers_and_names_take_no_room_for_good():
-    acceptor = Acceptor(TERMS, -10_000.0, 0)
-    acceptor.ballots_persisted(BALLOT_BLOCK)
-    assert not acceptor.handle(0.0, Prepare("t", 2**62, "a", 1))[0].accepted
-    for at in range(acceptor_module.MAX_TASKS):
-        assert acceptor.handle(0.0, Propose(f"t{at}", 7, "a", 1, 3_000.0))[0].accepted
-    assert acceptor.handle(100.0, Prepare("one more", 8, "a", 2))[0].reason == "full"
-    assert acceptor.handle(7_000.0, Prepare("one more", 8, "a", 3))[0].accepted
-    assert len(acceptor.states) == acceptor_module.MAX_TASKS and acceptor.ballot_floor == 7
-
-
-def _late_answer(proposer):
-    """Three keepers say yes at once, one of them late; then one is cut off and the asker renews."""
-    request = next(action.request for action in proposer.handle(0.0, RequestLease("t")))
-    acceptors = {name: Acceptor(TERMS, -10_000.0, 0) for name in TERMS.acceptors}
-    for acceptor in acceptors.values():
-        acceptor.ballots_persisted(BALLOT_BLOCK)
-
-    def told(now, name, request):
-        return proposer.handle(now, ReplyReceived(name, acceptors[name].handle(now, request)[0]))
-
-    told(0.0, "k1", request)
-    propose = told(0.0, "k2", request)[0].request
-    late = ReplyReceived("k3", acceptors["k3"].handle(0.0, propose)[0])
-    told(0.0, "k1", propose)
-    told(0.0, "k2", propose)
+def test_a_malicious_ballot_is_rejected(acceptor):
+    assert not acceptor.handle(0.0, Prepare("t", 2**62, "a", 1)).reply.accepted
+
+
+def test_an_acceptor_tracks_a_bounded_number_of_tasks_and_evicts_expired_ones(acceptor):
+    for index in range(acceptor_module.MAX_TASKS):
+        assert acceptor.handle(0.0, Propose(f"t{index}", 7, "a", 1, 3_000.0)).reply.accepted
+    assert acceptor.handle(100.0, Prepare("one more", 8, "a", 2)).reply.reason == "full"
+    assert acceptor.handle(7_000.0, Prepare("one more", 8, "a", 3)).reply.accepted
+    assert len(acceptor.states) == acceptor_module.MAX_TASKS
+    assert acceptor.ballot_floor == 7
+
+
+def test_a_proposer_has_a_bounded_number_of_tasks():
+    assert proposer_module.MAX_TASKS == 64
+
+
+def fencing_token_after_a_late_reply():
+    """Renew with one acceptor while a reply of another to the first proposal arrives late.
+
+    All three acceptors accept the proposal at 0 ms, but the reply of k3 arrives only after the renewal at
+    1,500 ms, which k1 alone accepts. Returns the fencing token at 3,500 ms, when two leases of three have
+    expired.
+    """
+    proposer = Proposer("a", TERMS, random.Random(1))
+    acceptors = {name: serving_acceptor() for name in TERMS.acceptors}
+
+    def reply_of(now, name, request):
+        return ReplyReceived(name, acceptors[name].handle(now, request).reply)
+
+    prepare = proposer.handle(0.0, RequestLease("t"))[0].request
+    proposer.handle(0.0, reply_of(0.0, "k1", prepare))
+    propose = proposer.handle(0.0, reply_of(0.0, "k2", prepare))[0].request
+    late = reply_of(0.0, "k3", propose)
+    proposer.handle(0.0, reply_of(0.0, "k1", propose))
+    proposer.handle(0.0, reply_of(0.0, "k2", propose))
     proposer.handle(900.0, Tick())
-    renewal = next(action.request for action in proposer.handle(1_500.0, Tick()))
-    told(1_500.0, "k1", renewal)
-    proposer.handle(1_500.0, late)  # of the first round: k3 lets go at 3 s
+    renewal = proposer.handle(1_500.0, Tick())[0].request
+    proposer.handle(1_500.0, reply_of(1_500.0, "k1", renewal))
+    proposer.handle(1_500.0, late)
     return proposer.fencing_token("t", 3_500.0)
 
 
-def test_an_answer_from_an_earlier_round_does_not_make_the_lease_longer(monkeypatch):
-    # Found by thought when the explorer was written: both rounds have one number, the keeper lets go a lease
-    # after the first. The mutant that counts it would act for half a second beside the next holder.
-    assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 0
-    real = Proposer._on_reply
-    monkeypatch.setattr(
-        Proposer,
-        "_on_reply",
-        lambda me, acceptor, reply, now: real(
-            me, acceptor, reply._replace(round=me.states[reply.task].round), now
-        ),
-    )
-    assert _late_answer(Proposer("a", TERMS, random.Random(1))) == 1
+def test_a_late_reply_of_an_earlier_round_does_not_extend_the_lease():
+    # Both rounds have the same ballot, but the acceptor's lease ends a lease duration after the first one.
+    assert fencing_token_after_a_late_reply() == 0
 
 
-def explore(walks, seed=1, **world):
-    """Walk as often as that; raises at the first breach."""
-    rng, model = random.Random(seed), lease_model_checker.LeaseModel(**world)
+def test_without_the_round_check_a_late_reply_would_extend_the_lease(monkeypatch):
+    on_reply = Proposer._on_reply
+
+    def ignore_round(self, acceptor, reply, now):
+        on_reply(self, acceptor, reply._replace(round=self.states[reply.task].round), now)
+
+    monkeypatch.setattr(Proposer, "_on_reply", ignore_round)
+    assert fencing_token_after_a_late_reply() == 1
+
+
+def random_walks(walks, seed=1, **options):
+    """Take random walks through the model and return the number of changes of holder."""
+    rng = random.Random(seed)
+    model = LeaseModel(**options)
     return sum(lease_model_checker.random_walk(model, rng, 120) for _ in range(walks))
 
 
-def test_no_order_of_messages_crashes_and_stalls_makes_two_holders():
-    assert explore(600) > 600
-    assert explore(300, proposers=3) > 300
-    assert (
-        lease_model_checker.search(lease_model_checker.LeaseModel(crashes=0, duplicates=0), 20_000)[0]
-        == 20_000
-    )
+def test_random_walks_find_no_violation_with_two_proposers():
+    assert random_walks(600) > 600
 
 
-def _from_the_answer(patch):
-    real = Proposer._on_majority
-    patch.setattr(
-        Proposer,
-        "_on_majority",
-        lambda me, task, state, now: real(me, task, state._replace(phase_started_at=now), now),
-    )
+def test_random_walks_find_no_violation_with_three_proposers():
+    assert random_walks(300, proposers=3) > 300
 
 
-def _no_silence(patch):
-    def start(me, terms, now, ballot_floor):
-        real(me, terms, now, ballot_floor)
-        me.serving_from = now
+def test_a_breadth_first_search_finds_no_violation():
+    model = LeaseModel(crashes=0, duplicates=0)
+    assert lease_model_checker.search(model, 20_000).states == 20_000
 
-    real = Acceptor.__init__
-    patch.setattr(Acceptor, "__init__", start)
 
+def count_lease_from_reply(monkeypatch):
+    on_majority = Proposer._on_majority
 
-def _lower_numbers(patch):
-    real = acceptor_module.apply_request
-    patch.setattr(
-        acceptor_module,
-        "apply_request",
-        lambda state, now, request, terms: real(state._replace(promised=0), now, request, terms),
-    )
+    def start_now(self, task, state, now):
+        return on_majority(self, task, state._replace(phase_started_at=now), now)
+
+    monkeypatch.setattr(Proposer, "_on_majority", start_now)
+
+
+def serve_right_after_restart(monkeypatch):
+    init = Acceptor.__init__
+
+    def init_serving(self, terms, now, ballot_floor):
+        init(self, terms, now, ballot_floor)
+        self.serving_from = now
 
+    monkeypatch.setattr(Acceptor, "__init__", init_serving)
 
-def _no_disk(patch):
-    real = Acceptor.__init__
-    patch.setattr(Acceptor, "__init__", lambda me, terms, now, ballot_floor: real(me, terms, now, 0))
 
+def forget_promised_ballot(monkeypatch):
+    apply_request = acceptor_module.apply_request
 
-def _half(patch):
-    patch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.acceptors) // 2))
+    def apply_without_promise(state, now, request, terms):
+        return apply_request(state._replace(promised=0), now, request, terms)
 
+    monkeypatch.setattr(acceptor_module, "apply_request", apply_without_promise)
 
-MUTANTS = {
-    "lease counted from the answer": (_from_the_answer, {}),
-    "no silence after a restart": (_no_silence, {}),
-    "lower number accepted": (_lower_numbers, {}),
-    "numbers not on disk": (_no_disk, {"crashes": 3}),
-    "half is enough": (_half, {}),
-    "no allowance for clocks": (lambda patch: None, {"known_drift": 0.0}),
-}
 
+def lose_persisted_ballot(monkeypatch):
+    init = Acceptor.__init__
 
-@pytest.mark.parametrize("name", MUTANTS)
-def test_the_explorer_convicts(name, monkeypatch):
-    mutate, world = MUTANTS[name]
+    def init_without_floor(self, terms, now, ballot_floor):
+        init(self, terms, now, 0)
+
+    monkeypatch.setattr(Acceptor, "__init__", init_without_floor)
+
+
+def accept_half_as_majority(monkeypatch):
+    monkeypatch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.acceptors) // 2))
+
+
+def change_nothing(monkeypatch):
+    pass
+
+
+@pytest.mark.parametrize(
+    "mutate, options",
+    [
+        pytest.param(count_lease_from_reply, {}, id="lease counted from the reply"),
+        pytest.param(serve_right_after_restart, {}, id="no silence after a restart"),
+        pytest.param(forget_promised_ballot, {}, id="lower ballot accepted"),
+        pytest.param(lose_persisted_ballot, {"crashes": 3}, id="ballots not persisted"),
+        pytest.param(accept_half_as_majority, {}, id="half of the acceptors as majority"),
+        pytest.param(change_nothing, {"known_drift": 0.0}, id="no allowance for clock drift"),
+    ],
+)
+def test_the_model_checker_detects_a_broken_protocol(mutate, options, monkeypatch):
     mutate(monkeypatch)
-    with pytest.raises(lease_model_checker.InvariantViolationError):
-        explore(4_000, **world)
+    with pytest.raises(InvariantViolationError):
+        random_walks(4_000, **options)
 
 
-def test_the_explorers_command_says_what_it_saw_and_refuses_an_empty_call(capsys):
+def test_the_model_checker_prints_the_states_that_it_visited(capsys):
     assert lease_model_checker.main(["--walks", "20", "--search", "200"]) == 0
     assert "search: 200 states" in capsys.readouterr().out
-    with pytest.raises(SystemExit) as ended:
+
+
+def test_the_model_checker_requires_something_to_do(capsys):
+    with pytest.raises(SystemExit) as exit_info:
         lease_model_checker.main([])
-    assert ended.value.code == 2 and "give --walks N" in capsys.readouterr().err
-    assert proposer_module.MAX_TASKS == 64
+    assert exit_info.value.code == 2
+    assert "give --walks N" in capsys.readouterr().err
