--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -7,7 +7,7 @@
 import click
 
 from lotusroute.cli.options import JSON_OPTION, ExitCode
-from lotusroute.fault_injection.random_scenarios import Outcome, scenario
+from lotusroute.fault_injection.random_scenarios import ScenarioOutcome, run_scenario
 
 
 @click.command()
@@ -24,9 +24,9 @@
     if int(keepers) > processes:
         raise click.UsageError(f"--keepers {keepers}: more than the {processes} processes; give fewer")
     deadline = time.monotonic() + seconds
-    outcomes: list[Outcome] = []
+    outcomes: list[ScenarioOutcome] = []
     while time.monotonic() < deadline:
-        outcome = scenario(seed + len(outcomes), processes, int(keepers))
+        outcome = run_scenario(seed + len(outcomes), processes, int(keepers))
         outcomes.append(outcome)
         _print_progress(outcome)
     summary = _summarize(outcomes)
@@ -40,26 +40,26 @@
     sys.exit(ExitCode.FAILED if summary["breached"] else ExitCode.OK)
 
 
-def _print_progress(outcome: Outcome) -> None:
-    verdict = "BREACH" if outcome.bad else "kept"
+def _print_progress(outcome: ScenarioOutcome) -> None:
+    verdict = "BREACH" if outcome.failed else "kept"
     click.echo(
-        f"seed {outcome.seed}: {verdict}, {outcome.hand_overs} hand-overs, held again "
-        f"{outcome.recovered:.2f} s after: {'; '.join(outcome.faults)}",
+        f"seed {outcome.seed}: {verdict}, {outcome.holder_changes} hand-overs, held again "
+        f"{outcome.recovery_time:.2f} s after: {'; '.join(outcome.faults)}",
         err=True,
     )
-    for breach in outcome.breaches:
-        click.echo(str(breach), err=True)
+    for violation in outcome.violations:
+        click.echo(str(violation), err=True)
 
 
-def _summarize(outcomes: list[Outcome]) -> dict:
-    recovery_times = sorted(outcome.recovered for outcome in outcomes if outcome.recovered >= 0)
+def _summarize(outcomes: list[ScenarioOutcome]) -> dict:
+    recovery_times = sorted(outcome.recovery_time for outcome in outcomes if outcome.recovery_time >= 0)
     recovery = {}
     if recovery_times:
         recovery = {"p50": recovery_times[len(recovery_times) // 2], "worst": recovery_times[-1]}
     return {
         "scenarios": len(outcomes),
-        "breached": [outcome.seed for outcome in outcomes if outcome.bad],
-        "hand_overs": sum(outcome.hand_overs for outcome in outcomes),
+        "breached": [outcome.seed for outcome in outcomes if outcome.failed],
+        "hand_overs": sum(outcome.holder_changes for outcome in outcomes),
         "recovered_s": recovery,
     }
 
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -1,81 +1,113 @@
-"""Judges what the rig saw: no two hold a task at once, no fence falls.
+"""Checks the lease invariants against the log records of a fleet and the faults injected into it.
 
-Owns what counts as a breach in what the processes logged and what was done to them, by the rig's one clock.
-It must never ask a process anything, or take one's word for another.
+At most one process holds a task at any time, and fencing tokens grow from one holder to the next. Times are
+seconds of the clock of the process that reads the logs.
 """
 
 from typing import NamedTuple
 
 from lotusroute.fault_injection.processes import INJECTOR, LogRecord
 
-READING = 0.25  # s between a line's writing and its reading on a busy machine; seen: 0.02
-TAIL = 20  # lines that a breach brings
+MAX_READ_DELAY = 0.25  # s from writing a record to reading it on a busy machine; 0.02 was measured
+CONTEXT_RECORDS = 20  # records shown with a violation
 
 
-class Breach(NamedTuple):
-    """Something that must never be."""
+class Violation(NamedTuple):
+    """A violation of an invariant."""
 
     task: str
-    at: float
-    what: str
-    tail: tuple[LogRecord, ...]
+    time: float
+    description: str
+    context: tuple[LogRecord, ...]  # the last records up to it
 
     def __str__(self) -> str:
-        tail = "\n".join(f"  {line.time:.3f} {line.process} {line.event} {line.fields}" for line in self.tail)
-        return f"{self.task} at {self.at:.3f} s: {self.what}\n{tail}"
+        lines = [f"{self.task} at {self.time:.3f} s: {self.description}"]
+        for record in self.context:
+            lines.append(f"  {record.time:.3f} {record.process} {record.event} {record.fields}")
+        return "\n".join(lines)
 
 
-def judge(lines: list[LogRecord]) -> list[Breach]:
-    """All breaches in what was logged, in order.
+def find_violations(records: list[LogRecord]) -> list[Violation]:
+    """Return all violations, in the order of the records.
 
-    A holder ends with its own word, with its kill, or while it stands still: what stands still acts on
-    nothing, and what it does when it goes on is refused by its fence. It then says that its lease is over.
+    A process stops being a holder when it logs that it lost the lease, when it is killed, and while it is
+    paused: a paused process does nothing, and what it does once it continues is rejected by its fencing
+    token.
 
-    >>> def line(at, name, event, **fields):
-    ...     return LogRecord(at, name, event, {"task": "t", **fields})
-    >>> first = line(1.0, "a", "lease acquired", fence="3")
-    >>> second = line(2.0, "b", "lease acquired", fence="4")
-    >>> [str(breach).split(chr(10))[0] for breach in judge([first, second])]
+    >>> def record(time, process, event, **fields):
+    ...     return LogRecord(time, process, event, {"task": "t", **fields})
+    >>> first = record(1.0, "a", "lease acquired", fence="3")
+    >>> second = record(2.0, "b", "lease acquired", fence="4")
+    >>> [str(violation).split(chr(10))[0] for violation in find_violations([first, second])]
     ['t at 2.000 s: b holds under 4 beside a under 3']
-    >>> judge([first, line(1.9, "a", "lease lost"), second])
+    >>> find_violations([first, record(1.9, "a", "lease lost"), second])
     []
-    >>> len(judge([first, line(1.9, "injector", "stop", of="a"), second])), len(judge([second, first]))
+    >>> paused = record(1.9, "injector", "stop", of="a")
+    >>> len(find_violations([first, paused, second])), len(find_violations([second, first]))
     (0, 2)
     """
-    found: list[Breach] = []
-    holders: dict[str, dict[str, int]] = {}  # by task: who holds, under which fence
-    highest: dict[str, int] = {}
-    still: set[str] = set()  # processes that stand still
-    for at, line in enumerate(lines):
-        task, tail = line.fields.get("task", ""), tuple(lines[max(0, at - TAIL) : at + 1])
-        if line.process == INJECTOR:
-            of = line.fields.get("of", "")
-            if line.event == "kill":
-                still.discard(of)
-                for held in holders.values():
-                    held.pop(of, None)
-            elif line.event == "stop":
-                still.add(of)
-            elif line.event == "continue":
-                still.discard(of)
-        elif line.event == "lease lost":
-            holders.setdefault(task, {}).pop(line.process, None)
-        elif line.event == "lease acquired":
-            fence = int(line.fields["fence"])
-            for name, under in holders.setdefault(task, {}).items():
-                # Its word may only be read a little later than the next one's.
-                said = any(
-                    later[1:3] == (name, "lease lost")
-                    and later.fields.get("task") == task
-                    and later.time < line.time + READING
-                    for later in lines[at:]
-                )
-                if name not in still and not said and name != line.process:
-                    what = f"{line.process} holds under {fence} beside {name} under {under}"
-                    found.append(Breach(task, line.time, what, tail))
-            if fence <= highest.get(task, 0):
-                what = f"{line.process} holds under {fence} after {highest[task]}"
-                found.append(Breach(task, line.time, what, tail))
-            highest[task] = max(fence, highest.get(task, 0))
-            holders[task][line.process] = fence
-    return found
+    checker = _LeaseChecker(records)
+    for index in range(len(records)):
+        checker.check(index)
+    return checker.violations
+
+
+class _LeaseChecker:
+    """The holders after each record, and the violations found so far."""
+
+    def __init__(self, records: list[LogRecord]) -> None:
+        self.records = records
+        self.violations: list[Violation] = []
+        self.holders: dict[str, dict[str, int]] = {}  # by task, the fencing token by process
+        self.highest_tokens: dict[str, int] = {}  # by task
+        self.paused: set[str] = set()  # processes
+
+    def check(self, index: int) -> None:
+        """Check the record at an index, after all before it."""
+        record = self.records[index]
+        task = record.fields.get("task", "")
+        if record.process == INJECTOR:
+            self._apply_fault(record)
+        elif record.event == "lease lost":
+            self.holders.setdefault(task, {}).pop(record.process, None)
+        elif record.event == "lease acquired":
+            self._check_acquired(index, task)
+
+    def _apply_fault(self, fault: LogRecord) -> None:
+        process = fault.fields.get("of", "")
+        if fault.event == "kill":
+            self.paused.discard(process)
+            for tokens in self.holders.values():
+                tokens.pop(process, None)
+        elif fault.event == "stop":
+            self.paused.add(process)
+        elif fault.event == "continue":
+            self.paused.discard(process)
+
+    def _check_acquired(self, index: int, task: str) -> None:
+        process = self.records[index].process
+        token = int(self.records[index].fields["fence"])
+        tokens = self.holders.setdefault(task, {})
+        for other, other_token in tokens.items():
+            ignored = other == process or other in self.paused or self._loses_lease_soon(other, task, index)
+            if not ignored:
+                self._report(index, task, f"{process} holds under {token} beside {other} under {other_token}")
+        highest = self.highest_tokens.get(task, 0)
+        if token <= highest:
+            self._report(index, task, f"{process} holds under {token} after {highest}")
+        self.highest_tokens[task] = max(token, highest)
+        tokens[process] = token
+
+    def _loses_lease_soon(self, process: str, task: str, index: int) -> bool:
+        """Whether the loss of the lease was read only a little later than the next holder's record."""
+        deadline = self.records[index].time + MAX_READ_DELAY
+        return any(
+            (record.process, record.event) == (process, "lease lost")
+            and record.fields.get("task") == task
+            and record.time < deadline
+            for record in self.records[index:]
+        )
+
+    def _report(self, index: int, task: str, description: str) -> None:
+        context = tuple(self.records[max(0, index - CONTEXT_RECORDS) : index + 1])
+        self.violations.append(Violation(task, self.records[index].time, description, context))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,9 +13,9 @@
 from twisted.internet.testing import StringTransport
 
 from lotusroute.errors import InvalidValueError
-from lotusroute.fault_injection.invariants import judge
+from lotusroute.fault_injection.invariants import find_violations
 from lotusroute.fault_injection.processes import ProcessFleet
-from lotusroute.fault_injection.random_scenarios import scenario
+from lotusroute.fault_injection.random_scenarios import run_scenario
 from lotusroute.fleet import acceptor_storage, config
 from lotusroute.fleet.peer_connection import PeerConnection
 from lotusroute.fleet.transport import PeerTransport
@@ -178,7 +178,7 @@
                 third.time, among=tuple(name for name in fleet.names if name != third.process)
             )
         fleet.wait_for(lambda lines: any(line[1:3] == (third.process, "lease lost") for line in lines))
-        assert fourth.process != third.process and judge(fleet.records) == []
+        assert fourth.process != third.process and find_violations(fleet.records) == []
         call = [
             sys.executable,
             "-m",
@@ -241,13 +241,13 @@
             and lost.time < second.time + 0.25
         )
         fleet.proxy.unblock()
-        assert judge(fleet.records) == []
+        assert find_violations(fleet.records) == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_drawn_faults_between_processes_make_no_two_holders_and_somebody_holds_after_them(seed):
-    outcome = scenario(seed)
-    assert outcome.breaches == () and outcome.recovered >= 0, outcome
+    outcome = run_scenario(seed)
+    assert outcome.violations == () and outcome.recovery_time >= 0, outcome
 
 
 def _hears(fleet, names, state, after):
