--- a/lotusroute/fault_injection/random_scenarios.py
+++ b/lotusroute/fault_injection/random_scenarios.py
@@ -81,14 +81,16 @@
 def _wait_for_recovery(fleet: ProcessFleet, healed_at: float) -> float:
     """Return the s until a process holds the lease; -1 if none does in time."""
     try:
-        acquired_at = fleet.wait_for(lambda records: _held_since(records, healed_at), RECOVERY_TIMEOUT)
+        acquired_at = fleet.wait_for(
+            lambda records: _current_lease_start(records, healed_at), RECOVERY_TIMEOUT
+        )
     except AssertionError:
         return -1.0
     assert acquired_at is not None  # wait_for returns true results only
     return max(0.0, acquired_at - healed_at)
 
 
-def _held_since(records: list[LogRecord], healed_at: float) -> float | None:
+def _current_lease_start(records: list[LogRecord], healed_at: float) -> float | None:
     """Return when the current holder acquired its lease; None while there is no holder."""
     holder: LogRecord | None = None
     for record in records:
@@ -192,13 +194,13 @@
         """Partition the fleet in two, most of the time only for a while."""
         names = self.fleet.names
         minority = self.rng.sample(names, self.rng.randint(1, len(names) // 2))
-        listed = ",".join(minority)
-        self.fleet.record_fault(FaultKind.PARTITION, of=listed)
+        joined_names = ",".join(minority)
+        self.fleet.record_fault(FaultKind.PARTITION, of=joined_names)
         self.fleet.proxy.partition(minority, [name for name in names if name not in minority])
         if self.rng.random() < 0.7:
             time.sleep(self.rng.choice((0.2, 1.0, 2.5)))
             self.fleet.proxy.unblock()
-        return f"{FaultKind.PARTITION} {listed}"
+        return f"{FaultKind.PARTITION} {joined_names}"
 
     def _disturb_link(self, kind: FaultKind, process: str, peer: str) -> str:
         proxy = self.fleet.proxy
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -21,7 +21,7 @@
 from lotusroute.errors import ConfigError
 from lotusroute.fleet import acceptor_storage
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import OBSERVER, SHOW, CallError
+from lotusroute.fleet.peer_connection import OBSERVER, SHOW_CALL, CallError
 from lotusroute.fleet.transport import PeerTransport, ignore_peer
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor, AcceptorState, PersistBallots
 from lotusroute.leases.messages import (
@@ -42,7 +42,7 @@
 from lotusroute.leases.proposer import Proposer, ProposerState
 from lotusroute.net.structured_log import log_event
 
-FREED = "freed"  # the kind of the call that notifies a waiting proposer of a release
+RELEASED_CALL = "freed"  # the kind of the call that notifies a waiting proposer of a release
 MIN_TICK_INTERVAL = 5.0  # ms
 
 
@@ -209,11 +209,11 @@
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
         """Handle a call of a peer and return the response's body; raises `CallError` to reject it."""
-        if kind == SHOW:
+        if kind == SHOW_CALL:
             return msgspec.json.encode(self.show())
         if peer == OBSERVER:
             raise CallError("a command may only look")
-        if kind == FREED:
+        if kind == RELEASED_CALL:
             self.handle_event(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
         if kind in self.call_handlers:
@@ -252,7 +252,7 @@
         if peer == self.name:
             self.reactor.callLater(0, self._on_local_release, released)
             return
-        call = self.transport.call_inbound(peer, FREED, msgspec.msgpack.encode(released))
+        call = self.transport.call_inbound(peer, RELEASED_CALL, msgspec.msgpack.encode(released))
         call.addErrback(self._on_call_failed)
 
     def _on_local_release(self, released: LeaseReleased) -> None:
@@ -307,7 +307,7 @@
     return {
         "holds": holds,
         "fence": state.ballot if holds else 0,
-        "left_ms": round(state.held_until - now) if holds else 0,
+        "left_ms": round(state.expires_at - now) if holds else 0,
         "step": state.phase,
         "asks_in_ms": round(retry_in),
         "highest_seen": state.highest_ballot,
@@ -319,5 +319,5 @@
         "holder": state.holder,
         "fence": state.ballot,
         "promised": state.promised,
-        "left_ms": round(max(0.0, state.held_until - now)) if state.holder else 0,
+        "left_ms": round(max(0.0, state.expires_at - now)) if state.holder else 0,
     }
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -27,7 +27,7 @@
 HELLO_TIMEOUT = 2.0  # s for a new connection to identify itself
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
 
-SHOW = "show"  # the kind of the call that reads a balancer's status
+SHOW_CALL = "show"  # the kind of the call that reads a balancer's status
 
 CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]
 
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -20,7 +20,7 @@
 from lotusroute.fleet.peer_connection import (
     HELLO_TIMEOUT,
     OBSERVER,
-    SHOW,
+    SHOW_CALL,
     CallError,
     CallFailure,
     CallHandler,
@@ -222,7 +222,7 @@
     endpoint = endpoints.TCP4ClientEndpoint(reactor, host, port, timeout=CONNECT_TIMEOUT)
     query = endpoints.connectProtocol(endpoint, connection)
     query.addCallback(lambda _: connection.send_hello(config.name, OBSERVER))
-    query.addCallback(lambda _: connection.call(SHOW, b""))
+    query.addCallback(lambda _: connection.call(SHOW_CALL, b""))
     query.addTimeout(CONNECT_TIMEOUT + HELLO_TIMEOUT, reactor)
 
     def close(result: bytes | Failure) -> bytes | Failure:
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -30,7 +30,7 @@
     promised: int = 0  # the highest ballot that it has promised
     ballot: int = 0  # of the last holder
     holder: str = ""
-    held_until: float = -math.inf
+    expires_at: float = -math.inf
     contended_at: float = -math.inf  # when a proposer other than the holder last asked for it
     waiters: tuple[str, ...] = ()  # the latest MAX_WAITERS that were rejected; cleared when notified
 
@@ -89,9 +89,9 @@
     """
     if isinstance(request, Release):
         return _apply_release(state, now, request)
-    if now < state.held_until and state.holder != request.proposer:
+    if now < state.expires_at and state.holder != request.proposer:
         # No promise either: it would end the holder's renewals here although nobody else gets the task.
-        return _reject_while_held(state, now, request)
+        return _reject_while_leased(state, now, request)
     if isinstance(request, Prepare):
         return _apply_prepare(state, request)
     return _apply_propose(state, now, request, terms)
@@ -99,19 +99,19 @@
 
 def _apply_release(state: AcceptorState, now: float, request: Release) -> tuple[AcceptorState, Reply]:
     if state.holder == request.proposer and state.ballot == request.ballot:
-        state = state._replace(held_until=min(state.held_until, now), waiters=())
+        state = state._replace(expires_at=min(state.expires_at, now), waiters=())
     return state, accept(request, highest_ballot=state.promised)
 
 
-def _reject_while_held(
+def _reject_while_leased(
     state: AcceptorState, now: float, request: Prepare | Propose
 ) -> tuple[AcceptorState, Reply]:
     """Reject a request of another proposer than the holder, and remember that it is waiting."""
     other_waiters = [name for name in state.waiters if name != request.proposer]
     waiters = (*other_waiters, request.proposer)[-MAX_WAITERS:]
     state = state._replace(contended_at=now, waiters=waiters)
-    remaining = state.held_until - now
-    reply = reject(request, RejectReason.LEASE_HELD, highest_ballot=state.promised, remaining=remaining)
+    remaining = state.expires_at - now
+    reply = reject(request, RejectReason.LEASED, highest_ballot=state.promised, remaining=remaining)
     return state, reply
 
 
@@ -134,7 +134,7 @@
         promised=request.ballot,
         ballot=request.ballot,
         holder=request.proposer,
-        held_until=now + request.lease_duration,
+        expires_at=now + request.lease_duration,
     )
     return state, accept(request, highest_ballot=request.ballot, contended=contended)
 
@@ -184,8 +184,8 @@
 
     def _evict_expired(self, now: float) -> bool:
         """Forget the task that expired first; the floor keeps its ballots from being promised again."""
-        task, state = min(self.states.items(), key=lambda item: item[1].held_until)
-        if state.held_until + self.terms.lease_duration > now:
+        task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
+        if state.expires_at + self.terms.lease_duration > now:
             return False
         self.ballot_floor = max(self.ballot_floor, state.promised)
         del self.states[task]
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -40,7 +40,7 @@
     """Why an acceptor rejects a request; the value is on the wire and part of a counter's name."""
 
     NOT_READY = "silent"  # it restarted less than a lease ago, or the ballot is not persisted yet
-    LEASE_HELD = "held"  # another proposer holds the lease here
+    LEASED = "held"  # another proposer holds the lease here
     BALLOT_TOO_LOW = "low"  # it has promised an equal or higher ballot
     OUT_OF_RANGE = "long"  # ballot or lease duration outside the permitted range
     TASK_LIMIT = "full"  # it tracks the maximum number of tasks already
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -53,20 +53,20 @@
     phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
     accepted_by: frozenset[str] = frozenset()
     rejected_by: frozenset[str] = frozenset()
-    held_until: float = NEVER  # it considers itself the holder before this time
-    held_since: float = 0.0
+    expires_at: float = NEVER  # it considers itself the holder before this time
+    acquired_at: float = 0.0  # when it became the holder; renewals do not change it
     retry_at: float = NEVER  # it does not prepare again before this time
     highest_ballot: int = 0  # the highest ballot seen in any reply
     contended: bool = False  # an acceptor reported that another proposer asked for the task
 
     @property
-    def acquired(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether it holds a lease, or held one whose expiry has not been handled yet."""
-        return self.held_until > NEVER
+        return self.expires_at > NEVER
 
     def holds(self, now: float) -> bool:
         """Whether the lease is this proposer's at that time."""
-        return now < self.held_until
+        return now < self.expires_at
 
 
 class Proposer:
@@ -136,19 +136,19 @@
     def _deadlines(self, state: ProposerState) -> list[float]:
         """Return the times at which `_check_deadlines` has something to do for a task."""
         deadlines = []
-        if state.acquired:
-            deadlines.append(state.held_until)
+        if state.has_lease:
+            deadlines.append(state.expires_at)
             if state.phase == Phase.IDLE:
                 deadlines.append(self._renewal_due(state))
         if state.phase != Phase.IDLE:
             deadlines.append(state.phase_started_at + self.terms.request_timeout)
-        elif state.requested and not state.acquired:
+        elif state.requested and not state.has_lease:
             deadlines.append(state.retry_at)
         return deadlines
 
     def _renewal_due(self, state: ProposerState) -> float:
         """Return when a lease is renewed."""
-        return max(state.retry_at, state.held_until - self.terms.holder_duration * (1 - RENEW_FRACTION))
+        return max(state.retry_at, state.expires_at - self.terms.holder_duration * (1 - RENEW_FRACTION))
 
     def _yield_if_stalled(self, now: float) -> None:
         """Give up all leases after a stall: another process will serve the tasks better."""
@@ -159,7 +159,7 @@
     def _check_deadlines(self, task: str, now: float) -> None:
         """Do what is due by time alone: expiry, a phase that timed out, renewal, the next attempt."""
         state = self.states[task]
-        if state.acquired and not state.holds(now):
+        if state.has_lease and not state.holds(now):
             state = self._give_up_lease(task, now, "expired")
         if state.phase != Phase.IDLE and now >= state.phase_started_at + self.terms.request_timeout:
             state = self._abandon_phase(task, state, now)
@@ -221,7 +221,7 @@
         if len(state.accepted_by) >= self.terms.majority:
             state = self._on_majority(task, state, now)
         elif len(state.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
-            remaining = reply.remaining if reply.reason == RejectReason.LEASE_HELD else 0.0
+            remaining = reply.remaining if reply.reason == RejectReason.LEASED else 0.0
             state = self._abandon_phase(task, state, now, remaining)
         self.states[task] = state
 
@@ -231,14 +231,14 @@
             # The holder's duration starts before the proposal is sent: acceptors count from its arrival.
             return self._start_phase(task, state, Phase.PROPOSE, now)
         renewed = state.holds(now)
-        held_until = state.phase_started_at + self.terms.holder_duration
-        if now >= held_until:
+        expires_at = state.phase_started_at + self.terms.holder_duration
+        if now >= expires_at:
             return self._abandon_phase(task, state, now)
-        held_since = state.held_since if renewed else now
-        state = state._replace(phase=Phase.IDLE, held_until=held_until, held_since=held_since)
+        acquired_at = state.acquired_at if renewed else now
+        state = state._replace(phase=Phase.IDLE, expires_at=expires_at, acquired_at=acquired_at)
         if not renewed:
             self.actions.append(LeaseAcquired(task, state.ballot))
-        elif state.contended and now - state.held_since >= self.terms.max_tenure:
+        elif state.contended and now - state.acquired_at >= self.terms.max_tenure:
             self.states[task] = state
             state = self._give_up_lease(task, now, "tenure ended", self.terms.lease_duration)
         return state
@@ -259,11 +259,11 @@
     def _give_up_lease(self, task: str, now: float, reason: str, cooldown: float = 0.0) -> ProposerState:
         """Stop holding a task, and do not ask for it again before `cooldown` ms have passed."""
         state = self.states[task]
-        if state.acquired:
+        if state.has_lease:
             self.actions.append(LeaseLost(task, reason))
-        if state.acquired or state.phase == Phase.PROPOSE:
+        if state.has_lease or state.phase == Phase.PROPOSE:
             self._broadcast(Release(task, state.ballot, self.name, state.round))
         retry_at = max(state.retry_at, now + cooldown)
-        state = state._replace(phase=Phase.IDLE, held_until=NEVER, retry_at=retry_at)
+        state = state._replace(phase=Phase.IDLE, expires_at=NEVER, retry_at=retry_at)
         self.states[task] = state
         return state
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -181,7 +181,7 @@
 
 def test_a_keeper_that_is_silent_or_full_answers_these_bytes(tmp_path):
     part = _part("a", tmp_path)
-    part.acceptor.states = {str(at): AcceptorState(held_until=NOW) for at in range(256)}
+    part.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
     assert part.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO + b"\xc2"
     part.acceptor = Acceptor(part.config.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -227,11 +227,11 @@
     acceptor.handle(0.0, Prepare("t", 3, "a", 1))
     assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0)).reply.accepted
     reply = acceptor.handle(1_000.0, Prepare("t", 4, "b", 1)).reply
-    assert (reply.reason, reply.remaining) == (RejectReason.LEASE_HELD, 2_000.0)
+    assert (reply.reason, reply.remaining) == (RejectReason.LEASED, 2_000.0)
     assert acceptor.handle(1_100.0, Propose("t", 3, "a", 4, 3_000.0)).reply.contended
     # A release by another process than the holder has no effect.
     assert acceptor.handle(1_200.0, Release("t", 3, "b", 1)).reply.accepted
-    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2)).reply.reason == RejectReason.LEASE_HELD
+    assert acceptor.handle(1_300.0, Prepare("t", 4, "b", 2)).reply.reason == RejectReason.LEASED
     acceptor.handle(1_400.0, Release("t", 3, "a", 5))
     assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3)).reply.accepted
 
