--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -51,31 +51,16 @@
 
 def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
     """Build the reply that accepts a request."""
-    return Reply(
-        request.task,
-        request.ballot,
-        request.kind,
-        request.round,
-        accepted=True,
-        highest_ballot=highest_ballot,
-        contended=contended,
-    )
+    identity = (request.task, request.ballot, request.kind, request.round)
+    return Reply(*identity, accepted=True, highest_ballot=highest_ballot, contended=contended)
 
 
 def reject(
     request: LeaseRequest, reason: RejectReason, *, highest_ballot: int, remaining: float = 0.0
 ) -> Reply:
     """Build the reply that rejects a request."""
-    return Reply(
-        request.task,
-        request.ballot,
-        request.kind,
-        request.round,
-        accepted=False,
-        reason=reason,
-        highest_ballot=highest_ballot,
-        remaining=remaining,
-    )
+    identity = (request.task, request.ballot, request.kind, request.round)
+    return Reply(*identity, accepted=False, reason=reason, highest_ballot=highest_ballot, remaining=remaining)
 
 
 def apply_request(
