--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -402,7 +402,7 @@
     others = other_processes(fleet, holder.process)
     shared.wait_until_shared(others)
     time.sleep(4.2)  # the polls that the others had begun end
-    assert shared.count_polls(3.0) <= 2  # one long poll of 4 s; three processes would make three
+    assert shared.count_polls(3.0) <= 2  # one process with long polls of 2 s; three would make more
     assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
 
     fleet.kill(holder.process)
