--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -3,7 +3,7 @@
 The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
 discovery themselves once no message has come for `HOLDER_TIMEOUT`, or while the holder has a newer version
 than they do. Updates under a lower fencing token than one seen are rejected, and a holder that discovery does
-not answer stays silent. This is an `UpdateSource` of the discovery client.
+not answer stays silent. `Discovery` uses it as an `UpdateSource`.
 """
 
 from typing import Any
@@ -71,7 +71,7 @@
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
-        """Make a waiting `wait_for_turn` check again whether to poll."""
+        """Make a pending `wait_for_turn` check again whether to poll."""
         waiting = self.waiting
         self.waiting = None
         if waiting is not None:
