--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -1,12 +1,15 @@
 """The file that names the relays to a balancer (`LB_RELAYS`)."""
 
 import os
-import pathlib
-import tomllib
 from typing import Any, NamedTuple
 
-from lotusroute.errors import ConfigError, InvalidValueError
-from lotusroute.net.config import parse_address
+from lotusroute.config_validation import (
+    check_known_keys,
+    load_toml_config,
+    parse_address_entry,
+    parse_fleet_name,
+)
+from lotusroute.errors import ConfigError
 
 KEYS = {"name", "zone", "relays"}
 
@@ -23,11 +26,7 @@
 
 def load_relays_config(path: str | os.PathLike) -> RelaysConfig:
     """Read the file; raises ConfigError, which names the file, the key and the correction."""
-    try:
-        settings = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
-        return parse_relays_config(settings)
-    except (OSError, ValueError, InvalidValueError) as error:
-        raise ConfigError(f"LB_RELAYS: {path}: {error}") from None
+    return load_toml_config("LB_RELAYS", path, parse_relays_config)
 
 
 def parse_relays_config(settings: dict[str, Any]) -> RelaysConfig:
@@ -37,12 +36,8 @@
     >>> parse_relays_config({"name": "f", "zone": "a", "relays": tables}).local
     {'r1': ('127.0.0.1', 1)}
     """
-    unknown = sorted(set(settings) - KEYS)
-    if unknown:
-        raise ConfigError(f"{unknown[0]}: no such key; there are {', '.join(sorted(KEYS))}")
-    fleet = settings.get("name")
-    if not isinstance(fleet, str) or not fleet:
-        raise ConfigError("name: not set; give the fleet's")
+    check_known_keys(settings, KEYS)
+    fleet = parse_fleet_name(settings)
     own_zone = settings.get("zone")
     if not isinstance(own_zone, str):
         raise ConfigError("zone: give this balancer's")
@@ -53,7 +48,7 @@
             if relay in config.local or relay in config.remote:
                 raise ConfigError(f"{key}: the name stands twice")
             relays = config.local if zone == own_zone else config.remote
-            relays[relay] = _parse_relay_address(key, address)
+            relays[relay] = parse_address_entry(key, address)
     return config
 
 
@@ -62,10 +57,3 @@
     if not tables or not all(isinstance(table, dict) and table for table in tables.values()):
         raise ConfigError('relays: give a table for each zone, as [relays.a] with r1 = "HOST:PORT"')
     return tables
-
-
-def _parse_relay_address(key: str, address: object) -> Address:
-    try:
-        return parse_address(str(address))
-    except InvalidValueError as error:
-        raise ConfigError(f"{key}: {error}") from None
