--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -6,14 +6,19 @@
 
 from typing import NamedTuple
 
+from lotusroute.errors import LotusrouteError
 from lotusroute.fault_injection.processes import INJECTOR, LogRecord
 
 MAX_READ_DELAY = 0.25  # s from writing a record to reading it on a busy machine; 0.02 was measured
 CONTEXT_RECORDS = 20  # records shown with a violation
 
 
+class InvariantViolationError(LotusrouteError):
+    """A model checker found a state in which an invariant does not hold; the message says which."""
+
+
 class Violation(NamedTuple):
-    """A violation of an invariant."""
+    """A violation of an invariant that was found in log records."""
 
     task: str
     time: float
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -13,6 +13,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
+from lotusroute.fault_injection.invariants import InvariantViolationError
 from lotusroute.leases.acceptor import BALLOT_LIMIT, Acceptor, AcceptorState
 from lotusroute.leases.messages import (
     LeaseAcquired,
@@ -33,10 +34,6 @@
 DRIFT = 0.2  # far more than real clocks have, so that it shows in whole steps
 
 
-class InvariantViolationError(Exception):
-    """An invariant does not hold; the message says which, and the transitions that led there."""
-
-
 class LowerBoundRng(random.Random):
     """Samples the lower bound: the checker explores interleavings, not backoffs."""
 
--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -11,8 +11,8 @@
 from collections import deque
 from typing import NamedTuple
 
+from lotusroute.fault_injection.invariants import InvariantViolationError
 from lotusroute.fault_injection.lease_model import (
-    InvariantViolationError,
     LeaseModel,
     ModelState,
     Transition,
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -18,7 +18,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from lotusroute.errors import LotusrouteError
+from lotusroute.fault_injection.invariants import InvariantViolationError
 from lotusroute.relay.fanout import (
     ACKNOWLEDGEMENT_TIMEOUT,
     COALESCE_DELAY,
@@ -47,10 +47,6 @@
 RECOVERY_TICKS = 400  # without faults, within which all have to converge
 
 
-class InvariantViolationError(LotusrouteError):
-    """An invariant does not hold; the message says which, and where."""
-
-
 class Envelope(NamedTuple):
     """A message in flight; a version is the acknowledgement of an update."""
 
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -8,10 +8,11 @@
 from collections import Counter
 from collections.abc import Callable
 from enum import StrEnum
-from typing import Protocol
+from typing import NoReturn, Protocol
 
 from twisted.internet import defer
 from twisted.internet.base import DelayedCall, ReactorBase
+from twisted.internet.protocol import connectionDone
 from twisted.protocols import amp
 from twisted.python.failure import Failure
 
@@ -128,7 +129,7 @@
         """Close the connection after an unknown command or an invalid response."""
         self._abort_malformed()
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Fail all calls in flight, which AMP does, and inform the manager."""
         super().connectionLost(reason)
         self._cancel_hello_timer()
@@ -176,7 +177,7 @@
         response = defer.maybeDeferred(self.manager.handle_call, self.peer, kind, body)
         return response.addCallbacks(lambda result: {"body": result}, self._call_rejected)
 
-    def _call_rejected(self, failure: Failure) -> None:
+    def _call_rejected(self, failure: Failure) -> NoReturn:
         self.manager.counters["peer_calls_rejected"] += 1
         raise CallError(str(failure.value)[:200])
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,7 +5,8 @@
 import pytest
 
 from lotusroute.fault_injection import lease_model_checker
-from lotusroute.fault_injection.lease_model import InvariantViolationError, LeaseModel
+from lotusroute.fault_injection.invariants import InvariantViolationError
+from lotusroute.fault_injection.lease_model import LeaseModel
 from lotusroute.leases import acceptor as acceptor_module
 from lotusroute.leases import proposer as proposer_module
 from lotusroute.leases.acceptor import BALLOT_BLOCK, Acceptor
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 from lotusroute.cli import root_group
 from lotusroute.errors import ConfigError
 from lotusroute.fault_injection import relay_model_checker
-from lotusroute.fault_injection.relay_model_checker import InvariantViolationError
+from lotusroute.fault_injection.invariants import InvariantViolationError
 from lotusroute.relay import fanout as fanout_module
 from lotusroute.relay import messages, versioned_store
 from lotusroute.relay.config import load_relays_config, parse_relays_config
