--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -55,7 +55,7 @@
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
-    # Called by Discovery
+    # The UpdateSource of the discovery client
 
     async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to poll discovery itself, or this discovery is closed."""
