--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -19,52 +19,60 @@
     __slots__ = (
         "number",
         "opening",
-        "kind",
-        "due",
-        "client",
-        "link",
+        "service_type",
+        "deadline",
+        "downstream",
+        "upstream",
         "timer",
-        "up",
-        "left",
-        "tries",
-        "began",
-        "until",
-        "ran_at",
+        "established",
+        "client_left_at",
+        "attempts",
+        "attempt_started_at",
+        "attempt_deadline",
+        "may_have_run_since",
     )
 
     def __init__(
         self,
         number: int,
         opening: OpenRequest,
-        kind: events.ServiceType,
-        due: float,
-        client: DownstreamConnection,
+        service_type: events.ServiceType,
+        deadline: float,
+        downstream: DownstreamConnection,
     ) -> None:
-        self.number, self.opening, self.kind, self.due, self.client = number, opening, kind, due, client
-        self.link: UpstreamAttempt | None = None  # the connect in flight, or the connection; one at a time
+        self.number = number
+        self.opening = opening
+        self.service_type = service_type
+        self.deadline = deadline
+        self.downstream = downstream
+        self.upstream: UpstreamAttempt | None = None  # the attempt, or its connection; one at a time
         self.timer = None
-        self.up, self.left, self.tries, self.began, self.until = False, 0.0, 0, 0.0, 0.0
-        self.ran_at: float | None = None  # when the first connect that may have run was begun
+        self.established = False
+        self.client_left_at = 0.0
+        self.attempts = 0
+        self.attempt_started_at = 0.0
+        self.attempt_deadline = 0.0
+        self.may_have_run_since: float | None = None  # start of the first attempt that may have run
 
-    def over(self, result: str) -> None:
+    def record_attempt_result(self, result: str) -> None:
         """A connect has ended so. That it may have run stays true whatever becomes of the next one: a stop
         that looked at the connect in flight alone told clients that to come again is harmless."""
-        if result not in events.NEVER_RAN and self.ran_at is None:
-            self.ran_at = self.began
+        if result not in events.NEVER_RAN and self.may_have_run_since is None:
+            self.may_have_run_since = self.attempt_started_at
 
-    def refusal(self, busy: bytes) -> bytes:
+    def final_rejection(self, busy: bytes) -> bytes:
         """The last word where nothing more is tried: `busy` where to come again is harmless, else ERR."""
-        return busy if self.kind.safe_to_retry(self.ran_at is not None) else ERR
+        return busy if self.service_type.safe_to_retry(self.may_have_run_since is not None) else ERR
 
     def may_send(self, now: float, grace: float) -> bool:
         """Whether the line may be sent now that its connection is up. Not when the client has left meanwhile,
         its time or the window of its repeats is over, or so long has passed that a drain may have been told
         just after the connect was begun, and not been read by a balancer that was held up."""
-        if now >= self.until or self.client.left():
+        if now >= self.attempt_deadline or self.downstream.left():
             return False
         if self.opening.at:
             return True  # it stood there before the run
-        kind, ran_at = self.kind, self.ran_at
+        kind, ran_at = self.service_type, self.may_have_run_since
         if kind.effect == events.IDEMPOTENCY_KEY and ran_at is not None and now >= ran_at + kind.dedup_window:
             return False
-        return now < self.began + max(grace, LEAST_GRACE)
+        return now < self.attempt_started_at + max(grace, LEAST_GRACE)
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -168,20 +168,20 @@
 
     def _forget(self, number: int) -> None:
         """Answer a flow over which something broke, so that it is not lost."""
-        held = self.flows.get(number)
-        if held is not None:
-            self._drop(held)
-            self._hang_up(held)
-            if held.up:
-                held.client.move()
+        flow = self.flows.get(number)
+        if flow is not None:
+            self._drop(flow)
+            self._hang_up(flow)
+            if flow.established:
+                flow.downstream.move()
             else:
-                held.client.answer(ERR)
+                flow.downstream.answer(ERR)
             self.put(events.ClientDisconnected(number))
 
-    def _drop(self, held: ActiveFlow) -> None:
+    def _drop(self, flow: ActiveFlow) -> None:
         """A flow is answered, or its connection over. Only those who copied its id use it again."""
-        del self.flows[held.number]
-        self.ended.append((self.clock(), held.opening.id))
+        del self.flows[flow.number]
+        self.ended.append((self.clock(), flow.opening.id))
 
     def _later(self, ms: float, event: object):
         return reactor.callLater(max(0.0, ms) / 1000, self.put, event)
@@ -212,21 +212,21 @@
             self.ids.add(opening.id)
             due = event.at + opening.wait - min(MARGIN, MARGIN_SHARE * opening.wait)
             kind = self.posting.vip.service_types[opening.service_type]
-            held = self.flows[self.next] = ActiveFlow(self.next, opening, kind, due, side)
-            side.number = held.number
+            flow = self.flows[self.next] = ActiveFlow(self.next, opening, kind, due, side)
+            side.number = flow.number
             self._trace(
                 "flow requested",
-                held,
+                flow,
                 c=opening.service_type,
                 g=opening.group,
                 returned=opening.returned,
                 at=opening.at,
             )
             if opening.at:
-                held.due = min(held.due, event.at + STAND_LONGEST)
-                self._stand(held)
+                flow.deadline = min(flow.deadline, event.at + STAND_LONGEST)
+                self._stand(flow)
             else:
-                self._decide(self._flow(held))
+                self._decide(self._flow(flow))
 
     def _unusable(self, opening: OpenRequest) -> bool:
         """Whether no server could use it. The id of an open flow, sent by another client, had servers answer
@@ -235,10 +235,10 @@
         unknown = opening.service_type not in self.posting.vip.service_types
         return unknown or opening.id in self.ids or bool(tenants and tenant and tenant not in tenants)
 
-    def _flow(self, held: ActiveFlow) -> events.Flow:
-        o = held.opening
+    def _flow(self, flow: ActiveFlow) -> events.Flow:
+        o = flow.opening
         return events.Flow(
-            held.number, o.service_type, o.tenant, o.group, o.key, held.due, reconnecting=o.returned
+            flow.number, o.service_type, o.tenant, o.group, o.key, flow.deadline, reconnecting=o.returned
         )
 
     def _turn_away(self, side: DownstreamConnection, advice: float) -> None:
@@ -250,136 +250,136 @@
         advice = round(min(advice, self.posting.vip.max_retry_after))
         return b"%b %d" % (BUSY, advice) if advice > 0 else BUSY
 
-    def _stand(self, held: ActiveFlow) -> None:
+    def _stand(self, flow: ActiveFlow) -> None:
         """A connection that stood before we started goes to its server, undecided."""
-        if held.opening.at in self.dials:
-            held.tries += 1
-            self._begin(held, held.opening.at, min(held.due, self.clock() + STAND))
+        if flow.opening.at in self.dials:
+            flow.attempts += 1
+            self._begin(flow, flow.opening.at, min(flow.deadline, self.clock() + STAND))
         else:
-            self._stand_again(held)
+            self._stand_again(flow)
 
-    def _stand_again(self, held: ActiveFlow) -> None:
-        if held.tries >= self.posting.vip.max_attempts or self.clock() + AGAIN >= held.due:
+    def _stand_again(self, flow: ActiveFlow) -> None:
+        if flow.attempts >= self.posting.vip.max_attempts or self.clock() + AGAIN >= flow.deadline:
             self.counters["existing_connections_lost"] += 1
-            self._answer(held, ERR)
+            self._answer(flow, ERR)
         else:
-            self._later(AGAIN * max(1, held.tries), RetryExisting(held.number))
+            self._later(AGAIN * max(1, flow.attempts), RetryExisting(flow.number))
 
     def _again(self, event: RetryExisting) -> None:
-        held = self.flows.get(event.number)
-        if held is not None and not held.up:
-            self._stand(held)
+        flow = self.flows.get(event.number)
+        if flow is not None and not flow.established:
+            self._stand(flow)
 
-    def _begin(self, held: ActiveFlow, server: str, until: float) -> None:
-        if held.client.left():
+    def _begin(self, flow: ActiveFlow, server: str, until: float) -> None:
+        if flow.downstream.left():
             # Its end lay unread behind its own lines when an earlier connect failed: the next was begun.
-            self._left(DownstreamClosed(held.number))
+            self._left(DownstreamClosed(flow.number))
             return
-        now = held.began = self.clock()
+        now = flow.attempt_started_at = self.clock()
         wait = until - now
-        link = held.link = UpstreamAttempt(
-            held.number,
+        link = flow.upstream = UpstreamAttempt(
+            flow.number,
             server,
-            held.opening.rewritten(wait),
+            flow.opening.rewritten(wait),
             self.put,
             self.clock,
             self.counters,
-            may_send=lambda: held.may_send(self.clock(), self.posting.grace),
+            may_send=lambda: flow.may_send(self.clock(), self.posting.grace),
         )
         limit = self.posting.come_up
-        held.until = until
+        flow.attempt_deadline = until
         link.start(self.dials[server], wait < limit)
-        held.timer = self._later(min(limit, wait), AttemptTimedOut(held.number, link))
+        flow.timer = self._later(min(limit, wait), AttemptTimedOut(flow.number, link))
         self.counters["connects"] += 1
-        self._trace("connect started", held, server=server, wait=wait)
+        self._trace("connect started", flow, server=server, wait=wait)
 
     def _answered(self, event: ReceiptReceived) -> None:
-        held = self.flows.get(event.number)
-        if held is None or held.link is not event.link:
+        flow = self.flows.get(event.number)
+        if flow is None or flow.upstream is not event.link:
             self.counters["late_receipts"] += 1
             event.link.abort()
             return
-        if held.client.gone:
-            # It broke off in the turn in which the receipt came; its `DownstreamClosed` is queued behind this.
-            self._left(DownstreamClosed(held.number))
+        if flow.downstream.gone:
+            # It broke off in the reactor turn of the receipt; its `DownstreamClosed` is queued behind this.
+            self._left(DownstreamClosed(flow.number))
             return
-        self._quiet(held)
-        held.up = True
+        self._quiet(flow)
+        flow.established = True
         self.counters["established"] += 1
         server = event.link.server
-        self._trace("established", held, server=server, ms=self.clock() - held.began)
-        held.client.join(event.link, event.receipt)
+        self._trace("established", flow, server=server, ms=self.clock() - flow.attempt_started_at)
+        flow.downstream.join(event.link, event.receipt)
         if server in self.draining:
             self._step_on()
-        if held.opening.at:
-            self._decide(events.ExistingConnection(self._flow(held), server))
+        if flow.opening.at:
+            self._decide(events.ExistingConnection(self._flow(flow), server))
         else:
-            self._decide(events.Established(held.number, server))
+            self._decide(events.Established(flow.number, server))
 
     def _fell(self, event: AttemptEnded) -> None:
-        held = self.flows.get(event.number)
-        if held is None or held.link is not event.link:
+        flow = self.flows.get(event.number)
+        if flow is None or flow.upstream is not event.link:
             return
-        self._ended(held, event.result)
+        self._ended(flow, event.result)
 
     def _overdue(self, event: AttemptTimedOut) -> None:
         """The time to come up, or all time, has passed. That comes through the queue, behind whatever the
         sockets brought while we were held up: a stall of ours must not have healthy servers set aside."""
-        held, link = self.flows.get(event.number), event.link
-        if held is None or held.link is not link or link.reach >= STANDING:
+        flow, link = self.flows.get(event.number), event.link
+        if flow is None or flow.upstream is not link or link.reach >= STANDING:
             return
-        left = held.until - self.clock()
+        left = flow.attempt_deadline - self.clock()
         if link.reach > CONNECTING and left > 0:
-            held.timer = self._later(left, event)
+            flow.timer = self._later(left, event)
         else:
-            self._ended(held, link.abort())
+            self._ended(flow, link.abort())
 
-    def _ended(self, held: ActiveFlow, result: str) -> None:
+    def _ended(self, flow: ActiveFlow, result: str) -> None:
         """A connect, or the connection that came of it, is over."""
-        self._quiet(held)
-        server, came, held.link = held.link.server, REACHES[held.link.came], None
+        self._quiet(flow)
+        server, came, flow.upstream = flow.upstream.server, REACHES[flow.upstream.came], None
         self.counters[f"ended_{result}"] += 1
-        self._trace("connection ended", held, server=server, result=result, came=came)
-        if held.up:
-            self._drop(held)
-            self._decide(events.ConnectionEnded(held.number, server, True, result))
+        self._trace("connection ended", flow, server=server, result=result, came=came)
+        if flow.established:
+            self._drop(flow)
+            self._decide(events.ConnectionEnded(flow.number, server, True, result))
             return
-        held.over(result)
-        if held.opening.at:
-            if result in events.NEVER_RAN or held.kind.effect == events.IDEMPOTENT:
-                self._stand_again(held)
+        flow.record_attempt_result(result)
+        if flow.opening.at:
+            if result in events.NEVER_RAN or flow.service_type.effect == events.IDEMPOTENT:
+                self._stand_again(flow)
             else:
                 self.counters["existing_connections_lost"] += 1
-                self._answer(held, ERR)
+                self._answer(flow, ERR)
         else:
-            self._decide(events.ConnectionEnded(held.number, server, False, result))
-            if held.link is None and held.number in self.flows:
+            self._decide(events.ConnectionEnded(flow.number, server, False, result))
+            if flow.upstream is None and flow.number in self.flows:
                 raise RuntimeError("flow left without a connect or an answer")
 
     def _left(self, event: DownstreamClosed) -> None:
-        held = self.flows.get(event.number)
-        if held is None:
+        flow = self.flows.get(event.number)
+        if flow is None:
             return
-        if held.up:
+        if flow.established:
             # Its server ends it now, or has ended it; one that is gone never will.
-            if not held.left:
-                held.left = self.clock()
-                held.timer = self._later(GOING, CloseGraceExpired(held.number))
+            if not flow.client_left_at:
+                flow.client_left_at = self.clock()
+                flow.timer = self._later(GOING, CloseGraceExpired(flow.number))
             return
         self.counters["client_disconnects"] += 1
-        self._trace("client disconnected", held, server=held.link and held.link.server)
-        self._drop(held)
-        self._hang_up(held)
-        held.client.answer(ERR)
-        if not held.opening.at:
-            self._decide(events.ClientDisconnected(held.number))
+        self._trace("client disconnected", flow, server=flow.upstream and flow.upstream.server)
+        self._drop(flow)
+        self._hang_up(flow)
+        flow.downstream.answer(ERR)
+        if not flow.opening.at:
+            self._decide(events.ClientDisconnected(flow.number))
 
     def _gone(self, event: CloseGraceExpired) -> None:
-        held = self.flows.get(event.number)
-        if held is not None:
-            held.link.abort()
-            held.client.half_close()
-            self._ended(held, events.CANCELLED)
+        flow = self.flows.get(event.number)
+        if flow is not None:
+            flow.upstream.abort()
+            flow.downstream.half_close()
+            self._ended(flow, events.CANCELLED)
 
     def _loaded(self, event: LoadReported) -> None:
         if LOGGER.isEnabledFor(logging.DEBUG):
@@ -423,14 +423,14 @@
     def _withdraw(self) -> None:
         """Connects that have not come up are not for servers that take nothing new: one that came up late
         wrote its first byte when the grace was over. Standing connections go where they stood."""
-        for held in list(self.flows.values()):
-            link = held.link
-            if link is None or link.reach != CONNECTING or held.opening.at:
+        for flow in list(self.flows.values()):
+            link = flow.upstream
+            if link is None or link.reach != CONNECTING or flow.opening.at:
                 continue
             if link.server in self.draining or link.server not in self.dials:
                 self.counters["connects_cancelled"] += 1
                 link.abort()
-                self._ended(held, events.UNSENT)
+                self._ended(flow, events.UNSENT)
 
     # The look at open connections
 
@@ -440,16 +440,16 @@
         now, silent, quiet = self.clock(), [], []
         while self.ended and (self.ended[0][0] < now - CLOSED_FLOW_ID_TTL or len(self.ended) > IDS):
             self.ids.discard(self.ended.popleft()[1])
-        for held in self.flows.values():
-            if not held.up or held.link is None:
+        for flow in self.flows.values():
+            if not flow.established or flow.upstream is None:
                 continue
-            waited = held.link.oldest_wait(now)
+            waited = flow.upstream.oldest_wait(now)
             if waited >= self.director.slow:
-                self.delays.setdefault(held.link.server, []).append(waited)
-            if held.link.server_silence(now) >= SILENT:
-                silent.append(held)
-            elif held.link.client_idle_time(now) >= QUIET:
-                quiet.append(held)
+                self.delays.setdefault(flow.upstream.server, []).append(waited)
+            if flow.upstream.server_silence(now) >= SILENT:
+                silent.append(flow)
+            elif flow.upstream.client_idle_time(now) >= QUIET:
+                quiet.append(flow)
         for server, delays in self.delays.items():
             delay = median(delays)
             if delay >= self.director.slow:
@@ -462,46 +462,46 @@
             log_event("server slow", logging.DEBUG, server=server, delay=delay, of=len(delays))
             self._decide(events.LatencyReport(server, delay))
         self.delays = {}
-        for held in quiet:
-            self._move(events.Migrate(held.number))
-        for held in silent:
+        for flow in quiet:
+            self._move(events.Migrate(flow.number))
+        for flow in silent:
             # A machine that vanished says nothing, and TCP does not notice.
             self.counters["unresponsive_connections"] += 1
-            held.link.abort()
-            held.client.move()
-            self._ended(held, events.RESET)
+            flow.upstream.abort()
+            flow.downstream.move()
+            self._ended(flow, events.RESET)
 
     # What is to be done
 
     def _connect(self, action: events.Connect) -> None:
-        held = self.flows.get(action.id)
-        if held is None or held.up or held.link is not None:
+        flow = self.flows.get(action.id)
+        if flow is None or flow.established or flow.upstream is not None:
             return
         if action.server not in self.dials:
             raise RuntimeError(f"no address of {action.server}")
         within = action.within or math.inf
-        self._begin(held, action.server, min(held.due, self.clock() + within))
+        self._begin(flow, action.server, min(flow.deadline, self.clock() + within))
 
     def _reject(self, action: events.Reject) -> None:
-        held = self.flows.get(action.id)
-        if held is not None and not held.up:
+        flow = self.flows.get(action.id)
+        if flow is not None and not flow.established:
             self.counters["rejected"] += 1
-            self._answer(held, self._busy(action.retry_after))
+            self._answer(flow, self._busy(action.retry_after))
 
     def _abort(self, action: events.Abort) -> None:
-        held = self.flows.get(action.id)
-        if held is not None and not held.up:
+        flow = self.flows.get(action.id)
+        if flow is not None and not flow.established:
             self.counters["aborted"] += 1
-            self._answer(held, ERR)
+            self._answer(flow, ERR)
 
     def _move(self, action: events.Migrate) -> None:
-        held = self.flows.get(action.id)
-        if held is not None and held.up and not held.left:
+        flow = self.flows.get(action.id)
+        if flow is not None and flow.established and not flow.client_left_at:
             self.counters["migrated"] += 1
-            self._trace("client migrated", held, server=held.link.server)
-            held.client.move()
-            held.link.leave()
-            self._ended(held, events.CANCELLED)
+            self._trace("client migrated", flow, server=flow.upstream.server)
+            flow.downstream.move()
+            flow.upstream.leave()
+            self._ended(flow, events.CANCELLED)
 
     def _wake_me(self, action: events.SetTimer) -> None:
         self._later(action.delay, events.TimerFired(action.mark))
@@ -512,27 +512,27 @@
     def _nothing(self, action: events.Action) -> None:
         """Discovery watches by itself."""
 
-    def _answer(self, held: ActiveFlow, words: bytes) -> None:
-        self._drop(held)
-        self._hang_up(held)
-        self._trace("answered", held, words=words.decode())
-        held.client.answer(words)
+    def _answer(self, flow: ActiveFlow, words: bytes) -> None:
+        self._drop(flow)
+        self._hang_up(flow)
+        self._trace("answered", flow, words=words.decode())
+        flow.downstream.answer(words)
 
     @staticmethod
-    def _trace(event: str, held: ActiveFlow, **fields: object) -> None:
+    def _trace(event: str, flow: ActiveFlow, **fields: object) -> None:
         """Name a step of a flow by its client's id, the same at every balancer, where asked to."""
         if LOGGER.isEnabledFor(logging.DEBUG):
-            log_event(event, logging.DEBUG, id=held.opening.id, flow=held.number, **fields)
+            log_event(event, logging.DEBUG, id=flow.opening.id, flow=flow.number, **fields)
 
-    def _quiet(self, held: ActiveFlow) -> None:
-        if held.timer is not None and held.timer.active():
-            held.timer.cancel()
-        held.timer = None
+    def _quiet(self, flow: ActiveFlow) -> None:
+        if flow.timer is not None and flow.timer.active():
+            flow.timer.cancel()
+        flow.timer = None
 
-    def _hang_up(self, held: ActiveFlow) -> None:
-        self._quiet(held)
-        if held.link is not None:
-            held.link.abort()
+    def _hang_up(self, flow: ActiveFlow) -> None:
+        self._quiet(flow)
+        if flow.upstream is not None:
+            flow.upstream.abort()
 
     # Those who leave: a draining server, or this balancer
 
@@ -552,20 +552,22 @@
         self.stepping, now = False, self.clock()
         for server, until in self.draining.items():
             # Looked up anew for each: the first of two that drained at once had left none to the second.
-            self._send_away([held for held in self._standing() if held.link.server == server], until - now)
+            self._send_away(
+                [flow for flow in self._standing() if flow.upstream.server == server], until - now
+            )
         if self.stopping:
             self._stop_on(now - self.stopping, self._standing())
-        elif any(held.link.server in self.draining for held in self.flows.values() if held.link):
+        elif any(flow.upstream.server in self.draining for flow in self.flows.values() if flow.upstream):
             self._step_on()
 
     def _standing(self) -> list[ActiveFlow]:
-        return [held for held in self.flows.values() if held.up and not held.left]
+        return [flow for flow in self.flows.values() if flow.established and not flow.client_left_at]
 
     def _send_away(self, up: list[ActiveFlow], left: float) -> None:
         """Move as many of them as brings all away in the time left, so that the others see no crowd. Parts of
         one are drawn: two hundred that rounded up their one or two were a crowd in the first step."""
-        for held in up[: int(len(up) / max(1.0, left / STEP) + self.chance.random())]:
-            self._move(events.Migrate(held.number))
+        for flow in up[: int(len(up) / max(1.0, left / STEP) + self.chance.random())]:
+            self._move(events.Migrate(flow.number))
 
     def _stop_on(self, gone: float, up: list[ActiveFlow]) -> None:
         last = min(self.posting.longest, STOP_LONGEST) + STOP_REST
@@ -573,8 +575,8 @@
             # Where all connect timeouts are short the kill comes before the spread is over.
             self._send_away(up, min(STOP_MOVES + STOP_SPREAD, last - STOP_REST) - gone)
         if gone >= last:
-            for held in list(self.flows.values()):
-                self._cut(held)
+            for flow in list(self.flows.values()):
+                self._cut(flow)
         if up or self.flows:
             # Ending in the step that moved the last clients cut them off: their MOVE was never written.
             self.busy = gone
@@ -587,12 +589,12 @@
         else:
             self._step_on()
 
-    def _cut(self, held: ActiveFlow) -> None:
-        if held.up or held.link is not None and held.link.reach == STANDING:
+    def _cut(self, flow: ActiveFlow) -> None:
+        if flow.established or flow.upstream is not None and flow.upstream.reach == STANDING:
             return  # its receipt stands in the queue
-        if held.link is not None:
-            held.over(held.link.abort())
-        self._answer(held, held.refusal(self._busy(STOP_ADVICE)))
+        if flow.upstream is not None:
+            flow.record_attempt_result(flow.upstream.abort())
+        self._answer(flow, flow.final_rejection(self._busy(STOP_ADVICE)))
 
     _on = {
         FlowRequested: _asked,
