--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -25,9 +25,9 @@
 
 from lotusroute.routing import events
 from lotusroute.net import config, structured_log
+from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.downstream import DownstreamFactory, Listener
 from lotusroute.net.discovery import Discovery, parse_endpoint_list, parse_version
-from lotusroute.net.owner import Owner
 from lotusroute.errors import InvalidValueError
 
 COLLECT = 5_000, 20, 20  # objects, and younger looks, between looks for garbage: every few hundred flows
@@ -49,7 +49,7 @@
         return 2
     structured_log.configure_logging(posting.log_level)
     counters = structured_log.Counters()
-    owner = Owner(posting, counters)
+    owner = BalancerCore(posting, counters)
     owner.put(remembered)
     clients = DownstreamFactory(owner.put, owner.clock, owner.ready, posting.sockets, counters)
     listener = Listener(posting.listen[1], clients, BACKLOG, posting.listen[0], reactor)
@@ -142,7 +142,7 @@
     def __init__(
         self,
         posting: config.BalancerConfig,
-        owner: Owner,
+        owner: BalancerCore,
         clients: DownstreamFactory,
         counters: structured_log.Counters,
     ) -> None:
--- /dev/null
+++ b/lotusroute/net/balancer.py
@@ -0,0 +1,160 @@
+"""The core of one balancer: its parts, put together, and which of them handles which event.
+
+All times are milliseconds.
+"""
+
+import logging
+import random
+from collections.abc import Callable
+
+from lotusroute.net.admission import AdmissionControl
+from lotusroute.net.config import BalancerConfig
+from lotusroute.net.connection_monitor import CHECK_INTERVAL, ConnectionMonitor, PeriodicCheck
+from lotusroute.net.discovery import EndpointUpdate
+from lotusroute.net.downstream import DownstreamClosed, FlowRequested
+from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator, DrainStep, ServerDraining
+from lotusroute.net.endpoints import EndpointRegistry
+from lotusroute.net.event_loop import CoalescedTimer, EventLoop
+from lotusroute.net.existing_connections import RetryExisting
+from lotusroute.net.flow_manager import AttemptTimedOut, CloseGraceExpired, FlowManager
+from lotusroute.net.flow_table import FlowTable
+from lotusroute.net.line_protocol import ERR
+from lotusroute.net.shutdown import GracefulShutdown
+from lotusroute.net.structured_log import LOGGER, Counters, log_event
+from lotusroute.net.upstream import AttemptEnded, LoadReported, ReceiptReceived, ReplyTimed
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
+
+
+def _no_answers_owed() -> bool:
+    return False
+
+
+class BalancerCore:
+    """Everything between the sockets and the Director."""
+
+    def __init__(self, config: BalancerConfig, counters: Counters) -> None:
+        self._counters = counters
+        director = Director(config.vip, config.seed)
+        rng = random.Random(config.seed + 1)  # its own sequence: what is sampled here shifts no decision
+        self.loop = EventLoop(counters)
+        self.put = self.loop.put
+        self.clock = self.loop.clock
+        self.owing: Callable[[], bool] = _no_answers_owed  # whether clients without a flow are owed an answer
+        self.relist: Callable[[], None] | None = None  # asks discovery for the complete list again
+        self.flow_table = FlowTable(self.clock)
+        self._drain_timer = CoalescedTimer(self.loop, MIGRATION_INTERVAL, DrainStep())
+        self._endpoints = EndpointRegistry(self._drain_timer.schedule)
+        self._admission = AdmissionControl(config, self.loop, self.flow_table)
+        self.flow_manager = FlowManager(
+            config,
+            counters,
+            self.loop,
+            director,
+            self.flow_table,
+            self._admission,
+            self._endpoints,
+            self._drain_timer,
+        )
+        self._monitor = ConnectionMonitor(
+            counters, self.loop, self.flow_manager, self.flow_table, director.slow
+        )
+        migrator = BatchMigrator(self.flow_manager, rng)
+        self._draining = ServerDraining(self.flow_table, self._endpoints, migrator, self._drain_timer)
+        self._shutdown = GracefulShutdown(
+            config,
+            self.loop,
+            self.flow_manager,
+            self.flow_table,
+            self._admission,
+            migrator,
+            self._drain_timer,
+            self._answers_owed,
+        )
+        self._register_handlers()
+        self._monitor.start()
+
+    def _register_handlers(self) -> None:
+        flows = self.flow_manager
+        self.loop.on_failure = self._recover
+        self.loop.register(
+            {
+                FlowRequested: flows.flow_requested,
+                ReceiptReceived: flows.receipt_received,
+                AttemptEnded: flows.attempt_ended,
+                AttemptTimedOut: flows.attempt_timed_out,
+                DownstreamClosed: flows.client_disconnected,
+                LoadReported: flows.load_reported,
+                RetryExisting: flows.retry_existing,
+                CloseGraceExpired: flows.close_grace_expired,
+                events.TimerFired: flows.decide,
+                events.ClientDisconnected: flows.decide,
+                ReplyTimed: self._monitor.reply_timed,
+                PeriodicCheck: self._monitor.check,
+                EndpointUpdate: self._endpoints_updated,
+                DrainStep: self._drain_step,
+            }
+        )
+
+    def ready(self) -> bool:
+        """Whether flows can be served."""
+        return bool(self._endpoints.addresses) and not self._shutdown.in_progress
+
+    def allow(self, config: BalancerConfig) -> None:
+        """Set the capacity by the descriptors and the memory of a new configuration."""
+        self._admission.resize(config)
+
+    def stop(self, on_stopped: Callable[[], None]) -> None:
+        """Finish the flows in flight and migrate all clients; call `on_stopped` when they are gone."""
+        self._shutdown.start(on_stopped)
+
+    def _answers_owed(self) -> bool:
+        return self.owing()
+
+    def _endpoints_updated(self, event: EndpointUpdate) -> None:
+        """Apply a list, or changes to it, to connections and decisions."""
+        self._counters["endpoint_updates"] += 1
+        self._endpoints.update(event, self.clock())
+        self._monitor.retain_servers(self._endpoints.addresses.keys())
+        if LOGGER.isEnabledFor(logging.DEBUG):
+            _log_endpoints(event)
+        self.flow_manager.decide(events.EndpointList(event.scope, event.servers))
+        self.flow_manager.cancel_unavailable_attempts()
+
+    def _drain_step(self, _: DrainStep) -> None:
+        """Migrate the next clients whose server, or whose balancer, leaves."""
+        self._drain_timer.acknowledge()
+        now = self.clock()
+        self._draining.migrate_clients(now)
+        if self._shutdown.in_progress:
+            self._shutdown.step(now)
+        else:
+            self._draining.schedule_next_step()
+
+    def _recover(self, event: object, flow_number: int) -> None:
+        """Repair what an event or a command left undone when its handling raised an exception."""
+        self.flow_manager.fail(flow_number)
+        if isinstance(event, events.TimerFired):
+            # Without its next one the Director's upkeep would stop for good.
+            self.loop.call_later(CHECK_INTERVAL, event)
+        elif isinstance(event, DrainStep):
+            # Without its next one the shutdown would never end.
+            self.loop.call_later(MIGRATION_INTERVAL, event)
+        elif isinstance(event, FlowRequested) and not event.number:
+            event.side.answer(ERR)
+        elif isinstance(event, EndpointUpdate) and self.relist is not None:
+            # Part of it may have been applied, a drain not: it is not sent again unless asked for.
+            self.relist()
+
+
+def _log_endpoints(event: EndpointUpdate) -> None:
+    for server in event.servers:
+        log_event(
+            "endpoint update",
+            logging.DEBUG,
+            scope=event.scope,
+            server=server.id,
+            state=server.state,
+            at=server.started,
+            cell=server.cell,
+        )
--- /dev/null
+++ b/lotusroute/net/endpoints.py
@@ -0,0 +1,50 @@
+"""The servers of the endpoint list as far as connections need them: addresses and drain deadlines.
+
+Owns both; routing decisions have their own view of the list. All times are milliseconds of Unix time.
+"""
+
+from collections.abc import Callable
+
+from lotusroute.net.discovery import EndpointUpdate
+from lotusroute.routing import events
+
+DRAIN_MIGRATION_SPREAD = (
+    1_000.0  # ms over which a draining server's clients migrate: it leaves within seconds
+)
+
+
+class EndpointRegistry:
+    """Addresses of the listed servers, and the deadline by which a draining one's clients have migrated."""
+
+    def __init__(self, on_drain_started: Callable[[], None]) -> None:
+        self._on_drain_started = on_drain_started
+        self.addresses: dict[str, tuple[str, int]] = {}
+        self.drain_deadlines: dict[str, float] = {}
+
+    def update(self, update: EndpointUpdate, now: float) -> None:
+        """Apply a list or changes to it."""
+        if update.scope != events.CHANGES:
+            self.addresses.clear()
+        for server in update.servers:
+            if server.state == events.REMOVED:
+                self.addresses.pop(server.id, None)
+            if server.state != events.DRAINING:
+                self.drain_deadlines.pop(server.id, None)
+            elif server.id not in self.drain_deadlines:
+                self.drain_deadlines[server.id] = now + DRAIN_MIGRATION_SPREAD
+                self._on_drain_started()
+        self.addresses.update(update.dials)
+        for server_id in self.drain_deadlines.keys() - self.addresses.keys():
+            del self.drain_deadlines[server_id]
+
+    def has_address(self, server_id: str) -> bool:
+        """Return whether the server is in the endpoint list, draining or not."""
+        return server_id in self.addresses
+
+    def is_draining(self, server_id: str) -> bool:
+        """Return whether the server is in the endpoint list and draining."""
+        return server_id in self.drain_deadlines
+
+    def accepts_new_flows(self, server_id: str) -> bool:
+        """Return whether the server is in the endpoint list and not draining."""
+        return self.has_address(server_id) and not self.is_draining(server_id)
--- /dev/null
+++ b/lotusroute/net/event_loop.py
@@ -0,0 +1,98 @@
+"""The event loop of one balancer: a queue of events, a clock and timers.
+
+Sockets and timers put typed events into the queue. A single consumer takes them out in order and calls the
+handler registered for each event's type, so no two handlers ever run at once and none needs a lock.
+
+Owns the queue, the clock and the handler table. All times are milliseconds.
+"""
+
+import time
+from collections import deque
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from twisted.internet import reactor
+from twisted.internet.base import DelayedCall
+
+from lotusroute.net.structured_log import Counters, log_exception
+
+MS_PER_SECOND = 1000
+
+
+class EventLoop:
+    """Queue, clock and timers of a balancer; an exception in one handler does not affect other events."""
+
+    def __init__(self, counters: Counters) -> None:
+        self._counters = counters
+        # Unix time, because servers' start times and the balancers' turns at a task are expressed in it, but
+        # advanced by the monotonic clock.
+        self.epoch = time.time() * MS_PER_SECOND - time.monotonic() * MS_PER_SECOND
+        self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
+        self._run_scheduled = False
+        self._handlers: dict[type, Callable[[Any], None]] = {}
+        self.on_failure: Callable[[object, int], None] | None = None  # gets the event and its flow's number
+
+    @property
+    def backlog(self) -> int:
+        """Number of events that wait in the queue."""
+        return len(self._queue)
+
+    def clock(self) -> float:
+        """Milliseconds of Unix time, never going back."""
+        return self.epoch + time.monotonic() * MS_PER_SECOND
+
+    def register(self, handlers: Mapping[type, Callable[[Any], None]]) -> None:
+        """Add handlers, by the type of the events that they take."""
+        self._handlers.update(handlers)
+
+    def put(self, event: object) -> None:
+        """Queue an event; every input of the balancer arrives through here."""
+        self._queue.append(event)
+        if not self._run_scheduled:
+            self._run_scheduled = True
+            reactor.callLater(0, self.run_pending)
+
+    def call_later(self, delay: float, event: object) -> DelayedCall:
+        """Queue an event after `delay` ms."""
+        return reactor.callLater(max(0.0, delay) / MS_PER_SECOND, self.put, event)
+
+    def run_pending(self) -> None:
+        """Dispatch queued events until none is left, those that handlers add included."""
+        while self._queue:
+            event = self._queue.popleft()
+            try:
+                self._handlers[type(event)](event)
+            except Exception:
+                # Any exception: a failure over one event must not take the others with it.
+                self.report_failure(event, getattr(event, "number", 0))
+        self._run_scheduled = False
+
+    def report_failure(self, event: object, flow_number: int) -> None:
+        """Count and log the exception being handled, then let `on_failure` repair what the event left undone.
+
+        `flow_number` is the number of the flow that the event was about, 0 for none.
+        """
+        self._counters["internal_errors"] += 1
+        log_exception("event failed", kind=type(event).__name__)
+        if self.on_failure is not None:
+            self.on_failure(event, flow_number)
+
+
+class CoalescedTimer:
+    """Queues an event after a fixed delay; scheduling it again while it is pending does nothing."""
+
+    def __init__(self, loop: EventLoop, delay: float, event: object) -> None:
+        self._loop = loop
+        self._delay = delay
+        self._event = event
+        self._pending = False
+
+    def schedule(self) -> None:
+        """Start the timer unless it is pending."""
+        if not self._pending:
+            self._pending = True
+            self._loop.call_later(self._delay, self._event)
+
+    def acknowledge(self) -> None:
+        """Note that the event has arrived: the timer may be scheduled again."""
+        self._pending = False
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -1,78 +1,110 @@
-"""A flow in hand, and what is still owed for it.
+"""One flow in flight: its client, its current connection attempt and what earlier attempts may have done.
 
-Owns the facts of one flow between its first line and its end: its connect, its time, what may have run,
-whether a line may still be sent. Every end asks here, so that two ends that meet say the same. It must never
-do I/O but look at its own client's socket, or choose a server.
+A flow lives from a client's first line to its final answer or to the end of its connection. Every way for a
+flow to end asks here what the client may be told and whether its line may still be sent, so that two ends
+that coincide agree. All times are milliseconds of Unix time.
 """
 
+import logging
+from dataclasses import dataclass
+
+from twisted.internet.base import DelayedCall
+
 from lotusroute.net.downstream import DownstreamConnection, OpenRequest
 from lotusroute.net.line_protocol import ERR
+from lotusroute.net.structured_log import LOGGER, log_event
 from lotusroute.net.upstream import UpstreamAttempt
 from lotusroute.routing import events
 
-LEAST_GRACE = 50.0  # ms: by so much the protocol lengthens each time limit, also a grace of none
+MIN_SEND_GRACE = 50.0  # ms by which the protocol extends every time limit, also a drain's grace of 0
 
 
+@dataclass(slots=True, eq=False)
 class ActiveFlow:
-    """A flow in hand."""
-
-    __slots__ = (
-        "number",
-        "opening",
-        "service_type",
-        "deadline",
-        "downstream",
-        "upstream",
-        "timer",
-        "established",
-        "client_left_at",
-        "attempts",
-        "attempt_started_at",
-        "attempt_deadline",
-        "may_have_run_since",
-    )
-
-    def __init__(
-        self,
-        number: int,
-        opening: OpenRequest,
-        service_type: events.ServiceType,
-        deadline: float,
-        downstream: DownstreamConnection,
-    ) -> None:
-        self.number = number
-        self.opening = opening
-        self.service_type = service_type
-        self.deadline = deadline
-        self.downstream = downstream
-        self.upstream: UpstreamAttempt | None = None  # the attempt, or its connection; one at a time
-        self.timer = None
-        self.established = False
-        self.client_left_at = 0.0
-        self.attempts = 0
-        self.attempt_started_at = 0.0
-        self.attempt_deadline = 0.0
-        self.may_have_run_since: float | None = None  # start of the first attempt that may have run
+    """A flow in flight."""
+
+    number: int
+    opening: OpenRequest
+    service_type: events.ServiceType
+    deadline: float  # by which its client has to be answered
+    downstream: DownstreamConnection
+    upstream: UpstreamAttempt | None = None  # the attempt in flight or its connection; one at a time
+    timer: DelayedCall | None = None  # of the attempt, or of the grace after its client has left
+    established: bool = False
+    client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is there
+    attempts: int = 0  # attempts to re-establish an existing connection
+    attempt_started_at: float = 0.0
+    attempt_deadline: float = 0.0
+    may_have_run_since: float | None = None  # start of the first attempt that may have run on a server
 
     def record_attempt_result(self, result: str) -> None:
-        """A connect has ended so. That it may have run stays true whatever becomes of the next one: a stop
-        that looked at the connect in flight alone told clients that to come again is harmless."""
+        """Note how an attempt ended.
+
+        That the flow may have run stays true whatever becomes of the next attempt: a shutdown that looked at
+        the attempt in flight alone told clients that a retry is harmless when it was not.
+        """
         if result not in events.NEVER_RAN and self.may_have_run_since is None:
             self.may_have_run_since = self.attempt_started_at
 
     def final_rejection(self, busy: bytes) -> bytes:
-        """The last word where nothing more is tried: `busy` where to come again is harmless, else ERR."""
-        return busy if self.service_type.safe_to_retry(self.may_have_run_since is not None) else ERR
+        """Return the final answer when no attempt is left: `busy` where a retry is harmless, else ERR."""
+        may_have_run = self.may_have_run_since is not None
+        return busy if self.service_type.safe_to_retry(may_have_run) else ERR
 
     def may_send(self, now: float, grace: float) -> bool:
-        """Whether the line may be sent now that its connection is up. Not when the client has left meanwhile,
-        its time or the window of its repeats is over, or so long has passed that a drain may have been told
-        just after the connect was begun, and not been read by a balancer that was held up."""
+        """Return whether the client's line may be sent on the connection that has just come up.
+
+        Not when the client has left, the attempt's time or the deduplication window is over, or so long has
+        passed that a drain may have been announced just after the attempt started and not been read yet by
+        a balancer that was stalled. `grace` is the ms that a draining server accepts lines after the news.
+        """
         if now >= self.attempt_deadline or self.downstream.left():
             return False
         if self.opening.at:
-            return True  # it stood there before the run
-        kind, ran_at = self.service_type, self.may_have_run_since
-        if kind.effect == events.IDEMPOTENCY_KEY and ran_at is not None and now >= ran_at + kind.dedup_window:
+            return True  # an existing connection returns to its server, draining or not
+        service_type = self.service_type
+        ran_at = self.may_have_run_since
+        if (
+            service_type.effect == events.IDEMPOTENCY_KEY
+            and ran_at is not None
+            and now >= ran_at + service_type.dedup_window
+        ):
             return False
-        return now < self.attempt_started_at + max(grace, LEAST_GRACE)
+        return now < self.attempt_started_at + max(grace, MIN_SEND_GRACE)
+
+    def routing_request(self) -> events.Flow:
+        """Return what the Director is told of the flow."""
+        opening = self.opening
+        return events.Flow(
+            self.number,
+            opening.service_type,
+            opening.tenant,
+            opening.group,
+            opening.key,
+            self.deadline,
+            reconnecting=opening.returned,
+        )
+
+    @property
+    def connection(self) -> UpstreamAttempt:
+        """The connection of an established flow."""
+        if self.upstream is None:
+            raise RuntimeError(f"flow {self.number} has no connection")
+        return self.upstream
+
+    def cancel_timer(self) -> None:
+        """Cancel the pending timer, if there is one."""
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        self.timer = None
+
+    def abort_attempt(self) -> None:
+        """Cancel the timer and close the attempt or the connection, if there is one."""
+        self.cancel_timer()
+        if self.upstream is not None:
+            self.upstream.abort()
+
+    def log_step(self, event: str, **fields: object) -> None:
+        """Log a step at debug level under the client's id, which is the same at every balancer."""
+        if LOGGER.isEnabledFor(logging.DEBUG):
+            log_event(event, logging.DEBUG, id=self.opening.id, flow=self.number, **fields)
--- /dev/null
+++ b/lotusroute/net/flow_table.py
@@ -0,0 +1,71 @@
+"""The flows in flight, by number, and the client ids that are in use.
+
+Owns both. An id stays in use for a while after its flow has ended, because servers keep it as long as any
+client of theirs may. All times are milliseconds.
+"""
+
+from collections import deque
+from collections.abc import Callable, Iterator
+
+from lotusroute.net.downstream import DownstreamConnection, OpenRequest
+from lotusroute.net.flow import ActiveFlow
+from lotusroute.routing.events import ServiceType
+
+CLOSED_FLOW_ID_TTL = 60_000.0  # ms; servers hold an id open as long as any client
+MAX_CLOSED_FLOW_IDS = 20_000  # some 3 MB
+
+
+class FlowTable:
+    """Flows in flight; each leaves with its final answer or with the end of its connection."""
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        self._clock = clock
+        self._flows: dict[int, ActiveFlow] = {}
+        self._ids: set[str] = set()  # of flows in flight and of those in `_closed`
+        self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids; oldest first
+        self._last_number = 0
+        # The dict's own method: this is called for every event, and a wrapper would cost a call each.
+        self.get: Callable[[int], ActiveFlow | None] = self._flows.get
+
+    def __len__(self) -> int:
+        return len(self._flows)
+
+    def __iter__(self) -> Iterator[ActiveFlow]:
+        return iter(self._flows.values())
+
+    def __contains__(self, flow: ActiveFlow) -> bool:
+        return flow.number in self._flows
+
+    def add(
+        self,
+        opening: OpenRequest,
+        service_type: ServiceType,
+        deadline: float,
+        downstream: DownstreamConnection,
+    ) -> ActiveFlow:
+        """Create a flow with the next number."""
+        self._last_number += 1
+        self._ids.add(opening.id)
+        flow = ActiveFlow(self._last_number, opening, service_type, deadline, downstream)
+        self._flows[flow.number] = flow
+        return flow
+
+    def remove(self, flow: ActiveFlow) -> None:
+        """Take out a flow that is answered or whose connection is over."""
+        del self._flows[flow.number]
+        self._closed.append((self._clock(), flow.opening.id))
+
+    def established(self) -> list[ActiveFlow]:
+        """Return the flows whose connection stands and whose client is there."""
+        return [flow for flow in self if flow.established and not flow.client_left_at]
+
+    def knows_id(self, flow_id: str) -> bool:
+        """Return whether the id belongs to a flow in flight or to one that ended lately."""
+        return flow_id in self._ids
+
+    def expire_closed_ids(self, now: float) -> None:
+        """Forget ids of flows that ended long ago, and the oldest beyond the limit."""
+        closed = self._closed
+        while closed and (closed[0][0] < now - CLOSED_FLOW_ID_TTL or len(closed) > MAX_CLOSED_FLOW_IDS):
+            _, flow_id = closed.popleft()
+            self._ids.discard(flow_id)
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -5,22 +5,27 @@
 """
 
 import collections
+import json
 import pathlib
 import signal
 import socket
 import struct
 import time
-import types
+from unittest.mock import Mock, call
 
 import pytest
 from harness import DEADLINE, SETTINGS, Balancer, FakeHost, FakeServer, SlowDoor, soon
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
+from lotusroute.net.balancer import BalancerCore
+from lotusroute.net.config import load_config
 from lotusroute.net.discovery import Discovery, EndpointUpdate
-from lotusroute.net.downstream import DownstreamFactory, FlowRequested
-from lotusroute.net.owner import Owner
+from lotusroute.net.downstream import DownstreamFactory, FlowRequested, parse_open_request
+from lotusroute.net.structured_log import Counters
+from lotusroute.net.upstream import STANDING
 from lotusroute.routing import events
+from lotusroute.routing.director import Director
 
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 FIRST = next(key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0")  # s0 first
@@ -518,43 +523,53 @@
         assert log.count('event="malformed list entries" entries=1') == 5
 
 
-def broken_owner(**parts):
-    """An owner of which only what a story needs works."""
-    owner = types.SimpleNamespace(counters=collections.Counter(), relist=None, clock=lambda: 0.0, **parts)
-    owner._failed = lambda event, number: Owner._failed(owner, event, number)
-    owner._forget = parts.get("_forget", lambda number: None)
-    return owner
-
-
-def test_an_action_that_raises_takes_none_of_the_others_with_it():
-    done, forgotten = [], []
-
-    def move(owner, action):
-        if action.id == 1:
-            raise OSError("gone")
-        done.append(action.id)
-
-    actions = [events.Migrate(1), events.Migrate(2)]
-    owner = broken_owner(
-        _do={events.Migrate: move}, director=types.SimpleNamespace(decide=lambda *_: actions)
-    )
-    owner._forget = forgotten.append
-    Owner._decide(owner, events.TimerFired("tick"))
-    assert done == [2] and forgotten == [1]
-
-
-def test_a_line_over_which_something_broke_before_it_was_a_flow_is_answered():
-    said = []
-    side = types.SimpleNamespace(number=0, answer=said.append)
-    Owner._failed(broken_owner(), FlowRequested(side, None, 0.0), 0)
-    assert said == [b"ERR"]
-
-
-def test_a_list_over_which_something_broke_is_asked_for_whole():
+@pytest.fixture
+def core(tmp_path):
+    """A balancer's core without sockets; `core.loop.run_pending()` dispatches what has been queued."""
+    file = tmp_path / "config.json"
+    addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
+    file.write_text(json.dumps({"name": "n", **addresses, "settings": SETTINGS}))
+    return BalancerCore(load_config({"LB_CONFIG": str(file)}), Counters())
+
+
+def established_flow(core, number):
+    """A flow in the table of `core` whose both sides are mocks."""
+    opening = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
+    flow = core.flow_table.add(opening, events.ServiceType(300.0), 900.0, Mock())
+    flow.established = True
+    flow.upstream = Mock(server="s1", came=STANDING)
+    return flow
+
+
+def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_carried_out(core, monkeypatch):
+    flows = [established_flow(core, number) for number in (1, 2)]
+    upstreams = [flow.upstream for flow in flows]
+    upstreams[0].leave.side_effect = OSError("gone")
+    migrations = [events.Migrate(flow.number) for flow in flows]
+    tick = events.TimerFired("tick")
+    monkeypatch.setattr(Director, "decide", lambda _, now, event: migrations if event is tick else [])
+    core.flow_manager.decide(tick)
+    assert upstreams[1].leave.called and not upstreams[1].abort.called
+    assert upstreams[0].abort.called and not len(core.flow_table)
+
+
+def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
+    broken, sound = Mock(number=0, gone=False), Mock(number=0, gone=False)
+    broken.left.side_effect = OSError("gone")
+    unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
+    sound.left.return_value = False
+    for downstream in (broken, sound):
+        core.put(FlowRequested(downstream, unknown, 0.0))
+    core.loop.run_pending()
+    assert broken.answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
+    assert sound.reject_malformed.called
+
+
+def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
-    owner = broken_owner()
-    owner.relist = following.forget
-    Owner._failed(owner, EndpointUpdate(events.CHANGES, (), {}), 0)
+    core.relist = following.forget
+    core.put(EndpointUpdate(events.CHANGES, (None,), {}))
+    core.loop.run_pending()
     assert following.seq is None
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -8,7 +8,6 @@
 import json
 import random
 from collections import Counter
-from types import SimpleNamespace
 
 import pytest
 from twisted.internet import defer, task
@@ -25,8 +24,8 @@
 from lotusroute.leases.proposer import Proposer
 from lotusroute.net import config as net_config
 from lotusroute.net import line_protocol
+from lotusroute.net.admission import busy_line
 from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_open_request
-from lotusroute.net.owner import Owner
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Heartbeat
 from lotusroute.relay.server import RelayServer
@@ -398,8 +397,7 @@
         line_protocol.PING,
     ]
     assert words == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
-    told = SimpleNamespace(posting=SimpleNamespace(vip=events.ServiceConfig({}, max_retry_after=900.0)))
-    assert [Owner._busy(told, ms) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
+    assert [busy_line(ms, 900.0) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
     asked = parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
     assert asked[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
     assert asked.rewritten(1499.9) == b"OPEN 9b1f 7f3a c=chat,t=acme,d=1499,g=5c0f,r=1,at=s-1\r\n"
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -19,10 +19,12 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
+from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.discovery import REFUSAL, Discovery, DiscoveryFailed
 from lotusroute.net.downstream import FlowRequested, parse_open_request
+from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator
+from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD
 from lotusroute.net.line_protocol import LineProtocol
-from lotusroute.net.owner import DRAIN_SPREAD, STEP, Owner
 from lotusroute.net.upstream import WRITTEN, UpstreamAttempt, UpstreamConnection
 from lotusroute.routing import events
 
@@ -278,13 +280,14 @@
 
 def test_balancers_that_hold_one_client_each_spread_their_moves_though_the_list_reaches_all_at_once():
     # join+mass: 18 servers drained, 200 balancers held one or two clients of each, all left in one step.
-    moved, steps = Counter(), int(DRAIN_SPREAD / STEP)
+    moved, steps = Counter(), int(DRAIN_MIGRATION_SPREAD / MIGRATION_INTERVAL)
     for seed in range(200):
-        owner, up = types.SimpleNamespace(chance=random.Random(seed)), [types.SimpleNamespace(number=1)]
-        owner._move = lambda _, up=up: up.clear()
+        up = [types.SimpleNamespace(number=1)]
+        flows = types.SimpleNamespace(migrate=lambda _, up=up: up.clear())
+        migrator = BatchMigrator(flows, random.Random(seed))
         for step in range(steps):
             before = len(up)
-            Owner._send_away(owner, up, DRAIN_SPREAD - step * STEP)
+            migrator.migrate_batch(up, DRAIN_MIGRATION_SPREAD - step * MIGRATION_INTERVAL)
             moved[step] += before - len(up)
     assert sum(moved.values()) == 200 and max(moved.values()) <= 3 * 200 / steps
 
@@ -654,11 +657,11 @@
     file = tmp_path / "told.json"
     good = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     file.write_text(json.dumps(good))
-    owner = Owner(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
+    core = BalancerCore(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
     for late, flows in (0.0, 1), (70_000.0, 1):
-        owner.epoch += late
+        core.loop.epoch += late
         side = Side()
         line = parse_open_request(f"OPEN id{late:.0f} k c=live,d=4294967,at=s9\r\n".encode())
-        owner._asked(FlowRequested(side, line, owner.clock()))
-        assert len(owner.flows) == flows
+        core.flow_manager.flow_requested(FlowRequested(side, line, core.clock()))
+        assert len(core.flow_table) == flows
     assert side.said == b"ERR"
