--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,8 +11,8 @@
 import time
 
 import pytest
+from flow_helpers import goes_on, stand_still
 from harness import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
-from test_flow_completion import goes_on, stand_still
 
 LATEST, LINE = 6.0, 2.0  # s: when a change counts as told, and how long calls may stand in line
 ASKED = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
--- /dev/null
+++ b/tests/test_fault_isolation.py
@@ -0,0 +1,82 @@
+"""An event, a command or an endpoint that cannot be handled takes no other with it."""
+
+import collections
+import json
+from unittest.mock import Mock, call
+
+import pytest
+from harness import SETTINGS, Balancer, FakeServer, soon
+
+from lotusroute.net.balancer import BalancerCore
+from lotusroute.net.config import load_config
+from lotusroute.net.discovery import Discovery, EndpointUpdate
+from lotusroute.net.downstream import FlowRequested, parse_open_request
+from lotusroute.net.structured_log import Counters
+from lotusroute.net.upstream import STANDING
+from lotusroute.routing import events
+from lotusroute.routing.director import Director
+
+
+@pytest.fixture
+def core(tmp_path):
+    """A balancer's core without sockets; `core.loop.run_pending()` dispatches what has been queued."""
+    file = tmp_path / "config.json"
+    addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
+    file.write_text(json.dumps({"name": "n", **addresses, "settings": SETTINGS}))
+    return BalancerCore(load_config({"LB_CONFIG": str(file)}), Counters())
+
+
+def established_flow(core, number):
+    """A flow in the table of `core` whose both sides are mocks."""
+    opening = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
+    flow = core.flow_table.add(opening, events.ServiceType(300.0), 900.0, Mock())
+    flow.established = True
+    flow.upstream = Mock(server="s1", came=STANDING)
+    return flow
+
+
+def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_carried_out(core, monkeypatch):
+    flows = [established_flow(core, number) for number in (1, 2)]
+    upstreams = [flow.upstream for flow in flows]
+    upstreams[0].leave.side_effect = OSError("gone")
+    migrations = [events.Migrate(flow.number) for flow in flows]
+    tick = events.TimerFired("tick")
+    monkeypatch.setattr(Director, "decide", lambda _, now, event: migrations if event is tick else [])
+    core.flow_manager.decide(tick)
+    assert upstreams[1].leave.called and not upstreams[1].abort.called
+    assert upstreams[0].abort.called and not len(core.flow_table)
+
+
+def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
+    broken, sound = Mock(number=0, gone=False), Mock(number=0, gone=False)
+    broken.left.side_effect = OSError("gone")
+    unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
+    sound.left.return_value = False
+    for downstream in (broken, sound):
+        core.put(FlowRequested(downstream, unknown, 0.0))
+    core.loop.run_pending()
+    assert broken.answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
+    assert sound.reject_malformed.called
+
+
+def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
+    following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
+    core.relist = following.forget
+    core.put(EndpointUpdate(events.CHANGES, (None,), {}))
+    core.loop.run_pending()
+    assert following.seq is None
+
+
+def test_one_spoilt_entry_does_not_keep_a_drain_unheard_and_no_whole_list_is_asked_for():
+    one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
+    with Balancer(one, two) as balancer:
+        other = {**one.entry(), "host": "s9"}
+        odd = {"health": "odd"}, {"block": 1e999}, {"host": 0}
+        for spoilt in 7, {"host": "s9"}, *({**other, **part} for part in odd):
+            balancer.list.entries = [spoilt, one.entry("DRAINING"), two.entry()]
+            balancer.list.seq += 1
+            soon(lambda: balancer.list.asked[-1][1] == str(balancer.list.seq))
+            assert {balancer.ask(str(at)).readline() for at in range(5)} == {b"UP two\r\n"}
+        assert None not in [since for _, since in balancer.list.asked]
+        log = balancer.end()
+        assert log.count('event="malformed list entries" entries=1') == 5
