--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -10,34 +10,36 @@
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
 
-FIRST = next(key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0")  # s0 first
+KEY_OF_FIRST_SERVER = next(
+    key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0"
+)  # s0 first
 
 
-def settings(effect="read_like", deadline=4_000, come_up=5_000, grace=2_000, **more):
+def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
     """As SETTINGS, for one service type, and connections that may take long to come up."""
     kind = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **more}
     return {
         **SETTINGS,
         "service_types": [kind],
         "rules": {"stop_sending_within": grace},
-        "limits": {**SETTINGS["limits"], "connect_timeout": come_up},
+        "limits": {**SETTINGS["limits"], "connect_timeout": connect_timeout},
     }
 
 
-def reset(file):
+def reset_connection(file):
     """Break a connection off."""
     file.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     file.close()
     file.conn.close()
 
 
-def end(file):
+def close_connection(file):
     """Close a connection politely."""
     file.close()
     file.conn.close()
 
 
-def stand_still(balancer):
+def stop_process(balancer):
     """Stop the program between two instructions, for certain."""
     balancer.process.send_signal(signal.SIGSTOP)
     status = f"/proc/{balancer.process.pid}/stat"
@@ -45,16 +47,16 @@
         soon(lambda: (file.seek(0), file.read().rsplit(")", 1)[1].split()[0] == "T")[1])
 
 
-def goes_on(balancer):
+def resume_process(balancer):
     balancer.process.send_signal(signal.SIGCONT)
 
 
-def descriptors(balancer):
+def descriptor_count(balancer):
     """How many the program holds."""
     return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
 
 
-def breaks(name):
+def resetting_server(name):
     """A server that resets each connection once it has its line."""
     server = FakeServer(name, None)
     serve = server._serve
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 import time
 
 import pytest
-from flow_helpers import goes_on, stand_still
+from flow_helpers import resume_process, stop_process
 from harness import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
 
 LATEST, LINE = 6.0, 2.0  # s: when a change counts as told, and how long calls may stand in line
@@ -69,9 +69,9 @@
 def test_a_process_that_was_held_up_over_a_silent_watch_and_is_then_refused_still_hears_in_time():
     def hold_up(balancer):
         time.sleep(0.1)
-        stand_still(balancer)
+        stop_process(balancer)
         time.sleep(3.5)
-        goes_on(balancer)
+        resume_process(balancer)
 
     took = play(ASKED, [("silent", "refuse")], hold_up)
     assert max(took.values()) < LATEST + 0.5, took
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -67,16 +67,16 @@
     assert following.seq is None
 
 
-def test_one_spoilt_entry_does_not_keep_a_drain_unheard_and_no_whole_list_is_asked_for():
+def test_one_malformed_endpoint_does_not_hide_a_drain_and_no_complete_list_is_requested():
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, two) as balancer:
         other = {**one.entry(), "host": "s9"}
         odd = {"health": "odd"}, {"block": 1e999}, {"host": 0}
-        for spoilt in 7, {"host": "s9"}, *({**other, **part} for part in odd):
-            balancer.list.entries = [spoilt, one.entry("DRAINING"), two.entry()]
+        for malformed in 7, {"host": "s9"}, *({**other, **part} for part in odd):
+            balancer.list.entries = [malformed, one.entry("DRAINING"), two.entry()]
             balancer.list.seq += 1
             soon(lambda: balancer.list.asked[-1][1] == str(balancer.list.seq))
-            assert {balancer.ask(str(at)).readline() for at in range(5)} == {b"UP two\r\n"}
+            assert {balancer.ask(str(index)).readline() for index in range(5)} == {b"UP two\r\n"}
         assert None not in [since for _, since in balancer.list.asked]
         log = balancer.end()
         assert log.count('event="malformed list entries" entries=1') == 5
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -8,17 +8,25 @@
 import time
 
 import pytest
-from flow_helpers import EFFECTS, FIRST, breaks, descriptors, goes_on, settings, stand_still
+from flow_helpers import (
+    EFFECTS,
+    KEY_OF_FIRST_SERVER,
+    descriptor_count,
+    flow_settings,
+    resetting_server,
+    resume_process,
+    stop_process,
+)
 from harness import DEADLINE, Balancer, FakeHost, FakeServer, SlowDoor, soon
 
 from lotusroute.routing import events
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_connect_that_has_not_come_up_is_taken_back_when_its_server_drains(effect):
+def test_an_attempt_that_has_not_connected_is_cancelled_when_its_server_drains(effect):
     slow, other = SlowDoor("s0"), FakeServer("s1", b"UP other\r\n")
-    with Balancer(slow, other, settings=settings(effect)) as balancer:
-        client = balancer.ask(FIRST, wait=4_000)
+    with Balancer(slow, other, settings=flow_settings(effect)) as balancer:
+        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
         time.sleep(0.1)
         balancer.list.entries, balancer.list.seq = [slow.entry("DRAINING"), other.entry()], 2
         start = time.monotonic()
@@ -28,31 +36,31 @@
         assert not slow.flows()
 
 
-def test_a_connect_that_came_up_while_the_balancer_was_held_up_is_not_used_beyond_the_grace():
+def test_an_attempt_that_connected_while_the_balancer_was_stopped_is_not_used_after_the_drain_grace():
     slow, other = SlowDoor("s0"), FakeServer("s1", b"UP other\r\n")
-    with Balancer(slow, other, settings=settings(grace=300)) as balancer:
-        client = balancer.ask(FIRST, wait=4_000)
+    with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
+        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
         time.sleep(0.1)
-        stand_still(balancer)
+        stop_process(balancer)
         slow.open()
         slow.came()  # first, so that the balancer hears of it before it hears of the drain
         balancer.list.entries, balancer.list.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
-        goes_on(balancer)
+        resume_process(balancer)
         assert client.readline() == b"UP other\r\n" and not slow.flows()
 
 
-def test_a_repeat_that_comes_up_when_its_window_is_over_is_not_sent():
-    first, second = breaks("s0"), SlowDoor("s1")
-    told = settings("idempotency_key", group="all", window=600)
-    with Balancer(first, second, settings=told) as balancer:
-        client = balancer.ask(FIRST, wait=4_000)
+def test_a_retry_that_connects_after_the_deduplication_window_is_not_sent():
+    first, second = resetting_server("s0"), SlowDoor("s1")
+    settings = flow_settings("idempotency_key", group="all", window=600)
+    with Balancer(first, second, settings=settings) as balancer:
+        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
         soon(lambda: first.lines)
         second.open()
         assert client.readline().startswith(b"BUSY") and not second.flows()
 
 
-SPOILT = (
+MALFORMED_RECEIPTS = (
     b"UP\r\n",
     b"UP \r\n",
     b"UPS r1\r\n",
@@ -67,55 +75,55 @@
 )
 
 
-@pytest.mark.parametrize("answer", [SPOILT[at] for at in (0, 2, 5, 8, 9, 10)])
-def test_a_spoilt_answer_reaches_nobody_as_served_and_another_server_serves(answer):
-    spoilt, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
-    with Balancer(spoilt, sound, settings=settings()) as balancer:
-        assert balancer.ask(FIRST, wait=1_000).readline() == b"UP sound\r\n" and spoilt.lines
-        spoilt.reply = b"UP r1\r\n"
-        assert balancer.ask(FIRST + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
+@pytest.mark.parametrize("answer", [MALFORMED_RECEIPTS[index] for index in (0, 2, 5, 8, 9, 10)])
+def test_a_malformed_receipt_does_not_reach_the_client_and_another_server_serves(answer):
+    malformed, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
+    with Balancer(malformed, sound, settings=flow_settings()) as balancer:
+        assert balancer.ask(KEY_OF_FIRST_SERVER, wait=1_000).readline() == b"UP sound\r\n" and malformed.lines
+        malformed.reply = b"UP r1\r\n"
+        assert balancer.ask(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
 
 
-def test_after_a_spoilt_answer_a_once_only_flow_is_sent_nowhere_else():
-    servers = [FakeServer(f"s{at}", answer) for at, answer in enumerate(SPOILT)]
-    home = FakeHost(servers=len(SPOILT)).default
+def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
+    servers = [FakeServer(f"s{index}", answer) for index, answer in enumerate(MALFORMED_RECEIPTS)]
+    home = FakeHost(servers=len(MALFORMED_RECEIPTS)).default
     keys = [next(key for key in map(str, range(999)) if home(key) == server.name) for server in servers]
-    with Balancer(*servers, settings=settings("non_idempotent")) as balancer:
+    with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
         # All at once: where most connects have failed already, a later flow is refused without a connect.
-        stand_still(balancer)
+        stop_process(balancer)
         clients = [balancer.ask(key, wait=1_000) for key in keys]
-        goes_on(balancer)
+        resume_process(balancer)
         assert {client.readline() for client in clients} == {b"ERR\r\n"}
         for server in servers:
             assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
-def test_a_first_line_that_is_whole_in_the_socket_is_answered_though_its_time_is_over():
+def test_a_complete_first_line_in_the_socket_is_answered_after_its_timeout():
     with Balancer(FakeServer("s0")) as balancer:
         client = balancer.say(b"PING")
         assert client.readline() == b"PONG\r\n"
         client.conn.sendall(b"OPEN id9 k c=li")
         time.sleep(0.2)
-        stand_still(balancer)
+        stop_process(balancer)
         client.conn.sendall(b"ve,d=1500\r\n")
         time.sleep(2.2)
-        goes_on(balancer)
+        resume_process(balancer)
         assert client.readline() == b"UP r1\r\n"
 
 
-def test_a_client_that_stays_after_its_end_is_let_go_within_seconds_and_has_read_all():
+def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_has_read_all():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         client = balancer.ask()
         assert client.readline() == b"UP r1\r\n"
-        held = descriptors(balancer)
+        descriptors_before = descriptor_count(balancer)
         server.conns[0].sendall(b"M 1 last\r\nBYE\r\n")
         server.conns[0].shutdown(socket.SHUT_WR)
-        soon(lambda: descriptors(balancer) <= held - 2)
+        soon(lambda: descriptor_count(balancer) <= descriptors_before - 2)
         assert [client.readline() for _ in range(3)] == [b"M 1 last\r\n", b"BYE\r\n", b""]
 
 
-def test_a_move_that_waits_to_be_written_is_not_lost_to_newcomers():
+def test_an_unwritten_move_is_not_lost_when_new_connections_take_all_descriptors():
     server = FakeServer("s0")
     with Balancer(server, sockets=128) as balancer:
         client = balancer.ask()
@@ -136,7 +144,7 @@
         assert read.endswith(b"\r\nMOVE\r\n") and flood
 
 
-def test_a_referenced_flow_of_an_unknown_group_that_may_have_run_goes_nowhere_else():
+def test_a_flow_with_an_idempotency_key_of_unknown_scope_that_may_have_run_is_not_retried():
     kind = events.ServiceType(300.0, events.IDEMPOTENCY_KEY, "shelf", 9_000.0)
     host = FakeHost(vip=events.ServiceConfig({"live": kind}, max_attempts=4))
     assert host.end(host.ask(), events.RESET) == [events.Abort(1)]
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from flow_helpers import FIRST, breaks, goes_on, settings, stand_still
+from flow_helpers import KEY_OF_FIRST_SERVER, flow_settings, resetting_server, resume_process, stop_process
 from harness import Balancer, FakeServer, SlowDoor, soon
 
 
@@ -16,48 +16,48 @@
         ("idempotency_key", "cell", b"ERR"),
     ],
 )
-def test_at_the_stop_what_an_earlier_connect_may_have_run_is_not_called_harmless(effect, group, last):
+def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
     # The end looked at the connect in flight alone, and that had not come up.
-    first, second = breaks("s0"), SlowDoor("s1")
-    told = settings(effect, deadline=8_000, group=group, window=20_000)
-    with Balancer(first, second, settings=told) as balancer:
-        client = balancer.ask(FIRST, wait=8_000)
+    first, second = resetting_server("s0"), SlowDoor("s1")
+    settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
+    with Balancer(first, second, settings=settings) as balancer:
+        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=8_000)
         soon(lambda: first.lines)
         balancer.process.send_signal(signal.SIGTERM)
         assert client.readline().startswith(last) and client.readline() == b""
 
 
-def test_a_receipt_that_comes_as_all_is_cut_at_the_stop_is_passed_on_and_its_client_moved():
+def test_a_receipt_that_arrives_at_the_shutdown_deadline_is_forwarded_and_its_client_migrated():
     server = FakeServer("s0", None)
-    with Balancer(server, settings=settings("non_idempotent", deadline=8_000)) as balancer:
+    with Balancer(server, settings=flow_settings("non_idempotent", deadline=8_000)) as balancer:
         client = balancer.ask(wait=8_000)
         soon(lambda: server.lines)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(3.0)
-        stand_still(balancer)
+        stop_process(balancer)
         server.conns[0].sendall(b"UP r1\r\n")
         time.sleep(0.4)  # all is cut 3.35 s after the order
-        goes_on(balancer)
+        resume_process(balancer)
         assert client.readline() == b"UP r1\r\n" and client.readline() == b"MOVE\r\n"
 
 
-def test_who_came_while_the_balancer_was_held_up_at_its_stop_is_answered_before_the_end():
+def test_clients_that_connect_while_the_stopping_balancer_is_stalled_are_answered_before_its_exit():
     with Balancer(FakeServer("s0")) as balancer:
         waiting = balancer.say(b"PING")
         assert waiting.readline() == b"PONG\r\n"
         balancer.process.send_signal(signal.SIGTERM)
         assert waiting.conn.send(b"OPEN id8 k c=") and balancer.ask().readline().startswith(b"BUSY")
-        stand_still(balancer)
+        stop_process(balancer)
         waiting.conn.sendall(b"live,d=1500\r\n")
-        newcomers = [balancer.ask(str(at)) for at in range(40)]
+        new_clients = [balancer.ask(str(index)) for index in range(40)]
         time.sleep(1.0)
-        goes_on(balancer)
-        assert {client.readline()[:4] for client in [waiting, *newcomers]} == {b"BUSY"}
+        resume_process(balancer)
+        assert {client.readline()[:4] for client in [waiting, *new_clients]} == {b"BUSY"}
         balancer.end(0)
         assert balancer.process.returncode == 0
 
 
-def test_a_second_order_to_stop_and_a_reload_while_it_stops_change_nothing():
+def test_a_second_sigterm_and_a_reload_during_shutdown_change_nothing():
     with Balancer(FakeServer("s0")) as balancer:
         client = balancer.ask()
         assert client.readline() == b"UP r1\r\n"
