--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -10,13 +10,12 @@
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
 
-KEY_OF_FIRST_SERVER = next(
-    key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0"
-)  # s0 first
+# A key whose flow is sent to s0 first, of two servers.
+KEY_OF_FIRST_SERVER = next(key for key in map(str, range(99)) if FakeHost(servers=2).default(key) == "s0")
 
 
 def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
-    """As SETTINGS, for one service type, and connections that may take long to come up."""
+    """Return SETTINGS for one service type, with a connect timeout of seconds."""
     kind = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **more}
     return {
         **SETTINGS,
@@ -27,20 +26,20 @@
 
 
 def reset_connection(file):
-    """Break a connection off."""
+    """Close a connection with a reset."""
     file.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     file.close()
     file.conn.close()
 
 
 def close_connection(file):
-    """Close a connection politely."""
+    """Close a connection with a FIN."""
     file.close()
     file.conn.close()
 
 
 def stop_process(balancer):
-    """Stop the program between two instructions, for certain."""
+    """Stop the balancer's process, and wait until the system says that it is stopped."""
     balancer.process.send_signal(signal.SIGSTOP)
     status = f"/proc/{balancer.process.pid}/stat"
     with open(status) as file:
@@ -48,16 +47,17 @@
 
 
 def resume_process(balancer):
+    """Let a stopped balancer go on."""
     balancer.process.send_signal(signal.SIGCONT)
 
 
 def descriptor_count(balancer):
-    """How many the program holds."""
+    """Return the number of descriptors that the balancer has open."""
     return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
 
 
 def resetting_server(name):
-    """A server that resets each connection once it has its line."""
+    """Return a server that resets each connection once it has read its line."""
     server = FakeServer(name, None)
     serve = server._serve
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -41,20 +41,20 @@
 def test_a_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(
     effect, early_bytes, disconnect
 ):
-    # Read no further than 4 KiB behind its line, neither its FIN nor its RST was seen.
+    # Neither its FIN nor its RST was noticed by a balancer that read only 4 KiB after the first line.
     server = SlowDoor("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.ask(wait=4_000)
         client.conn.settimeout(0.2)
         try:
             client.conn.sendall(b"M 1 " + b"x" * early_bytes + b"\r\n")
-        except OSError:  # refused, or no room
+        except OSError:  # rejected already, or the buffers are full
             assert early_bytes > 16_384
         time.sleep(0.1)
         disconnect(client)
         time.sleep(0.1)
         server.open()
-        time.sleep(1.5)  # the system tries again after one second
+        time.sleep(1.5)  # the kernel retransmits the SYN after one second
         assert not server.flows()
         assert balancer.ask("other").readline() == b"UP r1\r\n"
 
@@ -69,7 +69,7 @@
         time.sleep(0.2)
         stop_process(balancer)
         server.open()
-        server.came()  # up first, so that the balancer hears of it first
+        server.came()  # connected first, so that the balancer is notified of it first
         disconnect(client)
         time.sleep(0.35)
         resume_process(balancer)
@@ -90,7 +90,7 @@
 
 
 def half_close_after_partial_line(file):
-    """Say half a line more, then end the sending alone, as one that cancels its request."""
+    """Send half a line more, then a FIN alone, as a client that cancels its request."""
     file.conn.sendall(b"M 7")
     file.conn.shutdown(socket.SHUT_WR)
 
@@ -101,14 +101,14 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_no_retry_starts_for_a_client_whose_disconnect_lies_unread_behind_its_own_lines(effect, disconnect):
-    # Read by 8 KiB a turn, the end was not seen when the first connect had failed: the second was begun.
+    # Reads are of 8 KiB: the FIN was still unread when the first attempt failed, and a retry was started.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
         client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
         soon(lambda: first.lines)
         stop_process(balancer)
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        first.conns[0].sendall(b"BUSY\r\n")  # it has not run: any effect may be sent again
+        first.conns[0].sendall(b"BUSY\r\n")  # it has not run: a flow of any effect may be retried
         disconnect(client)
         time.sleep(0.35)
         resume_process(balancer)
@@ -134,7 +134,7 @@
             DISCONNECTS[index % 3](client)
         time.sleep(0.35)
         resume_process(balancer)
-        time.sleep(2.0)  # the system tries those again that did not come up, after one second
+        time.sleep(2.0)  # the kernel retransmits SYNs that were dropped after one second
         assert not server.flows()
         assert balancer.ask("other").readline() == b"UP r1\r\n"
 
@@ -160,7 +160,7 @@
         soon(lambda: b"" in server.lines)
         stop_process(balancer)
         close_connection(client)
-        time.sleep(1.2)  # the next try is due, before the end is read
+        time.sleep(1.2)  # the retry is due before the FIN is read
         resume_process(balancer)
         time.sleep(0.5)
         assert len(server.conns) == 1
@@ -180,12 +180,12 @@
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
-                continue  # the other's
+                continue  # the connection of the client that was rejected
         assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
 
 
 class FloodedTransport(StringTransport):
-    """A transport whose socket holds a flood."""
+    """A transport whose socket has more to read than may be buffered."""
 
     bufferSize, dataBuffer, _tempDataBuffer, closed = 8_192, b"", (), False
 
@@ -210,7 +210,7 @@
 
 
 def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
-    # Closed at once over what it still sends, it would be sent a reset that may overtake its last line.
+    # Closed at once with data unread, its socket would send a reset that may overtake the final answer.
     events, counters = [], collections.Counter()
     clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
     side = clients.buildProtocol(None)
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -43,7 +43,7 @@
         time.sleep(0.1)
         stop_process(balancer)
         slow.open()
-        slow.came()  # first, so that the balancer hears of it before it hears of the drain
+        slow.came()  # connected first, so that the balancer is notified of it before the drain
         balancer.list.entries, balancer.list.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
         resume_process(balancer)
@@ -89,7 +89,7 @@
     home = FakeHost(servers=len(MALFORMED_RECEIPTS)).default
     keys = [next(key for key in map(str, range(999)) if home(key) == server.name) for server in servers]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
-        # All at once: where most connects have failed already, a later flow is refused without a connect.
+        # All at once: when most attempts have failed already, a later flow is rejected without an attempt.
         stop_process(balancer)
         clients = [balancer.ask(key, wait=1_000) for key in keys]
         resume_process(balancer)
@@ -136,7 +136,7 @@
         except TimeoutError:
             pass
         balancer.list.entries, balancer.list.seq = [server.entry("DRAINING")], 2
-        time.sleep(1.2)  # moved within a second
+        time.sleep(1.2)  # migrated within a second
         flood = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(200)]
         read = client.read(10_000_000)
         while part := client.read(10_000_000):
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,7 +17,7 @@
     ],
 )
 def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
-    # The end looked at the connect in flight alone, and that had not come up.
+    # The shutdown looked only at the attempt in flight, and that had not connected.
     first, second = resetting_server("s0"), SlowDoor("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
@@ -36,7 +36,7 @@
         time.sleep(3.0)
         stop_process(balancer)
         server.conns[0].sendall(b"UP r1\r\n")
-        time.sleep(0.4)  # all is cut 3.35 s after the order
+        time.sleep(0.4)  # all that is left is rejected 3.35 s after the signal
         resume_process(balancer)
         assert client.readline() == b"UP r1\r\n" and client.readline() == b"MOVE\r\n"
 
