--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -30,7 +30,7 @@
 
 
 def busy_line(retry_after: float, max_retry_after: float) -> bytes:
-    """Return a rejection with its Retry-After in ms, without one where the service type allows none.
+    """Return a rejection with its Retry-After in ms, without one where the settings allow none.
 
     >>> busy_line(250.4, 1000.0), busy_line(250.4, 0.0)
     (b'BUSY 250', b'BUSY')
--- a/lotusroute/net/connection_monitor.py
+++ b/lotusroute/net/connection_monitor.py
@@ -41,9 +41,8 @@
         self._loop = loop
         self._flows = flows
         self._table = table
-        self._slow_latency_threshold = (
-            slow_latency_threshold  # ms from which the Director takes a server as slow
-        )
+        # ms of delay from which the Director takes a server as slow
+        self._slow_latency_threshold = slow_latency_threshold
         self._reply_delays: dict[str, list[float]] = {}  # by server, since the last check
         self._slow_servers: set[str] = set()  # reported as slow, and not yet as recovered
 
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -57,7 +57,7 @@
             self._retry_later(flow)
 
     def attempt_failed(self, flow: ActiveFlow, result: str) -> None:
-        """Retry after a failed attempt where the flow cannot have run twice."""
+        """Retry after a failed attempt if the flow has not run, or may run again."""
         if result in events.NEVER_RAN or flow.service_type.effect == events.IDEMPOTENT:
             self._retry_later(flow)
         else:
