--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -39,9 +39,9 @@
 
 from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.net import config, structured_log
+from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.discovery_session import DiscoverySession, parse_cached_list
 from lotusroute.net.downstream import DownstreamFactory, Listener
-from lotusroute.net.owner import Owner
 
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
@@ -86,20 +86,20 @@
     balancer_config = config.load_config(os.environ)
     cached_list = parse_cached_list(balancer_config)
     structured_log.configure_logging(balancer_config.log_level)
-    owner = Owner(balancer_config, counters)
-    owner.put(cached_list)
-    downstream = DownstreamFactory(owner.put, owner.clock, owner.ready, balancer_config.sockets, counters)
+    core = BalancerCore(balancer_config, counters)
+    core.put(cached_list)
+    downstream = DownstreamFactory(core.put, core.clock, core.ready, balancer_config.sockets, counters)
     listener = open_listener(balancer_config.listen, downstream)
 
     def apply_limits(new: config.BalancerConfig) -> None:
-        owner.allow(new)
+        core.allow(new)
         downstream.allow(new.sockets)
 
-    session = DiscoverySession(balancer_config, owner.put, apply_limits, counters)
-    owner.owing = partial(downstream.accept_pending, listener)
-    owner.relist = session.request_complete_list
+    session = DiscoverySession(balancer_config, core.put, apply_limits, counters)
+    core.owing = partial(downstream.accept_pending, listener)
+    core.relist = session.request_complete_list
     follow_discovery(session, listener)
-    return Balancer(listener, session, owner.stop)
+    return Balancer(listener, session, core.stop)
 
 
 def open_listener(address: tuple[str, int], downstream: DownstreamFactory) -> Listener:
--- /dev/null
+++ b/tests/flow_helpers.py
@@ -0,0 +1,70 @@
+"""Settings, broken connections and stopped processes for tests of how flows end."""
+
+import pathlib
+import signal
+import socket
+import struct
+
+from harness import SETTINGS, FakeHost, FakeServer, soon
+
+EFFECTS = "read_like", "idempotency_key", "non_idempotent"
+
+
+# A key whose flow is sent to s0 first, of two servers.
+KEY_OF_FIRST_SERVER = next(key for key in map(str, range(99)) if FakeHost(servers=2).default_server(key) == "s0")
+
+
+def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
+    """Return SETTINGS for one service type, with a connect timeout of seconds."""
+    kind = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **more}
+    return {
+        **SETTINGS,
+        "service_types": [kind],
+        "rules": {"stop_sending_within": grace},
+        "limits": {**SETTINGS["limits"], "connect_timeout": connect_timeout},
+    }
+
+
+def reset_connection(file):
+    """Close a connection with a reset."""
+    file.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    file.close()
+    file.conn.close()
+
+
+def close_connection(file):
+    """Close a connection with a FIN."""
+    file.close()
+    file.conn.close()
+
+
+def stop_process(balancer):
+    """Stop the balancer's process, and wait until the system says that it is stopped."""
+    balancer.process.send_signal(signal.SIGSTOP)
+    status = f"/proc/{balancer.process.pid}/stat"
+    with open(status) as file:
+        soon(lambda: (file.seek(0), file.read().rsplit(")", 1)[1].split()[0] == "T")[1])
+
+
+def resume_process(balancer):
+    """Let a stopped balancer go on."""
+    balancer.process.send_signal(signal.SIGCONT)
+
+
+def descriptor_count(balancer):
+    """Return the number of descriptors that the balancer has open."""
+    return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
+
+
+def resetting_server(name):
+    """Return a server that resets each connection once it has read its line."""
+    server = FakeServer(name, None)
+    serve = server._serve
+
+    def broken(conn):
+        server.lines.append(conn.recv(4096))
+        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        conn.close()
+
+    server._serve = lambda conn: (serve if server.reply else broken)(conn)
+    return server
