--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -11,7 +11,9 @@
 
 
 # A key whose flow is sent to s0 first, of two servers.
-KEY_OF_FIRST_SERVER = next(key for key in map(str, range(99)) if FakeHost(servers=2).default_server(key) == "s0")
+KEY_OF_FIRST_SERVER = next(
+    key for key in map(str, range(99)) if FakeHost(servers=2).default_server(key) == "s0"
+)
 
 
 def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -86,7 +86,7 @@
 
 def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
     servers = [FakeServer(f"s{index}", answer) for index, answer in enumerate(MALFORMED_RECEIPTS)]
-    home = FakeHost(servers=len(MALFORMED_RECEIPTS)).default
+    home = FakeHost(servers=len(MALFORMED_RECEIPTS)).default_server
     keys = [next(key for key in map(str, range(999)) if home(key) == server.name) for server in servers]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
         # All at once: when most attempts have failed already, a later flow is rejected without an attempt.
@@ -147,7 +147,7 @@
 def test_a_flow_with_an_idempotency_key_of_unknown_scope_that_may_have_run_is_not_retried():
     kind = events.ServiceType(300.0, events.IDEMPOTENCY_KEY, "shelf", 9_000.0)
     host = FakeHost(config=events.ServiceConfig({"live": kind}, max_attempts=4))
-    assert host.end(host.ask(), events.RESET) == [events.Abort(1)]
+    assert host.end(host.request(), events.RESET) == [events.Abort(1)]
 
 
 assert DEADLINE > 4.0  # the longest that a test above waits for its answer
