--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -180,7 +180,7 @@
             return
         old, self.posting = self.posting, new
         self.owner.allow(new)
-        self.clients.allow(new.sockets)
+        self.clients.set_descriptor_limit(new.sockets)
         if new.discovery != old.discovery:
             self.follow()
         restart = ",".join(config.settings_needing_restart(self.first, new)) or "nothing"
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -39,8 +39,8 @@
     group: str | None
     key: str | None
     wait: float
-    returned: bool
-    at: str | None
+    reconnecting: bool
+    existing_server: str | None
     line: tuple[bytes, bytes]
 
     def rewritten(self, wait: float) -> bytes:
@@ -51,20 +51,20 @@
 class FlowRequested(NamedTuple):
     """A client asks for a connection."""
 
-    side: "DownstreamConnection"
-    opening: OpenRequest
-    at: float
+    connection: "DownstreamConnection"
+    request: OpenRequest
+    received_at: float
 
     @property
-    def number(self) -> int:
+    def flow_id(self) -> int:
         """Of its flow, once it has one."""
-        return self.side.number
+        return self.connection.flow_id
 
 
 class DownstreamClosed(NamedTuple):
     """A client has ended its connection, or its sending on it."""
 
-    number: int
+    flow_id: int
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
@@ -112,9 +112,9 @@
     HELD = 4 * LINE  # of one that should wait for its answer; what stands in its way hides that it leaves
 
     def __init__(self) -> None:
-        self.number = 0  # of its flow; 0 while there is none
+        self.flow_id = 0  # of its flow; 0 while there is none
         self.link = None  # the connection of its server, once the flow stands
-        self.answered = self.gone = False
+        self.answered = self.disconnected = False
         self.checks = self.dropped = self.reads = 0
 
     def connectionMade(self) -> None:
@@ -161,7 +161,7 @@
     def reject_malformed(self) -> None:
         """Answer what cannot be read or used."""
         self.factory.counters["malformed_lines"] += 1
-        self.answer(ERR)
+        self.send_final_answer(ERR)
 
     def buffer_overflowed(self) -> None:
         """A client that does not wait for its answer, as the protocol has it, is refused: read no further,
@@ -170,7 +170,7 @@
             super().buffer_overflowed()
             return
         self.factory.counters["early_data_overflows"] += 1
-        self.gone = True  # to the owner, who may not have taken it yet
+        self.disconnected = True  # to the owner, who may not have taken it yet
         self.reject_malformed()
         self._tell_left()
 
@@ -181,9 +181,9 @@
             reads = self.reads
             if self.transport.doRead() is not None:
                 return False  # the reactor finds that out by itself in its next turn
-        return not (self.ended or self.gone)
+        return not (self.ended or self.disconnected)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether a client that waits has left. It is looked for in the socket: an end that came
         while we were held up, or beside the event that is handled, has not been read yet."""
         if self.look():
@@ -199,14 +199,14 @@
         return self not in self.factory.idle
 
     def _leave(self) -> None:
-        if not self.number:
-            self.gone = True
+        if not self.flow_id:
+            self.disconnected = True
             self.transport.loseConnection()
         self._tell_left()
 
     def _tell_left(self) -> None:
-        if self.number:
-            self.factory.put(DownstreamClosed(self.number))
+        if self.flow_id:
+            self.factory.put(DownstreamClosed(self.flow_id))
 
     def awaits_answer(self) -> bool:
         """Whether it has begun to ask and has no answer, or has not been written its last words."""
@@ -219,7 +219,7 @@
         else:
             self.reject_malformed()
 
-    def answer(self, words: bytes) -> None:
+    def send_final_answer(self, words: bytes) -> None:
         """Write the one final line, then close."""
         if self.answered:
             return
@@ -227,17 +227,17 @@
         self.write_all(words + END)
         self.half_close()
 
-    def join(self, link, receipt: memoryview) -> None:
+    def attach_upstream(self, link, receipt: memoryview) -> None:
         """Pass on the server's receipt and, from now on, all lines."""
         self.answered = True
         self.send(receipt)
         self.link = link
-        link.join(self)
+        link.attach_downstream(self)
         self.release()
         if self.ended:
             link.client_ended(self.clearLineBuffer())
 
-    def move(self) -> None:
+    def send_migrate(self) -> None:
         """Send the client away, after the last whole line."""
         self.link = None
         self.write_all(MOVE + END)
@@ -284,7 +284,7 @@
         self.transport.connectionLost(Failure(error.ConnectionDone()))
 
     def lost(self, clean: bool) -> None:
-        self.gone = True
+        self.disconnected = True
         self.factory.sides.discard(self)
         self.factory.idle.pop(self, None)
         if self.link is not None and not self.ended:
@@ -303,9 +303,9 @@
         self.sides: set[DownstreamConnection] = set()  # open connections; each leaves as it is lost
         self.idle: dict[DownstreamConnection, None] = {}  # those of them that have no flow, the oldest first
         self.most = 1
-        self.allow(sockets)
+        self.set_descriptor_limit(sockets)
 
-    def allow(self, sockets: int) -> None:
+    def set_descriptor_limit(self, sockets: int) -> None:
         """Take connections for so many descriptors."""
         self.most = max(1, sockets - max(OWN[1], sockets // OWN[0]) - ACCEPTS)
 
@@ -322,7 +322,7 @@
         if self._taken() > self.most:
             # Accepting until no descriptor is left would lose flows unanswered.
             self.counters["load_shed"] += 1
-            side.answer(BUSY)
+            side.send_final_answer(BUSY)
 
     def accept_pending(self, listener: "Listener") -> bool:
         """Take in who waits to be accepted, and read what lies in the sockets of those without a flow, before
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -60,9 +60,9 @@
         """Whether the line may be sent now that its connection is up. Not when the client has left meanwhile,
         its time or the window of its repeats is over, or so long has passed that a drain may have been told
         just after the connect was begun, and not been read by a balancer that was held up."""
-        if now >= self.until or self.client.left():
+        if now >= self.until or self.client.has_disconnected():
             return False
-        if self.opening.at:
+        if self.opening.existing_server:
             return True  # it stood there before the run
         kind, ran_at = self.kind, self.ran_at
         if kind.effect == events.IDEMPOTENCY_KEY and ran_at is not None and now >= ran_at + kind.dedup_window:
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -67,20 +67,20 @@
 class AttemptTimedOut(NamedTuple):
     """A connect's time is up."""
 
-    number: int
-    link: UpstreamAttempt
+    flow_id: int
+    attempt: UpstreamAttempt
 
 
 class RetryExisting(NamedTuple):
     """A standing connection is to be tried once more."""
 
-    number: int
+    flow_id: int
 
 
 class CloseGraceExpired(NamedTuple):
     """A server has had its time to end a connection whose client has left."""
 
-    number: int
+    flow_id: int
 
 
 class PeriodicCheck(NamedTuple):
@@ -150,7 +150,7 @@
                 self._on[type(event)](self, event)
             except Exception:
                 # A fault over one event must not take the others with it.
-                self._failed(event, getattr(event, "number", 0))
+                self._failed(event, getattr(event, "flow_id", 0))
         self.running = False
 
     def _failed(self, event: object, number: int) -> None:
@@ -160,8 +160,8 @@
         if isinstance(event, events.TimerFired | DrainStep):
             # Without its next one the upkeep, or our end, would stand still for good.
             self._later(STEP if isinstance(event, DrainStep) else LOOK, event)
-        elif isinstance(event, FlowRequested) and not event.number:
-            event.side.answer(ERR)
+        elif isinstance(event, FlowRequested) and not event.flow_id:
+            event.connection.send_final_answer(ERR)
         elif isinstance(event, EndpointUpdate) and self.relist is not None:
             # Half of it may have been taken, a drain not: it does not come again by itself.
             self.relist()
@@ -173,9 +173,9 @@
             self._drop(held)
             self._hang_up(held)
             if held.up:
-                held.client.move()
+                held.client.send_migrate()
             else:
-                held.client.answer(ERR)
+                held.client.send_final_answer(ERR)
             self.put(events.ClientDisconnected(number))
 
     def _drop(self, held: ActiveFlow) -> None:
@@ -197,33 +197,33 @@
     # What comes in
 
     def _asked(self, event: FlowRequested) -> None:
-        opening, side = event.opening, event.side
-        if side.gone or side.left():
+        opening, side = event.request, event.connection
+        if side.disconnected or side.has_disconnected():
             # Nothing is begun for it: hundreds who had left unread filled a server's queue.
             self.counters["client_disconnects"] += 1
-        elif self._unusable(opening) or (opening.at and self.clock() > self.began + STAND_FROM):
+        elif self._unusable(opening) or (opening.existing_server and self.clock() > self.began + STAND_FROM):
             side.reject_malformed()
         elif self.stopping:
             self._turn_away(side, STOP_ADVICE)
-        elif not opening.at and (len(self.flows) >= self.room or len(self.queue) > QUEUE):
+        elif not opening.existing_server and (len(self.flows) >= self.room or len(self.queue) > QUEUE):
             self._turn_away(side, FULL_ADVICE)
         else:
             self.next += 1
             self.ids.add(opening.id)
-            due = event.at + opening.wait - min(MARGIN, MARGIN_SHARE * opening.wait)
+            due = event.received_at + opening.wait - min(MARGIN, MARGIN_SHARE * opening.wait)
             kind = self.posting.vip.service_types[opening.service_type]
             held = self.flows[self.next] = ActiveFlow(self.next, opening, kind, due, side)
-            side.number = held.number
+            side.flow_id = held.number
             self._trace(
                 "flow requested",
                 held,
                 c=opening.service_type,
                 g=opening.group,
-                returned=opening.returned,
-                at=opening.at,
+                returned=opening.reconnecting,
+                at=opening.existing_server,
             )
-            if opening.at:
-                held.due = min(held.due, event.at + STAND_LONGEST)
+            if opening.existing_server:
+                held.due = min(held.due, event.received_at + STAND_LONGEST)
                 self._stand(held)
             else:
                 self._decide(self._flow(held))
@@ -238,12 +238,12 @@
     def _flow(self, held: ActiveFlow) -> events.Flow:
         o = held.opening
         return events.Flow(
-            held.number, o.service_type, o.tenant, o.group, o.key, held.due, reconnecting=o.returned
+            held.number, o.service_type, o.tenant, o.group, o.key, held.due, reconnecting=o.reconnecting
         )
 
     def _turn_away(self, side: DownstreamConnection, advice: float) -> None:
         self.counters["load_shed"] += 1
-        side.answer(self._busy(advice))
+        side.send_final_answer(self._busy(advice))
 
     def _busy(self, advice: float) -> bytes:
         """A refusal, with the ms after which to come again where that may be said."""
@@ -252,9 +252,9 @@
 
     def _stand(self, held: ActiveFlow) -> None:
         """A connection that stood before we started goes to its server, undecided."""
-        if held.opening.at in self.dials:
+        if held.opening.existing_server in self.dials:
             held.tries += 1
-            self._begin(held, held.opening.at, min(held.due, self.clock() + STAND))
+            self._begin(held, held.opening.existing_server, min(held.due, self.clock() + STAND))
         else:
             self._stand_again(held)
 
@@ -266,12 +266,12 @@
             self._later(AGAIN * max(1, held.tries), RetryExisting(held.number))
 
     def _again(self, event: RetryExisting) -> None:
-        held = self.flows.get(event.number)
+        held = self.flows.get(event.flow_id)
         if held is not None and not held.up:
             self._stand(held)
 
     def _begin(self, held: ActiveFlow, server: str, until: float) -> None:
-        if held.client.left():
+        if held.client.has_disconnected():
             # Its end lay unread behind its own lines when an earlier connect failed: the next was begun.
             self._left(DownstreamClosed(held.number))
             return
@@ -288,48 +288,48 @@
         )
         limit = self.posting.come_up
         held.until = until
-        link.start(self.dials[server], wait < limit)
+        link.connect(self.dials[server], wait < limit)
         held.timer = self._later(min(limit, wait), AttemptTimedOut(held.number, link))
         self.counters["connects"] += 1
         self._trace("connect started", held, server=server, wait=wait)
 
     def _answered(self, event: ReceiptReceived) -> None:
-        held = self.flows.get(event.number)
-        if held is None or held.link is not event.link:
+        held = self.flows.get(event.flow_id)
+        if held is None or held.link is not event.attempt:
             self.counters["late_receipts"] += 1
-            event.link.abort()
+            event.attempt.abort()
             return
-        if held.client.gone:
+        if held.client.disconnected:
             # It broke off in the turn in which the receipt came; its `DownstreamClosed` is queued behind this.
             self._left(DownstreamClosed(held.number))
             return
         self._quiet(held)
         held.up = True
         self.counters["established"] += 1
-        server = event.link.server
+        server = event.attempt.server
         self._trace("established", held, server=server, ms=self.clock() - held.began)
-        held.client.join(event.link, event.receipt)
+        held.client.attach_upstream(event.attempt, event.receipt)
         if server in self.draining:
             self._step_on()
-        if held.opening.at:
+        if held.opening.existing_server:
             self._decide(events.ExistingConnection(self._flow(held), server))
         else:
             self._decide(events.Established(held.number, server))
 
     def _fell(self, event: AttemptEnded) -> None:
-        held = self.flows.get(event.number)
-        if held is None or held.link is not event.link:
+        held = self.flows.get(event.flow_id)
+        if held is None or held.link is not event.attempt:
             return
         self._ended(held, event.result)
 
     def _overdue(self, event: AttemptTimedOut) -> None:
         """The time to come up, or all time, has passed. That comes through the queue, behind whatever the
         sockets brought while we were held up: a stall of ours must not have healthy servers set aside."""
-        held, link = self.flows.get(event.number), event.link
-        if held is None or held.link is not link or link.reach >= STANDING:
+        held, link = self.flows.get(event.flow_id), event.attempt
+        if held is None or held.link is not link or link.stage >= STANDING:
             return
         left = held.until - self.clock()
-        if link.reach > CONNECTING and left > 0:
+        if link.stage > CONNECTING and left > 0:
             held.timer = self._later(left, event)
         else:
             self._ended(held, link.abort())
@@ -337,7 +337,7 @@
     def _ended(self, held: ActiveFlow, result: str) -> None:
         """A connect, or the connection that came of it, is over."""
         self._quiet(held)
-        server, came, held.link = held.link.server, REACHES[held.link.came], None
+        server, came, held.link = held.link.server, REACHES[held.link.final_stage], None
         self.counters[f"ended_{result}"] += 1
         self._trace("connection ended", held, server=server, result=result, came=came)
         if held.up:
@@ -345,7 +345,7 @@
             self._decide(events.ConnectionEnded(held.number, server, True, result))
             return
         held.over(result)
-        if held.opening.at:
+        if held.opening.existing_server:
             if result in events.NEVER_RAN or held.kind.effect == events.IDEMPOTENT:
                 self._stand_again(held)
             else:
@@ -357,7 +357,7 @@
                 raise RuntimeError("flow left without a connect or an answer")
 
     def _left(self, event: DownstreamClosed) -> None:
-        held = self.flows.get(event.number)
+        held = self.flows.get(event.flow_id)
         if held is None:
             return
         if held.up:
@@ -370,12 +370,12 @@
         self._trace("client disconnected", held, server=held.link and held.link.server)
         self._drop(held)
         self._hang_up(held)
-        held.client.answer(ERR)
-        if not held.opening.at:
+        held.client.send_final_answer(ERR)
+        if not held.opening.existing_server:
             self._decide(events.ClientDisconnected(held.number))
 
     def _gone(self, event: CloseGraceExpired) -> None:
-        held = self.flows.get(event.number)
+        held = self.flows.get(event.flow_id)
         if held is not None:
             held.link.abort()
             held.client.half_close()
@@ -383,9 +383,9 @@
 
     def _loaded(self, event: LoadReported) -> None:
         if LOGGER.isEnabledFor(logging.DEBUG):
-            log_event("load report", logging.DEBUG, flow=event.number, load=event.load)
-        if event.number in self.flows:
-            self._decide(events.LoadReport(event.number, event.load))
+            log_event("load report", logging.DEBUG, flow=event.flow_id, load=event.load)
+        if event.flow_id in self.flows:
+            self._decide(events.LoadReport(event.flow_id, event.load))
 
     def _timed(self, event: ReplyTimed) -> None:
         self.delays.setdefault(event.server, []).append(event.delay)
@@ -425,7 +425,7 @@
         wrote its first byte when the grace was over. Standing connections go where they stood."""
         for held in list(self.flows.values()):
             link = held.link
-            if link is None or link.reach != CONNECTING or held.opening.at:
+            if link is None or link.stage != CONNECTING or held.opening.existing_server:
                 continue
             if link.server in self.draining or link.server not in self.dials:
                 self.counters["connects_cancelled"] += 1
@@ -468,7 +468,7 @@
             # A machine that vanished says nothing, and TCP does not notice.
             self.counters["unresponsive_connections"] += 1
             held.link.abort()
-            held.client.move()
+            held.client.send_migrate()
             self._ended(held, events.RESET)
 
     # What is to be done
@@ -499,8 +499,8 @@
         if held is not None and held.up and not held.left:
             self.counters["migrated"] += 1
             self._trace("client migrated", held, server=held.link.server)
-            held.client.move()
-            held.link.leave()
+            held.client.send_migrate()
+            held.link.close_after_migration()
             self._ended(held, events.CANCELLED)
 
     def _wake_me(self, action: events.SetTimer) -> None:
@@ -516,7 +516,7 @@
         self._drop(held)
         self._hang_up(held)
         self._trace("answered", held, words=words.decode())
-        held.client.answer(words)
+        held.client.send_final_answer(words)
 
     @staticmethod
     def _trace(event: str, held: ActiveFlow, **fields: object) -> None:
@@ -588,7 +588,7 @@
             self._step_on()
 
     def _cut(self, held: ActiveFlow) -> None:
-        if held.up or held.link is not None and held.link.reach == STANDING:
+        if held.up or held.link is not None and held.link.stage == STANDING:
             return  # its receipt stands in the queue
         if held.link is not None:
             held.over(held.link.abort())
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -30,23 +30,23 @@
 class ReceiptReceived(NamedTuple):
     """A server gave its receipt for a flow."""
 
-    number: int
-    link: "UpstreamAttempt"
+    flow_id: int
+    attempt: "UpstreamAttempt"
     receipt: memoryview
 
 
 class AttemptEnded(NamedTuple):
     """A connect, or the connection that came of it, is over."""
 
-    number: int
-    link: "UpstreamAttempt"
+    flow_id: int
+    attempt: "UpstreamAttempt"
     result: str
 
 
 class LoadReported(NamedTuple):
     """A server told the load of a connection."""
 
-    number: int
+    flow_id: int
     load: float
 
 
@@ -66,12 +66,12 @@
 
     def resumeProducing(self) -> None:
         link, transport = self.side.link, self.side.transport
-        if link.reach == CONNECTING:
-            link.reach = WRITING
+        if link.stage == CONNECTING:
+            link.stage = WRITING
             transport.write(link.line)
         else:
-            if link.reach == WRITING:
-                link.reach = WRITTEN
+            if link.stage == WRITING:
+                link.stage = WRITTEN
             transport.unregisterProducer()
 
     def stopProducing(self) -> None:
@@ -99,7 +99,7 @@
         if link.line:
             self.transport.registerProducer(_Opening(self), streaming=False)
         else:
-            link.reach = WRITTEN
+            link.stage = WRITTEN
 
     def lineReceived(self, line: memoryview) -> None:
         if self.client is None:
@@ -117,12 +117,12 @@
 
     def _first(self, line: memoryview) -> None:
         first, link = word(line), self.link
-        if RECEIPT.fullmatch(line) and link.reach == WRITTEN:
+        if RECEIPT.fullmatch(line) and link.stage == WRITTEN:
             # Lines that come with the receipt wait until the client's side takes them.
             self.held = True
-            link.reach = STANDING
+            link.stage = STANDING
             self.last = events.RESET
-            link.put(ReceiptReceived(link.number, link, line))
+            link.put(ReceiptReceived(link.flow_id, link, line))
         else:
             # An UP without a receipt, or before our line was whole, is no answer that a server made for it.
             link.fell({BUSY: events.FULL, MOVE: events.CANCELLED}.get(first, events.ERROR))
@@ -131,7 +131,7 @@
     def _load(self, line: memoryview) -> None:
         try:
             self.link.put(
-                LoadReported(self.link.number, parse_number(str(line[len(LOAD) :], "ascii").strip()))
+                LoadReported(self.link.flow_id, parse_number(str(line[len(LOAD) :], "ascii").strip()))
             )
         except (InvalidValueError, UnicodeDecodeError):
             self.link.counters["malformed_load_reports"] += 1
@@ -148,7 +148,7 @@
             self.client.transport.write(self.clearLineBuffer())
             self.client.half_close()
             self.link.fell(self.last)
-        elif self.link.reach < STANDING:
+        elif self.link.stage < STANDING:
             self.link.fell(self.link.broken())
             self.transport.abortConnection()
 
@@ -169,7 +169,7 @@
 
     def __init__(
         self,
-        number: int,
+        flow_id: int,
         server: str,
         line: bytes,
         put: Callable,
@@ -177,17 +177,17 @@
         counters,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.number, self.server, self.line = number, server, line
+        self.flow_id, self.server, self.line = flow_id, server, line
         self.may_send = may_send  # whether the line may be sent; asked once, as the connection is up
         self.put, self.clock, self.counters = put, clock, counters
-        self.reach = self.came = CONNECTING  # how far it is, and how far it came before it was over
+        self.stage = self.final_stage = CONNECTING  # how far it is, and how far it came before it was over
         self.side: UpstreamConnection | None = None
         self.connector = None
         self.timeout_shortened = (
             False  # the time to come up was cut short: a time-out says little of the server
         )
 
-    def start(self, address: tuple[str, int], timeout_shortened: bool) -> None:
+    def connect(self, address: tuple[str, int], timeout_shortened: bool) -> None:
         """Begin; the owner keeps the time, so that a stall of ours is not taken for the server's."""
         self.timeout_shortened = timeout_shortened
         self.connector = reactor.connectTCP(*address, self, timeout=None)
@@ -203,25 +203,25 @@
 
     def broken(self) -> str:
         """How it ended, if the connection broke now: after the line's last byte it may have run."""
-        return events.RESET if self.reach >= WRITTEN else events.UNREACHABLE
+        return events.RESET if self.stage >= WRITTEN else events.UNREACHABLE
 
     def fell(self, result: str) -> None:
         """Report the end, once."""
         if self._over():
-            self.put(AttemptEnded(self.number, self, result))
+            self.put(AttemptEnded(self.flow_id, self, result))
 
     def _over(self) -> bool:
         """Keep how far it came; whether it was not over yet."""
-        if self.reach == OVER:
+        if self.stage == OVER:
             return False
-        self.came, self.reach = self.reach, OVER
+        self.final_stage, self.stage = self.stage, OVER
         return True
 
     def abort(self) -> str:
         """Stop waiting, close at once and return how far it had come; nothing is reported any more."""
         result = (
             events.TIMEOUT
-            if self.reach >= WRITTEN
+            if self.stage >= WRITTEN
             else events.UNSENT
             if self.timeout_shortened
             else events.UNREACHABLE
@@ -235,7 +235,7 @@
             self.connector.stopConnecting()
         return result
 
-    def join(self, client) -> None:
+    def attach_downstream(self, client) -> None:
         """Pass lines on to and from `client` from now on."""
         side = self.side
         side.client, side.heard = client, self.clock()
@@ -258,7 +258,7 @@
         self.side.last = events.CANCELLED
         self.side.transport.abortConnection()
 
-    def leave(self) -> None:
+    def close_after_migration(self) -> None:
         """Close after a polite move; nothing is reported any more."""
         self._over()
         self.side.client = None
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -259,7 +259,7 @@
     side.transport.protocol = side
     side.makeConnection(side.transport)
     side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
-    assert side.left() and side.transport.value() == b"ERR\r\n" and counters["early_data_overflows"] == 1
+    assert side.has_disconnected() and side.transport.value() == b"ERR\r\n" and counters["early_data_overflows"] == 1
     assert not side.transport.closed and len(events) == 1
 
 
@@ -545,7 +545,7 @@
 
 def test_a_line_over_which_something_broke_before_it_was_a_flow_is_answered():
     said = []
-    side = types.SimpleNamespace(number=0, answer=said.append)
+    side = types.SimpleNamespace(flow_id=0, send_final_answer=said.append)
     Owner._failed(broken_owner(), FlowRequested(side, None, 0.0), 0)
     assert said == [b"ERR"]
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -382,7 +382,7 @@
     side.makeConnection(transport)
     assert _exchange(side, transport, said) == told
     transport.clear()
-    side.move()
+    side.send_migrate()
     assert transport.value() == b"MOVE\r\n"
 
 
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -306,11 +306,11 @@
         link = UpstreamAttempt(1, "s1", line, None, lambda: 0.0, None)
         side, transport = UpstreamConnection(link), Partial(taken)
         side.makeConnection(transport)
-        assert (link.reach == WRITTEN) == (taken == len(line))
+        assert (link.stage == WRITTEN) == (taken == len(line))
         for _ in range(2):
             if transport.producer is not None:
                 transport.producer.resumeProducing()
-        assert transport.value() == line and link.reach == WRITTEN
+        assert transport.value() == line and link.stage == WRITTEN
 
 
 class Partial(StringTransport):
@@ -640,15 +640,15 @@
 
 def test_a_made_up_standing_line_long_after_the_start_gets_an_error_and_takes_no_room(tmp_path):
     class Side:
-        gone, said = False, ()
+        disconnected, said = False, ()
 
-        def left(self):
+        def has_disconnected(self):
             return False
 
         def reject_malformed(self):
             self.said = b"ERR"
 
-        def answer(self, words):
+        def send_final_answer(self, words):
             self.said = words
 
     file = tmp_path / "told.json"
