--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -25,8 +25,9 @@
 
 from lotusroute.routing import events
 from lotusroute.net import config, structured_log
-from lotusroute.net.downstream import DownstreamFactory, Listener
-from lotusroute.net.discovery import Discovery, parse_endpoint_list, parse_version
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.endpoint_list import parse_endpoint_list, parse_version
+from lotusroute.net.listener import DownstreamFactory, Listener
 from lotusroute.net.owner import Owner
 from lotusroute.errors import InvalidValueError
 
@@ -164,7 +165,7 @@
         self.discovery = Discovery(
             told.discovery, seq, told.seed, self.owner.put, self.counters, told.grace, told.pushed
         )
-        self.discovery.heard, self.owner.relist = heard, self.discovery.forget
+        self.discovery.on_first_response, self.owner.relist = heard, self.discovery.request_complete_list
         if self.watch is not None:
             self.discovery.watch, self.watch.discovery = self.watch, self.discovery
         defer.ensureDeferred(self.discovery.follow())
--- a/lotusroute/capacity/roles.py
+++ b/lotusroute/capacity/roles.py
@@ -228,7 +228,7 @@
     import json
 
     from lotusroute.capacity.stubs import entry
-    from lotusroute.net.discovery import parse_endpoint_list
+    from lotusroute.net.endpoint_list import parse_endpoint_list
     from lotusroute.routing import events
     from lotusroute.routing.director import Director
 
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -10,13 +10,13 @@
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.transport import BODY, CallFailed
-from lotusroute.net.discovery import HOLD
+from lotusroute.net.discovery import LONG_POLL_HOLD_MS
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"
 BEAT = 0.4  # s between a holder's words: three fit into STALE, one lost is nothing
 STALE = 1_500.0  # ms without a word until a balancer calls by itself: within a drain's 2 s
-FRESH = HOLD + 1_000.0  # ms after discovery's last answer in which a holder still speaks
+FRESH = LONG_POLL_HOLD_MS + 1_000.0  # ms after discovery's last answer in which a holder still speaks
 LONGEST = 50.0  # ms that handing on takes at most: so much of the lease must be left
 
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -1,316 +1,347 @@
-"""The server list.
+"""The client of discovery, which knows the list of servers.
 
-Owns the calls to discovery at one address: one watch after the other, without a gap, from the version that is
-held, the whole list where none is, and the back-off when discovery fails, refuses or is silent. It must never
-decide what a list means for a flow, act on an answer that is not a list, ask for more than it lacks, or tell
-anything once it is closed.
+`Discovery` follows the list at one address: it long-polls for changes, one poll after the other, from the
+version that it has, and for the complete list where it has none. It backs off when discovery fails, rejects
+polls or does not answer. Updates go to `put`; what they mean for flows is decided there. Times are in s
+unless a name ends in `_ms`.
+
+One deadline covers all polls: whatever becomes of them, a change counts as received `CHANGE_DEADLINE` after
+discovery had it, and a server that drains may be sent to only for its grace from then on. So each poll, its
+timeout and each backoff have to fit into what is left of both since the last complete response. With a limit
+for each by itself, an unanswered long poll and a rejection after it passed the deadline by up to 4 s.
 """
 
 import contextlib
 import json
-import logging
 import random
 from collections import Counter
 from collections.abc import Callable
+from enum import StrEnum
 from typing import NamedTuple
 
 from twisted.internet import defer, reactor, task
+from twisted.internet.interfaces import IDelayedCall
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
-from lotusroute.errors import InvalidValueError
-from lotusroute.net.config import parse_address
+from lotusroute.errors import ProtocolError
+from lotusroute.net.endpoint_list import (
+    MALFORMED_LIST_ERRORS,
+    EndpointUpdate,
+    parse_endpoint_list,
+    parse_version,
+)
 from lotusroute.net.structured_log import log_event
 from lotusroute.routing import events
-from lotusroute.service_config import look_up, parse_number
-
-STATES = {"SERVING": events.READY, "DRAINING": events.DRAINING, "DELETED": events.REMOVED}
-# One clock for all: whatever becomes of the calls, a change counts as told LATEST after discovery had it.
-# Each call, wait and pause has to fit into what is left of that, and of the grace of a drain, since the last
-# whole answer. Counted each by itself, a silent watch and a refusal after it passed both by up to 4 s.
-LATEST = 6.0  # s after which, by the protocol, a change counts as told
-HOLD = 2_000  # ms that a watch waits at most
-LINE = 2.0  # s that calls of many stand in line, where lists have to be asked for, before they fail
-PATIENCE = LINE + 0.3  # s beyond the wait for a whole answer
-PROMPT = 1.0  # s beyond it for a watch where nothing stands in line: the last answer came within half of it
-QUICK = 0.1, 1.0  # s, least and most of it where an agent of our own machine has the list and answers at once
-STALL = 0.05  # s by which a time-out comes late when we were held up, and says nothing of discovery
-FAILED = 0.1, 1.0  # s, first and longest pause after a failed call; the first within the 200 ms of a watch
-REFUSED = 1.2  # s, least room for the pause after a refusal: 200 refused together are then no herd again
-AT_HAND = 0.5  # s, the longest where an agent has the list: it costs nothing to ask
-SLACK = 0.15  # s for a busy core and the way of an answer
-SPREAD = 0.2  # share of a pause that is waited at least; the rest is drawn, that 40 refused come one by one
-CALL, ANSWER, REFUSAL, BODY = "no answer", "an answer in part", "a refusal", "an answer that is no list"
-UNREADABLE = KeyError, TypeError, ValueError, AttributeError, InvalidValueError  # what a spoilt answer raises
-REFUSALS = 429, 502, 503, 504  # statuses that say nothing of the version asked from
-
-
-class EndpointUpdate(NamedTuple):
-    """What discovery told: a list or changes to it, with where each server is dialled."""
-
-    scope: str
-    servers: tuple[events.Server, ...]
-    dials: dict[str, tuple[str, int]]
+
+CHANGE_DEADLINE = 6.0  # s after which, by the protocol, a change counts as received
+LONG_POLL_HOLD_MS = 2_000  # ms for which a long poll is held at most
+QUEUE_TIMEOUT = 2.0  # s that polls of many balancers wait in discovery's queue before they fail
+REQUEST_TIMEOUT = QUEUE_TIMEOUT + 0.3  # s beyond the hold for a complete response
+# s beyond the hold where nothing is queued at discovery: the last response came within half of it.
+UNQUEUED_REQUEST_TIMEOUT = 1.0
+# s, the same for an agent on this machine, which has the list and answers at once.
+MIN_AGENT_REQUEST_TIMEOUT = 0.1
+MAX_AGENT_REQUEST_TIMEOUT = 1.0
+# s by which a timer fires late when this process was suspended: the timeout says nothing of discovery then.
+SUSPENSION_THRESHOLD = 0.05
+MIN_BACKOFF = 0.1  # s after a first failure: within the 200 ms that a watch event may take
+MAX_BACKOFF = 1.0  # s
+MAX_AGENT_BACKOFF = 0.5  # s where an agent has the list: polls cost it nothing
+# s left at least for the backoff after a rejection: 200 that are rejected at once are no storm afterwards.
+MIN_REJECTION_BACKOFF = 1.2
+MIN_BACKOFF_SHARE = 0.2  # of a backoff that is waited at least; the rest is random, so that polls spread
+TIMING_MARGIN = 0.15  # s for a busy CPU and the way of a response
+DEFAULT_GRACE_MS = 2_000.0
+REJECTION_STATUSES = (429, 502, 503, 504)  # they say nothing of the version that was polled for
+STATUS_OK = 200
+MAX_LOGGED_ERROR = 200  # characters
+
+
+class PollStage(StrEnum):
+    """How far a failed poll had come; the values are in the log."""
+
+    NO_RESPONSE = "no answer"
+    PARTIAL_RESPONSE = "an answer in part"
+    REJECTED = "a refusal"
+    MALFORMED_RESPONSE = "an answer that is no list"
 
 
 class DiscoveryFailed(NamedTuple):
-    """A call that brought nothing, and how far it had come."""
+    """A poll without a list."""
 
-    reached: str
+    reached: PollStage
     why: str
 
 
-def parse_endpoint_list(told: dict, scope: str, counters: Counter | None = None) -> EndpointUpdate:
-    """Decode a list in discovery's form. Its clock is Unix time in ms, and so is the owner's. Entries that
-    cannot be read are counted and named, the others used: one spoilt server had all drains go unheard. Raises
-    InvalidValueError where there are entries and none can be read.
-
-    >>> told = {"hosts": [{"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}, 7]}
-    >>> parse_endpoint_list(told, events.COMPLETE).dials
-    {'s-1': ('10.1.0.18', 9000)}
-    """
-    servers, dials, unread = [], {}, []
-    for entry in told["hosts"]:
-        try:
-            server, dial = _entry(entry)
-        except (*UNREADABLE, OverflowError) as fault:
-            unread.append(f"{type(fault).__name__}: {fault} in {entry!r}"[:200])
-            continue
-        servers.append(server)
-        if dial is not None:
-            dials[server.id] = dial
-    if unread:
-        if counters is not None:
-            counters["malformed_list_entries"] += len(unread)
-        log_event("malformed list entries", logging.WARNING, entries=len(unread), first=unread[0])
-        if not servers:
-            raise InvalidValueError(unread[0])
-    return EndpointUpdate(scope, tuple(servers), dials)
-
-
-def _entry(entry: dict) -> tuple[events.Server, tuple[str, int] | None]:
-    """Decode one entry; where it is dialled is None for a server that is gone."""
-    state, server = look_up(STATES, entry["health"], "health"), entry["host"]
-    if not (isinstance(server, str) and server):
-        raise InvalidValueError(f"host: {server!r} is no name")
-    dial = None if state == events.REMOVED else parse_address(entry["dial"])
-    return events.Server(
-        server,
-        str(entry.get("site", "")),
-        int(entry.get("block") or 0),
-        state,
-        parse_number(str(entry.get("share", 1.0))),
-        parse_number(str(entry.get("born_ms") or 0)),
-    ), dial
-
-
-def parse_version(seq: object) -> int:
-    """Check a list's version.
-
-    >>> parse_version(41)
-    41
-    """
-    if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0:
-        raise InvalidValueError(f"seq: {seq!r} is no version")
-    return seq
-
-
 class Discovery:
-    """Follows the server list and puts what it learns into the owner's queue."""
+    """Follows the list of servers at one address."""
 
     def __init__(
         self,
-        where: tuple[str, int],
+        address: tuple[str, int],
         seq: int | None,
         seed: int,
-        put: Callable,
-        counters,
-        grace: float = 2_000.0,
-        pushed: bool = False,
+        put: Callable[[object], None],
+        counters: Counter,
+        grace_ms: float = DEFAULT_GRACE_MS,
+        from_agent: bool = False,
     ) -> None:
-        """`grace`: ms after news of a drain until nothing may be sent; `pushed`: an agent has the list."""
-        self.base = f"http://{where[0]}:{where[1]}/api/targets"
-        self.put, self.counters = put, counters
-        self.chance = random.Random(seed)
-        self.within = LATEST + grace / 1000 - SLACK  # s from one whole answer in which the next has to be in
-        self.as_of = reactor.seconds()  # when the list was last known: the last whole answer, or the start
-        # Discovery may be back just after a call was sent that nobody answers: that call, this pause, a
-        # refusal and a call that stands in line have to fit.
-        self.longest = min(FAILED[1], max(FAILED[0], self.within - PATIENCE - REFUSED - LINE))
-        self.patience, self.prompt, self.line = PATIENCE, PROMPT, LINE  # s
-        if pushed:
-            # What the agent gets while we do not hear it counts as told at once: half of the grace to notice
-            # that it is silent, a quarter for the pause. Nobody stands in line at it.
-            self.patience = self.prompt = min(max(QUICK[0], grace / 2000), QUICK[1])
-            self.longest = min(AT_HAND, max(FAILED[0], grace / 4000))
-            self.line = 0.0
-        self.pushed = pushed
-        self.most_hold = HOLD  # ms that a watch waits at most
+        """`seq` is the version of the list that `put` has already, None where the complete one is needed.
+
+        `grace_ms` is the time from the news of a drain until nothing more may be sent to the server;
+        `from_agent` says that an agent on this machine has the list.
+        """
+        self.base = f"http://{address[0]}:{address[1]}/api/targets"
+        self.seq = seq
+        self.put = put
+        self.counters = counters
+        self.rng = random.Random(seed)
+        self.from_agent = from_agent
+        self.max_hold_ms = LONG_POLL_HOLD_MS
+        # From one complete response to the end of the next.
+        self.update_interval = CHANGE_DEADLINE + grace_ms / 1000 - TIMING_MARGIN
+        # When the list was last known to be current: the last complete response, or the start.
+        self.as_of = reactor.seconds()
+        self._set_timeouts(grace_ms)
         self.pool = HTTPConnectionPool(reactor)
-        self.agent = Agent(reactor, connectTimeout=PATIENCE, pool=self.pool)
-        self.alarm = None  # when the call in hand is given up
-        self.silent = True  # the last call brought no answer, or there was none: the next does not wait
-        self.stands = True  # the last answer may have stood in line, or there was none
-        self.heard = None  # called once, after the first call, whatever it brought
-        self.seq = seq  # of the list that is held; None: the whole list is needed
-        self.waiting: defer.Deferred | None = None  # the call or the pause in hand
-        self.watch = None  # who else calls, where balancers share what they hear; asked before each call
+        self.agent = Agent(reactor, connectTimeout=REQUEST_TIMEOUT, pool=self.pool)
+        self.unanswered = True  # the last poll was not answered, or there was none: the next is not held
+        self.queued = True  # the last response may have waited in a queue, or there was none
+        self.stage = PollStage.NO_RESPONSE  # of the poll in flight
+        self.backoff = 0.0  # the last one, 0 after a success
+        self.rejections = 0  # in a row
+        self.pending: defer.Deferred | None = None  # the poll or the backoff in flight
+        self.poll_timer: IDelayedCall | None = None  # cancels the poll in flight
+        self.on_first_response: Callable[[], None] | None = None  # called once, after the first poll
+        self.watch = None  # another source where balancers share updates; asked before each poll
         self.closed = False
 
+    def _set_timeouts(self, grace_ms: float) -> None:
+        """Derive the timeouts and the longest backoff from the grace of a drain."""
+        if self.from_agent:
+            # What the agent learns while we do not hear it counts as received at once: half of the grace to
+            # notice that it does not answer, a quarter for the backoff. It has no queue.
+            timeout = min(max(MIN_AGENT_REQUEST_TIMEOUT, grace_ms / 2000), MAX_AGENT_REQUEST_TIMEOUT)
+            self.request_timeout = timeout
+            self.unqueued_request_timeout = timeout
+            self.queue_timeout = 0.0
+            self.max_backoff = min(MAX_AGENT_BACKOFF, max(MIN_BACKOFF, grace_ms / 4000))
+            return
+        self.request_timeout = REQUEST_TIMEOUT
+        self.unqueued_request_timeout = UNQUEUED_REQUEST_TIMEOUT
+        self.queue_timeout = QUEUE_TIMEOUT
+        # Discovery may return just after a poll was sent that nobody answers: that poll, this backoff, a
+        # rejection and a poll in the queue have to fit.
+        left = self.update_interval - REQUEST_TIMEOUT - MIN_REJECTION_BACKOFF - QUEUE_TIMEOUT
+        self.max_backoff = min(MAX_BACKOFF, max(MIN_BACKOFF, left))
+
     def close(self) -> None:
-        """Drop the call in hand and the connections: discovery has another address now."""
+        """Cancel the poll in flight and close the connections: discovery has another address now."""
         self.closed = True
-        if self.waiting is not None:
-            self.waiting.cancel()
+        if self.pending is not None:
+            self.pending.cancel()
         if self.watch is not None:
             self.watch.wake()
         self.pool.closeCachedConnections()
 
-    def forget(self) -> None:
-        """Ask for the whole list the next time: what was told was not taken."""
+    def request_complete_list(self) -> None:
+        """Poll for the complete list the next time: an update was not applied."""
         self.seq = None
 
     async def follow(self) -> None:
-        """Go on until closed, or for as long as the balancer runs."""
-        pause, refusals = 0.0, 0
+        """Poll until closed, or for as long as the balancer runs."""
         while not self.closed:
             if self.watch is not None:
                 await self.watch.turn(self)
                 if self.closed:
                     return
                 self.as_of = max(self.as_of, reactor.seconds() - self.watch.age())
-            begun, was = reactor.seconds(), self.silent
-            news = await self._call()
-            self.silent = isinstance(news, DiscoveryFailed) and news.reached in (CALL, ANSWER)
-            if was and self.silent:
-                # Twice in a row: discovery is away, and what it gets counts from its return on.
-                self.as_of = max(self.as_of, begun)
+            result = await self._poll_and_note_silence()
             if self.closed:
-                # What the old address still told is not put behind news from the new one.
+                # A late response of the old address must not follow updates from the new one.
                 return
-            self._first_word()
-            if isinstance(news, EndpointUpdate):
-                pause, refusals = 0.0, 0
-                if news.servers or news.scope == events.COMPLETE:
-                    self.put(news)
-                continue
-            self.counters["discovery_failures"] += 1
-            if self.watch is not None:
-                self.watch.failed()
-            if not pause:
-                log_event("discovery failed", reached=news.reached, why=news.why)
-            if news.reached == REFUSAL:
-                refusals += 1
-                pause = self._after_refusal(refusals == 1)
+            self._report_first_response()
+            if isinstance(result, EndpointUpdate):
+                self.backoff = 0.0
+                self.rejections = 0
+                self._put_update(result)
             else:
-                pause = min(max(FAILED[0], 2 * pause), self.longest)
-            self.waiting = task.deferLater(reactor, pause * self.chance.uniform(SPREAD, 1.0))
-            with contextlib.suppress(defer.CancelledError):
-                await self.waiting
+                await self._back_off(result)
+
+    async def _poll_and_note_silence(self) -> EndpointUpdate | DiscoveryFailed:
+        started = reactor.seconds()
+        was_unanswered = self.unanswered
+        result = await self._poll()
+        self.unanswered = isinstance(result, DiscoveryFailed) and result.reached in (
+            PollStage.NO_RESPONSE,
+            PollStage.PARTIAL_RESPONSE,
+        )
+        if was_unanswered and self.unanswered:
+            # Twice in a row: discovery is down, and changes count from its return on.
+            self.as_of = max(self.as_of, started)
+        return result
+
+    def _put_update(self, update: EndpointUpdate) -> None:
+        if update.servers or update.scope == events.COMPLETE:
+            self.put(update)
+
+    def _report_first_response(self) -> None:
+        """Call `on_first_response`, once: an update has come, or a poll has failed."""
+        callback = self.on_first_response
+        self.on_first_response = None
+        if callback is not None:
+            callback()
+
+    async def _back_off(self, failure: DiscoveryFailed) -> None:
+        """Wait after a failed poll; only the first failure in a row is logged."""
+        self.counters["discovery_failures"] += 1
+        if self.watch is not None:
+            self.watch.failed()
+        if not self.backoff:
+            log_event("discovery failed", reached=failure.reached, why=failure.why)
+        if failure.reached == PollStage.REJECTED:
+            self.rejections += 1
+            self.backoff = self._rejection_backoff(first=self.rejections == 1)
+        else:
+            self.backoff = min(max(MIN_BACKOFF, 2 * self.backoff), self.max_backoff)
+        self.pending = task.deferLater(reactor, self.backoff * self.rng.uniform(MIN_BACKOFF_SHARE, 1.0))
+        with contextlib.suppress(defer.CancelledError):
+            await self.pending
 
     def _left(self) -> float:
-        """What is left, in s, until the next whole answer has to be in."""
-        return self.as_of + self.within - reactor.seconds()
-
-    def _after_refusal(self, first: bool) -> float:
-        """The longest pause, in s. A refusal costs discovery too, and 40 every second kept it busy: who has
-        time takes it, and the call after the pause has to stand in line within what is left."""
-        if self.pushed:
-            return self.longest
-        left, whole = self._left(), self.within - self.line
-        if left - self.line >= REFUSED or first and left > 0:
-            return max(min(whole / 2, left - self.line), min(REFUSED, left))
-        return whole  # late whatever comes, and the oftener all call the fewer are served
-
-    async def _call(self) -> EndpointUpdate | DiscoveryFailed:
-        """Ask once; whatever goes wrong comes back as a value."""
-        url, hold, begun = self.base, 0.0, reactor.seconds()
-        wait = self.patience if self.stands or self.silent else self.prompt
-        if self.seq is not None:
-            # After silence what was missed is asked for at once: a call that waits tells nothing of whether
-            # discovery is back, and what it has got meanwhile counts as told. Else the watch leaves room
-            # for what may come of it: it is noticed too late, the next call is refused, its next one waits.
-            # Not where calls stand in line: shorter watches were more calls, and the line stayed for good.
-            room = self._left() - wait - FAILED[0] - self.line
-            room -= 0.0 if self.pushed or self.stands else REFUSED
-            hold = 0.0 if self.silent else max(0.0, min(self.most_hold / 1000, room))
-            url, wait = f"{url}?from={self.seq}&hold_ms={int(1000 * hold)}", wait + hold
-        reached = CALL
+        """Return the s left until the next complete response has to be in."""
+        return self.as_of + self.update_interval - reactor.seconds()
+
+    def _rejection_backoff(self, first: bool) -> float:
+        """Return the longest backoff after a rejection, in s.
+
+        A rejection costs discovery too, and those of 40 balancers each second kept it busy: where there is
+        time it is used, and the poll after the backoff has to wait in the queue within what is left.
+        """
+        if self.from_agent:
+            return self.max_backoff
+        left = self._left()
+        interval = self.update_interval - self.queue_timeout
+        if left - self.queue_timeout >= MIN_REJECTION_BACKOFF or (first and left > 0):
+            return max(min(interval / 2, left - self.queue_timeout), min(MIN_REJECTION_BACKOFF, left))
+        return interval  # late whatever happens, and more polls only mean fewer that are answered
+
+    async def _poll(self) -> EndpointUpdate | DiscoveryFailed:
+        """Poll once; every failure comes back as a value."""
+        started = reactor.seconds()
+        timeout = self.request_timeout if self.queued or self.unanswered else self.unqueued_request_timeout
+        hold = self._hold_time(timeout)
+        timeout += hold
+        self.stage = PollStage.NO_RESPONSE
         self.counters["discovery_requests"] += 1
-        self._time(wait, max(SLACK, self._left() - wait - self.patience))
+        self._start_timer(timeout, max(TIMING_MARGIN, self._left() - timeout - self.request_timeout))
         try:
-            self.waiting = self.agent.request(b"GET", url.encode())
-            answer = await self.waiting
-            reached = ANSWER
-            # The same time runs on: half an answer is no better than none.
-            self.waiting = readBody(answer)
-            body = await self.waiting
-            reached = BODY
-            if answer.code in REFUSALS:
-                # Forty that were refused a watch asked for all lines instead, and none got a list all day.
-                return DiscoveryFailed(REFUSAL, f"status {answer.code}")
-            if answer.code != 200:
-                raise InvalidValueError(f"status {answer.code}")
-            told, since = json.loads(body), self.seq
-            news = self._checked(told)
-            now = reactor.seconds()
-            # Read late by us, it may be as old as a call can get.
-            self.as_of = min(now, begun + wait)
-            self.stands = now - begun - (0.0 if news.servers else hold) > self.prompt / 2
-            if self.watch is not None:
-                self.watch.answered(told, since)
-            return news
-        except UNREADABLE as fault:
+            status, body = await self._request(hold)
+            return self._handle_response(status, body, started, hold, timeout)
+        except MALFORMED_LIST_ERRORS as error:
             self.seq = None
-            return DiscoveryFailed(reached, f"{type(fault).__name__}: {fault}")
-        except Exception as fault:  # the HTTP client has dozens, and none may stop the following
-            return DiscoveryFailed(reached, f"{type(fault).__name__}: {fault}"[:200])
+            return DiscoveryFailed(self.stage, f"{type(error).__name__}: {error}")
+        except Exception as error:  # the HTTP client raises dozens of types, and none may end the following
+            return DiscoveryFailed(self.stage, f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR])
         finally:
-            if self.alarm.active():
-                self.alarm.cancel()
+            if self.poll_timer.active():
+                self.poll_timer.cancel()
+
+    def _hold_time(self, timeout: float) -> float:
+        """Return for how many s discovery is asked to hold a poll that has nothing to report.
+
+        After silence the poll is not held: a held one does not show whether discovery is back, and what it
+        learnt meanwhile counts as received. Else there has to be time for what may follow: the timeout of
+        this poll, a rejection of the next, the queue. No time is kept for the rejection where polls are
+        queued: shorter holds were more polls, and the queue stayed for good.
+        """
+        if self.seq is None or self.unanswered:
+            return 0.0
+        left = self._left() - timeout - MIN_BACKOFF - self.queue_timeout
+        if not (self.from_agent or self.queued):
+            left -= MIN_REJECTION_BACKOFF
+        return max(0.0, min(self.max_hold_ms / 1000, left))
+
+    async def _request(self, hold: float) -> tuple[int, bytes]:
+        """Send a poll and return the status and the body; `stage` follows."""
+        url = self.base
+        if self.seq is not None:
+            url = f"{url}?from={self.seq}&hold_ms={int(1000 * hold)}"
+        self.pending = self.agent.request(b"GET", url.encode())
+        response = await self.pending
+        self.stage = PollStage.PARTIAL_RESPONSE
+        # The same timeout covers the body: a response that stays partial is none.
+        self.pending = readBody(response)
+        body = await self.pending
+        self.stage = PollStage.MALFORMED_RESPONSE
+        return response.code, body
+
+    def _handle_response(
+        self, status: int, body: bytes, started: float, hold: float, timeout: float
+    ) -> EndpointUpdate | DiscoveryFailed:
+        """Decode a response and note when it came; raises where it is no list that follows ours."""
+        if status in REJECTION_STATUSES:
+            # The version stays: 40 whose long poll was rejected polled for the complete list instead, and
+            # none of them got a list all day.
+            return DiscoveryFailed(PollStage.REJECTED, f"status {status}")
+        if status != STATUS_OK:
+            raise ProtocolError(f"status {status}")
+        message = json.loads(body)
+        since = self.seq
+        update = self._decode(message)
+        now = reactor.seconds()
+        # Read late by us, it may be as old as a response can be.
+        self.as_of = min(now, started + timeout)
+        held = 0.0 if update.servers else hold
+        self.queued = now - started - held > self.unqueued_request_timeout / 2
+        if self.watch is not None:
+            self.watch.answered(message, since)
+        return update
+
+    def _start_timer(self, seconds: float, extra: float) -> None:
+        """Cancel the poll in flight after so many seconds.
 
-    def _time(self, seconds: float, extra: float) -> None:
-        """Give the call in hand up after so long. Where we were held up meanwhile its answer may lie unread:
-        it has `extra` seconds more then, a patience at a time."""
-        due = reactor.seconds() + seconds
+        Where this process was suspended meanwhile, the response may lie unread: then the poll has `extra`
+        seconds more, one request timeout at a time.
+        """
+        deadline = reactor.seconds() + seconds
 
-        def over() -> None:
-            if reactor.seconds() > due + STALL and extra > 0:
-                self._time(min(self.patience, extra), extra - self.patience)
+        def expire() -> None:
+            if reactor.seconds() > deadline + SUSPENSION_THRESHOLD and extra > 0:
+                self._start_timer(min(self.request_timeout, extra), extra - self.request_timeout)
             else:
-                self.waiting.cancel()
+                self.pending.cancel()
 
-        self.alarm = reactor.callLater(seconds, over)
+        self.poll_timer = reactor.callLater(seconds, expire)
 
-    def _checked(self, told: dict) -> EndpointUpdate:
-        """Decode what was told and take its version; raises where it is no list or does not follow ours."""
-        news = parse_endpoint_list(told, events.COMPLETE if told["whole"] else events.CHANGES, self.counters)
-        seq = parse_version(told["seq"])
-        if news.scope == events.CHANGES and (self.seq is None or seq < self.seq):
-            raise InvalidValueError(f"changes up to {seq} of a list held at {self.seq}")
+    def _decode(self, message: dict) -> EndpointUpdate:
+        """Decode a list and take its version; raises where it is no list or does not follow ours."""
+        scope = events.COMPLETE if message["whole"] else events.CHANGES
+        update = parse_endpoint_list(message, scope, self.counters)
+        seq = parse_version(message["seq"])
+        if scope == events.CHANGES and (self.seq is None or seq < self.seq):
+            raise ProtocolError(f"changes up to {seq} of a list held at {self.seq}")
         self.seq = seq
-        return news
+        return update
 
-    def handed(self, told: dict, since: int | None) -> bool:
-        """Take what another balancer heard from the same discovery, checked like discovery's own; false where
-        it is no list, is older than ours, or is changes to another than ours. We then call by ourselves."""
+    def handed(self, message: dict, since: int | None) -> bool:
+        """Apply a list that another balancer received from the same discovery, checked like discovery's own.
+
+        Returns False where it is malformed, older than ours, or changes to another version than ours: then
+        this balancer polls by itself.
+        """
         try:
-            if (
-                self.closed
-                or self.seq is not None
-                and parse_version(told["seq"]) < self.seq
-                or (not told["whole"] and since != self.seq)
-            ):
+            if self.closed or not self._follows(message, since):
                 return False
-            news = self._checked(told)
-        except UNREADABLE:
+            update = self._decode(message)
+        except MALFORMED_LIST_ERRORS:
             return False
-        if news.servers or news.scope == events.COMPLETE:
-            self.put(news)
-        self._first_word()
+        self._put_update(update)
+        self._report_first_response()
         return True
 
-    def _first_word(self) -> None:
-        """Something has been heard, or a call come to nothing: who waits for that waits no longer."""
-        heard, self.heard = self.heard, None
-        if heard is not None:
-            heard()
+    def _follows(self, message: dict, since: int | None) -> bool:
+        """Whether a list is not older than ours and, if it is changes, changes to our version."""
+        if self.seq is not None and parse_version(message["seq"]) < self.seq:
+            return False
+        return bool(message["whole"]) or since == self.seq
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -1,357 +1,272 @@
-"""The side of the clients.
+"""Downstream connections: those that clients, or the load balancer in front of us, open to this balancer.
 
-Owns every connection that a client or the front opens, from its first line to its close: what the line
-says, the one answer, the passing on of lines once the flow stands, and who goes when descriptors run short.
-It must never choose a server, answer a flow on its own account once the owner has it, hold a client's line
-back, or spend on a connection that asks for nothing what those that ask need.
+A `DownstreamConnection` reads the client's first line, reports it as `FlowRequested`, writes the one final
+answer or, once the flow is established, forwards lines to the server's connection. It chooses no server, and
+once a flow is reported its answer is left to whoever took the report.
 """
 
-import re
+from collections import Counter
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
-from twisted.internet import error, tcp
-from twisted.internet.protocol import ServerFactory
+from twisted.internet import error
 from twisted.python.failure import Failure
 
-from lotusroute.errors import InvalidValueError
-from lotusroute.net.line_protocol import BUSY, END, ERR, LINE, MOVE, PING, PONG, LineProtocol
+from lotusroute.errors import ProtocolError
+from lotusroute.net.line_protocol import BUSY, ERR, LINE_END, MAX_LINE_LENGTH, MOVE, PING, PONG, LineProtocol
+from lotusroute.net.open_request import OpenRequest, parse_open_request
+from lotusroute.net.upstream import UpstreamAttempt
 
-FIRST_LINE = 2.0  # s from connecting to a whole first line, however it trickles; a close is owed within 3
-CHECKS = 16  # PINGs on one connection; a front sends one, and those that send them without end cost our core
-LINGER = 1.0  # s for the other end to close after our last line; the protocol wants ends within a second
-DROPPED = 16_384  # bytes read and dropped after our last line; one who sends 60 MB is then read no more
-ACCEPTS = 16  # connections taken in between two looks at all others, so that a flood shares the core
-OWN = 16, 32  # part of the descriptors, and the least, kept for discovery, the log, the reactor's own
-
-# A first line as the protocol has it: what a server could not use must never reach one.
-ASK = re.compile(rb"OPEN ([0-9A-Za-z][0-9A-Za-z_.:-]{0,63}) ([!-~]{1,256}) ([!-~]+)\r\n")
-PAIR = re.compile(rb"([A-Za-z][0-9A-Za-z_]{0,31})=([!-+\--~]*)")
-WAIT = re.compile(rb"[0-9]{1,7}(\.[0-9]{1,9})?")  # under three hours; standing connections say 4294967
-
-
-class OpenRequest(NamedTuple):
-    """What a client's first line asks for; `line` is that line around the figure of `d`."""
-
-    id: str
-    service_type: str
-    tenant: str | None
-    group: str | None
-    key: str | None
-    wait: float
-    reconnecting: bool
-    existing_server: str | None
-    line: tuple[bytes, bytes]
-
-    def rewritten(self, wait: float) -> bytes:
-        """Write the line for a server that has `wait` ms."""
-        return b"%b%d%b" % (self.line[0], max(1, int(wait)), self.line[1])
+FIRST_LINE_TIMEOUT = 2.0  # s from connecting to a complete first line; a close is due within 3 s
+MAX_HEALTH_CHECKS = 16  # PINGs on one connection: the balancer in front sends one, an endless row costs CPU
+LINGER_TIMEOUT = 1.0  # s for the client to close after our last line; the protocol wants ends within 1 s
+MAX_DISCARDED = 16_384  # bytes read and discarded after our last line; then reading stops
 
 
 class FlowRequested(NamedTuple):
-    """A client asks for a connection."""
+    """A client has sent the first line of a flow."""
 
     connection: "DownstreamConnection"
     request: OpenRequest
-    received_at: float
+    received_at: float  # ms of the event loop's clock
 
     @property
     def flow_id(self) -> int:
-        """Of its flow, once it has one."""
+        """The flow's id, or 0 while it has none."""
         return self.connection.flow_id
 
 
 class DownstreamClosed(NamedTuple):
-    """A client has ended its connection, or its sending on it."""
+    """A client has closed its connection, or its sending half."""
 
     flow_id: int
 
 
-def parse_open_request(line: bytes) -> OpenRequest:
-    """Read a client's first line; the copy taken of it outlives its buffer, for further connects.
-
-    >>> parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f" + END).rewritten(1500.0)
-    b'OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\\r\\n'
-    """
-    asked = ASK.fullmatch(line)
-    if asked is None:
-        raise InvalidValueError("not OPEN, id, key and a list")
-    said, figure, start = {}, (0, 0), asked.start(3)
-    for text in asked[3].split(b","):
-        pair = PAIR.fullmatch(text)
-        if pair is None or pair[1] in said:
-            raise InvalidValueError("no pair, or one too many")
-        said[pair[1]] = pair[2].decode()
-        if pair[1] == b"d":
-            if not WAIT.fullmatch(pair[2]):
-                raise InvalidValueError("d is no time")
-            figure = start + len(b"d="), start + len(text)
-        start += len(text) + 1
-    wait = float(said.get(b"d", 0))
-    if wait <= 0 or not said.get(b"c"):
-        raise InvalidValueError("no c, or no time in d")
-    key = None if asked[2] == b"-" else asked[2].decode()
-    returned = said.get(b"r") == "1" or said.get(b"again") == "1"
-    return OpenRequest(
-        asked[1].decode(),
-        said[b"c"],
-        said.get(b"t"),
-        said.get(b"g"),
-        key,
-        wait,
-        returned,
-        said.get(b"at"),
-        (line[: figure[0]], line[figure[1] :]),
-    )
+class ConnectionManager(Protocol):
+    """What a connection needs from the factory that accepted it."""
+
+    put: Callable[[object], None]  # takes the messages of this module
+    clock: Callable[[], float]  # ms
+    ready: Callable[[], bool]  # whether flows can be taken: the answer to a health check
+    counters: Counter
+
+    def admit(self, connection: "DownstreamConnection") -> None:
+        """Take a new connection, or reject it."""
+
+    def mark_active(self, connection: "DownstreamConnection") -> None:
+        """The connection has requested a flow."""
+
+    def mark_lingering(self, connection: "DownstreamConnection") -> None:
+        """The connection was sent its last line."""
+
+    def is_idle(self, connection: "DownstreamConnection") -> bool:
+        """Whether the connection has no flow."""
+
+    def discard(self, connection: "DownstreamConnection") -> None:
+        """The connection is closed."""
 
 
 class DownstreamConnection(LineProtocol):
-    """One connection from a client or the front."""
+    """One connection from a client or from the load balancer in front of us."""
 
-    factory: "DownstreamFactory"
-    HELD = 4 * LINE  # of one that should wait for its answer; what stands in its way hides that it leaves
+    factory: ConnectionManager
+    # Of a client that should wait for its answer: what it sends early hides that it disconnects.
+    MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
-        self.flow_id = 0  # of its flow; 0 while there is none
-        self.link = None  # the connection of its server, once the flow stands
-        self.answered = self.disconnected = False
-        self.checks = self.dropped = self.reads = 0
+        self.flow_id = 0  # 0 while there is no flow
+        self.upstream: UpstreamAttempt | None = None  # while the flow is established
+        self.answered = False
+        self.disconnected = False
+        self.health_checks = 0
+        self.discarded_bytes = 0
+        self.reads = 0
 
     def connectionMade(self) -> None:
+        """Start the time for the first line."""
         super().connectionMade()
-        # Never set anew before the first line: trickling must not keep a descriptor.
-        self.setTimeout(FIRST_LINE)
-        self.factory.take_in(self)
+        # Not restarted before the first line is complete: a client that sends byte by byte must not keep a
+        # descriptor.
+        self.setTimeout(FIRST_LINE_TIMEOUT)
+        self.factory.admit(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Read lines, or discard what comes after the final answer."""
         self.reads += 1
-        if self.link is None and self.answered:
-            # Nobody is left to read this; kept, it grew to 60 MB, copied with each read.
-            self.dropped += len(data)
-            if self.dropped > DROPPED:
+        if self.upstream is None and self.answered:
+            # Buffered, it grew to 60 MB, copied with each read.
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED:
                 self.transport.pauseProducing()
             return
         super().dataReceived(data)
 
     def lineReceived(self, line: memoryview) -> None:
-        if self.link is not None:
-            self.link.side.pass_on(line)
+        """Forward a line of an established flow; else take the first line."""
+        if self.upstream is not None:
+            self.upstream.connection.forward(line)
         elif self.answered:
             return
-        elif line == PING + END and self.checks < CHECKS:
-            self.checks += 1
-            self.transport.write((PONG if self.factory.ready() else BUSY) + END)
+        elif line == PING + LINE_END and self.health_checks < MAX_HEALTH_CHECKS:
+            self.health_checks += 1
+            self.transport.write((PONG if self.factory.ready() else BUSY) + LINE_END)
         else:
-            self._open(line)
+            self._request_flow(line)
 
-    def _open(self, line: memoryview) -> None:
-        now, factory = self.factory.clock(), self.factory
+    def _request_flow(self, line: memoryview) -> None:
+        now = self.factory.clock()
         try:
-            asked = FlowRequested(self, parse_open_request(bytes(line)), now)
-        except InvalidValueError:
+            request = parse_open_request(bytes(line))
+        except ProtocolError:
             self.reject_malformed()
             return
-        # Lines that a hasty client sends before its answer wait for the server's side.
-        self.held = True
+        # Lines that the client sends before its answer are buffered until the server's connection is up.
+        self.buffering = True
         self.setTimeout(None)
-        factory.idle.pop(self, None)
-        factory.counters["flows"] += 1
-        factory.put(asked)
+        self.factory.mark_active(self)
+        self.factory.counters["flows"] += 1
+        self.factory.put(FlowRequested(self, request, now))
 
     def reject_malformed(self) -> None:
-        """Answer what cannot be read or used."""
+        """Answer a line that cannot be parsed or used."""
         self.factory.counters["malformed_lines"] += 1
         self.send_final_answer(ERR)
 
     def buffer_overflowed(self) -> None:
-        """A client that does not wait for its answer, as the protocol has it, is refused: read no further,
-        its leaving was not seen and its flow was sent on; read on, it would fill our memory."""
+        """Reject a client that sends on without waiting for its answer, against the protocol.
+
+        Without reading further its disconnect would not be seen and its flow forwarded; reading on would
+        fill the memory.
+        """
         if self.answered:
             super().buffer_overflowed()
             return
         self.factory.counters["early_data_overflows"] += 1
-        self.disconnected = True  # to the owner, who may not have taken it yet
+        self.disconnected = True  # for the receiver of the request, who may not have taken it yet
         self.reject_malformed()
-        self._tell_left()
+        self._report_closed()
 
-    def look(self) -> bool:
-        """Read what the socket holds now, as far as it may be held; whether the client may still be there."""
+    def read_pending(self) -> bool:
+        """Read what the socket holds now, up to the buffer's limit; whether the client may still be there."""
         reads = -1
-        while self.transport.connected and not self.ended and not self.answered and reads != self.reads:
+        while self.transport.connected and not self.read_closed and not self.answered and reads != self.reads:
             reads = self.reads
             if self.transport.doRead() is not None:
-                return False  # the reactor finds that out by itself in its next turn
-        return not (self.ended or self.disconnected)
+                return False  # the reactor finds the closed connection in its next iteration
+        return not (self.read_closed or self.disconnected)
 
     def has_disconnected(self) -> bool:
-        """Whether a client that waits has left. It is looked for in the socket: an end that came
-        while we were held up, or beside the event that is handled, has not been read yet."""
-        if self.look():
+        """Whether a client that waits for its answer has disconnected.
+
+        Looks into the socket: a close that arrived while the process was suspended, or together with the
+        event being handled, has not been read yet.
+        """
+        if self.read_pending():
             return False
         if not self.answered:
-            # One refused over what was just read lingers, so that no reset overtakes its last line.
-            self._leave()
+            # One that was rejected over what was just read lingers, so that no reset overtakes its answer.
+            self._handle_disconnect()
         return True
 
-    def _has_asked(self) -> bool:
-        """Look a last time whether its line has come: it may lie unread, and it was we who were held up."""
-        self.look()
-        return self not in self.factory.idle
+    def _has_requested_flow(self) -> bool:
+        """Whether the first line is in, read or still in the socket: the process may have been suspended."""
+        self.read_pending()
+        return not self.factory.is_idle(self)
 
-    def _leave(self) -> None:
+    def _handle_disconnect(self) -> None:
         if not self.flow_id:
             self.disconnected = True
             self.transport.loseConnection()
-        self._tell_left()
+        self._report_closed()
 
-    def _tell_left(self) -> None:
+    def _report_closed(self) -> None:
         if self.flow_id:
             self.factory.put(DownstreamClosed(self.flow_id))
 
-    def awaits_answer(self) -> bool:
-        """Whether it has begun to ask and has no answer, or has not been written its last words."""
-        return self.has_unsent_data() or not self.answered and bool(self._buffer)
+    def is_owed_data(self) -> bool:
+        """Whether a request has begun to arrive and is not answered, or the last line is not yet written."""
+        return self.has_unsent_data() or (not self.answered and self.has_buffered_data())
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        if self.link is not None:
+        """Close over a line that is too long."""
+        if self.upstream is not None:
             self.factory.counters["malformed_lines"] += 1
             self.transport.abortConnection()
         else:
             self.reject_malformed()
 
-    def send_final_answer(self, words: bytes) -> None:
-        """Write the one final line, then close."""
+    def send_final_answer(self, answer: bytes) -> None:
+        """Write the one answer of a flow that is not established, then close."""
         if self.answered:
             return
-        self.answered, self.held = True, False
-        self.write_all(words + END)
+        self.answered = True
+        self.buffering = False
+        self.write_all(answer + LINE_END)
         self.half_close()
 
-    def attach_upstream(self, link, receipt: memoryview) -> None:
-        """Pass on the server's receipt and, from now on, all lines."""
+    def attach_upstream(self, attempt: UpstreamAttempt, receipt: memoryview) -> None:
+        """Forward the server's receipt and, from now on, all lines."""
         self.answered = True
-        self.send(receipt)
-        self.link = link
-        link.attach_downstream(self)
-        self.release()
-        if self.ended:
-            link.client_ended(self.clearLineBuffer())
+        self.send_line(receipt)
+        self.upstream = attempt
+        attempt.attach_downstream(self)
+        self.resume_lines()
+        if self.read_closed:
+            attempt.downstream_half_closed(self.clearLineBuffer())
 
     def send_migrate(self) -> None:
-        """Send the client away, after the last whole line."""
-        self.link = None
-        self.write_all(MOVE + END)
+        """Tell the client to connect anew, after the last complete line, and close."""
+        self.upstream = None
+        self.write_all(MOVE + LINE_END)
         self.half_close()
 
     def half_close(self) -> None:
+        """Stop sending and linger until the client has closed too."""
         super().half_close()
-        self._buffer = b""
-        self.factory.let_go(self)
-        # What a client sends now has nobody to go to; it is read, so that our close does not turn into a
-        # reset that overtakes the last line.
-        self.setTimeout(LINGER)
-        if self.ended:
+        self.clearLineBuffer()
+        self.factory.mark_lingering(self)
+        # What a client sends now is read and discarded: with unread data, our close would become a reset
+        # that overtakes the last line.
+        self.setTimeout(LINGER_TIMEOUT)
+        if self.read_closed:
             self.transport.loseConnection()
         else:
             self.transport.resumeProducing()
 
     def peer_half_closed(self) -> None:
-        if self.link is not None:
-            self.link.client_ended(self.clearLineBuffer())
-            self._tell_left()
+        """The client has stopped sending."""
+        if self.upstream is not None:
+            self.upstream.downstream_half_closed(self.clearLineBuffer())
+            self._report_closed()
         else:
-            self._leave()
+            self._handle_disconnect()
 
     def timeoutConnection(self) -> None:
-        if not self.answered and self._has_asked():
+        """Close a connection without a first line, or one that lingers too long."""
+        if not self.answered and self._has_requested_flow():
             return
-        self.factory.counters["first_line_timeouts"] += not self.answered
+        self.factory.counters["first_line_timeouts"] += int(not self.answered)
         if self.answered:
             super().timeoutConnection()
         else:
             self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Make room at once, not a turn later: until then a flood takes the descriptors that others need."""
+        """Free the descriptor now: an iteration later a connection storm has taken those others need."""
         if not self.answered:
-            if self._has_asked():
+            if self._has_requested_flow():
                 return
-            self.transport.writeSomeData(BUSY + END)
+            self.transport.writeSomeData(BUSY + LINE_END)
         elif self.has_unsent_data():
-            # Its last words, a MOVE perhaps, are still owed; it lingers for a second at most.
+            # Its last line, perhaps a MOVE, is not written yet; it lingers for `LINGER_TIMEOUT` at most.
             return
         self.factory.counters["idle_connections_evicted"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
 
-    def lost(self, clean: bool) -> None:
+    def connection_lost(self) -> None:
+        """The connection is closed or broken."""
         self.disconnected = True
-        self.factory.sides.discard(self)
-        self.factory.idle.pop(self, None)
-        if self.link is not None and not self.ended:
-            self.link.client_lost()
-        self._tell_left()
-
-
-class DownstreamFactory(ServerFactory):
-    """Takes connections in."""
-
-    noisy = False
-    protocol = DownstreamConnection
-
-    def __init__(self, put: Callable, clock: Callable, ready: Callable, sockets: int, counters) -> None:
-        self.put, self.clock, self.ready, self.counters = put, clock, ready, counters
-        self.sides: set[DownstreamConnection] = set()  # open connections; each leaves as it is lost
-        self.idle: dict[DownstreamConnection, None] = {}  # those of them that have no flow, the oldest first
-        self.most = 1
-        self.set_descriptor_limit(sockets)
-
-    def set_descriptor_limit(self, sockets: int) -> None:
-        """Take connections for so many descriptors."""
-        self.most = max(1, sockets - max(OWN[1], sockets // OWN[0]) - ACCEPTS)
-
-    def take_in(self, side: DownstreamConnection) -> None:
-        """Count a newcomer in. Descriptors that have no flow go, the oldest first, to one that may bring one:
-        hundreds that connected and said nothing had the usual clients turned away."""
-        self.sides.add(side)
-        self.idle[side] = None
-        if self._taken() > self.most:
-            for oldest in [other for other in self.idle if other is not side]:
-                oldest.evict()
-                if self._taken() <= self.most:
-                    break
-        if self._taken() > self.most:
-            # Accepting until no descriptor is left would lose flows unanswered.
-            self.counters["load_shed"] += 1
-            side.send_final_answer(BUSY)
-
-    def accept_pending(self, listener: "Listener") -> bool:
-        """Take in who waits to be accepted, and read what lies in the sockets of those without a flow, before
-        all is closed; whether one of them is still owed something."""
-        taken = -1
-        while taken != self.counters["connections"]:
-            taken = self.counters["connections"]
-            listener.doRead()
-        for side in list(self.idle):
-            side.look()
-        return any(side.awaits_answer() for side in self.sides)
-
-    def let_go(self, side: DownstreamConnection) -> None:
-        """A connection has its last line and only lingers."""
-        if side in self.sides:
-            self.idle.pop(side, None)
-            self.idle[side] = None
-
-    def _taken(self) -> int:
-        """Descriptors in use: two for each connection that has asked."""
-        return 2 * len(self.sides) - len(self.idle)
-
-    def buildProtocol(self, addr) -> DownstreamConnection:
-        self.counters["connections"] += 1
-        return super().buildProtocol(addr)
-
-
-class Listener(tcp.Port):
-    """The listening socket. It takes in a few connections a turn, and no more after a burst, as Twisted's own
-    would: one that took in hundreds before it read the first had to end usual clients unread."""
-
-    numberAccepts = property(lambda self: ACCEPTS, lambda self, _: None)
+        self.factory.discard(self)
+        if self.upstream is not None and not self.read_closed:
+            self.upstream.downstream_lost()
+        self._report_closed()
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -5,8 +5,9 @@
 do I/O but look at its own client's socket, or choose a server.
 """
 
-from lotusroute.net.downstream import DownstreamConnection, OpenRequest
+from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import ERR
+from lotusroute.net.open_request import OpenRequest
 from lotusroute.net.upstream import UpstreamAttempt
 from lotusroute.routing import events
 
--- /dev/null
+++ b/lotusroute/net/open_request.py
@@ -0,0 +1,91 @@
+"""The first line of a client: `OPEN <id> <key> <name>=<value>,...`.
+
+Parses it into an `OpenRequest` and writes it anew for a server with the time that is left. Times are in ms.
+A line that does not follow the protocol raises `ProtocolError`; it must not reach a server.
+"""
+
+import re
+from typing import NamedTuple
+
+from lotusroute.errors import ProtocolError
+
+OPEN_LINE = re.compile(rb"OPEN ([0-9A-Za-z][0-9A-Za-z_.:-]{0,63}) ([!-~]{1,256}) ([!-~]+)\r\n")
+PARAMETER = re.compile(rb"([A-Za-z][0-9A-Za-z_]{0,31})=([!-+\--~]*)")
+# Less than three hours; connections that were open before the balancer started send 4294967.
+TIMEOUT_VALUE = re.compile(rb"[0-9]{1,7}(\.[0-9]{1,9})?")
+NO_KEY = b"-"
+
+SERVICE_TYPE = b"c"
+TIMEOUT = b"d"
+TENANT = b"t"
+GROUP = b"g"
+RECONNECTING = b"r"
+RECONNECTING_ALIAS = b"again"
+EXISTING_SERVER = b"at"
+TRUE = "1"
+
+
+class OpenRequest(NamedTuple):
+    """What a client's first line asks for."""
+
+    id: str
+    service_type: str
+    tenant: str | None
+    group: str | None
+    key: str | None
+    wait: float  # ms in which the client has to be answered
+    reconnecting: bool
+    existing_server: str | None  # that the connection stood at before this balancer started
+    line: tuple[bytes, bytes]  # the line before and after the value of its timeout
+
+    def rewritten(self, wait: float) -> bytes:
+        """Return the line for a server that has `wait` ms to answer."""
+        return b"%b%d%b" % (self.line[0], max(1, int(wait)), self.line[1])
+
+
+def parse_open_request(line: bytes) -> OpenRequest:
+    r"""Parse a client's first line, of which the request keeps a copy for further attempts.
+
+    >>> parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f\r\n").rewritten(1500.0)
+    b'OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\r\n'
+    """
+    match = OPEN_LINE.fullmatch(line)
+    if match is None:
+        raise ProtocolError("not OPEN, id, key and a list")
+    parameters, timeout_start, timeout_end = _parse_parameters(match[3], match.start(3))
+    wait = float(parameters.get(TIMEOUT, 0))
+    if wait <= 0 or not parameters.get(SERVICE_TYPE):
+        raise ProtocolError("no c, or no time in d")
+    return OpenRequest(
+        id=match[1].decode(),
+        service_type=parameters[SERVICE_TYPE],
+        tenant=parameters.get(TENANT),
+        group=parameters.get(GROUP),
+        key=None if match[2] == NO_KEY else match[2].decode(),
+        wait=wait,
+        reconnecting=TRUE in (parameters.get(RECONNECTING), parameters.get(RECONNECTING_ALIAS)),
+        existing_server=parameters.get(EXISTING_SERVER),
+        line=(line[:timeout_start], line[timeout_end:]),
+    )
+
+
+def _parse_parameters(text: bytes, start: int) -> tuple[dict[bytes, str], int, int]:
+    """Return the parameters by name, and where the timeout's value starts and ends in the line.
+
+    `start` is the position of `text` in the line.
+    """
+    parameters: dict[bytes, str] = {}
+    timeout_start = timeout_end = 0
+    for part in text.split(b","):
+        match = PARAMETER.fullmatch(part)
+        if match is None or match[1] in parameters:
+            raise ProtocolError("no pair, or one too many")
+        name, value = match.groups()
+        parameters[name] = value.decode()
+        if name == TIMEOUT:
+            if not TIMEOUT_VALUE.fullmatch(value):
+                raise ProtocolError("d is no time")
+            timeout_start = start + match.start(2)
+            timeout_end = start + len(part)
+        start += len(part) + 1
+    return parameters, timeout_start, timeout_end
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -16,16 +16,15 @@
 from twisted.internet import reactor
 
 from lotusroute.net.config import BalancerConfig
-from lotusroute.net.discovery import EndpointUpdate
-from lotusroute.net.downstream import DownstreamClosed, DownstreamConnection, FlowRequested, OpenRequest
+from lotusroute.net.downstream import DownstreamClosed, DownstreamConnection, FlowRequested
+from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.line_protocol import BUSY, ERR
+from lotusroute.net.open_request import OpenRequest
 from lotusroute.net.structured_log import LOGGER, log_event, log_exception
 from lotusroute.net.upstream import (
-    CONNECTING,
-    REACHES,
-    STANDING,
     AttemptEnded,
+    AttemptStage,
     LoadReported,
     ReceiptReceived,
     ReplyTimed,
@@ -326,10 +325,10 @@
         """The time to come up, or all time, has passed. That comes through the queue, behind whatever the
         sockets brought while we were held up: a stall of ours must not have healthy servers set aside."""
         held, link = self.flows.get(event.flow_id), event.attempt
-        if held is None or held.link is not link or link.stage >= STANDING:
+        if held is None or held.link is not link or link.stage >= AttemptStage.STANDING:
             return
         left = held.until - self.clock()
-        if link.stage > CONNECTING and left > 0:
+        if link.stage > AttemptStage.CONNECTING and left > 0:
             held.timer = self._later(left, event)
         else:
             self._ended(held, link.abort())
@@ -337,7 +336,7 @@
     def _ended(self, held: ActiveFlow, result: str) -> None:
         """A connect, or the connection that came of it, is over."""
         self._quiet(held)
-        server, came, held.link = held.link.server, REACHES[held.link.final_stage], None
+        server, came, held.link = held.link.server, held.link.final_stage.log_name, None
         self.counters[f"ended_{result}"] += 1
         self._trace("connection ended", held, server=server, result=result, came=came)
         if held.up:
@@ -425,7 +424,7 @@
         wrote its first byte when the grace was over. Standing connections go where they stood."""
         for held in list(self.flows.values()):
             link = held.link
-            if link is None or link.stage != CONNECTING or held.opening.existing_server:
+            if link is None or link.stage != AttemptStage.CONNECTING or held.opening.existing_server:
                 continue
             if link.server in self.draining or link.server not in self.dials:
                 self.counters["connects_cancelled"] += 1
@@ -588,7 +587,7 @@
             self._step_on()
 
     def _cut(self, held: ActiveFlow) -> None:
-        if held.up or held.link is not None and held.link.stage == STANDING:
+        if held.up or held.link is not None and held.link.stage == AttemptStage.STANDING:
             return  # its receipt stands in the queue
         if held.link is not None:
             held.over(held.link.abort())
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -1,42 +1,56 @@
-"""The side of the servers.
+"""Upstream connections: those that this balancer opens to servers.
 
-Owns every connection to a server, one for each connect, and what a server's lines mean. How a connect
-ended is a value, an `interface` result that says how far it had come; no exception leaves this file. It must
-never choose a server, try again, or speak to a client but to pass on.
+An `UpstreamAttempt` is one attempt of one flow to connect to one server; the `UpstreamConnection` that comes
+of it writes the flow's first line, reads the server's answer and then forwards lines. How an attempt ended is
+reported as a result of `routing.events` in an `AttemptEnded`, never as an exception. Times are in ms. The
+module chooses no server, retries nothing and does not answer clients by itself.
 """
 
 import re
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Callable
+from enum import IntEnum
 from typing import NamedTuple
 
 from twisted.internet import error, reactor
+from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory
 
 from lotusroute.errors import InvalidValueError
-from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, word
+from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, first_word
 from lotusroute.routing import events
 from lotusroute.service_config import parse_number
 
-UNANSWERED = 64  # client lines whose answers are timed at once; those of two minutes
+MAX_TIMED_REQUESTS = 64  # unanswered lines of a client that are timed at once: those of two minutes
+RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")  # a receipt as a server makes it; nothing less means served
+RESULTS_OF_ANSWERS = {BUSY: events.FULL, MOVE: events.CANCELLED}  # any other answer is an error
 
-RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")  # what a server made; less must not reach a client as served
 
-# How far a connect has come.
-CONNECTING, WRITING, WRITTEN, STANDING, OVER = range(5)
-REACHES = "connecting", "writing", "written", "standing"  # their names in the log
+class AttemptStage(IntEnum):
+    """How far an attempt has come; the names in lower case are values in the log."""
+
+    CONNECTING = 0
+    WRITING = 1  # of the first line
+    WRITTEN = 2  # the server may have run the request
+    STANDING = 3  # established: the receipt is in
+    OVER = 4
+
+    @property
+    def log_name(self) -> str:
+        """The stage as the log has it."""
+        return self.name.lower()
 
 
 class ReceiptReceived(NamedTuple):
-    """A server gave its receipt for a flow."""
+    """A server has accepted a flow."""
 
     flow_id: int
     attempt: "UpstreamAttempt"
-    receipt: memoryview
+    receipt: memoryview  # the line to forward to the client
 
 
 class AttemptEnded(NamedTuple):
-    """A connect, or the connection that came of it, is over."""
+    """An attempt, or the connection that came of it, has ended."""
 
     flow_id: int
     attempt: "UpstreamAttempt"
@@ -44,126 +58,147 @@
 
 
 class LoadReported(NamedTuple):
-    """A server told the load of a connection."""
+    """A server has reported the load of a connection."""
 
     flow_id: int
     load: float
 
 
 class ReplyTimed(NamedTuple):
-    """A client's line was answered after so many milliseconds."""
+    """A client's line was answered."""
 
     server: str
-    delay: float
+    delay: float  # ms
+
 
+class _FirstLineProducer:
+    """Pull producer for what the socket did not take of the first line at once.
 
-class _Opening:
-    """Pull producer that writes what a socket did not take of a connect's line at once, and learns when its
-    last byte is written."""
+    It learns from the transport when the last byte is written.
+    """
 
-    def __init__(self, side: "UpstreamConnection") -> None:
-        self.side = side
+    def __init__(self, connection: "UpstreamConnection") -> None:
+        self.connection = connection
 
     def resumeProducing(self) -> None:
-        link, transport = self.side.link, self.side.transport
-        if link.stage == CONNECTING:
-            link.stage = WRITING
-            transport.write(link.line)
-        else:
-            if link.stage == WRITING:
-                link.stage = WRITTEN
-            transport.unregisterProducer()
+        """Twisted: write the rest; at the next call it is written."""
+        attempt = self.connection.attempt
+        transport = self.connection.transport
+        if attempt.stage == AttemptStage.CONNECTING:
+            attempt.stage = AttemptStage.WRITING
+            transport.write(attempt.line)
+            return
+        if attempt.stage == AttemptStage.WRITING:
+            attempt.stage = AttemptStage.WRITTEN
+        transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """The transport is gone; `lost` tells the rest."""
+        """Twisted: the transport is closed; `connection_lost` reports it."""
 
 
 class UpstreamConnection(LineProtocol):
-    """The connection of one connect."""
+    """The connection of one attempt."""
 
-    def __init__(self, link: "UpstreamAttempt") -> None:
-        self.link = link
-        self.client = None  # where lines are passed on to, once the connection stands
-        self.asked: deque[float] = deque(maxlen=UNANSWERED)  # when lines went out; each answer takes one
-        self.heard = self.spoke = 0.0  # when the server's and the client's last lines came; 0: never
-        self.last = events.RESET  # how the connection ends if it ended now
+    def __init__(self, attempt: "UpstreamAttempt") -> None:
+        self.attempt = attempt
+        self.downstream: LineProtocol | None = None  # where lines are forwarded to, once established
+        self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_REQUESTS)  # each answer takes the oldest
+        self.last_reply_time = 0.0  # when the server's last line came; 0: never
+        self.last_request_time = 0.0  # when the client's last line came; 0: never
+        self.result_if_closed = events.RESET  # how the connection ends if it is closed now
 
     def connectionMade(self) -> None:
+        """Write the first line, if it may still be sent."""
         super().connectionMade()
-        link = self.link
-        if not link.may_send():
-            link.fell(events.UNSENT)
+        attempt = self.attempt
+        if not attempt.may_send():
+            attempt.report_end(events.UNSENT)
             self.transport.abortConnection()
             return
-        link.line = self.write(link.line)
-        if link.line:
-            self.transport.registerProducer(_Opening(self), streaming=False)
+        attempt.line = self.write_now(attempt.line)
+        if attempt.line:
+            self.transport.registerProducer(_FirstLineProducer(self), streaming=False)
         else:
-            link.stage = WRITTEN
+            attempt.stage = AttemptStage.WRITTEN
 
     def lineReceived(self, line: memoryview) -> None:
-        if self.client is None:
-            self._first(line)
+        """Forward a line of the server, noting what it says of the connection."""
+        if self.downstream is None:
+            self._receive_answer(line)
             return
-        self.heard = now = self.link.clock()
-        first = word(line)
-        if first == LOAD:
-            self._load(line)
-        elif first in (BYE, MOVE):
-            self.last = events.OK if first == BYE else events.CANCELLED
-        elif self.asked:
-            self.link.put(ReplyTimed(self.link.server, now - self.asked.popleft()))
-        self.client.send(line)
-
-    def _first(self, line: memoryview) -> None:
-        first, link = word(line), self.link
-        if RECEIPT.fullmatch(line) and link.stage == WRITTEN:
-            # Lines that come with the receipt wait until the client's side takes them.
-            self.held = True
-            link.stage = STANDING
-            self.last = events.RESET
-            link.put(ReceiptReceived(link.flow_id, link, line))
+        self.last_reply_time = now = self.attempt.clock()
+        word = first_word(line)
+        if word == LOAD:
+            self._report_load(line)
+        elif word == BYE:
+            self.result_if_closed = events.OK
+        elif word == MOVE:
+            self.result_if_closed = events.CANCELLED
+        elif self.sent_times:
+            self.attempt.put(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
+        self.downstream.send_line(line)
+
+    def _receive_answer(self, line: memoryview) -> None:
+        """Take the server's first line: a receipt, or anything else to reject the flow."""
+        attempt = self.attempt
+        if RECEIPT.fullmatch(line) and attempt.stage == AttemptStage.WRITTEN:
+            # Lines that come with the receipt are buffered until the client's connection is attached.
+            self.buffering = True
+            attempt.stage = AttemptStage.STANDING
+            self.result_if_closed = events.RESET
+            attempt.put(ReceiptReceived(attempt.flow_id, attempt, line))
         else:
-            # An UP without a receipt, or before our line was whole, is no answer that a server made for it.
-            link.fell({BUSY: events.FULL, MOVE: events.CANCELLED}.get(first, events.ERROR))
+            # An UP without a receipt, or before our line was complete, was not made for this request.
+            attempt.report_end(RESULTS_OF_ANSWERS.get(first_word(line), events.ERROR))
             self.transport.abortConnection()
 
-    def _load(self, line: memoryview) -> None:
+    def _report_load(self, line: memoryview) -> None:
         try:
-            self.link.put(
-                LoadReported(self.link.flow_id, parse_number(str(line[len(LOAD) :], "ascii").strip()))
-            )
+            load = parse_number(str(line[len(LOAD) :], "ascii").strip())
         except (InvalidValueError, UnicodeDecodeError):
-            self.link.counters["malformed_load_reports"] += 1
+            self.attempt.counters["malformed_load_reports"] += 1
+            return
+        self.attempt.put(LoadReported(self.attempt.flow_id, load))
 
-    def pass_on(self, line: memoryview) -> None:
-        """Take a client's line."""
-        self.spoke = self.link.clock()
-        self.asked.append(self.spoke)
-        self.send(line)
+    def forward(self, line: memoryview) -> None:
+        """Send a client's line to the server."""
+        now = self.attempt.clock()
+        self.last_request_time = now
+        self.sent_times.append(now)
+        self.send_line(line)
 
     def peer_half_closed(self) -> None:
-        if self.client is not None:
-            # A line without its ending is passed on as it is: nothing more will come.
-            self.client.transport.write(self.clearLineBuffer())
-            self.client.half_close()
-            self.link.fell(self.last)
-        elif self.link.stage < STANDING:
-            self.link.fell(self.link.broken())
+        """The server has stopped sending."""
+        if self.downstream is not None:
+            # A line without its ending is forwarded as it is: nothing more will come.
+            self.downstream.transport.write(self.clearLineBuffer())
+            self.downstream.half_close()
+            self.attempt.report_end(self.result_if_closed)
+        elif self.attempt.stage < AttemptStage.STANDING:
+            self.attempt.report_end(self.attempt.result_if_broken())
             self.transport.abortConnection()
 
-    def lost(self, clean: bool) -> None:
-        if self.client is not None and not self.ended:
-            self.client.transport.abortConnection()
-        self.link.fell(self.last if self.client is not None else self.link.broken())
+    def connection_lost(self) -> None:
+        """The connection is closed or broken."""
+        if self.downstream is None:
+            self.attempt.report_end(self.attempt.result_if_broken())
+            return
+        if not self.read_closed:
+            self.downstream.transport.abortConnection()
+        self.attempt.report_end(self.result_if_closed)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self.link.fell(events.ERROR if self.client is None else events.RESET)
+        """Close over a line that is too long."""
+        self.attempt.report_end(events.ERROR if self.downstream is None else events.RESET)
         self.transport.abortConnection()
 
 
+def _always_may_send() -> bool:
+    return True
+
+
 class UpstreamAttempt(ClientFactory):
-    """One connect of one flow to one server, and the connection that comes of it."""
+    """One attempt of one flow to connect to one server, and the connection that comes of it."""
 
     noisy = False
 
@@ -172,108 +207,131 @@
         flow_id: int,
         server: str,
         line: bytes,
-        put: Callable,
-        clock: Callable,
-        counters,
-        may_send: Callable[[], bool] = lambda: True,
+        put: Callable[[object], None],
+        clock: Callable[[], float],
+        counters: Counter,
+        may_send: Callable[[], bool] = _always_may_send,
     ) -> None:
-        self.flow_id, self.server, self.line = flow_id, server, line
-        self.may_send = may_send  # whether the line may be sent; asked once, as the connection is up
-        self.put, self.clock, self.counters = put, clock, counters
-        self.stage = self.final_stage = CONNECTING  # how far it is, and how far it came before it was over
-        self.side: UpstreamConnection | None = None
+        """`put` takes the messages of this module.
+
+        `may_send` is asked once, as the connection is up: whether `line` may still be sent.
+        """
+        self.flow_id = flow_id
+        self.server = server
+        self.line = line
+        self.may_send = may_send
+        self.put = put
+        self.clock = clock
+        self.counters = counters
+        self.stage = AttemptStage.CONNECTING
+        self.final_stage = AttemptStage.CONNECTING  # the stage before it was over
+        self.connection: UpstreamConnection | None = None
         self.connector = None
-        self.timeout_shortened = (
-            False  # the time to come up was cut short: a time-out says little of the server
-        )
+        # Whether the flow's deadline shortened the connect timeout: a timeout then says little of the server.
+        self.timeout_shortened = False
 
     def connect(self, address: tuple[str, int], timeout_shortened: bool) -> None:
-        """Begin; the owner keeps the time, so that a stall of ours is not taken for the server's."""
+        """Start to connect.
+
+        The caller keeps the timeout, so that a suspension of this process does not count as the server's.
+        """
         self.timeout_shortened = timeout_shortened
         self.connector = reactor.connectTCP(*address, self, timeout=None)
 
-    def buildProtocol(self, addr) -> UpstreamConnection:
-        self.side = UpstreamConnection(self)
-        return self.side
+    def buildProtocol(self, addr: IAddress) -> UpstreamConnection:
+        """Twisted: the connection is up."""
+        self.connection = UpstreamConnection(self)
+        return self.connection
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        # Out of descriptors: that is not the server's fault.
-        own = reason.check(error.ConnectBindError, error.UserError)
-        self.fell(events.UNSENT if own else events.UNREACHABLE)
+        """Twisted: the connection did not come up."""
+        # Without a free descriptor the failure is ours, not the server's.
+        local_failure = reason.check(error.ConnectBindError, error.UserError)
+        self.report_end(events.UNSENT if local_failure else events.UNREACHABLE)
 
-    def broken(self) -> str:
-        """How it ended, if the connection broke now: after the line's last byte it may have run."""
-        return events.RESET if self.stage >= WRITTEN else events.UNREACHABLE
+    def result_if_broken(self) -> str:
+        """Return the result if the connection breaks now: after the last byte the request may have run."""
+        return events.RESET if self.stage >= AttemptStage.WRITTEN else events.UNREACHABLE
 
-    def fell(self, result: str) -> None:
+    def report_end(self, result: str) -> None:
         """Report the end, once."""
-        if self._over():
+        if self.stage != AttemptStage.OVER:
+            self._mark_over()
             self.put(AttemptEnded(self.flow_id, self, result))
 
-    def _over(self) -> bool:
-        """Keep how far it came; whether it was not over yet."""
-        if self.stage == OVER:
-            return False
-        self.final_stage, self.stage = self.stage, OVER
-        return True
+    def _mark_over(self) -> None:
+        """Record the final stage; nothing is reported any more."""
+        if self.stage != AttemptStage.OVER:
+            self.final_stage = self.stage
+            self.stage = AttemptStage.OVER
 
     def abort(self) -> str:
-        """Stop waiting, close at once and return how far it had come; nothing is reported any more."""
-        result = (
-            events.TIMEOUT
-            if self.stage >= WRITTEN
-            else events.UNSENT
-            if self.timeout_shortened
-            else events.UNREACHABLE
-        )
-        self._over()
-        if self.side is not None and self.side.transport is not None:
-            self.side.client = None
-            self.side.transport.unregisterProducer()
-            self.side.transport.abortConnection()
+        """Close at once and return the result; nothing is reported any more."""
+        result = self._result_of_abort()
+        self._mark_over()
+        if self.connection is not None and self.connection.transport is not None:
+            self.connection.downstream = None
+            self.connection.transport.unregisterProducer()
+            self.connection.transport.abortConnection()
         elif self.connector is not None and self.connector.state == "connecting":
             self.connector.stopConnecting()
         return result
 
-    def attach_downstream(self, client) -> None:
-        """Pass lines on to and from `client` from now on."""
-        side = self.side
-        side.client, side.heard = client, self.clock()
-        # One that only listens and vanishes would keep its descriptors for good.
-        client.transport.setTcpKeepAlive(True)
-        client.transport.registerProducer(side.transport, streaming=True)
-        side.transport.registerProducer(client.transport, streaming=True)
-        side.release()
-        if side.ended:
-            side.peer_half_closed()
-
-    def client_ended(self, rest: bytes) -> None:
-        """The client has stopped sending: so do we, and whatever end comes now is not the server's doing."""
-        self.side.last = events.CANCELLED
-        self.side.transport.write(rest)
-        self.side.half_close()
-
-    def client_lost(self) -> None:
-        """The client's connection broke: so does its server's, which is not to be blamed for it."""
-        self.side.last = events.CANCELLED
-        self.side.transport.abortConnection()
+    def _result_of_abort(self) -> str:
+        if self.stage >= AttemptStage.WRITTEN:
+            return events.TIMEOUT
+        if self.timeout_shortened:
+            return events.UNSENT
+        return events.UNREACHABLE
+
+    def attach_downstream(self, downstream: LineProtocol) -> None:
+        """Forward lines to and from a client's connection from now on."""
+        connection = self.connection
+        connection.downstream = downstream
+        connection.last_reply_time = self.clock()
+        # A client that only receives and then vanishes would keep its descriptors for good.
+        downstream.transport.setTcpKeepAlive(True)
+        # Backpressure both ways: neither side is read while the other's unsent data waits.
+        downstream.transport.registerProducer(connection.transport, streaming=True)
+        connection.transport.registerProducer(downstream.transport, streaming=True)
+        connection.resume_lines()
+        if connection.read_closed:
+            connection.peer_half_closed()
+
+    def downstream_half_closed(self, rest: bytes) -> None:
+        """The client has stopped sending after `rest`: so do we, and no later end is the server's fault."""
+        self.connection.result_if_closed = events.CANCELLED
+        self.connection.transport.write(rest)
+        self.connection.half_close()
+
+    def downstream_lost(self) -> None:
+        """The client's connection broke: so does the server's, which is not at fault."""
+        self.connection.result_if_closed = events.CANCELLED
+        self.connection.transport.abortConnection()
 
     def close_after_migration(self) -> None:
-        """Close after a polite move; nothing is reported any more."""
-        self._over()
-        self.side.client = None
-        self.side.transport.unregisterProducer()
-        self.side.transport.loseConnection()
+        """Close because the client was told to migrate; nothing is reported any more."""
+        self._mark_over()
+        self.connection.downstream = None
+        self.connection.transport.unregisterProducer()
+        self.connection.transport.loseConnection()
 
     def oldest_wait(self, now: float) -> float:
-        """How long the oldest unanswered line of the client has waited, in ms."""
-        return now - self.side.asked[0] if self.side.asked else 0.0
+        """For how long the client's oldest unanswered line has waited, in ms."""
+        sent_times = self.connection.sent_times
+        return now - sent_times[0] if sent_times else 0.0
 
     def client_idle_time(self, now: float) -> float:
-        """For how long a client that has spoken before has said nothing, in ms: those that only listen were
-        moved each minute."""
-        return now - self.side.spoke if self.side.spoke else 0.0
+        """For how long a client that has sent lines before has sent none, in ms.
+
+        0 for one that never sent any: clients that only receive were migrated each minute.
+        """
+        last = self.connection.last_request_time
+        return now - last if last else 0.0
 
     def server_silence(self, now: float) -> float:
-        """For how long the server has brought nothing though a line waits, in ms."""
-        return now - max(self.side.asked[0], self.side.heard) if self.side.asked else 0.0
+        """For how long the server has sent nothing though a line waits for its answer, in ms."""
+        connection = self.connection
+        if not connection.sent_times:
+            return 0.0
+        return now - max(connection.sent_times[0], connection.last_reply_time)
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -182,7 +182,7 @@
         where, seq = endpoint_items.about(self.store)
         same = where == self._base()
         self.discovery = Discovery(self.where, seq if same else None, self.seed, self._nothing, self.counters)
-        self.discovery.watch, self.discovery.most_hold = self, HOLD
+        self.discovery.watch, self.discovery.max_hold_ms = self, HOLD
         defer.ensureDeferred(self.discovery.follow())
 
     def _base(self) -> str:
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -20,7 +20,7 @@
 from lotusroute.fleet.transport import CallFailed, PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.net.config import parse_address
-from lotusroute.net.discovery import LINE, REFUSED
+from lotusroute.net.discovery import MIN_REJECTION_BACKOFF, QUEUE_TIMEOUT
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.relay_selector import Join, Quit, RelaySelector
@@ -191,7 +191,7 @@
                 await self._wait(TICK)
                 continue
             # All that lost their relays at once come one by one, as far as the time for news allows.
-            room = max(0.0, min(REFUSED, discovery._left() - LINE))
+            room = max(0.0, min(MIN_REJECTION_BACKOFF, discovery._left() - QUEUE_TIMEOUT))
             await self._wait(room * self.chance.random())
             if not self.follower.fresh(self.clock()):
                 self.calling = True
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -17,8 +17,10 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lotusroute.net.discovery import Discovery, EndpointUpdate
-from lotusroute.net.downstream import DownstreamFactory, FlowRequested
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.downstream import FlowRequested
+from lotusroute.net.endpoint_list import EndpointUpdate
+from lotusroute.net.listener import DownstreamFactory
 from lotusroute.net.owner import Owner
 from lotusroute.routing import events
 
@@ -259,7 +261,11 @@
     side.transport.protocol = side
     side.makeConnection(side.transport)
     side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
-    assert side.has_disconnected() and side.transport.value() == b"ERR\r\n" and counters["early_data_overflows"] == 1
+    assert (
+        side.has_disconnected()
+        and side.transport.value() == b"ERR\r\n"
+        and counters["early_data_overflows"] == 1
+    )
     assert not side.transport.closed and len(events) == 1
 
 
@@ -553,7 +559,7 @@
 def test_a_list_over_which_something_broke_is_asked_for_whole():
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
     owner = broken_owner()
-    owner.relist = following.forget
+    owner.relist = following.request_complete_list
     Owner._failed(owner, EndpointUpdate(events.CHANGES, (), {}), 0)
     assert following.seq is None
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -25,7 +25,9 @@
 from lotusroute.leases.proposer import Proposer
 from lotusroute.net import config as net_config
 from lotusroute.net import line_protocol
-from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_open_request
+from lotusroute.net.downstream import DownstreamConnection
+from lotusroute.net.listener import DownstreamFactory
+from lotusroute.net.open_request import parse_open_request
 from lotusroute.net.owner import Owner
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Heartbeat
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -19,11 +19,12 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
-from lotusroute.net.discovery import REFUSAL, Discovery, DiscoveryFailed
-from lotusroute.net.downstream import FlowRequested, parse_open_request
+from lotusroute.net.discovery import Discovery, DiscoveryFailed, PollStage
+from lotusroute.net.downstream import FlowRequested
 from lotusroute.net.line_protocol import LineProtocol
+from lotusroute.net.open_request import parse_open_request
 from lotusroute.net.owner import DRAIN_SPREAD, STEP, Owner
-from lotusroute.net.upstream import WRITTEN, UpstreamAttempt, UpstreamConnection
+from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
 from lotusroute.routing import events
 
 
@@ -158,9 +159,9 @@
 
     async def refused():
         following.closed = len(pauses) == 200
-        return DiscoveryFailed(REFUSAL, "status 503")
+        return DiscoveryFailed(PollStage.REJECTED, "status 503")
 
-    following._call = refused
+    following._poll = refused
     monkeypatch.setattr("twisted.internet.task.deferLater", lambda _, s: defer.succeed(pauses.append(s)))
     defer.ensureDeferred(following.follow())
     assert len(pauses) == 200 and max(pauses) + 2.0 <= 6.0 + 2.0
@@ -292,10 +293,10 @@
 def test_only_a_client_that_used_to_speak_counts_as_gone_when_it_says_nothing():
     # Standing connections that only listen were moved each minute.
     link = UpstreamAttempt(1, "s1", b"", None, lambda: 5_000.0, None)
-    side = link.side = UpstreamConnection(link)
+    side = link.connection = UpstreamConnection(link)
     assert link.client_idle_time(90_000.0) == 0.0
     side.transport = Partial(0)
-    side.pass_on(memoryview(b"M 1\r\n"))
+    side.forward(memoryview(b"M 1\r\n"))
     assert link.client_idle_time(90_000.0) == 85_000.0
 
 
@@ -306,11 +307,11 @@
         link = UpstreamAttempt(1, "s1", line, None, lambda: 0.0, None)
         side, transport = UpstreamConnection(link), Partial(taken)
         side.makeConnection(transport)
-        assert (link.stage == WRITTEN) == (taken == len(line))
+        assert (link.stage == AttemptStage.WRITTEN) == (taken == len(line))
         for _ in range(2):
             if transport.producer is not None:
                 transport.producer.resumeProducing()
-        assert transport.value() == line and link.stage == WRITTEN
+        assert transport.value() == line and link.stage == AttemptStage.WRITTEN
 
 
 class Partial(StringTransport):
