--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -292,8 +292,8 @@
         now = reactor.seconds()
         # Read late by us, it may be as old as a response can be.
         self.as_of = min(now, started + timeout)
-        held = 0.0 if update.servers else hold
-        self.queued = now - started - held > self.unqueued_request_timeout / 2
+        hold_used = 0.0 if update.servers else hold
+        self.queued = now - started - hold_used > self.unqueued_request_timeout / 2
         if self.watch is not None:
             self.watch.answered(message, since)
         return update
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -20,7 +20,7 @@
 # Bytes read at once, and that may wait to be written: with Twisted's 64 KiB each way, a balancer at its limit
 # of connections took 90 MB.
 SOCKET_BUFFER_SIZE = 8_192
-MAX_WORD_LENGTH = 12  # bytes of a line in which its first word is looked for; the longest word has 4
+MAX_COMMAND_LENGTH = 12  # bytes of a line in which its command is looked for; the longest has 4
 
 PING = b"PING"
 PONG = b"PONG"
@@ -34,13 +34,13 @@
 LINE_END = b"\r\n"
 
 
-def first_word(line: memoryview) -> bytes:
-    """Return the first word of a line.
+def command_of(line: memoryview) -> bytes:
+    """Return the command of a line: its first word.
 
-    >>> first_word(memoryview(b"BUSY 250" + LINE_END)), first_word(memoryview(b"PING" + LINE_END))
+    >>> command_of(memoryview(b"BUSY 250" + LINE_END)), command_of(memoryview(b"PING" + LINE_END))
     (b'BUSY', b'PING')
     """
-    return bytes(line[:MAX_WORD_LENGTH]).split(b" ", 1)[0].split(LINE_END, 1)[0]
+    return bytes(line[:MAX_COMMAND_LENGTH]).split(b" ", 1)[0].split(LINE_END, 1)[0]
 
 
 @implementer(IHalfCloseableProtocol)
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -123,9 +123,9 @@
 
     @property
     def numberAccepts(self) -> int:
-        """Connections accepted in one iteration; Twisted's own attempts to change it have no effect."""
+        """Connections accepted in one iteration."""
         return ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
     def numberAccepts(self, value: float) -> None:
-        pass
+        """Ignore Twisted's adaptation."""
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -325,7 +325,7 @@
         """The time to come up, or all time, has passed. That comes through the queue, behind whatever the
         sockets brought while we were held up: a stall of ours must not have healthy servers set aside."""
         held, link = self.flows.get(event.flow_id), event.attempt
-        if held is None or held.link is not link or link.stage >= AttemptStage.STANDING:
+        if held is None or held.link is not link or link.stage >= AttemptStage.ESTABLISHED:
             return
         left = held.until - self.clock()
         if link.stage > AttemptStage.CONNECTING and left > 0:
@@ -587,7 +587,7 @@
             self._step_on()
 
     def _cut(self, held: ActiveFlow) -> None:
-        if held.up or held.link is not None and held.link.stage == AttemptStage.STANDING:
+        if held.up or held.link is not None and held.link.stage == AttemptStage.ESTABLISHED:
             return  # its receipt stands in the queue
         if held.link is not None:
             held.over(held.link.abort())
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from lotusroute.errors import InvalidValueError
-from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, first_word
+from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, command_of
 from lotusroute.routing import events
 from lotusroute.service_config import parse_number
 
@@ -27,18 +27,18 @@
 
 
 class AttemptStage(IntEnum):
-    """How far an attempt has come; the names in lower case are values in the log."""
+    """How far an attempt has come."""
 
     CONNECTING = 0
     WRITING = 1  # of the first line
     WRITTEN = 2  # the server may have run the request
-    STANDING = 3  # established: the receipt is in
+    ESTABLISHED = 3  # the receipt is in
     OVER = 4
 
     @property
     def log_name(self) -> str:
-        """The stage as the log has it."""
-        return self.name.lower()
+        """The stage as the log has it; operators search for these values."""
+        return "standing" if self is AttemptStage.ESTABLISHED else self.name.lower()
 
 
 class ReceiptReceived(NamedTuple):
@@ -127,12 +127,12 @@
             self._receive_answer(line)
             return
         self.last_reply_time = now = self.attempt.clock()
-        word = first_word(line)
-        if word == LOAD:
+        command = command_of(line)
+        if command == LOAD:
             self._report_load(line)
-        elif word == BYE:
+        elif command == BYE:
             self.result_if_closed = events.OK
-        elif word == MOVE:
+        elif command == MOVE:
             self.result_if_closed = events.CANCELLED
         elif self.sent_times:
             self.attempt.put(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
@@ -144,12 +144,12 @@
         if RECEIPT.fullmatch(line) and attempt.stage == AttemptStage.WRITTEN:
             # Lines that come with the receipt are buffered until the client's connection is attached.
             self.buffering = True
-            attempt.stage = AttemptStage.STANDING
+            attempt.stage = AttemptStage.ESTABLISHED
             self.result_if_closed = events.RESET
             attempt.put(ReceiptReceived(attempt.flow_id, attempt, line))
         else:
             # An UP without a receipt, or before our line was complete, was not made for this request.
-            attempt.report_end(RESULTS_OF_ANSWERS.get(first_word(line), events.ERROR))
+            attempt.report_end(RESULTS_OF_ANSWERS.get(command_of(line), events.ERROR))
             self.transport.abortConnection()
 
     def _report_load(self, line: memoryview) -> None:
@@ -174,7 +174,7 @@
             self.downstream.transport.write(self.clearLineBuffer())
             self.downstream.half_close()
             self.attempt.report_end(self.result_if_closed)
-        elif self.attempt.stage < AttemptStage.STANDING:
+        elif self.attempt.stage < AttemptStage.ESTABLISHED:
             self.attempt.report_end(self.attempt.result_if_broken())
             self.transport.abortConnection()
 
