--- /dev/null
+++ b/tests/test_config_reload.py
@@ -0,0 +1,131 @@
+"""Configuration at the start and its reload, on loopback sockets."""
+
+import json
+import signal
+import time
+
+import pytest
+from harness import SETTINGS, Balancer, FakeServer, discovery, soon
+
+from lotusroute.errors import InvalidValueError
+from lotusroute.net import config, structured_log
+from lotusroute.net.downstream import FlowRequested
+from lotusroute.net.open_request import parse_open_request
+from lotusroute.net.owner import Owner
+from lotusroute.routing import events
+
+VALID_CONFIG = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
+
+
+def test_counters_are_printed_on_a_signal_and_at_the_exit():
+    with Balancer(FakeServer("s1")) as balancer:
+        balancer.ask().readline()
+        balancer.process.send_signal(signal.SIGUSR1)
+        time.sleep(0.2)
+        log = balancer.end(signal.SIGTERM)
+        assert balancer.process.returncode == 0
+        assert log.count("event=counters") == 2 and "established=1" in log and "flows=1" in log
+
+
+def test_a_new_discovery_address_is_followed_at_once_though_the_environment_has_the_old_one():
+    one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
+    old, new = discovery(one), discovery(two)
+    old_address = f"127.0.0.1:{old.server_port}"
+    with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
+        client = balancer.ask()
+        assert client.readline() == b"UP one\r\n"
+        old.seq = 0  # the poll in flight hangs, as a backoff after failures would
+        time.sleep(0.2)
+        start = time.monotonic()
+        balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
+        soon(lambda: balancer.ask().readline() == b"UP two\r\n")
+        assert time.monotonic() - start < 1.0
+        client.write(b"M 1 a\r\n")
+        assert client.readline() == b"M 1 a\r\n"
+        # Back to the first, whose versions start anew; then two signals in a row and one during shutdown.
+        old.entries, old.seq = [one.entry()], 1
+        balancer.reload(discovery=old_address)
+        balancer.reload(discovery=old_address)
+        soon(lambda: balancer.ask().readline() == b"UP one\r\n")
+        balancer.process.send_signal(signal.SIGTERM)
+        balancer.reload()
+        balancer.end(signal.SIGTERM)
+        assert balancer.process.returncode == 0
+
+
+def test_a_malformed_file_is_rejected_with_its_key_and_what_needs_a_restart_is_named():
+    with Balancer(FakeServer("s1"), sockets=68) as balancer:
+        clients = [balancer.ask(str(index)) for index in range(2)]
+        assert {client.readline() for client in clients} == {b"UP r1\r\n"}
+        for text in ("{", json.dumps({**balancer.told, "discovery": "nowhere"})):
+            balancer.reload(text)
+            time.sleep(0.2)
+        assert balancer.ask().readline() == b"BUSY 1000\r\n"
+        balancer.reload(name="n2", limits={"sockets": 1024})
+        soon(lambda: balancer.ask().readline() == b"UP r1\r\n")
+        log = balancer.end()
+    assert log.count('event="reload rejected" why="LB_CONFIG: ') == 1
+    assert "LB_DISCOVERY: 'nowhere' is not host:port" in log and "needs_restart=name" in log
+
+
+@pytest.mark.parametrize(
+    "key, changes",
+    [
+        ("LB_CONFIG", None),
+        ("LB_LISTEN", {"listen": "here"}),
+        ("LB_DISCOVERY", {"discovery": "1.2.3.4:99999"}),
+        ("LB_NAME", {"name": 7}),
+        ("limits.sockets", {"limits": {"sockets": "many"}}),
+        ("settings.limits.connect_timeout", {"settings": {**SETTINGS, "limits": {"connect_timeout": -1}}}),
+        ("settings: limits.max_connects", {"settings": {**SETTINGS, "limits": {"max_connects": "x"}}}),
+        ("settings.service_types", {"settings": {}}),
+        ("known", {"known": [1]}),
+    ],
+)
+def test_an_invalid_key_is_named(key, changes, tmp_path):
+    file = tmp_path / "config.json"
+    if changes is not None:
+        file.write_text(json.dumps({**VALID_CONFIG, **changes}))
+    with pytest.raises(InvalidValueError, match=f"^{key}"):
+        config.load_config({"LB_CONFIG": str(file)})
+
+
+def test_an_invalid_setting_at_the_start_exits_with_2_and_a_message():
+    balancer = Balancer(FakeServer("s1"), env={"LB_LISTEN": "nowhere"}.items())
+    assert "LB_LISTEN: 'nowhere' is not host:port" in balancer.process.communicate(timeout=9)[1]
+    assert balancer.process.returncode == 2
+
+
+def test_settings_of_the_program_and_of_the_simulator_give_one_service_config():
+    service_config = config.parse_service_config(dict(config.flatten(SETTINGS)))
+    assert service_config.service_types == {"live": events.ServiceType(300.0)}
+    assert service_config.max_retry_after == 1000.0
+
+
+class FakeConnection:
+    """A client that keeps its answer and stays connected."""
+
+    disconnected = False
+    answer = ()
+
+    def has_disconnected(self):
+        return False
+
+    def reject_malformed(self):
+        self.answer = b"ERR"
+
+    def send_final_answer(self, answer):
+        self.answer = answer
+
+
+def test_a_line_of_an_existing_connection_long_after_the_start_is_rejected_and_takes_no_capacity(tmp_path):
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(VALID_CONFIG))
+    owner = Owner(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
+    for delay, flows in (0.0, 1), (70_000.0, 1):
+        owner.epoch += delay
+        connection = FakeConnection()
+        request = parse_open_request(f"OPEN id{delay:.0f} k c=live,d=4294967,at=s9\r\n".encode())
+        owner._asked(FlowRequested(connection, request, owner.clock()))
+        assert len(owner.flows) == flows
+    assert connection.answer == b"ERR"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,7 +1,7 @@
-"""Stories of news of the list: whatever becomes of the calls, it is in within one time, on loopback sockets.
+"""The deadline of endpoint updates on loopback sockets: a change is received in time whatever polls fail.
 
-Each story plays many balancers at once, every one with a discovery of its own that does to its calls what the
-case says, for the time they take is the protocol's.
+Each test runs several balancers at once, every one with a discovery of its own that does to its polls what
+the case says, as the times are the protocol's.
 """
 
 import contextlib
@@ -14,112 +14,120 @@
 from harness import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
 from test_flow_completion import goes_on, stand_still
 
-LATEST, LINE = 6.0, 2.0  # s: when a change counts as told, and how long calls may stand in line
-ASKED = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
-TWO = ["silent", "half", "refuse"]
-CASES = [(*case, LINE) for case in itertools.product(TWO, repeat=2) if "refuse" in case]
-CASES += [case for case in itertools.product(TWO, repeat=2) if "refuse" not in case]
+CHANGE_DEADLINE, QUEUE_TIMEOUT = (
+    6.0,
+    2.0,
+)  # s: when a change counts as received, and how long polls are queued
+POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
+FAULTS = ["silent", "half", "refuse"]
+CASES = [(*case, QUEUE_TIMEOUT) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
+CASES += [case for case in itertools.product(FAULTS, repeat=2) if "refuse" not in case]
 CASES += [("refuse", "refuse", "silent"), ("refuse", "silent", "refuse")]
 
 
-def watched(balancer):
-    """Wait until a watch has just been opened after a whole answer, the last of which is `told`."""
-    calls = len(balancer.list.asked)
-    soon(lambda: len(balancer.list.asked) > calls)
+def wait_for_poll(balancer):
+    """Wait until a poll has just been sent after a complete response."""
+    polls = len(balancer.list.asked)
+    soon(lambda: len(balancer.list.asked) > polls)
 
 
-def heard(balancer, seq):
-    """When the version, or a newer one, went out to the balancer."""
-    return next((at for at, told in balancer.list.told if told >= seq), None)
+def received_at(balancer, seq):
+    """When the version, or a newer one, went out to the balancer; None if it has not."""
+    return next((sent for sent, version in balancer.list.told if version >= seq), None)
 
 
-def play(settings, cases, change, before=lambda balancer: None):
-    """Let a change come just after a whole answer, do to the next calls what each case says, and return by
-    how many seconds each balancer's news was in after the change."""
-    took = {}
+def received_after(balancer, seq, start):
+    """How many s after `start` the version went out to the balancer."""
+    return (received_at(balancer, seq) or float("inf")) - start
+
+
+def wait_for_update(balancers, seq, timeout):
+    """Wait until the version went out to all balancers, or the time is over."""
+    until = time.monotonic() + timeout
+    while time.monotonic() < until and not all(received_at(balancer, seq) for balancer in balancers):
+        time.sleep(0.02)
+
+
+def measure_delays(cases, after_change=lambda balancer: None):
+    """Change the list just after a complete response and do to the next polls what each case says.
+
+    Returns for each case how many s after the change its balancer received it.
+    """
+    servers = [FakeServer(f"s{index}") for index in range(2)]
     with contextlib.ExitStack() as stack:
-        servers = [FakeServer(f"s{at}") for at in range(2)]
-        balancers = [stack.enter_context(Balancer(*servers, settings=settings)) for _ in cases]
+        balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in cases]
         changed = []
         for case, balancer in zip(cases, balancers, strict=True):
-            soon(lambda b=balancer: len(b.list.told) > 0)
-            before(balancer)
-            # In force for the call that comes after the answer in hand.
+            soon(lambda balancer=balancer: len(balancer.list.told) > 0)
+            # In force for the poll that comes after the response in flight.
             balancer.list.script[:] = list(case)
-            watched(balancer)
+            wait_for_poll(balancer)
             changed.append(time.monotonic())
             balancer.list.entries = [servers[0].entry("DRAINING"), servers[1].entry()]
             balancer.list.seq = 2
-            change(balancer)
-        until = time.monotonic() + 2 * LATEST
-        while time.monotonic() < until and not all(heard(b, 2) for b in balancers):
-            time.sleep(0.02)
-        for case, balancer, at in zip(cases, balancers, changed, strict=True):
-            took[case] = (heard(balancer, 2) or float("inf")) - at
-    return took
+            after_change(balancer)
+        wait_for_update(balancers, 2, timeout=2 * CHANGE_DEADLINE)
+        return {
+            case: received_after(balancer, 2, start)
+            for case, balancer, start in zip(cases, balancers, changed, strict=True)
+        }
 
 
-def test_two_calls_in_a_row_that_bring_nothing_and_a_line_behind_them_fit_into_one_time():
-    # Each call and pause was counted by itself: a refusal paused for up to 4 s and the grace, a silent watch
-    # took 4.3 s, and the next pause started anew, so that two that followed one another passed 6.5 s.
-    took = play(ASKED, CASES, lambda balancer: None)
-    assert max(took.values()) < LATEST + 0.5, took
+def test_two_failed_polls_in_a_row_and_a_queue_after_them_fit_into_one_deadline():
+    # With a limit for each poll and backoff by itself, a rejection backed off for up to 4 s and the grace, a
+    # silent long poll took 4.3 s, and the next backoff started anew: two in a row took more than 6.5 s.
+    delays = measure_delays(CASES)
+    assert max(delays.values()) < CHANGE_DEADLINE + 0.5, delays
 
 
-def test_a_process_that_was_held_up_over_a_silent_watch_and_is_then_refused_still_hears_in_time():
-    def hold_up(balancer):
+def test_a_process_suspended_during_a_silent_long_poll_and_then_rejected_still_receives_in_time():
+    def suspend_for_a_while(balancer):
         time.sleep(0.1)
         stand_still(balancer)
         time.sleep(3.5)
         goes_on(balancer)
 
-    took = play(ASKED, [("silent", "refuse")], hold_up)
-    assert max(took.values()) < LATEST + 0.5, took
+    delays = measure_delays([("silent", "refuse")], suspend_for_a_while)
+    assert max(delays.values()) < CHANGE_DEADLINE + 0.5, delays
 
 
 @pytest.mark.parametrize("script", [["silent"], ["refuse", "refuse"], ["half", "refuse"]])
-def test_a_new_address_whose_first_calls_bring_nothing_is_heard_in_time(script):
+def test_the_list_of_a_new_address_whose_first_polls_fail_is_received_in_time(script):
     one, two = FakeServer("s0"), FakeServer("s1", b"UP two\r\n")
     new = discovery(two)
-    new.seq, new.script = 7, [*script, LINE]
-    with Balancer(one, settings=ASKED) as balancer:
+    new.seq, new.script = 7, [*script, QUEUE_TIMEOUT]
+    with Balancer(one, settings=POLLING_SETTINGS) as balancer:
         soon(lambda: balancer.list.told)
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
         start = time.monotonic()
         soon(lambda: new.told)
-        assert new.told[0][0] - start < LATEST + 0.5
-        soon(lambda: balancer.ask().readline() == b"UP two\r\n")  # written is not yet read
+        assert new.told[0][0] - start < CHANGE_DEADLINE + 0.5
+        soon(lambda: balancer.ask().readline() == b"UP two\r\n")  # sent is not yet received
     new.shutdown()
 
 
-def test_discovery_that_is_back_just_after_a_call_that_nobody_answers_is_heard_in_time_though_it_refuses():
-    # Silent for seconds, so that all pauses have grown; the call sent just before the return is lost.
-    servers = [FakeServer(f"s{at}") for at in range(2)]
+def test_the_list_is_received_in_time_from_a_discovery_that_returns_just_after_an_unanswered_poll():
+    # Silent for seconds, so that all backoffs have grown; the poll sent just before the return is lost, and
+    # the next one rejected.
+    servers = [FakeServer(f"s{index}") for index in range(2)]
     with contextlib.ExitStack() as stack:
-        balancers = [stack.enter_context(Balancer(*servers, settings=ASKED)) for _ in range(6)]
-        backs = {}
+        balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in range(6)]
+        returned = {}
         for balancer in balancers:
-            soon(lambda b=balancer: b.list.told)
-            balancer.list.script[:] = ["silent"] * 4 + ["refuse", LINE]
+            soon(lambda balancer=balancer: balancer.list.told)
+            balancer.list.script[:] = ["silent"] * 4 + ["refuse", QUEUE_TIMEOUT]
         until = time.monotonic() + 30.0
-        while time.monotonic() < until and not all(heard(b, 2) for b in balancers):
+        while time.monotonic() < until and not all(received_at(balancer, 2) for balancer in balancers):
             for balancer in balancers:
-                if balancer not in backs and len(balancer.list.script) == 2:
-                    backs[balancer] = time.monotonic()  # the fourth call has just gone out, and is lost
+                if balancer not in returned and len(balancer.list.script) == 2:
+                    returned[balancer] = time.monotonic()  # the fourth poll was just sent, and is lost
                     balancer.list.entries, balancer.list.seq = [servers[1].entry()], 2
             time.sleep(0.01)
-        took = [(heard(balancer, 2) or float("inf")) - backs[balancer] for balancer in balancers]
-        assert max(took) < LATEST + 0.5, took
-
+        delays = [received_after(balancer, 2, returned[balancer]) for balancer in balancers]
+        assert max(delays) < CHANGE_DEADLINE + 0.5, delays
 
-def said(balancer, text):
-    """A client that says so much and rests; its connection."""
-    conn = socket.create_connection(("127.0.0.1", balancer.port), timeout=DEADLINE)
-    conn.sendall(text)
-    return conn
 
-
-KINDS = {
+IDLE_CLIENT_DATA = {
     "silent": b"",
     "checked": b"PING\r\n",
     "half a line": b"OPEN id9 k",
@@ -128,49 +136,69 @@
 }
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_idle_clients_that_fill_the_descriptors_keep_no_news_and_no_newcomer_out(kind):
-    # Discovery is away, its machine ends each connection, and a client comes every 2 ms that keeps its
-    # descriptor. When it is back it is dialled within a second (2 s before), and a newcomer is served by the
-    # server that it names.
+class ConnectionStorm(threading.Thread):
+    """Opens a connection every 2 ms that sends its data and stays open.
+
+    Beyond `max_open` of them the oldest is closed for each new one, or the new one itself.
+    """
+
+    def __init__(self, port, data, max_open, close_newest):
+        super().__init__(daemon=True)
+        self.port, self.data = port, data
+        self.max_open, self.close_newest = max_open, close_newest
+        self.connections, self.stopped = [], threading.Event()
+
+    def run(self):
+        while not self.stopped.is_set():
+            with contextlib.suppress(OSError):
+                self.connect()
+            time.sleep(0.002)
+
+    def connect(self):
+        index = len(self.connections)
+        conn = socket.create_connection(("127.0.0.1", self.port), timeout=DEADLINE)
+        conn.sendall(self.data.replace(b"%d", b"%d" % index))
+        self.connections.append(conn)
+        if index > self.max_open:
+            self.connections[index if self.close_newest else index - self.max_open].close()
+
+    def stop(self):
+        self.stopped.set()
+        self.join()
+
+
+@pytest.mark.parametrize("kind", IDLE_CLIENT_DATA)
+def test_idle_clients_that_fill_the_descriptors_block_neither_updates_nor_new_flows(kind):
+    # Discovery is down, its machine resets each connection, and a client comes every 2 ms that keeps its
+    # descriptor. When discovery is back it is connected to within a second (2 s before), and a new flow is
+    # served by the server that it names.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
-    rest, stop = [], threading.Event()
-    with Balancer(one, settings=ASKED, sockets=256) as balancer:
-        back = balancer.list
-        soon(lambda: back.told)
-        back.script[:] = ["drop"] * 1_000
-
-        def crowd():
-            while not stop.is_set():
-                at = len(rest)
-                with contextlib.suppress(OSError):
-                    rest.append(said(balancer, KINDS[kind].replace(b"%d", b"%d" % at)))
-                if at > 400 and kind != "established":
-                    rest[at - 400].close()  # more than the program may hold still rest
-                elif at > 150 and kind == "established":
-                    rest[at].close()
-                time.sleep(0.002)
-
-        thread = threading.Thread(target=crowd, daemon=True)
-        thread.start()
-        time.sleep(9.0)  # all pauses have grown
-        dials = [at for at, _ in back.asked][4:]
-        assert len(dials) > 6 and max(b - a for a, b in itertools.pairwise(dials)) < 1.0 + 0.3
-        back.entries, back.seq, back.script[:] = [one.entry("DELETED"), two.entry()], 5, []
-        soon(lambda: back.told[-1][1] == 5)
-        stop.set()
-        thread.join()
-        served = set()
+    with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
+        source = balancer.list
+        soon(lambda: source.told)
+        source.script[:] = ["drop"] * 1_000
+        established = kind == "established"
+        # Without flows, more connections than the program can have open.
+        max_open = 150 if established else 400
+        storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
+        storm.start()
+        time.sleep(9.0)  # all backoffs have grown
+        polls = [sent for sent, _ in source.asked][4:]
+        assert len(polls) > 6 and max(b - a for a, b in itertools.pairwise(polls)) < 1.0 + 0.3
+        source.entries, source.seq, source.script[:] = [one.entry("DELETED"), two.entry()], 5, []
+        soon(lambda: source.told[-1][1] == 5)
+        storm.stop()
+        answers = set()
         until = time.monotonic() + 2.0
-        while time.monotonic() < until and b"UP two\r\n" not in served:
+        while time.monotonic() < until and b"UP two\r\n" not in answers:
             with contextlib.suppress(OSError):
-                served.add(balancer.ask("new").readline())
-        if kind == "established":
-            # Its descriptors are in use by flows that stand: newcomers are told so at once, none is cut off.
-            assert served <= {b"UP two\r\n", b"BUSY 1000\r\n"} and served
+                answers.add(balancer.ask("new").readline())
+        if established:
+            # Its descriptors are in use by established flows: new ones are rejected at once, none is cut off.
+            assert answers <= {b"UP two\r\n", b"BUSY 1000\r\n"} and answers
         else:
-            assert b"UP two\r\n" in served
-        for conn in rest:
+            assert b"UP two\r\n" in answers
+        for conn in storm.connections:
             conn.close()
         soon(lambda: balancer.ask("last").readline() == b"UP two\r\n")
         log = balancer.end()
--- /dev/null
+++ b/tests/test_endpoint_updates.py
@@ -0,0 +1,150 @@
+"""Following the endpoint list on loopback sockets: cached lists, long polls, rejections and agents."""
+
+import contextlib
+import time
+
+import pytest
+from harness import SETTINGS, Balancer, FakeServer, soon
+from twisted.internet import defer
+
+from lotusroute.net import structured_log
+from lotusroute.net.discovery import Discovery, DiscoveryFailed, PollStage
+
+AGENT_SETTINGS = {**SETTINGS, "discovery": "push", "rules": {"stop_sending_within": 500}}
+
+
+def wait_for_long_poll(balancer):
+    """Wait until a long poll has just been sent; returns when."""
+    calls = len(balancer.list.asked)
+    soon(lambda: len(balancer.list.asked) > calls + 1)
+    return balancer.list.asked[-1][0]
+
+
+@pytest.fixture
+def two_servers():
+    """Servers that are told apart by their receipts."""
+    return FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
+
+
+def test_an_existing_connection_returns_to_its_server_and_waits_for_a_list_with_that_server():
+    servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(4)]
+    with Balancer(*servers[:3]) as balancer:
+        for index in range(3):
+            assert balancer.ask(at=f"s{index}").readline() == f"UP s{index}\r\n".encode()
+        client = balancer.ask(wait=9000, at="s3")
+        time.sleep(0.2)
+        balancer.list.entries = [server.entry() for server in servers]
+        balancer.list.seq += 1
+        assert client.readline() == b"UP s3\r\n"
+
+
+def test_the_cached_list_serves_while_discovery_is_silent_and_updates_are_followed(two_servers):
+    one, two = two_servers
+    with Balancer(one, listed=False) as balancer:
+        assert balancer.ask().readline() == b"UP one\r\n"
+        balancer.list.entries, balancer.list.seq = [two.entry()], 5
+        soon(lambda: balancer.ask().readline() == b"UP two\r\n")
+        balancer.list.entries, balancer.list.seq = [two.entry("DELETED"), one.entry()], 6
+        soon(lambda: balancer.ask().readline() == b"UP one\r\n")
+
+
+def test_a_rejected_poll_is_retried_after_a_backoff_for_the_missing_changes_only():
+    with Balancer(FakeServer("s1"), refuses=1) as balancer:
+        soon(lambda: len(balancer.list.asked) > 1)
+        times, versions = zip(*balancer.list.asked[:2], strict=True)
+        # Forty that polled for the complete list instead, at once, kept discovery from serving any of them.
+        assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
+
+
+def test_the_backoff_after_rejections_never_grows_beyond_what_a_drain_allows(monkeypatch):
+    # Backoffs grew to 12 s: a change received 6 s after it was out was not followed for up to 4 s beyond the
+    # grace of 2 s.
+    backoffs = []
+    client = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
+
+    async def rejected_poll():
+        client.closed = len(backoffs) == 200
+        return DiscoveryFailed(PollStage.REJECTED, "status 503")
+
+    client._poll = rejected_poll
+    monkeypatch.setattr("twisted.internet.task.deferLater", lambda _, s: defer.succeed(backoffs.append(s)))
+    defer.ensureDeferred(client.follow())
+    assert len(backoffs) == 200 and max(backoffs) + 2.0 <= 6.0 + 2.0
+
+
+def test_a_response_that_was_queued_for_two_seconds_is_waited_for():
+    with Balancer(FakeServer("s1"), known=None, slow=2.2) as balancer:
+        soon(lambda: [version for _, version in balancer.list.asked] == [None, "1"])
+
+
+@pytest.mark.parametrize("known", [None, -1, "7", True, 1.5, 8])
+def test_a_cached_version_that_is_invalid_or_newer_than_discoverys_means_the_complete_list(known):
+    with Balancer(FakeServer("s1"), known=known) as balancer:
+        assert balancer.ask().readline() == b"UP r1\r\n"
+        soon(lambda: [version for _, version in balancer.list.asked][known == 8 :][:2] == [None, "1"])
+        reason = "without version" if known != 8 else "changes up to 1 of a list held at 8"
+        assert reason in balancer.end()
+
+
+@pytest.mark.parametrize(
+    "settings",
+    [
+        AGENT_SETTINGS,
+        {**AGENT_SETTINGS, "discovery": "ask"},
+        {**SETTINGS, "rules": {"stop_sending_within": 100}},
+    ],
+)
+@pytest.mark.parametrize("half", [False, True])
+def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
+    # In a run it was given up after 7.0 s; the deadline is 6 s and 0.5 s of grace.
+    one, two = two_servers
+    with Balancer(one, two, settings=settings, half=half) as balancer:
+        opened = wait_for_long_poll(balancer)
+        balancer.list.cut += 1
+        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
+        soon(lambda: balancer.list.asked[-1][0] > opened)
+        # A poll may be queued for 2 s more.
+        bound = 6.0 + settings["rules"]["stop_sending_within"] / 1000 - 2.0
+        assert balancer.list.asked[-1][0] - opened < bound
+        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+
+
+def test_a_long_poll_that_is_reset_is_replaced_before_a_short_grace_is_over(two_servers):
+    one, two = two_servers
+    with Balancer(one, two, settings=AGENT_SETTINGS, resets=True) as balancer:
+        wait_for_long_poll(balancer)
+        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
+        balancer.list.cut += 1
+        cut = time.monotonic()
+        soon(lambda: balancer.list.asked[-1][0] > cut)
+        assert balancer.list.asked[-1][0] - cut < 0.5
+        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+
+
+def test_what_an_agent_learns_at_its_return_is_received_within_a_short_grace(two_servers):
+    one, two = two_servers
+    with Balancer(one, two, settings=AGENT_SETTINGS) as balancer:
+        wait_for_long_poll(balancer)
+        balancer.list.down = True
+        calls = len(balancer.list.asked)
+        soon(lambda: len(balancer.list.asked) > calls + 5)  # long enough for all backoffs to have grown
+        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
+        back, balancer.list.down = time.monotonic(), False
+        soon(lambda: balancer.list.asked[-1][0] > back)
+        assert balancer.list.asked[-1][0] - back < 0.5
+        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+
+
+def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
+    # What its agent has counts as received from the process's start on, and the cached list is an old one.
+    one, two = two_servers
+    starting = Balancer(one, two, settings=AGENT_SETTINGS, slow=0.2)
+    starting.list.entries, starting.list.seq = [one.entry("DRAINING"), two.entry()], 2
+
+    def try_to_connect():
+        with contextlib.suppress(OSError):
+            return starting.ask("a")
+
+    clients = [soon(try_to_connect)] + [starting.ask(str(index)) for index in range(9)]
+    with starting:
+        assert {client.readline() for client in clients} == {b"UP two\r\n"} and not one.lines
--- /dev/null
+++ b/tests/test_upstream.py
@@ -0,0 +1,167 @@
+"""Upstream attempts and connections: retries, timeouts, broken connections and partial writes."""
+
+import re
+import signal
+import socket
+import struct
+import time
+
+import pytest
+from harness import Balancer, FakeServer, soon
+from twisted.internet.testing import StringTransport
+
+from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
+
+
+def test_a_full_and_a_dead_server_are_retried_elsewhere_with_one_attempt_at_a_time():
+    servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n"), FakeServer("s3", b"UP r\r\n")]
+    servers[1].die()
+    with Balancer(*servers) as balancer:
+        for key in "abcdef":
+            assert balancer.ask(key).readline() == b"UP r\r\n"
+        assert servers[0].lines and servers[2].lines
+
+
+def test_a_flow_at_an_unresponsive_server_is_answered_in_time_and_its_attempt_closed():
+    server = FakeServer("s1", None)
+    with Balancer(server) as balancer:
+        start = time.monotonic()
+        client = balancer.ask(wait=500)
+        assert client.readline().startswith(b"BUSY") and client.readline() == b""
+        assert time.monotonic() - start < 0.5
+        # Closed, so that the server knows that nobody waits.
+        soon(lambda: server.lines[-1] == b"")
+
+
+def test_when_all_servers_are_dead_a_flow_is_rejected_at_once_with_retry_after():
+    server = FakeServer("s1")
+    server.die()
+    with Balancer(server) as balancer:
+        start = time.monotonic()
+        assert balancer.ask().readline() == b"BUSY 1000\r\n"
+        assert time.monotonic() - start < 1.0
+
+
+def test_a_reset_by_the_server_reaches_the_client_as_a_reset():
+    server = FakeServer("s1")
+    with Balancer(server) as balancer:
+        client = balancer.ask()
+        client.readline()
+        server.rude = True
+        server.conns[-1].shutdown(socket.SHUT_RD)
+        start = time.monotonic()
+        with pytest.raises(ConnectionResetError):
+            client.readline()
+        assert time.monotonic() - start < 1.0
+
+
+def test_a_reset_by_the_client_is_not_counted_as_a_failure_of_its_server():
+    server = FakeServer("s1")
+    with Balancer(server, env={"LB_LOG": "debug"}.items()) as balancer:
+        for _ in range(2):
+            client = balancer.ask()
+            client.readline()
+            client.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            client.close()
+            client.conn.close()
+        soon(lambda: server.lines[-1] == b"")
+        time.sleep(0.1)
+        log = balancer.end()
+    assert log.count("result=cancelled") == 2 and "result=reset" not in log
+
+
+@pytest.mark.parametrize("level, attempts", [("debug", 2), ("info", 0)])
+def test_a_flow_is_logged_under_its_client_id_at_debug_level_only(level, attempts):
+    servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n")]
+    with Balancer(*servers, env={"LB_LOG": level}.items()) as balancer:
+        assert balancer.ask(id="9b1f").readline().startswith(b"BUSY")
+        lines = [line for line in balancer.end().splitlines() if "id=9b1f" in line]
+    logged = [re.search(r'event=("[^"]*"|\S+)', line)[1].strip('"') for line in lines]
+    expected = ["flow requested", *["connect started", "connection ended"] * attempts, "answered"]
+    assert logged == (expected if attempts else [])
+
+
+def test_lines_that_come_with_the_receipt_and_the_end_are_forwarded_completely():
+    server = FakeServer("s1", b"UP r\r\nM 1 a\r\nBYE\r\n")
+    with Balancer(server) as balancer:
+        client = balancer.ask()
+        soon(lambda: server.conns)
+        server.conns[-1].shutdown(socket.SHUT_WR)
+        assert [client.readline() for _ in range(4)] == [b"UP r\r\n", b"M 1 a\r\n", b"BYE\r\n", b""]
+
+
+def test_clients_of_a_server_that_becomes_unresponsive_are_migrated_before_they_give_up():
+    server = FakeServer("s1")
+    with Balancer(server) as balancer:
+        client = balancer.ask()
+        client.readline()
+        server.silent = True
+        client.write(b"M 1 a\r\n")
+        start = time.monotonic()
+        assert client.readline() == b"MOVE\r\n" and time.monotonic() - start < 7.0
+
+
+def test_a_suspension_of_the_balancer_is_not_taken_for_an_unresponsive_server():
+    server = FakeServer("s1", None)
+    with Balancer(server) as balancer:
+        client = balancer.ask()
+        soon(lambda: server.lines)
+        balancer.process.send_signal(signal.SIGSTOP)
+        server.conns[-1].sendall(b"UP r1\r\n")
+        time.sleep(0.8)  # the timeout of an attempt is 600 ms
+        balancer.process.send_signal(signal.SIGCONT)
+        assert client.readline() == b"UP r1\r\n"
+        balancer.process.send_signal(signal.SIGSTOP)
+        client.write(b"M 1 a\r\n")
+        time.sleep(3.5)  # a server counts as unresponsive after 2.5 s
+        balancer.process.send_signal(signal.SIGCONT)
+        assert client.readline() == b"M 1 a\r\n"
+
+
+class PartialWriteTransport(StringTransport):
+    """A transport whose socket takes so many bytes in one write."""
+
+    dataBuffer = b""
+    _tempDataBuffer = ()
+
+    def __init__(self, accepted):
+        super().__init__()
+        self.accepted = accepted
+
+    def writeSomeData(self, data):
+        self.write(data[: self.accepted])
+        return self.accepted
+
+    def setTcpNoDelay(self, enabled):
+        pass
+
+
+def new_attempt(line, clock=lambda: 0.0):
+    """An attempt that reports nothing."""
+    return UpstreamAttempt(1, "s1", line, None, clock, None)
+
+
+def test_only_a_client_that_has_sent_lines_counts_as_idle():
+    # Established connections that only receive were migrated each minute.
+    attempt = new_attempt(b"", clock=lambda: 5_000.0)
+    attempt.connection = UpstreamConnection(attempt)
+    assert attempt.client_idle_time(90_000.0) == 0.0
+    attempt.connection.transport = PartialWriteTransport(0)
+    attempt.connection.forward(memoryview(b"M 1\r\n"))
+    assert attempt.client_idle_time(90_000.0) == 85_000.0
+
+
+FIRST_LINE = b"OPEN 1 k c=live,d=900\r\n"
+
+
+@pytest.mark.parametrize("accepted", range(len(FIRST_LINE) + 1))
+def test_a_first_line_written_in_parts_is_in_order_and_counts_as_written_with_its_last_byte(accepted):
+    attempt = new_attempt(FIRST_LINE)
+    connection = UpstreamConnection(attempt)
+    transport = PartialWriteTransport(accepted)
+    connection.makeConnection(transport)
+    assert (attempt.stage == AttemptStage.WRITTEN) == (accepted == len(FIRST_LINE))
+    for _ in range(2):
+        if transport.producer is not None:
+            transport.producer.resumeProducing()
+    assert transport.value() == FIRST_LINE and attempt.stage == AttemptStage.WRITTEN
