--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -41,7 +41,7 @@
 from lotusroute.net import config, structured_log
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.discovery_session import DiscoverySession, parse_cached_list
-from lotusroute.net.downstream import DownstreamFactory, Listener
+from lotusroute.net.listener import DownstreamFactory, Listener
 
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
@@ -93,7 +93,7 @@
 
     def apply_limits(new: config.BalancerConfig) -> None:
         core.allow(new)
-        downstream.allow(new.sockets)
+        downstream.set_descriptor_limit(new.sockets)
 
     session = DiscoverySession(balancer_config, core.put, apply_limits, counters)
     core.owing = partial(downstream.accept_pending, listener)
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -8,7 +8,7 @@
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.processes import check_footprint
 from lotusroute.capacity.stubs import entry
-from lotusroute.net.discovery import parse_endpoint_list
+from lotusroute.net.endpoint_list import parse_endpoint_list
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -18,7 +18,8 @@
 from lotusroute.capacity.deployment import FLEET_NAME
 from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
 from lotusroute.net import structured_log
-from lotusroute.net.discovery import Discovery, EndpointUpdate
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.relay import config, subscription
 
 # s. Thousands that started at once on one machine's cores all fell back on discovery, and its one process
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -14,14 +14,15 @@
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
-from lotusroute.net.discovery import HOLD
+from lotusroute.net.discovery import LONG_POLL_HOLD_MS
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
 HEARTBEAT_INTERVAL = 0.4  # s; three fit into HOLDER_TIMEOUT, so that a lost one does no harm
 HOLDER_TIMEOUT = 1_500.0  # ms without a message until a balancer polls itself: within the 2 s for a drain
-MAX_ANSWER_AGE = HOLD + 1_000.0  # ms after discovery's last answer in which the holder sends heartbeats
+# ms after discovery's last answer in which the holder sends heartbeats
+MAX_ANSWER_AGE = LONG_POLL_HOLD_MS + 1_000.0
 MAX_SEND_DURATION = 50.0  # ms that sending takes at most: so much of the lease must be left
 NEVER = -1e12  # ms, a time before any other
 NO_SEQ = -1
--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -6,10 +6,10 @@
 from enum import Enum, auto
 
 from lotusroute.net.config import BalancerConfig
-from lotusroute.net.downstream import OpenRequest
 from lotusroute.net.event_loop import EventLoop
 from lotusroute.net.flow_table import FlowTable
 from lotusroute.net.line_protocol import BUSY
+from lotusroute.net.open_request import OpenRequest
 
 RESERVED_SOCKETS_DIVISOR = 8  # one in so many descriptors is kept from flows: our own, and new connections'
 MIN_RESERVED_SOCKETS = 64
@@ -66,11 +66,12 @@
         """Decide on a client's request. Existing connections take no capacity that they did not have."""
         if not self._usable(opening):
             return AdmissionResult.MALFORMED
-        if opening.at and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW:
+        if opening.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW:
             return AdmissionResult.MALFORMED
         if self._closed:
             return AdmissionResult.SHUTTING_DOWN
-        if not opening.at and (len(self._table) >= self._capacity or self._loop.backlog > MAX_BACKLOG):
+        full = len(self._table) >= self._capacity or self._loop.backlog > MAX_BACKLOG
+        if full and not opening.existing_server:
             return AdmissionResult.AT_CAPACITY
         return AdmissionResult.ACCEPTED
 
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -10,9 +10,9 @@
 from lotusroute.net.admission import AdmissionControl
 from lotusroute.net.config import BalancerConfig
 from lotusroute.net.connection_monitor import CHECK_INTERVAL, ConnectionMonitor, PeriodicCheck
-from lotusroute.net.discovery import EndpointUpdate
 from lotusroute.net.downstream import DownstreamClosed, FlowRequested
 from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator, DrainStep, ServerDraining
+from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.net.endpoints import EndpointRegistry
 from lotusroute.net.event_loop import CoalescedTimer, EventLoop
 from lotusroute.net.existing_connections import RetryExisting
@@ -140,8 +140,8 @@
         elif isinstance(event, DrainStep):
             # Without its next one the shutdown would never end.
             self.loop.call_later(MIGRATION_INTERVAL, event)
-        elif isinstance(event, FlowRequested) and not event.number:
-            event.side.answer(ERR)
+        elif isinstance(event, FlowRequested) and not event.flow_id:
+            event.connection.send_final_answer(ERR)
         elif isinstance(event, EndpointUpdate) and self.relist is not None:
             # Part of it may have been applied, a drain not: it is not sent again unless asked for.
             self.relist()
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -13,7 +13,8 @@
 
 from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.net import config
-from lotusroute.net.discovery import Discovery, EndpointUpdate, parse_endpoint_list, parse_version
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.endpoint_list import EndpointUpdate, parse_endpoint_list, parse_version
 from lotusroute.net.structured_log import Counters, log_event
 from lotusroute.routing import events
 
@@ -63,7 +64,7 @@
             self.config.drain_grace,
             self.config.discovery_pushed,
         )
-        self.discovery.heard = on_first_result
+        self.discovery.on_first_response = on_first_result
         if self.update_source is not None:
             self.discovery.watch = self.update_source
             self.update_source.discovery = self.discovery
@@ -72,7 +73,7 @@
     def request_complete_list(self) -> None:
         """Have the next call ask for the complete list, after an update that was not applied."""
         if self.discovery is not None:
-            self.discovery.forget()
+            self.discovery.request_complete_list()
 
     def reload(self) -> None:
         """Read the configuration file again and apply what a running balancer can."""
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from lotusroute.net.discovery import EndpointUpdate
+from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.routing import events
 
 DRAIN_MIGRATION_SPREAD = (
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -24,7 +24,7 @@
 class RetryExisting(NamedTuple):
     """The backoff of an existing connection is over."""
 
-    number: int
+    flow_id: int
 
 
 class ExistingConnections:
@@ -48,7 +48,7 @@
 
     def reconnect(self, flow: ActiveFlow) -> None:
         """Start an attempt at the flow's server, or wait for a list that names it."""
-        server = flow.opening.at
+        server = flow.opening.existing_server
         if server is not None and self._endpoints.has_address(server):
             flow.attempts += 1
             deadline = min(flow.deadline, self._loop.clock() + EXISTING_ATTEMPT_TIMEOUT)
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -10,8 +10,9 @@
 
 from twisted.internet.base import DelayedCall
 
-from lotusroute.net.downstream import DownstreamConnection, OpenRequest
+from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import ERR
+from lotusroute.net.open_request import OpenRequest
 from lotusroute.net.structured_log import LOGGER, log_event
 from lotusroute.net.upstream import UpstreamAttempt
 from lotusroute.routing import events
@@ -58,9 +59,9 @@
         passed that a drain may have been announced just after the attempt started and not been read yet by
         a balancer that was stalled. `grace` is the ms that a draining server accepts lines after the news.
         """
-        if now >= self.attempt_deadline or self.downstream.left():
+        if now >= self.attempt_deadline or self.downstream.has_disconnected():
             return False
-        if self.opening.at:
+        if self.opening.existing_server:
             return True  # an existing connection returns to its server, draining or not
         service_type = self.service_type
         ran_at = self.may_have_run_since
@@ -82,7 +83,7 @@
             opening.group,
             opening.key,
             self.deadline,
-            reconnecting=opening.returned,
+            reconnecting=opening.reconnecting,
         )
 
     @property
--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -23,10 +23,8 @@
 from lotusroute.net.line_protocol import ERR
 from lotusroute.net.structured_log import LOGGER, Counters, log_event
 from lotusroute.net.upstream import (
-    CONNECTING,
-    REACHES,
-    STANDING,
     AttemptEnded,
+    AttemptStage,
     LoadReported,
     ReceiptReceived,
     UpstreamAttempt,
@@ -44,14 +42,14 @@
 class AttemptTimedOut(NamedTuple):
     """The time of a connection attempt is over."""
 
-    number: int
+    flow_id: int
     attempt: UpstreamAttempt
 
 
 class CloseGraceExpired(NamedTuple):
     """A server has had its time to close a connection whose client has left."""
 
-    number: int
+    flow_id: int
 
 
 class FlowManager:
@@ -103,12 +101,12 @@
 
     def flow_requested(self, event: FlowRequested) -> None:
         """Admit a new flow or an existing connection, or answer it at once."""
-        downstream = event.side
-        if downstream.gone or downstream.left():
+        downstream = event.connection
+        if downstream.disconnected or downstream.has_disconnected():
             # Nothing is started for it: hundreds whose end lay unread filled a server's queue.
             self._counters["client_disconnects"] += 1
             return
-        result = self._admission.evaluate(event.opening)
+        result = self._admission.evaluate(event.request)
         if result is AdmissionResult.MALFORMED:
             downstream.reject_malformed()
         elif result is AdmissionResult.SHUTTING_DOWN:
@@ -119,38 +117,38 @@
             self._admit(event)
 
     def _admit(self, event: FlowRequested) -> None:
-        opening = event.opening
+        opening = event.request
         margin = min(DEADLINE_MARGIN, DEADLINE_MARGIN_SHARE * opening.wait)
         flow = self._table.add(
             opening,
             self._config.service.service_types[opening.service_type],
-            event.at + opening.wait - margin,
-            event.side,
+            event.received_at + opening.wait - margin,
+            event.connection,
         )
-        event.side.number = flow.number
+        event.connection.flow_id = flow.number
         flow.log_step(
             "flow requested",
             c=opening.service_type,
             g=opening.group,
-            returned=opening.returned,
-            at=opening.at,
+            returned=opening.reconnecting,
+            at=opening.existing_server,
         )
-        if opening.at:
-            flow.deadline = min(flow.deadline, event.at + EXISTING_MAX_WAIT)
+        if opening.existing_server:
+            flow.deadline = min(flow.deadline, event.received_at + EXISTING_MAX_WAIT)
             self._existing.reconnect(flow)
         else:
             self.decide(flow.routing_request())
 
     def _shed(self, downstream: DownstreamConnection, retry_after: float) -> None:
         self._counters["load_shed"] += 1
-        downstream.answer(self._busy_line(retry_after))
+        downstream.send_final_answer(self._busy_line(retry_after))
 
     def _busy_line(self, retry_after: float) -> bytes:
         return busy_line(retry_after, self._config.service.max_retry_after)
 
     def client_disconnected(self, event: DownstreamClosed) -> None:
         """Withdraw a flow that waits; give the server of an established one time to close."""
-        flow = self._table.get(event.number)
+        flow = self._table.get(event.flow_id)
         if flow is None:
             return
         if not flow.established:
@@ -167,13 +165,13 @@
         flow.log_step("client disconnected", server=server)
         self._table.remove(flow)
         flow.abort_attempt()
-        flow.downstream.answer(ERR)
-        if not flow.opening.at:
+        flow.downstream.send_final_answer(ERR)
+        if not flow.opening.existing_server:
             self.decide(events.ClientDisconnected(flow.number))
 
     def close_grace_expired(self, event: CloseGraceExpired) -> None:
         """Close a connection whose client has left and whose server does not close it."""
-        flow = self._table.get(event.number)
+        flow = self._table.get(event.flow_id)
         if flow is not None:
             connection = flow.connection
             connection.abort()
@@ -183,7 +181,7 @@
     # Connection attempts
 
     def _start_attempt(self, flow: ActiveFlow, server: str, deadline: float) -> None:
-        if flow.downstream.left():
+        if flow.downstream.has_disconnected():
             # Its end lay unread behind its own lines when an earlier attempt failed: the next was started.
             self._withdraw(flow)
             return
@@ -202,7 +200,7 @@
         flow.attempt_started_at = now
         flow.attempt_deadline = deadline
         flow.upstream = attempt
-        attempt.start(self._endpoints.addresses[server], timeout < connect_timeout)
+        attempt.connect(self._endpoints.addresses[server], timeout < connect_timeout)
         timed_out = AttemptTimedOut(flow.number, attempt)
         flow.timer = self._loop.call_later(min(connect_timeout, timeout), timed_out)
         self._counters["connects"] += 1
@@ -210,33 +208,33 @@
 
     def receipt_received(self, event: ReceiptReceived) -> None:
         """Join the client to the server that has accepted its flow."""
-        flow = self._table.get(event.number)
-        if flow is None or flow.upstream is not event.link:
+        flow = self._table.get(event.flow_id)
+        if flow is None or flow.upstream is not event.attempt:
             self._counters["late_receipts"] += 1
-            event.link.abort()
+            event.attempt.abort()
             return
-        if flow.downstream.gone:
+        if flow.downstream.disconnected:
             # It broke off in the reactor turn of the receipt; its `DownstreamClosed` is queued behind this.
             self._withdraw(flow)
             return
         flow.cancel_timer()
         flow.established = True
         self._counters["established"] += 1
-        server = event.link.server
+        server = event.attempt.server
         flow.log_step("established", server=server, ms=self._clock() - flow.attempt_started_at)
-        flow.downstream.join(event.link, event.receipt)
+        flow.downstream.attach_upstream(event.attempt, event.receipt)
         if self._endpoints.is_draining(server):
             self._drain_timer.schedule()
-        if flow.opening.at:
+        if flow.opening.existing_server:
             self.decide(events.ExistingConnection(flow.routing_request(), server))
         else:
             self.decide(events.Established(flow.number, server))
 
     def attempt_ended(self, event: AttemptEnded) -> None:
         """Take the end of the current attempt, or of the connection that came of it."""
-        flow = self._table.get(event.number)
-        if flow is not None and flow.upstream is event.link:
-            self._connection_ended(flow, event.link, event.result)
+        flow = self._table.get(event.flow_id)
+        if flow is not None and flow.upstream is event.attempt:
+            self._connection_ended(flow, event.attempt, event.result)
 
     def attempt_timed_out(self, event: AttemptTimedOut) -> None:
         """End an attempt whose connect timeout, or whole time, has passed.
@@ -244,12 +242,12 @@
         The time-out comes through the queue, behind whatever the sockets brought while this process was
         stalled: a stall of ours must not have healthy servers ejected.
         """
-        flow = self._table.get(event.number)
+        flow = self._table.get(event.flow_id)
         attempt = event.attempt
-        if flow is None or flow.upstream is not attempt or attempt.reach >= STANDING:
+        if flow is None or flow.upstream is not attempt or attempt.stage >= AttemptStage.ESTABLISHED:
             return
         remaining = flow.attempt_deadline - self._clock()
-        if attempt.reach > CONNECTING and remaining > 0:
+        if attempt.stage > AttemptStage.CONNECTING and remaining > 0:
             flow.timer = self._loop.call_later(remaining, event)
         else:
             self._connection_ended(flow, attempt, attempt.abort())
@@ -260,13 +258,13 @@
         server = attempt.server
         flow.upstream = None
         self._counters[f"ended_{result}"] += 1
-        flow.log_step("connection ended", server=server, result=result, came=REACHES[attempt.came])
+        flow.log_step("connection ended", server=server, result=result, came=attempt.final_stage.log_name)
         if flow.established:
             self._table.remove(flow)
             self.decide(events.ConnectionEnded(flow.number, server, True, result))
             return
         flow.record_attempt_result(result)
-        if flow.opening.at:
+        if flow.opening.existing_server:
             self._existing.attempt_failed(flow, result)
             return
         self.decide(events.ConnectionEnded(flow.number, server, False, result))
@@ -281,7 +279,7 @@
         """
         for flow in list(self._table):
             attempt = flow.upstream
-            if attempt is None or attempt.reach != CONNECTING or flow.opening.at:
+            if attempt is None or attempt.stage != AttemptStage.CONNECTING or flow.opening.existing_server:
                 continue
             if not self._endpoints.accepts_new_flows(attempt.server):
                 self._counters["connects_cancelled"] += 1
@@ -290,7 +288,7 @@
 
     def retry_existing(self, event: RetryExisting) -> None:
         """Try an existing connection again after its backoff."""
-        flow = self._table.get(event.number)
+        flow = self._table.get(event.flow_id)
         if flow is not None and not flow.established:
             self._existing.reconnect(flow)
 
@@ -303,8 +301,8 @@
             connection = flow.connection
             self._counters["migrated"] += 1
             flow.log_step("client migrated", server=connection.server)
-            flow.downstream.move()
-            connection.leave()
+            flow.downstream.send_migrate()
+            connection.close_after_migration()
             self._connection_ended(flow, connection, events.CANCELLED)
 
     def disconnect_unresponsive(self, flow: ActiveFlow) -> None:
@@ -312,14 +310,14 @@
         self._counters["unresponsive_connections"] += 1
         connection = flow.connection
         connection.abort()
-        flow.downstream.move()
+        flow.downstream.send_migrate()
         self._connection_ended(flow, connection, events.RESET)
 
     def reject_unfinished(self) -> None:
         """Give all flows that are not established their final answer: the shutdown waits no longer."""
         for flow in list(self._table):
             attempt = flow.upstream
-            if flow.established or (attempt is not None and attempt.reach == STANDING):
+            if flow.established or (attempt is not None and attempt.stage == AttemptStage.ESTABLISHED):
                 continue  # established, or its receipt is in the queue
             if attempt is not None:
                 flow.record_attempt_result(attempt.abort())
@@ -333,23 +331,23 @@
         self._table.remove(flow)
         flow.abort_attempt()
         if flow.established:
-            flow.downstream.move()
+            flow.downstream.send_migrate()
         else:
-            flow.downstream.answer(ERR)
+            flow.downstream.send_final_answer(ERR)
         self._loop.put(events.ClientDisconnected(flow_number))
 
     def load_reported(self, event: LoadReported) -> None:
         """Pass a server's load report for a connection to the Director."""
         if LOGGER.isEnabledFor(logging.DEBUG):
-            log_event("load report", logging.DEBUG, flow=event.number, load=event.load)
-        if self._table.get(event.number) is not None:
-            self.decide(events.LoadReport(event.number, event.load))
+            log_event("load report", logging.DEBUG, flow=event.flow_id, load=event.load)
+        if self._table.get(event.flow_id) is not None:
+            self.decide(events.LoadReport(event.flow_id, event.load))
 
     def _answer(self, flow: ActiveFlow, line: bytes) -> None:
         self._table.remove(flow)
         flow.abort_attempt()
         flow.log_step("answered", words=line.decode())
-        flow.downstream.answer(line)
+        flow.downstream.send_final_answer(line)
 
     # The Director's commands
 
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -7,8 +7,9 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from lotusroute.net.downstream import DownstreamConnection, OpenRequest
+from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.flow import ActiveFlow
+from lotusroute.net.open_request import OpenRequest
 from lotusroute.routing.events import ServiceType
 
 CLOSED_FLOW_ID_TTL = 60_000.0  # ms; servers hold an id open as long as any client
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -231,7 +231,7 @@
             self.discovery_address, seq, self.seed, self._ignore_endpoint_update, self.counters
         )
         self.discovery.watch = self
-        self.discovery.most_hold = ORIGIN_POLL_HOLD
+        self.discovery.max_hold_ms = ORIGIN_POLL_HOLD
         defer.ensureDeferred(self.discovery.follow())
 
     def _resign(self) -> None:
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -18,7 +18,7 @@
 from lotusroute.fleet.peer_connection import CallError
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
-from lotusroute.net.discovery import LINE, REFUSED
+from lotusroute.net.discovery import MIN_REJECTION_BACKOFF, QUEUE_TIMEOUT
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
@@ -176,7 +176,7 @@
 
         The wait leaves enough of the time in which a change has to be in force for the poll itself.
         """
-        longest = max(0.0, min(REFUSED, discovery.remaining() - LINE))
+        longest = max(0.0, min(MIN_REJECTION_BACKOFF, discovery.remaining() - QUEUE_TIMEOUT))
         await self._wait(longest * self.rng.random())
         if not self.selector.is_fresh(self.clock()):
             self.polling = True
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -23,7 +23,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lotusroute.net.downstream import DownstreamFactory
+from lotusroute.net.listener import DownstreamFactory
 
 
 @pytest.mark.parametrize(
@@ -219,7 +219,11 @@
     side.transport.protocol = side
     side.makeConnection(side.transport)
     side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
-    assert side.left() and side.transport.value() == b"ERR\r\n" and counters["early_data_overflows"] == 1
+    assert (
+        side.has_disconnected()
+        and side.transport.value() == b"ERR\r\n"
+        and counters["early_data_overflows"] == 1
+    )
     assert not side.transport.closed and len(events) == 1
 
 
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -9,10 +9,12 @@
 
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.config import load_config
-from lotusroute.net.discovery import Discovery, EndpointUpdate
-from lotusroute.net.downstream import FlowRequested, parse_open_request
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.downstream import FlowRequested
+from lotusroute.net.endpoint_list import EndpointUpdate
+from lotusroute.net.open_request import parse_open_request
 from lotusroute.net.structured_log import Counters
-from lotusroute.net.upstream import STANDING
+from lotusroute.net.upstream import AttemptStage
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
@@ -31,37 +33,37 @@
     opening = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
     flow = core.flow_table.add(opening, events.ServiceType(300.0), 900.0, Mock())
     flow.established = True
-    flow.upstream = Mock(server="s1", came=STANDING)
+    flow.upstream = Mock(server="s1", final_stage=AttemptStage.ESTABLISHED)
     return flow
 
 
 def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_carried_out(core, monkeypatch):
     flows = [established_flow(core, number) for number in (1, 2)]
     upstreams = [flow.upstream for flow in flows]
-    upstreams[0].leave.side_effect = OSError("gone")
+    upstreams[0].close_after_migration.side_effect = OSError("gone")
     migrations = [events.Migrate(flow.number) for flow in flows]
     tick = events.TimerFired("tick")
     monkeypatch.setattr(Director, "decide", lambda _, now, event: migrations if event is tick else [])
     core.flow_manager.decide(tick)
-    assert upstreams[1].leave.called and not upstreams[1].abort.called
+    assert upstreams[1].close_after_migration.called and not upstreams[1].abort.called
     assert upstreams[0].abort.called and not len(core.flow_table)
 
 
 def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
-    broken, sound = Mock(number=0, gone=False), Mock(number=0, gone=False)
-    broken.left.side_effect = OSError("gone")
+    broken, sound = Mock(flow_id=0, disconnected=False), Mock(flow_id=0, disconnected=False)
+    broken.has_disconnected.side_effect = OSError("gone")
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
-    sound.left.return_value = False
+    sound.has_disconnected.return_value = False
     for downstream in (broken, sound):
         core.put(FlowRequested(downstream, unknown, 0.0))
     core.loop.run_pending()
-    assert broken.answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
+    assert broken.send_final_answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
     assert sound.reject_malformed.called
 
 
 def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
-    core.relist = following.forget
+    core.relist = following.request_complete_list
     core.put(EndpointUpdate(events.CHANGES, (None,), {}))
     core.loop.run_pending()
     assert following.seq is None
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -26,7 +26,9 @@
 from lotusroute.net import config as net_config
 from lotusroute.net import line_protocol
 from lotusroute.net.admission import busy_line
-from lotusroute.net.downstream import DownstreamConnection, DownstreamFactory, parse_open_request
+from lotusroute.net.downstream import DownstreamConnection
+from lotusroute.net.listener import DownstreamFactory
+from lotusroute.net.open_request import parse_open_request
 from lotusroute.relay import config as relays_config
 from lotusroute.relay import messages, subscription
 from lotusroute.relay.fanout import Heartbeat
@@ -397,7 +399,7 @@
     side.makeConnection(transport)
     assert _exchange(side, transport, said) == told
     transport.clear()
-    side.move()
+    side.send_migrate()
     assert transport.value() == b"MOVE\r\n"
 
 
