--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from twisted.internet import defer, reactor, task
-from twisted.internet.interfaces import IDelayedCall
+from twisted.internet.base import DelayedCall
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
 from lotusroute.errors import ProtocolError
@@ -112,7 +112,7 @@
         self.backoff = 0.0  # the last one, 0 after a success
         self.rejections = 0  # in a row
         self.pending: defer.Deferred | None = None  # the poll or the backoff in flight
-        self.poll_timer: IDelayedCall | None = None  # cancels the poll in flight
+        self.poll_timer: DelayedCall | None = None  # cancels the poll in flight
         self.on_first_response: Callable[[], None] | None = None  # called once, after the first poll
         # Another source, where balancers share updates; asked before each poll.
         self.watch: UpdateSource | None = None
@@ -246,8 +246,7 @@
         except Exception as error:  # the HTTP client raises dozens of types, and none may end the following
             return DiscoveryFailed(self.stage, f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR])
         finally:
-            if self.poll_timer.active():
-                self.poll_timer.cancel()
+            self._stop_timer()
 
     def _hold_time(self, timeout: float) -> float:
         """Return for how many s discovery is asked to hold a poll that has nothing to report.
@@ -311,11 +310,15 @@
         def expire() -> None:
             if reactor.seconds() > deadline + SUSPENSION_THRESHOLD and extra > 0:
                 self._start_timer(min(self.request_timeout, extra), extra - self.request_timeout)
-            else:
+            elif self.pending is not None:
                 self.pending.cancel()
 
         self.poll_timer = reactor.callLater(seconds, expire)
 
+    def _stop_timer(self) -> None:
+        if self.poll_timer is not None and self.poll_timer.active():
+            self.poll_timer.cancel()
+
     def _decode(self, message: dict) -> EndpointUpdate:
         """Decode a list and take its version; raises where it is no list or does not follow ours."""
         scope = events.COMPLETE if message["whole"] else events.CHANGES
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -69,7 +69,7 @@
 class DownstreamConnection(LineProtocol):
     """One connection from a client or from the load balancer in front of us."""
 
-    factory: ConnectionManager
+    factory: ConnectionManager  # type: ignore[assignment]  # Twisted has any factory here, or none
     # Of a client that should wait for its answer: what it sends early hides that it disconnects.
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -135,7 +135,8 @@
         Twisted's transports take only `bytes` and keep them until they are written, so this is where a line
         is copied, unless it is all that its buffer holds, which is nearly always so.
         """
-        self.write_all(line.obj if len(line) == len(line.obj) else bytes(line))
+        buffer: bytes = line.obj  # type: ignore[assignment]  # what `dataReceived` got
+        self.write_all(buffer if len(line) == len(buffer) else bytes(line))
 
     def resume_lines(self) -> None:
         """Pass on the buffered lines and stop buffering."""
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -26,7 +26,6 @@
     """Admits downstream connections and knows those that are open."""
 
     noisy = False
-    protocol = DownstreamConnection
 
     def __init__(
         self,
@@ -111,7 +110,9 @@
     def buildProtocol(self, addr: IAddress) -> DownstreamConnection:
         """Count and create a connection."""
         self.counters["connections"] += 1
-        return super().buildProtocol(addr)
+        connection = DownstreamConnection()
+        connection.factory = self
+        return connection
 
 
 class Listener(tcp.Port):
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -15,6 +15,8 @@
 from twisted.internet import error, reactor
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory
+from twisted.internet.tcp import Connector
+from twisted.python.failure import Failure
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, command_of
@@ -225,8 +227,9 @@
         self.counters = counters
         self.stage = AttemptStage.CONNECTING
         self.final_stage = AttemptStage.CONNECTING  # the stage before it was over
-        self.connection: UpstreamConnection | None = None
-        self.connector = None
+        # Set once the connection is up; whoever has a receipt of this attempt may rely on it.
+        self.connection: UpstreamConnection = None  # type: ignore[assignment]
+        self.connector: Connector | None = None
         # Whether the flow's deadline shortened the connect timeout: a timeout then says little of the server.
         self.timeout_shortened = False
 
@@ -243,7 +246,7 @@
         self.connection = UpstreamConnection(self)
         return self.connection
 
-    def clientConnectionFailed(self, connector, reason) -> None:
+    def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         """Twisted: the connection did not come up."""
         # Without a free descriptor the failure is ours, not the server's.
         local_failure = reason.check(error.ConnectBindError, error.UserError)
