--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -75,8 +75,9 @@
                 end = data.find(LINE_END, start, start + MAX_LINE_LENGTH)
                 if end < 0:
                     break
-                line = view[start : end + len(LINE_END)]
-                start = end + len(LINE_END)
+                end += len(LINE_END)
+                line = view[start:end]
+                start = end
                 self.lineReceived(line)
         except Exception:
             # Whatever a line triggered ends its own connection, not the balancer.
@@ -87,7 +88,8 @@
             self._busyReceiving = False
             if start < len(data):
                 self._buffer = data[start:] + self._buffer
-        self._check_buffer_limit()
+        if self._buffer:
+            self._check_buffer_limit()
 
     def _check_buffer_limit(self) -> None:
         """Report lines that are buffered beyond their limit, or a line that is too long."""
