--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -1,11 +1,10 @@
 """Settings, broken connections and stopped processes for tests of how flows end."""
 
 import pathlib
-import signal
 import socket
 import struct
 
-from harness import SETTINGS, FakeHost, FakeServer, soon
+from harness import SETTINGS, FakeHost, FakeServer
 
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
@@ -40,19 +39,6 @@
     file.conn.close()
 
 
-def stop_process(balancer):
-    """Stop the balancer's process, and wait until the system says that it is stopped."""
-    balancer.process.send_signal(signal.SIGSTOP)
-    status = f"/proc/{balancer.process.pid}/stat"
-    with open(status) as file:
-        soon(lambda: (file.seek(0), file.read().rsplit(")", 1)[1].split()[0] == "T")[1])
-
-
-def resume_process(balancer):
-    """Let a stopped balancer go on."""
-    balancer.process.send_signal(signal.SIGCONT)
-
-
 def descriptor_count(balancer):
     """Return the number of descriptors that the balancer has open."""
     return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
@@ -61,12 +47,12 @@
 def resetting_server(name):
     """Return a server that resets each connection once it has read its line."""
     server = FakeServer(name, None)
-    serve = server._serve
+    serve = server.serve_connection
 
     def broken(conn):
         server.lines.append(conn.recv(4096))
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         conn.close()
 
-    server._serve = lambda conn: (serve if server.reply else broken)(conn)
+    server.serve_connection = lambda conn: (serve if server.reply else broken)(conn)
     return server
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,8 +1,7 @@
-"""Helpers for stories: a tiny host for the director, and stand-ins round the program on loopback sockets."""
+"""Helpers for tests: a host for the director, and fakes of what surrounds the program on loopback sockets."""
 
 import collections
 import contextlib
-import http.server
 import json
 import os
 import pathlib
@@ -10,13 +9,15 @@
 import resource
 import signal
 import socket
-import struct
 import subprocess
 import sys
 import tempfile
 import threading
 import time
 
+from fake_discovery import POLL_INTERVAL, RESET_ON_CLOSE, FakeDiscovery
+from twisted.internet.testing import StringTransport
+
 from lotusroute.routing import events, segments
 from lotusroute.routing.director import Director
 
@@ -105,16 +106,19 @@
     "siblings": 1,
     "me": 0,
 }
-PORTS = random.SystemRandom()
-DEADLINE = 10.0  # s for anything that a story waits for
+DEADLINE = 10.0  # s for anything that a test waits for
+PORT_RNG = random.SystemRandom()
 
 
 class FakeServer:
-    """A server on a free port; `reply` is what comes back to a first line, later ones come back unchanged."""
+    """A server on a free port; `reply` is what it sends for a first line, later lines come back unchanged."""
 
     def __init__(self, name, reply=b"UP r1\r\n"):
-        self.name, self.reply, self.lines, self.conns = name, reply, [], []
-        self.silent = self.rude = False  # lines come back no more; connections end in a reset
+        self.name, self.reply = name, reply
+        self.lines = []  # received; an empty one for each end of a connection
+        self.connections = []
+        self.unresponsive = False  # lines do not come back any more
+        self.resets_connections = False  # connections end in a reset
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.port = self.socket.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
@@ -125,169 +129,116 @@
                 conn, _ = self.socket.accept()
             except OSError:
                 return
-            self.conns.append(conn)
+            self.connections.append(conn)
             threading.Thread(target=self._serve, args=(conn,), daemon=True).start()
 
     def _serve(self, conn):
         with contextlib.suppress(OSError):
-            with contextlib.suppress(ConnectionResetError), conn.makefile("rb") as lines:
-                for line in lines:
-                    self.lines.append(line)
-                    if not line.startswith(b"OPEN"):
-                        conn.sendall(b"" if self.silent else line)
-                    elif self.reply:
-                        conn.sendall(self.reply)
-            self.lines.append(b"")
-            if self.rude:
-                conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            else:
-                conn.sendall(b"BYE\r\n")
-            conn.close()
-
-    def die(self):
+            self.serve_connection(conn)
+
+    def serve_connection(self, conn):
+        """Serve one connection to its end; tests replace it."""
+        with contextlib.suppress(ConnectionResetError), conn.makefile("rb") as lines:
+            for line in lines:
+                self.lines.append(line)
+                self._reply_to(conn, line)
+        self.lines.append(b"")
+        if self.resets_connections:
+            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        else:
+            conn.sendall(b"BYE\r\n")
+        conn.close()
+
+    def _reply_to(self, conn, line):
+        if line.startswith(b"OPEN"):
+            if self.reply:
+                conn.sendall(self.reply)
+        elif not self.unresponsive:
+            conn.sendall(line)
+
+    def stop_accepting(self):
         """Refuse connections from now on."""
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
     def entry(self, health="SERVING"):
-        dial = f"127.0.0.1:{self.port}"
-        return {"host": self.name, "dial": dial, "health": health, "share": 1.0, "born_ms": 0}
+        """The server's entry in the endpoint list."""
+        address = f"127.0.0.1:{self.port}"
+        return {"host": self.name, "dial": address, "health": health, "share": 1.0, "born_ms": 0}
+
 
+class SlowAcceptServer(FakeServer):
+    """A server to which connections do not come up until `start_accepting`.
 
-class SlowDoor(FakeServer):
-    """A server to which connections do not come up until `open` is called: its queue of them is full, so the
-    system lets later ones wait and tries again after a second."""
+    Its queue of connections is full, so that the system lets later ones wait and tries again after a second.
+    """
 
     def _accept(self):
         self.socket.listen(0)
-        self.filler = socket.create_connection(self.socket.getsockname())
-        self.shut = threading.Event()
-        self.shut.wait()
+        self.queue_filler = socket.create_connection(self.socket.getsockname())
+        self.accepting = threading.Event()
+        self.accepting.wait()
         super()._accept()
 
-    def open(self):
-        self.shut.set()
+    def start_accepting(self):
+        self.accepting.set()
 
-    def came(self, number=1):
-        """Wait until so many connections beside the filler have come up."""
-        return soon(lambda: len(self.conns) > number)
+    def wait_for_connections(self, count=1):
+        """Wait until so many connections beside the one that fills the queue have come up."""
+        return wait_until(lambda: len(self.connections) > count)
 
-    def flows(self):
+    def open_lines(self):
+        """The first lines of flows that it received."""
         return [line for line in self.lines if line.startswith(b"OPEN")]
 
 
-class FakeList(http.server.BaseHTTPRequestHandler):
-    """Discovery, as far as its server's `entries` and `seq` go; silent while `seq` is 0. It keeps what was
-    `asked` for and when, turns as many calls away as `refuses` says, and takes `slow` s for the others. Calls
-    in hand when `cut` grows are never answered, but for half an answer where it is `half`, or reset where it
-    `resets`; nor are those answered that come while it is `down`. What `script` holds is done to the next
-    calls one by one: "silent", "half", "drop", "refuse", or so many seconds in line. `told` says when which
-    version went out."""
-
-    protocol_version = "HTTP/1.1"
-
-    def do_GET(self):
-        asked = dict(p.split("=") for p in self.path.partition("?")[2].split("&") if p)
-        until = time.monotonic() + float(asked.get("hold_ms", 0)) / 1000
-        fleet = self.server
-        fleet.asked.append((time.monotonic(), asked.get("from")))
-        act = fleet.script.pop(0) if fleet.script else ""
-        if act == "drop":
-            self.close_connection = True
-            return
-        if act in ("silent", "half"):
-            if act == "half":
-                self.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{")
-            self.rfile.read(1)  # until the other end closes
-            return
-        if isinstance(act, float):
-            time.sleep(act)
-            until = 0.0  # it has waited
-        if fleet.refuses or act == "refuse":
-            fleet.refuses -= not act
-            self.send_response(503)
-            self.send_header("Content-Length", "0")
-            self.end_headers()
-            return
-        time.sleep(fleet.slow)
-        mine, since = fleet.cut, int(asked.get("from", -1))
-        while (
-            mine != fleet.cut
-            or fleet.down
-            or not fleet.seq
-            or (fleet.seq <= since and time.monotonic() < until)
-        ):
-            if mine != fleet.cut or fleet.down:
-                if fleet.resets:
-                    self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                    self.close_connection = True
-                    return
-                if fleet.half:
-                    self.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{")
-                with contextlib.suppress(ConnectionResetError):
-                    self.rfile.read(1)  # until the other end closes
-                return
-            time.sleep(0.01)
-        hosts = fleet.entries if fleet.seq > since else []
-        body = json.dumps({"seq": fleet.seq, "whole": "from" not in asked, "hosts": hosts}).encode()
-        fleet.told.append((time.monotonic(), fleet.seq))
-        with contextlib.suppress(OSError):
-            self.send_response(200)
-            self.send_header("Content-Length", str(len(body)))
-            self.end_headers()
-            self.wfile.write(body)
-
-    def log_message(self, *_):
-        pass
-
-
-def discovery(*servers, listed=True, port=0):
-    """A discovery that serves on a free port, or on this one."""
-    fleet = http.server.ThreadingHTTPServer(("127.0.0.1", port), FakeList)
-    fleet.daemon_threads = True
-    fleet.entries, fleet.seq = [s.entry() for s in servers], int(listed)
-    fleet.asked, fleet.refuses, fleet.slow = [], 0, 0.0
-    fleet.script, fleet.told = [], []
-    fleet.cut, fleet.down, fleet.half, fleet.resets = 0, False, False, False
-    threading.Thread(target=fleet.serve_forever, daemon=True).start()
-    return fleet
-
-
 def free_port():
-    """A port for a program that is still to start: below the range that the system hands out by itself, so
-    that no stand-in of another story gets it meanwhile."""
+    """A port for a program that is still to start.
+
+    It is below the range that the system assigns by itself, so no fake of another test gets it meanwhile.
+    """
     while True:
-        at = "127.0.0.1", PORTS.randrange(10_000, 32_000)
-        with contextlib.suppress(OSError), socket.create_server(at) as free:
+        address = "127.0.0.1", PORT_RNG.randrange(10_000, 32_000)
+        with contextlib.suppress(OSError), socket.create_server(address) as free:
             return free.getsockname()[1]
 
 
 class Balancer:
-    """The program itself, its discovery and its clients."""
+    """The program itself in a process of its own, with its discovery and its clients."""
 
     def __init__(
-        self, *servers, settings=SETTINGS, sockets=1024, memory=1024, listed=True, env=(), known=0, **list_is
+        self,
+        *servers,
+        settings=SETTINGS,
+        sockets=1024,
+        memory=1024,
+        available=True,
+        env=(),
+        known=0,
+        **discovery_state,
     ):
-        self.list, self.asks = discovery(*servers, listed=listed), 0
-        vars(self.list).update(list_is)
+        """`known` is the version of the cached list; `discovery_state` sets attributes of the discovery."""
+        self.discovery = FakeDiscovery(*servers, available=available)
+        vars(self.discovery).update(discovery_state)
+        self.flow_count = 0
         self.port = free_port()
-        self.told = {
+        self.config = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
             "seed": "5eed",
             "settings": settings,
-            "discovery": f"127.0.0.1:{self.list.server_port}",
+            "discovery": f"127.0.0.1:{self.discovery.server_port}",
             "limits": {"sockets": sockets, "memory_mb": memory},
-            "known": {"seq": known, "hosts": [s.entry() for s in servers]},
+            "known": {"seq": known, "hosts": [server.entry() for server in servers]},
         }
         self.folder = tempfile.TemporaryDirectory()
-        self.file = pathlib.Path(self.folder.name, "config.json")
-        self.file.write_text(json.dumps(self.told))
+        self.config_file = pathlib.Path(self.folder.name, "config.json")
+        self.config_file.write_text(json.dumps(self.config))
         self.process = subprocess.Popen(
             [sys.executable, "-m", "lotusroute"],
             stderr=subprocess.PIPE,
             text=True,
-            env={**os.environ, "LB_CONFIG": str(self.file), **dict(env)},
+            env={**os.environ, "LB_CONFIG": str(self.config_file), **dict(env)},
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
         )
 
@@ -295,16 +246,16 @@
         until = time.monotonic() + DEADLINE
         while time.monotonic() < until:
             with contextlib.suppress(OSError):
-                if self.say(b"PING").readline() == b"PONG\r\n":
+                if self.connect_and_send(b"PING").readline() == b"PONG\r\n":
                     return self
             time.sleep(0.02)
-        raise AssertionError("not ready: " + self.end())
+        raise AssertionError("not ready: " + self.terminate())
 
     def __exit__(self, *_):
-        self.end()
-        self.list.shutdown()
+        self.terminate()
+        self.discovery.shutdown()
 
-    def say(self, line):
+    def connect_and_send(self, line):
         """Connect and send a first line; returns the connection as a file."""
         conn = socket.create_connection(("127.0.0.1", self.port), timeout=DEADLINE)
         conn.sendall(line + b"\r\n")
@@ -312,29 +263,60 @@
         file.conn = conn
         return file
 
-    def ask(self, key="k", wait=1800, id=None, **more):
-        pairs = {"c": "live", "d": wait, **more}
-        self.asks += 1
-        id = id or f"id{self.asks}"
-        return self.say(f"OPEN {id} {key} {','.join(f'{k}={v}' for k, v in pairs.items())}".encode())
+    def open_flow(self, key="k", wait=1800, id=None, **parameters):
+        """Request a flow that is to be answered within `wait` ms; returns the connection as a file."""
+        self.flow_count += 1
+        flow_id = id or f"id{self.flow_count}"
+        pairs = {"c": "live", "d": wait, **parameters}
+        text = ",".join(f"{name}={value}" for name, value in pairs.items())
+        return self.connect_and_send(f"OPEN {flow_id} {key} {text}".encode())
 
     def reload(self, text=None, **changes):
-        """Replace the file and tell the program."""
-        self.told.update(changes)
-        self.file.write_text(json.dumps(self.told) if text is None else text)
+        """Replace the configuration file and have the program read it."""
+        self.config.update(changes)
+        self.config_file.write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
-    def end(self, number=signal.SIGKILL):
-        """Signal the program and return its log."""
+    def suspend(self):
+        """Stop the process between two instructions, for certain."""
+        self.process.send_signal(signal.SIGSTOP)
+        stat = pathlib.Path(f"/proc/{self.process.pid}/stat")
+        wait_until(lambda: stat.read_text().rsplit(")", 1)[1].split()[0] == "T")
+
+    def resume(self):
+        """Let a suspended process go on."""
+        self.process.send_signal(signal.SIGCONT)
+
+    def terminate(self, number=signal.SIGKILL):
+        """Send the signal if the program runs, wait for its exit and return its log."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         return self.process.communicate(timeout=DEADLINE)[1]
 
 
-def soon(true):
-    """Wait until something is so."""
+class FakeTransport(StringTransport):
+    """A transport whose socket takes `accepted` bytes in one write, all where that is None."""
+
+    dataBuffer = b""  # noqa: N815 Twisted's name
+    _tempDataBuffer = ()  # noqa: N815 Twisted's name
+
+    def __init__(self, accepted=None):
+        super().__init__()
+        self.accepted = accepted
+
+    def writeSomeData(self, data):  # noqa: N802 Twisted's name
+        taken = data[: self.accepted]
+        self.write(taken)
+        return len(taken)
+
+    def setTcpNoDelay(self, enabled):  # noqa: N802 Twisted's name
+        pass
+
+
+def wait_until(condition):
+    """Wait until the condition returns something true, and return that."""
     until = time.monotonic() + DEADLINE
-    while not (found := true()):
-        assert time.monotonic() < until, "never so"
-        time.sleep(0.01)
-    return found
+    while not (result := condition()):
+        assert time.monotonic() < until, "the condition was not met in time"
+        time.sleep(POLL_INTERVAL)
+    return result
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from http.server import ThreadingHTTPServer
 
-from harness import DEADLINE, Balancer, FakeHost, FakeServer, discovery, free_port, soon
+from harness import DEADLINE, Balancer, FakeDiscovery, FakeHost, FakeServer, free_port, wait_until
 
 RELAYS = ["r1", "r2", "r3"]  # all of them are acceptors of the lease
 ZONES = ["a", "b"]
@@ -138,16 +138,16 @@
 
     def poll_count(self):
         """How often discovery has been polled."""
-        return len(self.discovery.asked)
+        return len(self.discovery.polls)
 
     def wait_until_subscribed(self):
         """Wait until all balancers are subscribed, and all relays but the origin."""
-        soon(lambda: self.relays.subscriber_count() >= len(self.balancers) + len(RELAYS) - 1)
+        wait_until(lambda: self.relays.subscriber_count() >= len(self.balancers) + len(RELAYS) - 1)
 
 
 def _avoids(balancer, server):
     """Whether clients whose default is this server are all sent elsewhere; a single one may be by chance."""
-    replies = [balancer.ask(key).readline() for key in KEYS_BY_SERVER[server][:4]]
+    replies = [balancer.open_flow(key).readline() for key in KEYS_BY_SERVER[server][:4]]
     return all(reply.startswith(b"UP ") and reply != f"UP {server}\r\n".encode() for reply in replies)
 
 
@@ -156,11 +156,11 @@
     """Start everything and wait until it is connected."""
     servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(SERVERS)]
     with contextlib.ExitStack() as stack:
-        fake_discovery = discovery(*servers)
+        fake_discovery = FakeDiscovery(*servers)
         stack.callback(fake_discovery.shutdown)
         address = f"127.0.0.1:{fake_discovery.server_port}"
         relays = stack.enter_context(RelayCluster(directory, address))
-        soon(relays.origin)
+        wait_until(relays.origin)
         balancers = []
         for index in range(BALANCERS):
             environment = {
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -16,10 +16,8 @@
     descriptor_count,
     flow_settings,
     reset_connection,
-    resume_process,
-    stop_process,
 )
-from harness import DEADLINE, Balancer, FakeServer, SlowDoor, soon
+from harness import DEADLINE, Balancer, FakeServer, SlowAcceptServer, wait_until
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
@@ -42,9 +40,9 @@
     effect, early_bytes, disconnect
 ):
     # Neither its FIN nor its RST was noticed by a balancer that read only 4 KiB after the first line.
-    server = SlowDoor("s0")
+    server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
-        client = balancer.ask(wait=4_000)
+        client = balancer.open_flow(wait=4_000)
         client.conn.settimeout(0.2)
         try:
             client.conn.sendall(b"M 1 " + b"x" * early_bytes + b"\r\n")
@@ -53,39 +51,39 @@
         time.sleep(0.1)
         disconnect(client)
         time.sleep(0.1)
-        server.open()
+        server.start_accepting()
         time.sleep(1.5)  # the kernel retransmits the SYN after one second
-        assert not server.flows()
-        assert balancer.ask("other").readline() == b"UP r1\r\n"
+        assert not server.open_lines()
+        assert balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize("disconnect", [close_connection, reset_connection])
 def test_a_client_that_disconnects_while_the_balancer_is_stopped_is_not_forwarded_when_its_attempt_connects(
     disconnect,
 ):
-    server = SlowDoor("s0")
+    server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
-        client = balancer.ask(wait=4_000)
+        client = balancer.open_flow(wait=4_000)
         time.sleep(0.2)
-        stop_process(balancer)
-        server.open()
-        server.came()  # connected first, so that the balancer is notified of it first
+        balancer.suspend()
+        server.start_accepting()
+        server.wait_for_connections()  # connected first, so that the balancer is notified of it first
         disconnect(client)
         time.sleep(0.35)
-        resume_process(balancer)
-        soon(lambda: b"" in server.lines)
-        assert not server.flows()
+        balancer.resume()
+        wait_until(lambda: b"" in server.lines)
+        assert not server.open_lines()
 
 
 def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_stopped_are_not_forwarded():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
-        stop_process(balancer)
+        balancer.suspend()
         for index in range(200):
-            close_connection(balancer.ask(str(index)))
+            close_connection(balancer.open_flow(str(index)))
         time.sleep(0.35)
-        resume_process(balancer)
-        assert balancer.ask("last").readline() == b"UP r1\r\n"
+        balancer.resume()
+        assert balancer.open_flow("last").readline() == b"UP r1\r\n"
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
@@ -104,79 +102,79 @@
     # Reads are of 8 KiB: the FIN was still unread when the first attempt failed, and a retry was started.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
-        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
-        soon(lambda: first.lines)
-        stop_process(balancer)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        wait_until(lambda: first.lines)
+        balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        first.conns[0].sendall(b"BUSY\r\n")  # it has not run: a flow of any effect may be retried
+        first.connections[0].sendall(b"BUSY\r\n")  # it has not run: a flow of any effect may be retried
         disconnect(client)
         time.sleep(0.35)
-        resume_process(balancer)
-        soon(lambda: b"" in first.lines)
+        balancer.resume()
+        wait_until(lambda: b"" in first.lines)
         time.sleep(0.3)
-        assert not second.conns
+        assert not second.connections
         first.reply = b"UP r1\r\n"
-        assert balancer.ask("other").readline() == b"UP r1\r\n"
+        assert balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize("early_bytes", [0, 9_000, 16_000])
 def test_hundreds_of_clients_that_disconnect_as_their_attempts_connect_are_not_forwarded(early_bytes):
-    server = SlowDoor("s0")
+    server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
-        clients = [balancer.ask(str(index), wait=4_000) for index in range(120)]
+        clients = [balancer.open_flow(str(index), wait=4_000) for index in range(120)]
         for client in clients:
             client.conn.sendall(b"".join(b"M 1 " + b"x" * 990 + b"\r\n" for _ in range(early_bytes // 1_000)))
         time.sleep(0.3)
-        stop_process(balancer)
-        server.open()
-        server.came()
+        balancer.suspend()
+        server.start_accepting()
+        server.wait_for_connections()
         for index, client in enumerate(clients):
             DISCONNECTS[index % 3](client)
         time.sleep(0.35)
-        resume_process(balancer)
+        balancer.resume()
         time.sleep(2.0)  # the kernel retransmits SYNs that were dropped after one second
-        assert not server.flows()
-        assert balancer.ask("other").readline() == b"UP r1\r\n"
+        assert not server.open_lines()
+        assert balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_a_request_that_arrives_with_its_disconnect_is_not_forwarded_by_a_balancer_that_was_stopped(effect):
     server = FakeServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
-        stop_process(balancer)
+        balancer.suspend()
         for index, disconnect in enumerate(DISCONNECTS):
-            disconnect(balancer.ask(str(index)))
+            disconnect(balancer.open_flow(str(index)))
         time.sleep(0.15)
-        resume_process(balancer)
-        assert balancer.ask("other").readline() == b"UP r1\r\n"
+        balancer.resume()
+        assert balancer.open_flow("other").readline() == b"UP r1\r\n"
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
 def test_an_existing_connection_whose_client_disconnects_between_attempts_is_not_retried():
     server = FakeServer("s0", b"BUSY\r\n")
     with Balancer(server, settings=flow_settings(deadline=8_000)) as balancer:
-        client = balancer.ask(wait=8_000, at="s0")
+        client = balancer.open_flow(wait=8_000, at="s0")
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 990 + b"\r\n" for _ in range(15)))
-        soon(lambda: b"" in server.lines)
-        stop_process(balancer)
+        wait_until(lambda: b"" in server.lines)
+        balancer.suspend()
         close_connection(client)
         time.sleep(1.2)  # the retry is due before the FIN is read
-        resume_process(balancer)
+        balancer.resume()
         time.sleep(0.5)
-        assert len(server.conns) == 1
+        assert len(server.connections) == 1
 
 
 def test_early_data_beyond_the_buffer_limit_is_rejected_at_once_and_less_is_served():
     server = FakeServer("s0", None)
     with Balancer(server) as balancer:
-        hasty, flood = balancer.ask(wait=1_500), balancer.ask(wait=1_500)
+        hasty, flood = balancer.open_flow(wait=1_500), balancer.open_flow(wait=1_500)
         lines = [b"M %d " % index + b"x" * 1_000 + b"\r\n" for index in range(10)]
         hasty.conn.sendall(b"".join(lines))
         flood.conn.sendall(b"x" * 40_000)
         start = time.monotonic()
         assert flood.readline() == b"ERR\r\n" and time.monotonic() < start + 0.5
-        soon(lambda: any(line.startswith(b"OPEN id1 ") for line in server.lines))
-        for conn in server.conns:
+        wait_until(lambda: any(line.startswith(b"OPEN id1 ") for line in server.lines))
+        for conn in server.connections:
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
@@ -231,28 +229,28 @@
 def test_a_client_reset_in_the_reactor_turn_of_its_receipt_closes_the_server_connection_too(effect):
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings(effect)) as balancer:
-        client = balancer.ask()
-        soon(lambda: server.lines)
-        stop_process(balancer)
-        server.conns[0].sendall(b"UP r1\r\n")
+        client = balancer.open_flow()
+        wait_until(lambda: server.lines)
+        balancer.suspend()
+        server.connections[0].sendall(b"UP r1\r\n")
         reset_connection(client)
-        resume_process(balancer)
-        soon(lambda: server.lines[-1] == b"")
+        balancer.resume()
+        wait_until(lambda: server.lines[-1] == b"")
         server.reply = b"UP r1\r\n"
-        assert balancer.ask("other").readline() == b"UP r1\r\n"
-        assert "event failed" not in balancer.end()
+        assert balancer.open_flow("other").readline() == b"UP r1\r\n"
+        assert "event failed" not in balancer.terminate()
 
 
 def test_a_server_that_does_not_close_after_its_client_has_disconnected_is_disconnected():
     server = FakeServer("s0")
-    server._serve = lambda conn: (server.lines.append(conn.recv(4096)), conn.sendall(b"UP r1\r\n"))
+    server.serve_connection = lambda conn: (server.lines.append(conn.recv(4096)), conn.sendall(b"UP r1\r\n"))
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert client.readline() == b"UP r1\r\n"
         descriptors_before, start = descriptor_count(balancer), time.monotonic()
         client.conn.shutdown(socket.SHUT_WR)
         assert client.readline() == b"" and 1.5 < time.monotonic() - start < 4.0
-        soon(lambda: descriptor_count(balancer) < descriptors_before)
+        wait_until(lambda: descriptor_count(balancer) < descriptors_before)
 
 
 assert DEADLINE > 4.0  # the longest that a test above waits for its answer
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, discovery, soon
+from harness import SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
@@ -19,26 +19,26 @@
 
 def test_counters_are_printed_on_a_signal_and_at_the_exit():
     with Balancer(FakeServer("s1")) as balancer:
-        balancer.ask().readline()
+        balancer.open_flow().readline()
         balancer.process.send_signal(signal.SIGUSR1)
         time.sleep(0.2)
-        log = balancer.end(signal.SIGTERM)
+        log = balancer.terminate(signal.SIGTERM)
         assert balancer.process.returncode == 0
         assert log.count("event=counters") == 2 and "established=1" in log and "flows=1" in log
 
 
 def test_a_new_discovery_address_is_followed_at_once_though_the_environment_has_the_old_one():
     one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
-    old, new = discovery(one), discovery(two)
+    old, new = FakeDiscovery(one), FakeDiscovery(two)
     old_address = f"127.0.0.1:{old.server_port}"
     with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert client.readline() == b"UP one\r\n"
         old.seq = 0  # the poll in flight hangs, as a backoff after failures would
         time.sleep(0.2)
         start = time.monotonic()
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
-        soon(lambda: balancer.ask().readline() == b"UP two\r\n")
+        wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")
         assert time.monotonic() - start < 1.0
         client.write(b"M 1 a\r\n")
         assert client.readline() == b"M 1 a\r\n"
@@ -46,24 +46,24 @@
         old.entries, old.seq = [one.entry()], 1
         balancer.reload(discovery=old_address)
         balancer.reload(discovery=old_address)
-        soon(lambda: balancer.ask().readline() == b"UP one\r\n")
+        wait_until(lambda: balancer.open_flow().readline() == b"UP one\r\n")
         balancer.process.send_signal(signal.SIGTERM)
         balancer.reload()
-        balancer.end(signal.SIGTERM)
+        balancer.terminate(signal.SIGTERM)
         assert balancer.process.returncode == 0
 
 
 def test_a_malformed_file_is_rejected_with_its_key_and_what_needs_a_restart_is_named():
     with Balancer(FakeServer("s1"), sockets=68) as balancer:
-        clients = [balancer.ask(str(index)) for index in range(2)]
+        clients = [balancer.open_flow(str(index)) for index in range(2)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
-        for text in ("{", json.dumps({**balancer.told, "discovery": "nowhere"})):
+        for text in ("{", json.dumps({**balancer.config, "discovery": "nowhere"})):
             balancer.reload(text)
             time.sleep(0.2)
-        assert balancer.ask().readline() == b"BUSY 1000\r\n"
+        assert balancer.open_flow().readline() == b"BUSY 1000\r\n"
         balancer.reload(name="n2", limits={"sockets": 1024})
-        soon(lambda: balancer.ask().readline() == b"UP r1\r\n")
-        log = balancer.end()
+        wait_until(lambda: balancer.open_flow().readline() == b"UP r1\r\n")
+        log = balancer.terminate()
     assert log.count('event="reload rejected" why="LB_CONFIG: ') == 1
     assert "LB_DISCOVERY: 'nowhere' is not host:port" in log and "needs_restart=name" in log
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,8 +11,7 @@
 import time
 
 import pytest
-from flow_helpers import resume_process, stop_process
-from harness import DEADLINE, SETTINGS, Balancer, FakeServer, discovery, soon
+from harness import DEADLINE, SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
 
 CHANGE_DEADLINE, QUEUE_TIMEOUT = (
     6.0,
@@ -27,13 +26,13 @@
 
 def wait_for_poll(balancer):
     """Wait until a poll has just been sent after a complete response."""
-    polls = len(balancer.list.asked)
-    soon(lambda: len(balancer.list.asked) > polls)
+    polls = len(balancer.discovery.polls)
+    wait_until(lambda: len(balancer.discovery.polls) > polls)
 
 
 def received_at(balancer, seq):
     """When the version, or a newer one, went out to the balancer; None if it has not."""
-    return next((sent for sent, version in balancer.list.told if version >= seq), None)
+    return next((sent for sent, version in balancer.discovery.responses if version >= seq), None)
 
 
 def received_after(balancer, seq, start):
@@ -58,13 +57,13 @@
         balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in cases]
         changed = []
         for case, balancer in zip(cases, balancers, strict=True):
-            soon(lambda balancer=balancer: len(balancer.list.told) > 0)
+            wait_until(lambda balancer=balancer: len(balancer.discovery.responses) > 0)
             # In force for the poll that comes after the response in flight.
-            balancer.list.script[:] = list(case)
+            balancer.discovery.script[:] = list(case)
             wait_for_poll(balancer)
             changed.append(time.monotonic())
-            balancer.list.entries = [servers[0].entry("DRAINING"), servers[1].entry()]
-            balancer.list.seq = 2
+            balancer.discovery.entries = [servers[0].entry("DRAINING"), servers[1].entry()]
+            balancer.discovery.seq = 2
             after_change(balancer)
         wait_for_update(balancers, 2, timeout=2 * CHANGE_DEADLINE)
         return {
@@ -83,9 +82,9 @@
 def test_a_process_suspended_during_a_silent_long_poll_and_then_rejected_still_receives_in_time():
     def suspend_for_a_while(balancer):
         time.sleep(0.1)
-        stop_process(balancer)
+        balancer.suspend()
         time.sleep(3.5)
-        resume_process(balancer)
+        balancer.resume()
 
     delays = measure_delays([("silent", "refuse")], suspend_for_a_while)
     assert max(delays.values()) < CHANGE_DEADLINE + 0.5, delays
@@ -94,15 +93,15 @@
 @pytest.mark.parametrize("script", [["silent"], ["refuse", "refuse"], ["half", "refuse"]])
 def test_the_list_of_a_new_address_whose_first_polls_fail_is_received_in_time(script):
     one, two = FakeServer("s0"), FakeServer("s1", b"UP two\r\n")
-    new = discovery(two)
+    new = FakeDiscovery(two)
     new.seq, new.script = 7, [*script, QUEUE_TIMEOUT]
     with Balancer(one, settings=POLLING_SETTINGS) as balancer:
-        soon(lambda: balancer.list.told)
+        wait_until(lambda: balancer.discovery.responses)
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
         start = time.monotonic()
-        soon(lambda: new.told)
-        assert new.told[0][0] - start < CHANGE_DEADLINE + 0.5
-        soon(lambda: balancer.ask().readline() == b"UP two\r\n")  # sent is not yet received
+        wait_until(lambda: new.responses)
+        assert new.responses[0][0] - start < CHANGE_DEADLINE + 0.5
+        wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")  # sent is not yet received
     new.shutdown()
 
 
@@ -114,14 +113,14 @@
         balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in range(6)]
         returned = {}
         for balancer in balancers:
-            soon(lambda balancer=balancer: balancer.list.told)
-            balancer.list.script[:] = ["silent"] * 4 + ["refuse", QUEUE_TIMEOUT]
+            wait_until(lambda balancer=balancer: balancer.discovery.responses)
+            balancer.discovery.script[:] = ["silent"] * 4 + ["refuse", QUEUE_TIMEOUT]
         until = time.monotonic() + 30.0
         while time.monotonic() < until and not all(received_at(balancer, 2) for balancer in balancers):
             for balancer in balancers:
-                if balancer not in returned and len(balancer.list.script) == 2:
+                if balancer not in returned and len(balancer.discovery.script) == 2:
                     returned[balancer] = time.monotonic()  # the fourth poll was just sent, and is lost
-                    balancer.list.entries, balancer.list.seq = [servers[1].entry()], 2
+                    balancer.discovery.entries, balancer.discovery.seq = [servers[1].entry()], 2
             time.sleep(0.01)
         delays = [received_after(balancer, 2, returned[balancer]) for balancer in balancers]
         assert max(delays) < CHANGE_DEADLINE + 0.5, delays
@@ -174,8 +173,8 @@
     # served by the server that it names.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
-        source = balancer.list
-        soon(lambda: source.told)
+        source = balancer.discovery
+        wait_until(lambda: source.responses)
         source.script[:] = ["drop"] * 1_000
         established = kind == "established"
         # Without flows, more connections than the program can have open.
@@ -183,16 +182,16 @@
         storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
         storm.start()
         time.sleep(9.0)  # all backoffs have grown
-        polls = [sent for sent, _ in source.asked][4:]
+        polls = [sent for sent, _ in source.polls][4:]
         assert len(polls) > 6 and max(b - a for a, b in itertools.pairwise(polls)) < 1.0 + 0.3
         source.entries, source.seq, source.script[:] = [one.entry("DELETED"), two.entry()], 5, []
-        soon(lambda: source.told[-1][1] == 5)
+        wait_until(lambda: source.responses[-1][1] == 5)
         storm.stop()
         answers = set()
         until = time.monotonic() + 2.0
         while time.monotonic() < until and b"UP two\r\n" not in answers:
             with contextlib.suppress(OSError):
-                answers.add(balancer.ask("new").readline())
+                answers.add(balancer.open_flow("new").readline())
         if established:
             # Its descriptors are in use by established flows: new ones are rejected at once, none is cut off.
             assert answers <= {b"UP two\r\n", b"BUSY 1000\r\n"} and answers
@@ -200,6 +199,6 @@
             assert b"UP two\r\n" in answers
         for conn in storm.connections:
             conn.close()
-        soon(lambda: balancer.ask("last").readline() == b"UP two\r\n")
-        log = balancer.end()
+        wait_until(lambda: balancer.open_flow("last").readline() == b"UP two\r\n")
+        log = balancer.terminate()
         assert "event failed" not in log and "Traceback" not in log
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from harness import DEADLINE, SETTINGS, Balancer, FakeServer, soon
+from harness import DEADLINE, SETTINGS, Balancer, FakeServer, wait_until
 
 from lotusroute.net.line_protocol import LineProtocol
 
@@ -37,14 +37,14 @@
 
 @pytest.mark.parametrize("line", MALFORMED_FIRST_LINES)
 def test_a_malformed_first_line_is_answered_and_the_next_client_is_served(line, shared_balancer):
-    assert shared_balancer.say(line).readline() == b"ERR\r\n"
-    assert shared_balancer.ask().readline() == b"UP r1\r\n"
+    assert shared_balancer.connect_and_send(line).readline() == b"ERR\r\n"
+    assert shared_balancer.open_flow().readline() == b"UP r1\r\n"
 
 
 def test_a_flow_is_served_and_lines_are_forwarded_unchanged_both_ways():
     server = FakeServer("s1", b"UP 5cf3\r\nLOAD 12.5\r\n")
     with Balancer(server) as balancer:
-        client = balancer.ask(wait=1500, g="yard", x="1")
+        client = balancer.open_flow(wait=1500, g="yard", x="1")
         assert client.readline() == b"UP 5cf3\r\n" and client.readline() == b"LOAD 12.5\r\n"
         first = server.lines[0].decode()
         timeout = int(first.split("d=")[1].split(",")[0])
@@ -60,42 +60,42 @@
 
 def test_beyond_the_descriptor_limit_new_flows_are_shed_and_served_again_later():
     with Balancer(FakeServer("s1"), sockets=68) as balancer:
-        clients = [balancer.ask(str(index)) for index in range(2)]
+        clients = [balancer.open_flow(str(index)) for index in range(2)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
-        assert balancer.ask().readline() == b"BUSY 1000\r\n"
+        assert balancer.open_flow().readline() == b"BUSY 1000\r\n"
         clients[0].conn.shutdown(socket.SHUT_WR)
         assert clients[0].readline() == b"BYE\r\n"
-        soon(lambda: balancer.ask().readline() == b"UP r1\r\n")
+        wait_until(lambda: balancer.open_flow().readline() == b"UP r1\r\n")
 
 
 def test_a_client_that_reads_nothing_stops_its_server_and_does_not_fill_the_memory():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         client.readline()
-        conn = server.conns[-1]
+        conn = server.connections[-1]
         conn.settimeout(0.5)
         sent = 0
         with pytest.raises(TimeoutError):
             while sent < 64_000_000:
                 sent += conn.send(b"M 1 " + b"x" * 3900 + b"\r\n")
-        assert sent < 32_000_000 and balancer.ask("other").readline() == b"UP r1\r\n"
+        assert sent < 32_000_000 and balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
 def test_the_id_of_another_flow_reaches_no_server_and_its_own_client_is_still_served():
     server = FakeServer("s1")
     settings_with_tenant = {**SETTINGS, "tenants": [{"name": "acme"}]}
     with Balancer(server, settings=settings_with_tenant) as balancer:
-        client = balancer.ask("own", id="7f3a", t="acme")
+        client = balancer.open_flow("own", id="7f3a", t="acme")
         assert client.readline() == b"UP r1\r\n"
-        assert balancer.ask("other", id="7f3a", t="acme").readline() == b"ERR\r\n"
+        assert balancer.open_flow("other", id="7f3a", t="acme").readline() == b"ERR\r\n"
         client.write(b"M 1 a\r\n")
         assert client.readline() == b"M 1 a\r\n"
         client.conn.shutdown(socket.SHUT_WR)
         assert client.readline() == b"BYE\r\n"
         # Ended a moment ago: servers may still have it open.
-        assert balancer.ask("other", id="7f3a", t="acme").readline() == b"ERR\r\n"
-        assert balancer.ask(t="acne").readline() == b"ERR\r\n"
+        assert balancer.open_flow("other", id="7f3a", t="acme").readline() == b"ERR\r\n"
+        assert balancer.open_flow(t="acne").readline() == b"ERR\r\n"
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
@@ -124,21 +124,21 @@
     assert sent < 20_000_000 and conn.recv(5) == b"ERR\r\n" and time.monotonic() < start + 3.0
     status = pathlib.Path(f"/proc/{shared_balancer.process.pid}/status").read_text()
     assert int(status.split("VmHWM:")[1].split()[0]) < 60_000  # kB
-    assert shared_balancer.ask().readline() == b"UP r1\r\n"
+    assert shared_balancer.open_flow().readline() == b"UP r1\r\n"
 
 
 def test_hundreds_of_idle_connections_take_no_descriptor_from_a_new_flow():
     with Balancer(FakeServer("s1"), sockets=128) as balancer:
         for _ in range(3):
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
-            assert balancer.ask().readline() == b"UP r1\r\n"
+            assert balancer.open_flow().readline() == b"UP r1\r\n"
             assert len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir())) <= 128
             # The oldest was evicted first, with an answer.
             assert idle[0].recv(99) == b"BUSY\r\n"
 
 
 def test_a_thousand_health_checks_on_one_connection_end_with_an_error(shared_balancer):
-    client = shared_balancer.say(b"\r\n".join([b"PING"] * 1000))
+    client = shared_balancer.connect_and_send(b"\r\n".join([b"PING"] * 1000))
     answers = [client.readline() for _ in range(17)]
     assert answers == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
 
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, soon
+from harness import SETTINGS, Balancer, FakeServer, wait_until
 from twisted.internet import defer
 
 from lotusroute.net import structured_log
@@ -15,9 +15,9 @@
 
 def wait_for_long_poll(balancer):
     """Wait until a long poll has just been sent; returns when."""
-    calls = len(balancer.list.asked)
-    soon(lambda: len(balancer.list.asked) > calls + 1)
-    return balancer.list.asked[-1][0]
+    calls = len(balancer.discovery.polls)
+    wait_until(lambda: len(balancer.discovery.polls) > calls + 1)
+    return balancer.discovery.polls[-1][0]
 
 
 @pytest.fixture
@@ -30,28 +30,28 @@
     servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(4)]
     with Balancer(*servers[:3]) as balancer:
         for index in range(3):
-            assert balancer.ask(at=f"s{index}").readline() == f"UP s{index}\r\n".encode()
-        client = balancer.ask(wait=9000, at="s3")
+            assert balancer.open_flow(at=f"s{index}").readline() == f"UP s{index}\r\n".encode()
+        client = balancer.open_flow(wait=9000, at="s3")
         time.sleep(0.2)
-        balancer.list.entries = [server.entry() for server in servers]
-        balancer.list.seq += 1
+        balancer.discovery.entries = [server.entry() for server in servers]
+        balancer.discovery.seq += 1
         assert client.readline() == b"UP s3\r\n"
 
 
 def test_the_cached_list_serves_while_discovery_is_silent_and_updates_are_followed(two_servers):
     one, two = two_servers
-    with Balancer(one, listed=False) as balancer:
-        assert balancer.ask().readline() == b"UP one\r\n"
-        balancer.list.entries, balancer.list.seq = [two.entry()], 5
-        soon(lambda: balancer.ask().readline() == b"UP two\r\n")
-        balancer.list.entries, balancer.list.seq = [two.entry("DELETED"), one.entry()], 6
-        soon(lambda: balancer.ask().readline() == b"UP one\r\n")
+    with Balancer(one, available=False) as balancer:
+        assert balancer.open_flow().readline() == b"UP one\r\n"
+        balancer.discovery.entries, balancer.discovery.seq = [two.entry()], 5
+        wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")
+        balancer.discovery.entries, balancer.discovery.seq = [two.entry("DELETED"), one.entry()], 6
+        wait_until(lambda: balancer.open_flow().readline() == b"UP one\r\n")
 
 
 def test_a_rejected_poll_is_retried_after_a_backoff_for_the_missing_changes_only():
-    with Balancer(FakeServer("s1"), refuses=1) as balancer:
-        soon(lambda: len(balancer.list.asked) > 1)
-        times, versions = zip(*balancer.list.asked[:2], strict=True)
+    with Balancer(FakeServer("s1"), rejections=1) as balancer:
+        wait_until(lambda: len(balancer.discovery.polls) > 1)
+        times, versions = zip(*balancer.discovery.polls[:2], strict=True)
         # Forty that polled for the complete list instead, at once, kept discovery from serving any of them.
         assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
 
@@ -73,17 +73,19 @@
 
 
 def test_a_response_that_was_queued_for_two_seconds_is_waited_for():
-    with Balancer(FakeServer("s1"), known=None, slow=2.2) as balancer:
-        soon(lambda: [version for _, version in balancer.list.asked] == [None, "1"])
+    with Balancer(FakeServer("s1"), known=None, response_delay=2.2) as balancer:
+        wait_until(lambda: [version for _, version in balancer.discovery.polls] == [None, "1"])
 
 
 @pytest.mark.parametrize("known", [None, -1, "7", True, 1.5, 8])
 def test_a_cached_version_that_is_invalid_or_newer_than_discoverys_means_the_complete_list(known):
     with Balancer(FakeServer("s1"), known=known) as balancer:
-        assert balancer.ask().readline() == b"UP r1\r\n"
-        soon(lambda: [version for _, version in balancer.list.asked][known == 8 :][:2] == [None, "1"])
+        assert balancer.open_flow().readline() == b"UP r1\r\n"
+        wait_until(
+            lambda: [version for _, version in balancer.discovery.polls][known == 8 :][:2] == [None, "1"]
+        )
         reason = "without version" if known != 8 else "changes up to 1 of a list held at 8"
-        assert reason in balancer.end()
+        assert reason in balancer.terminate()
 
 
 @pytest.mark.parametrize(
@@ -98,41 +100,43 @@
 def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
     # In a run it was given up after 7.0 s; the deadline is 6 s and 0.5 s of grace.
     one, two = two_servers
-    with Balancer(one, two, settings=settings, half=half) as balancer:
+    with Balancer(one, two, settings=settings, partial_responses=half) as balancer:
         opened = wait_for_long_poll(balancer)
-        balancer.list.cut += 1
-        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
-        soon(lambda: balancer.list.asked[-1][0] > opened)
+        balancer.discovery.interruptions += 1
+        balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
+        wait_until(lambda: balancer.discovery.polls[-1][0] > opened)
         # A poll may be queued for 2 s more.
         bound = 6.0 + settings["rules"]["stop_sending_within"] / 1000 - 2.0
-        assert balancer.list.asked[-1][0] - opened < bound
-        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+        assert balancer.discovery.polls[-1][0] - opened < bound
+        assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
 def test_a_long_poll_that_is_reset_is_replaced_before_a_short_grace_is_over(two_servers):
     one, two = two_servers
     with Balancer(one, two, settings=AGENT_SETTINGS, resets=True) as balancer:
         wait_for_long_poll(balancer)
-        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
-        balancer.list.cut += 1
+        balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
+        balancer.discovery.interruptions += 1
         cut = time.monotonic()
-        soon(lambda: balancer.list.asked[-1][0] > cut)
-        assert balancer.list.asked[-1][0] - cut < 0.5
-        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+        wait_until(lambda: balancer.discovery.polls[-1][0] > cut)
+        assert balancer.discovery.polls[-1][0] - cut < 0.5
+        assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
 def test_what_an_agent_learns_at_its_return_is_received_within_a_short_grace(two_servers):
     one, two = two_servers
     with Balancer(one, two, settings=AGENT_SETTINGS) as balancer:
         wait_for_long_poll(balancer)
-        balancer.list.down = True
-        calls = len(balancer.list.asked)
-        soon(lambda: len(balancer.list.asked) > calls + 5)  # long enough for all backoffs to have grown
-        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
-        back, balancer.list.down = time.monotonic(), False
-        soon(lambda: balancer.list.asked[-1][0] > back)
-        assert balancer.list.asked[-1][0] - back < 0.5
-        assert {balancer.ask(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
+        balancer.discovery.down = True
+        calls = len(balancer.discovery.polls)
+        wait_until(
+            lambda: len(balancer.discovery.polls) > calls + 5
+        )  # long enough for all backoffs to have grown
+        balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
+        back, balancer.discovery.down = time.monotonic(), False
+        wait_until(lambda: balancer.discovery.polls[-1][0] > back)
+        assert balancer.discovery.polls[-1][0] - back < 0.5
+        assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
 def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
@@ -141,13 +145,13 @@
     # With a grace of 500 ms an agent's first poll times out after 250 ms, 50 ms after this response is due:
     # on a busy machine that came first, and the cached list was rightly used. A grace of 2 s gives it 1 s.
     settings = {**AGENT_SETTINGS, "rules": {"stop_sending_within": 2_000}}
-    starting = Balancer(one, two, settings=settings, slow=0.2)
-    starting.list.entries, starting.list.seq = [one.entry("DRAINING"), two.entry()], 2
+    starting = Balancer(one, two, settings=settings, response_delay=0.2)
+    starting.discovery.entries, starting.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
 
     def try_to_connect():
         with contextlib.suppress(OSError):
-            return starting.ask("a")
+            return starting.open_flow("a")
 
-    clients = [soon(try_to_connect)] + [starting.ask(str(index)) for index in range(9)]
+    clients = [wait_until(try_to_connect)] + [starting.open_flow(str(index)) for index in range(9)]
     with starting:
         assert {client.readline() for client in clients} == {b"UP two\r\n"} and not one.lines
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -5,7 +5,7 @@
 from unittest.mock import Mock, call
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, soon
+from harness import SETTINGS, Balancer, FakeServer, wait_until
 
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.config import load_config
@@ -75,10 +75,10 @@
         other = {**one.entry(), "host": "s9"}
         odd = {"health": "odd"}, {"block": 1e999}, {"host": 0}
         for malformed in 7, {"host": "s9"}, *({**other, **part} for part in odd):
-            balancer.list.entries = [malformed, one.entry("DRAINING"), two.entry()]
-            balancer.list.seq += 1
-            soon(lambda: balancer.list.asked[-1][1] == str(balancer.list.seq))
-            assert {balancer.ask(str(index)).readline() for index in range(5)} == {b"UP two\r\n"}
-        assert None not in [since for _, since in balancer.list.asked]
-        log = balancer.end()
+            balancer.discovery.entries = [malformed, one.entry("DRAINING"), two.entry()]
+            balancer.discovery.seq += 1
+            wait_until(lambda: balancer.discovery.polls[-1][1] == str(balancer.discovery.seq))
+            assert {balancer.open_flow(str(index)).readline() for index in range(5)} == {b"UP two\r\n"}
+        assert None not in [since for _, since in balancer.discovery.polls]
+        log = balancer.terminate()
         assert log.count('event="malformed list entries" entries=1') == 5
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 from collections import Counter
 
 import pytest
-from harness import FakeServer, discovery
+from harness import FakeDiscovery, FakeServer
 from twisted.internet import task
 from twisted.internet.testing import StringTransport
 
@@ -382,15 +382,15 @@
 
     def count_polls(self, duration):
         """Return how many polls of discovery begin during some seconds."""
-        before = len(self.service.asked)
+        before = len(self.service.polls)
         time.sleep(duration)
-        return len(self.service.asked) - before
+        return len(self.service.polls) - before
 
 
 @pytest.fixture
 def shared():
     server = FakeServer("s1")
-    service = discovery(server)
+    service = FakeDiscovery(server)
     with ProcessFleet(3, lease_ms=2_000.0, discovery_port=service.server_port, log_level="DEBUG") as fleet:
         yield SharedDiscoveryFleet(fleet, service, server)
     service.shutdown()
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -14,50 +14,48 @@
     descriptor_count,
     flow_settings,
     resetting_server,
-    resume_process,
-    stop_process,
 )
-from harness import DEADLINE, Balancer, FakeHost, FakeServer, SlowDoor, soon
+from harness import DEADLINE, Balancer, FakeHost, FakeServer, SlowAcceptServer, wait_until
 
 from lotusroute.routing import events
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_an_attempt_that_has_not_connected_is_cancelled_when_its_server_drains(effect):
-    slow, other = SlowDoor("s0"), FakeServer("s1", b"UP other\r\n")
+    slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(effect)) as balancer:
-        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
         time.sleep(0.1)
-        balancer.list.entries, balancer.list.seq = [slow.entry("DRAINING"), other.entry()], 2
+        balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         start = time.monotonic()
         assert client.readline() == b"UP other\r\n" and time.monotonic() < start + 0.7
-        slow.open()
+        slow.start_accepting()
         time.sleep(1.5)
-        assert not slow.flows()
+        assert not slow.open_lines()
 
 
 def test_an_attempt_that_connected_while_the_balancer_was_stopped_is_not_used_after_the_drain_grace():
-    slow, other = SlowDoor("s0"), FakeServer("s1", b"UP other\r\n")
+    slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
-        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
         time.sleep(0.1)
-        stop_process(balancer)
-        slow.open()
-        slow.came()  # connected first, so that the balancer is notified of it before the drain
-        balancer.list.entries, balancer.list.seq = [slow.entry("DRAINING"), other.entry()], 2
+        balancer.suspend()
+        slow.start_accepting()
+        slow.wait_for_connections()  # so that the balancer is notified of it before the drain
+        balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
-        resume_process(balancer)
-        assert client.readline() == b"UP other\r\n" and not slow.flows()
+        balancer.resume()
+        assert client.readline() == b"UP other\r\n" and not slow.open_lines()
 
 
 def test_a_retry_that_connects_after_the_deduplication_window_is_not_sent():
-    first, second = resetting_server("s0"), SlowDoor("s1")
+    first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings("idempotency_key", group="all", window=600)
     with Balancer(first, second, settings=settings) as balancer:
-        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=4_000)
-        soon(lambda: first.lines)
-        second.open()
-        assert client.readline().startswith(b"BUSY") and not second.flows()
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        wait_until(lambda: first.lines)
+        second.start_accepting()
+        assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
 
 MALFORMED_RECEIPTS = (
@@ -79,9 +77,12 @@
 def test_a_malformed_receipt_does_not_reach_the_client_and_another_server_serves(answer):
     malformed, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
     with Balancer(malformed, sound, settings=flow_settings()) as balancer:
-        assert balancer.ask(KEY_OF_FIRST_SERVER, wait=1_000).readline() == b"UP sound\r\n" and malformed.lines
+        assert (
+            balancer.open_flow(KEY_OF_FIRST_SERVER, wait=1_000).readline() == b"UP sound\r\n"
+            and malformed.lines
+        )
         malformed.reply = b"UP r1\r\n"
-        assert balancer.ask(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
+        assert balancer.open_flow(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
 
 
 def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
@@ -90,9 +91,9 @@
     keys = [next(key for key in map(str, range(999)) if home(key) == server.name) for server in servers]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
         # All at once: when most attempts have failed already, a later flow is rejected without an attempt.
-        stop_process(balancer)
-        clients = [balancer.ask(key, wait=1_000) for key in keys]
-        resume_process(balancer)
+        balancer.suspend()
+        clients = [balancer.open_flow(key, wait=1_000) for key in keys]
+        balancer.resume()
         assert {client.readline() for client in clients} == {b"ERR\r\n"}
         for server in servers:
             assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
@@ -100,42 +101,42 @@
 
 def test_a_complete_first_line_in_the_socket_is_answered_after_its_timeout():
     with Balancer(FakeServer("s0")) as balancer:
-        client = balancer.say(b"PING")
+        client = balancer.connect_and_send(b"PING")
         assert client.readline() == b"PONG\r\n"
         client.conn.sendall(b"OPEN id9 k c=li")
         time.sleep(0.2)
-        stop_process(balancer)
+        balancer.suspend()
         client.conn.sendall(b"ve,d=1500\r\n")
         time.sleep(2.2)
-        resume_process(balancer)
+        balancer.resume()
         assert client.readline() == b"UP r1\r\n"
 
 
 def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_has_read_all():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert client.readline() == b"UP r1\r\n"
         descriptors_before = descriptor_count(balancer)
-        server.conns[0].sendall(b"M 1 last\r\nBYE\r\n")
-        server.conns[0].shutdown(socket.SHUT_WR)
-        soon(lambda: descriptor_count(balancer) <= descriptors_before - 2)
+        server.connections[0].sendall(b"M 1 last\r\nBYE\r\n")
+        server.connections[0].shutdown(socket.SHUT_WR)
+        wait_until(lambda: descriptor_count(balancer) <= descriptors_before - 2)
         assert [client.readline() for _ in range(3)] == [b"M 1 last\r\n", b"BYE\r\n", b""]
 
 
 def test_an_unwritten_move_is_not_lost_when_new_connections_take_all_descriptors():
     server = FakeServer("s0")
     with Balancer(server, sockets=128) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert client.readline() == b"UP r1\r\n"
         line, sent = b"M 1 " + b"x" * 3_000 + b"\r\n", 0
-        server.conns[0].settimeout(0.3)
+        server.connections[0].settimeout(0.3)
         try:
             while True:
-                sent += server.conns[0].send(line)
+                sent += server.connections[0].send(line)
         except TimeoutError:
             pass
-        balancer.list.entries, balancer.list.seq = [server.entry("DRAINING")], 2
+        balancer.discovery.entries, balancer.discovery.seq = [server.entry("DRAINING")], 2
         time.sleep(1.2)  # migrated within a second
         flood = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(200)]
         read = client.read(10_000_000)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -4,8 +4,8 @@
 import time
 
 import pytest
-from flow_helpers import KEY_OF_FIRST_SERVER, flow_settings, resetting_server, resume_process, stop_process
-from harness import Balancer, FakeServer, SlowDoor, soon
+from flow_helpers import KEY_OF_FIRST_SERVER, flow_settings, resetting_server
+from harness import Balancer, FakeServer, SlowAcceptServer, wait_until
 
 
 @pytest.mark.parametrize(
@@ -18,11 +18,11 @@
 )
 def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
     # The shutdown looked only at the attempt in flight, and that had not connected.
-    first, second = resetting_server("s0"), SlowDoor("s1")
+    first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
-        client = balancer.ask(KEY_OF_FIRST_SERVER, wait=8_000)
-        soon(lambda: first.lines)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=8_000)
+        wait_until(lambda: first.lines)
         balancer.process.send_signal(signal.SIGTERM)
         assert client.readline().startswith(last) and client.readline() == b""
 
@@ -30,43 +30,43 @@
 def test_a_receipt_that_arrives_at_the_shutdown_deadline_is_forwarded_and_its_client_migrated():
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings("non_idempotent", deadline=8_000)) as balancer:
-        client = balancer.ask(wait=8_000)
-        soon(lambda: server.lines)
+        client = balancer.open_flow(wait=8_000)
+        wait_until(lambda: server.lines)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(3.0)
-        stop_process(balancer)
-        server.conns[0].sendall(b"UP r1\r\n")
+        balancer.suspend()
+        server.connections[0].sendall(b"UP r1\r\n")
         time.sleep(0.4)  # all that is left is rejected 3.35 s after the signal
-        resume_process(balancer)
+        balancer.resume()
         assert client.readline() == b"UP r1\r\n" and client.readline() == b"MOVE\r\n"
 
 
 def test_clients_that_connect_while_the_stopping_balancer_is_stalled_are_answered_before_its_exit():
     with Balancer(FakeServer("s0")) as balancer:
-        waiting = balancer.say(b"PING")
+        waiting = balancer.connect_and_send(b"PING")
         assert waiting.readline() == b"PONG\r\n"
         balancer.process.send_signal(signal.SIGTERM)
-        assert waiting.conn.send(b"OPEN id8 k c=") and balancer.ask().readline().startswith(b"BUSY")
-        stop_process(balancer)
+        assert waiting.conn.send(b"OPEN id8 k c=") and balancer.open_flow().readline().startswith(b"BUSY")
+        balancer.suspend()
         waiting.conn.sendall(b"live,d=1500\r\n")
-        new_clients = [balancer.ask(str(index)) for index in range(40)]
+        new_clients = [balancer.open_flow(str(index)) for index in range(40)]
         time.sleep(1.0)
-        resume_process(balancer)
+        balancer.resume()
         assert {client.readline()[:4] for client in [waiting, *new_clients]} == {b"BUSY"}
-        balancer.end(0)
+        balancer.terminate(0)
         assert balancer.process.returncode == 0
 
 
 def test_a_second_sigterm_and_a_reload_during_shutdown_change_nothing():
     with Balancer(FakeServer("s0")) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert client.readline() == b"UP r1\r\n"
         balancer.process.send_signal(signal.SIGTERM)
-        soon(lambda: balancer.ask().readline().startswith(b"BUSY"))
+        wait_until(lambda: balancer.open_flow().readline().startswith(b"BUSY"))
         for number in (signal.SIGHUP, signal.SIGTERM):
             balancer.process.send_signal(number)
-            assert balancer.ask().readline().startswith(b"BUSY")
+            assert balancer.open_flow().readline().startswith(b"BUSY")
         assert client.readline() == b"MOVE\r\n" and client.readline() == b""
-        log = balancer.end(0)
+        log = balancer.terminate(0)
         assert balancer.process.returncode == 0
         assert log.count('event="shutdown started"') == log.count("event=reloaded") == 1
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -167,12 +167,12 @@
 def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_health_checks():
     server = FakeServer("s1")
     with Balancer(server, settings=OLD_SETTINGS) as before:
-        assert before.ask().readline() == b"UP r1\r\n"
-        new = before.file.with_name("new.json")
-        assert migrate.main([str(before.file), str(new), "--location", "hall-a"]) == 0
-        before.end()
+        assert before.open_flow().readline() == b"UP r1\r\n"
+        new = before.config_file.with_name("new.json")
+        assert migrate.main([str(before.config_file), str(new), "--location", "hall-a"]) == 0
+        before.terminate()
         after = Balancer(server, env={"LB_CONFIG": str(new)}.items())
         after.port = before.port
         with after:
-            assert after.ask().readline() == b"UP r1\r\n"
+            assert after.open_flow().readline() == b"UP r1\r\n"
             assert {line.split(b" ")[0] for line in server.lines} <= {b"OPEN", b""}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from harness import FakeServer, discovery, soon
+from harness import FakeDiscovery, FakeServer, wait_until
 from relay_harness import RELAYS, running_deployment
 
 from lotusroute.cli import root_group
@@ -452,7 +452,7 @@
         changed_at = deployment.drain(2)
         assert deployment.wait_until_drained(2, changed_at) < 4.0
     for balancer in deployment.balancers:
-        assert "event failed" not in balancer.end()
+        assert "event failed" not in balancer.terminate()
 
 
 def test_without_relays_balancers_poll_discovery_and_subscribe_again_when_relays_return(deployment):
@@ -465,7 +465,7 @@
     assert deployment.poll_count() > polls
     for name in RELAYS:
         relays.start(name)
-    soon(relays.origin)
+    wait_until(relays.origin)
     deployment.wait_until_subscribed()
     changed_at = deployment.drain(2)
     assert deployment.wait_until_drained(2, changed_at) < 4.0
@@ -473,13 +473,13 @@
 
 def test_after_a_reload_to_another_discovery_the_relays_list_is_ignored(deployment):
     reloaded, *others = deployment.balancers
-    other_discovery = discovery(FakeServer("s9", b"UP s9\r\n"))
+    other_discovery = FakeDiscovery(FakeServer("s9", b"UP s9\r\n"))
     other_discovery.seq = 7
     reloaded.reload(discovery=f"127.0.0.1:{other_discovery.server_port}")
-    soon(lambda: reloaded.ask("new").readline() == b"UP s9\r\n")
+    wait_until(lambda: reloaded.open_flow("new").readline() == b"UP s9\r\n")
     changed_at = deployment.drain(1)
     assert deployment.wait_until_drained(1, changed_at, others) < 4.0
-    assert reloaded.ask("newer").readline() == b"UP s9\r\n"
+    assert reloaded.open_flow("newer").readline() == b"UP s9\r\n"
     other_discovery.shutdown()
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, soon
+from harness import SETTINGS, Balancer, FakeServer, wait_until
 
 from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator
 from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD
@@ -18,23 +18,23 @@
 def test_clients_of_two_servers_that_drain_at_once_are_all_migrated_in_time():
     servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(3)]
     with Balancer(*servers) as balancer:
-        clients = [balancer.ask(at=f"s{index}") for index in (0, 1)]
+        clients = [balancer.open_flow(at=f"s{index}") for index in (0, 1)]
         assert [client.readline() for client in clients] == [b"UP s0\r\n", b"UP s1\r\n"]
-        balancer.list.entries = [servers[0].entry("DRAINING"), servers[1].entry("DRAINING")]
-        balancer.list.seq = 2
+        balancer.discovery.entries = [servers[0].entry("DRAINING"), servers[1].entry("DRAINING")]
+        balancer.discovery.seq = 2
         assert [client.readline() for client in clients] == [b"MOVE\r\n"] * 2
-        assert "event failed" not in balancer.end()
+        assert "event failed" not in balancer.terminate()
 
 
 def test_clients_of_a_draining_server_are_migrated_before_it_is_removed():
     one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
     with Balancer(one) as balancer:
-        clients = [balancer.ask(str(index)) for index in range(9)]
+        clients = [balancer.open_flow(str(index)) for index in range(9)]
         assert {client.readline() for client in clients} == {b"UP one\r\n"}
-        balancer.list.entries, balancer.list.seq = [one.entry("DRAINING"), two.entry()], 2
+        balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
         assert {client.readline() for client in clients} == {b""}
-        assert balancer.ask().readline() == b"UP two\r\n"
+        assert balancer.open_flow().readline() == b"UP two\r\n"
 
 
 def test_balancers_with_one_client_each_spread_their_migrations_though_all_get_the_list_at_once():
@@ -54,34 +54,34 @@
 def test_at_shutdown_new_flows_are_rejected_and_clients_migrated_between_lines():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         client.readline()
-        server.conns[-1].sendall(b"M 7 half a li")
+        server.connections[-1].sendall(b"M 7 half a li")
         time.sleep(0.1)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(0.1)
-        assert balancer.ask().readline().startswith(b"BUSY")
+        assert balancer.open_flow().readline().startswith(b"BUSY")
         assert client.readline() == b"MOVE\r\n" and client.readline() == b""
-        balancer.end(signal.SIGTERM)
+        balancer.terminate(signal.SIGTERM)
         assert balancer.process.returncode == 0
 
 
 def test_the_last_client_migrated_before_the_exit_reads_its_move():
     with Balancer(FakeServer("s1")) as balancer:
-        clients = [balancer.ask(str(index)) for index in range(15)]
+        clients = [balancer.open_flow(str(index)) for index in range(15)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
         balancer.process.send_signal(signal.SIGTERM)
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
-        assert balancer.end(0) is not None and balancer.process.returncode == 0
+        assert balancer.terminate(0) is not None and balancer.process.returncode == 0
 
 
 def test_with_short_connect_timeouts_all_clients_are_migrated_before_the_kill():
     service_types = [{"name": "live", "setup_target": 100, "deadline": 500}]
     with Balancer(FakeServer("s1"), settings={**SETTINGS, "service_types": service_types}) as balancer:
-        clients = [balancer.ask(str(index), wait=500) for index in range(20)]
+        clients = [balancer.open_flow(str(index), wait=500) for index in range(20)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
         start = time.monotonic()
-        balancer.end(signal.SIGTERM)
+        balancer.terminate(signal.SIGTERM)
         assert time.monotonic() - start < 1.2  # 0.5 s, and 0.7 s until it is killed
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
 
@@ -90,22 +90,22 @@
     # Restarts and reloads came together in a run; the default action of SIGHUP ends the program.
     starting = Balancer(FakeServer("s1"))
     status, caught = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
-    soon(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & caught)
+    wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & caught)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", starting.port))
     starting.process.send_signal(signal.SIGHUP)
     with starting as balancer:
-        assert balancer.ask().readline() == b"UP r1\r\n"
-        log = balancer.end(signal.SIGTERM)
+        assert balancer.open_flow().readline() == b"UP r1\r\n"
+        log = balancer.terminate(signal.SIGTERM)
     assert "event=reloaded" in log and balancer.process.returncode == 0
 
 
 def test_a_flow_in_flight_at_shutdown_is_completed_and_then_migrated():
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
-        client = balancer.ask(wait=1700)
-        soon(lambda: server.conns)
+        client = balancer.open_flow(wait=1700)
+        wait_until(lambda: server.connections)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(0.2)
-        server.conns[0].sendall(b"UP late\r\n")
+        server.connections[0].sendall(b"UP late\r\n")
         assert client.readline() == b"UP late\r\n" and client.readline() == b"MOVE\r\n"
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -14,7 +14,7 @@
 CPU_SHARE = 0.1  # of a core, for each
 READY_WITHIN = 10.0  # s in which nine in ten have to answer PONG
 SAMPLE_INTERVAL = 0.004  # s between looks at the CPU time that processes have used
-DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"refuses": 1_000}, "closed": {}}
+DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"rejections": 1_000}, "closed": {}}
 
 
 class Throttle(threading.Thread):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from harness import Balancer, FakeServer, soon
+from harness import Balancer, FakeServer, wait_until
 from twisted.internet.testing import StringTransport
 
 from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
@@ -15,10 +15,10 @@
 
 def test_a_full_and_a_dead_server_are_retried_elsewhere_with_one_attempt_at_a_time():
     servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n"), FakeServer("s3", b"UP r\r\n")]
-    servers[1].die()
+    servers[1].stop_accepting()
     with Balancer(*servers) as balancer:
         for key in "abcdef":
-            assert balancer.ask(key).readline() == b"UP r\r\n"
+            assert balancer.open_flow(key).readline() == b"UP r\r\n"
         assert servers[0].lines and servers[2].lines
 
 
@@ -26,29 +26,29 @@
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
         start = time.monotonic()
-        client = balancer.ask(wait=500)
+        client = balancer.open_flow(wait=500)
         assert client.readline().startswith(b"BUSY") and client.readline() == b""
         assert time.monotonic() - start < 0.5
         # Closed, so that the server knows that nobody waits.
-        soon(lambda: server.lines[-1] == b"")
+        wait_until(lambda: server.lines[-1] == b"")
 
 
 def test_when_all_servers_are_dead_a_flow_is_rejected_at_once_with_retry_after():
     server = FakeServer("s1")
-    server.die()
+    server.stop_accepting()
     with Balancer(server) as balancer:
         start = time.monotonic()
-        assert balancer.ask().readline() == b"BUSY 1000\r\n"
+        assert balancer.open_flow().readline() == b"BUSY 1000\r\n"
         assert time.monotonic() - start < 1.0
 
 
 def test_a_reset_by_the_server_reaches_the_client_as_a_reset():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         client.readline()
-        server.rude = True
-        server.conns[-1].shutdown(socket.SHUT_RD)
+        server.resets_connections = True
+        server.connections[-1].shutdown(socket.SHUT_RD)
         start = time.monotonic()
         with pytest.raises(ConnectionResetError):
             client.readline()
@@ -59,14 +59,14 @@
     server = FakeServer("s1")
     with Balancer(server, env={"LB_LOG": "debug"}.items()) as balancer:
         for _ in range(2):
-            client = balancer.ask()
+            client = balancer.open_flow()
             client.readline()
             client.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
             client.conn.close()
-        soon(lambda: server.lines[-1] == b"")
+        wait_until(lambda: server.lines[-1] == b"")
         time.sleep(0.1)
-        log = balancer.end()
+        log = balancer.terminate()
     assert log.count("result=cancelled") == 2 and "result=reset" not in log
 
 
@@ -74,8 +74,8 @@
 def test_a_flow_is_logged_under_its_client_id_at_debug_level_only(level, attempts):
     servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n")]
     with Balancer(*servers, env={"LB_LOG": level}.items()) as balancer:
-        assert balancer.ask(id="9b1f").readline().startswith(b"BUSY")
-        lines = [line for line in balancer.end().splitlines() if "id=9b1f" in line]
+        assert balancer.open_flow(id="9b1f").readline().startswith(b"BUSY")
+        lines = [line for line in balancer.terminate().splitlines() if "id=9b1f" in line]
     logged = [re.search(r'event=("[^"]*"|\S+)', line)[1].strip('"') for line in lines]
     expected = ["flow requested", *["connect started", "connection ended"] * attempts, "answered"]
     assert logged == (expected if attempts else [])
@@ -90,18 +90,18 @@
         connection.sendall(b"UP r\r\nM 1 a\r\nBYE\r\n")
         connection.shutdown(socket.SHUT_WR)
 
-    server._serve = reply_and_end
+    server.serve_connection = reply_and_end
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         assert [client.readline() for _ in range(4)] == [b"UP r\r\n", b"M 1 a\r\n", b"BYE\r\n", b""]
 
 
 def test_clients_of_a_server_that_becomes_unresponsive_are_migrated_before_they_give_up():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
-        client = balancer.ask()
+        client = balancer.open_flow()
         client.readline()
-        server.silent = True
+        server.unresponsive = True
         client.write(b"M 1 a\r\n")
         start = time.monotonic()
         assert client.readline() == b"MOVE\r\n" and time.monotonic() - start < 7.0
@@ -110,10 +110,10 @@
 def test_a_suspension_of_the_balancer_is_not_taken_for_an_unresponsive_server():
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
-        client = balancer.ask()
-        soon(lambda: server.lines)
+        client = balancer.open_flow()
+        wait_until(lambda: server.lines)
         balancer.process.send_signal(signal.SIGSTOP)
-        server.conns[-1].sendall(b"UP r1\r\n")
+        server.connections[-1].sendall(b"UP r1\r\n")
         time.sleep(0.8)  # the timeout of an attempt is 600 ms
         balancer.process.send_signal(signal.SIGCONT)
         assert client.readline() == b"UP r1\r\n"
