--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -44,6 +44,13 @@
     return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
 
 
+def is_connecting_to(server):
+    """Return whether any process has begun to connect to a server that has not accepted it yet."""
+    remote_port, syn_sent = f":{server.port:04X}", "02"
+    sockets = (line.split() for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:])
+    return any(fields[2].endswith(remote_port) and fields[3] == syn_sent for fields in sockets)
+
+
 def resetting_server(name):
     """Return a server that resets each connection once it has read its line."""
     server = FakeServer(name, None)
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -13,6 +13,7 @@
     KEY_OF_FIRST_SERVER,
     descriptor_count,
     flow_settings,
+    is_connecting_to,
     resetting_server,
 )
 from harness import DEADLINE, Balancer, FakeHost, FakeServer, SlowAcceptServer, wait_until
@@ -54,6 +55,7 @@
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
         wait_until(lambda: first.lines)
+        wait_until(lambda: is_connecting_to(second))  # accepted before, the retry would be in the window
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
