--- a/lotusroute/adapter/__main__.py
+++ b/lotusroute/adapter/__main__.py
@@ -4,7 +4,9 @@
 does not follow the protocol.
 """
 
+import io
 import sys
+from typing import cast
 
 from lotusroute.adapter.session import generate_replies
 from lotusroute.errors import ProtocolError
@@ -12,7 +14,7 @@
 
 def main() -> int:
     """Reply to standard input until it ends; return the exit code."""
-    sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
+    cast(io.TextIOWrapper, sys.stdin).reconfigure(encoding="utf-8", errors="replace", newline="\n")
     try:
         for reply in generate_replies(sys.stdin):
             sys.stdout.write(reply)
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -50,7 +50,7 @@
 class Hello(amp.Command):
     """Identifies the connecting process; the first call on a connection."""
 
-    commandName = b"Hello"  # noqa: N815 - Twisted's name
+    commandName = b"Hello"
     arguments = [(b"fleet", amp.Unicode()), (b"form", amp.Integer()), (b"name", amp.Unicode())]
     response = [(b"name", amp.Unicode())]
 
@@ -58,7 +58,7 @@
 class Call(amp.Command):
     """A call of a kind that the services above define."""
 
-    commandName = b"Call"  # noqa: N815 - Twisted's name
+    commandName = b"Call"
     arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]
     response = [(b"body", amp.String())]
     errors = {CallError: b"FAILED"}
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -297,19 +297,19 @@
 class FakeTransport(StringTransport):
     """A transport whose socket takes `accepted` bytes in one write, all where that is None."""
 
-    dataBuffer = b""  # noqa: N815 Twisted's name
-    _tempDataBuffer = ()  # noqa: N815 Twisted's name
+    dataBuffer = b""
+    _tempDataBuffer = ()
 
     def __init__(self, accepted=None):
         super().__init__()
         self.accepted = accepted
 
-    def writeSomeData(self, data):  # noqa: N802 Twisted's name
+    def writeSomeData(self, data):
         taken = data[: self.accepted]
         self.write(taken)
         return len(taken)
 
-    def setTcpNoDelay(self, enabled):  # noqa: N802 Twisted's name
+    def setTcpNoDelay(self, enabled):
         pass
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,10 +13,8 @@
 import pytest
 from harness import DEADLINE, SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
 
-CHANGE_DEADLINE, QUEUE_TIMEOUT = (
-    6.0,
-    2.0,
-)  # s: when a change counts as received, and how long polls are queued
+CHANGE_DEADLINE = 6.0  # s after which a change counts as received
+QUEUE_TIMEOUT = 2.0  # s that polls are queued
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
 FAULTS = ["silent", "half", "refuse"]
 CASES = [(*case, QUEUE_TIMEOUT) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
