--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -58,7 +58,7 @@
 
     # The UpdateSource of the discovery client
 
-    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
+    async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to poll discovery itself, or this discovery is closed."""
         while not (self.fencing_token or self._behind() or discovery.closed):
             remaining = self.last_update_at + HOLDER_TIMEOUT - self.lease_service.clock()
@@ -72,7 +72,7 @@
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
-        """Make a pending `wait_for_turn` check again whether to poll."""
+        """Make a pending `wait_until_poll_due` check again whether to poll."""
         waiting = self.waiting
         self.waiting = None
         if waiting is not None:
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -154,7 +154,7 @@
         """Poll until closed, or for as long as the balancer runs."""
         while not self.closed:
             if self.watch is not None:
-                await self.watch.wait_for_turn(self)
+                await self.watch.wait_until_poll_due(self)
                 if self.closed:
                     return
                 self.as_of = max(self.as_of, reactor.seconds() - self.watch.age())
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -29,7 +29,7 @@
 class UpdateSource(Protocol):
     """A source of endpoint updates that is shared by several processes."""
 
-    async def wait_for_turn(self, discovery: DiscoveryClient, /) -> None:
+    async def wait_until_poll_due(self, discovery: DiscoveryClient, /) -> None:
         """Return when the client has to poll by itself, or is closed."""
 
     def age(self) -> float:
@@ -43,4 +43,4 @@
         """A poll failed."""
 
     def wake(self) -> None:
-        """Re-evaluate a pending `wait_for_turn` at once."""
+        """Re-evaluate a pending `wait_until_poll_due` at once."""
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -250,7 +250,7 @@
 
     # UpdateSource
 
-    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
+    async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Return at once: the origin always polls."""
 
     def age(self) -> float:
@@ -278,7 +278,7 @@
         """Do nothing: the age that subscribers are sent grows."""
 
     def wake(self) -> None:
-        """Do nothing: `wait_for_turn` never waits."""
+        """Do nothing: `wait_until_poll_due` never waits."""
 
     # Status
 
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -151,7 +151,7 @@
 
     # UpdateSource
 
-    async def wait_for_turn(self, discovery: DiscoveryClient) -> None:
+    async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Return when this balancer has to poll discovery by itself, or the client is closed."""
         while not discovery.closed and not self.polling:
             now = self.clock()
@@ -206,7 +206,7 @@
         """Do nothing: the balancer goes on polling until a relay is fresh."""
 
     def wake(self) -> None:
-        """Re-evaluate a pending `wait_for_turn` at once."""
+        """Re-evaluate a pending `wait_until_poll_due` at once."""
         pending_wait = self.pending_wait
         self.pending_wait = None
         if pending_wait is not None:
