--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -16,6 +16,7 @@
 from twisted.protocols import amp
 from twisted.python.failure import Failure
 
+from lotusroute.errors import LotusrouteError
 from lotusroute.fleet.config import FleetConfig
 from lotusroute.net.structured_log import log_event
 
@@ -43,7 +44,7 @@
     TOO_LARGE = "large"
 
 
-class CallError(Exception):
+class CallError(LotusrouteError):
     """A call without a result; the message is a `CallFailure` or the reason that the peer's handler gave."""
 
 
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -7,24 +7,18 @@
 import logging
 import os
 from collections.abc import Callable
-from typing import Protocol
 
 from twisted.internet import defer
 
 from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.net import config
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.discovery_source import UpdateSource
 from lotusroute.net.endpoint_list import EndpointUpdate, parse_endpoint_list, parse_version
 from lotusroute.net.structured_log import Counters, log_event
 from lotusroute.routing import events
 
 
-class UpdateSource(Protocol):
-    """Shares discovery's updates between balancers, and says when this one has to poll by itself."""
-
-    discovery: Discovery | None  # the current client, which takes the updates of others
-
-
 class DiscoverySession:
     """The running balancer's configuration and its current discovery client."""
 
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -29,6 +29,8 @@
 class UpdateSource(Protocol):
     """A source of endpoint updates that is shared by several processes."""
 
+    discovery: DiscoveryClient | None  # the client that it is attached to; another after a reload
+
     async def wait_until_poll_due(self, discovery: DiscoveryClient, /) -> None:
         """Return when the client has to poll by itself, or is closed."""
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -17,9 +17,8 @@
     flow_settings,
     reset_connection,
 )
-from harness import DEADLINE, Balancer, FakeServer, SlowAcceptServer, wait_until
+from harness import DEADLINE, Balancer, FakeServer, FakeTransport, SlowAcceptServer, wait_until
 from twisted.internet.task import Clock
-from twisted.internet.testing import StringTransport
 
 from lotusroute.net.listener import DownstreamFactory
 
@@ -182,21 +181,14 @@
         assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
 
 
-class FloodedTransport(StringTransport):
+class FloodedTransport(FakeTransport):
     """A transport whose socket has more to read than may be buffered."""
 
-    bufferSize, dataBuffer, _tempDataBuffer, closed = 8_192, b"", (), False
+    bufferSize, closed = 8_192, False
 
     def doRead(self):
         self.protocol.dataReceived(b"x" * self.bufferSize)
 
-    def writeSomeData(self, data):
-        self.write(data)
-        return len(data)
-
-    def setTcpNoDelay(self, _):
-        pass
-
     def unregisterProducer(self):
         pass
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,14 +1,12 @@
 """Upstream attempts and connections: retries, timeouts, broken connections and partial writes."""
 
 import re
-import signal
 import socket
 import struct
 import time
 
 import pytest
-from harness import Balancer, FakeServer, wait_until
-from twisted.internet.testing import StringTransport
+from harness import Balancer, FakeServer, FakeTransport, wait_until
 
 from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
 
@@ -112,36 +110,18 @@
     with Balancer(server) as balancer:
         client = balancer.open_flow()
         wait_until(lambda: server.lines)
-        balancer.process.send_signal(signal.SIGSTOP)
+        balancer.suspend()
         server.connections[-1].sendall(b"UP r1\r\n")
         time.sleep(0.8)  # the timeout of an attempt is 600 ms
-        balancer.process.send_signal(signal.SIGCONT)
+        balancer.resume()
         assert client.readline() == b"UP r1\r\n"
-        balancer.process.send_signal(signal.SIGSTOP)
+        balancer.suspend()
         client.write(b"M 1 a\r\n")
         time.sleep(3.5)  # a server counts as unresponsive after 2.5 s
-        balancer.process.send_signal(signal.SIGCONT)
+        balancer.resume()
         assert client.readline() == b"M 1 a\r\n"
 
 
-class PartialWriteTransport(StringTransport):
-    """A transport whose socket takes so many bytes in one write."""
-
-    dataBuffer = b""
-    _tempDataBuffer = ()
-
-    def __init__(self, accepted):
-        super().__init__()
-        self.accepted = accepted
-
-    def writeSomeData(self, data):
-        self.write(data[: self.accepted])
-        return self.accepted
-
-    def setTcpNoDelay(self, enabled):
-        pass
-
-
 def new_attempt(line, clock=lambda: 0.0):
     """An attempt that reports nothing."""
     return UpstreamAttempt(1, "s1", line, None, clock, None)
@@ -152,7 +132,7 @@
     attempt = new_attempt(b"", clock=lambda: 5_000.0)
     attempt.connection = UpstreamConnection(attempt)
     assert attempt.client_idle_time(90_000.0) == 0.0
-    attempt.connection.transport = PartialWriteTransport(0)
+    attempt.connection.transport = FakeTransport(0)
     attempt.connection.forward(memoryview(b"M 1\r\n"))
     assert attempt.client_idle_time(90_000.0) == 85_000.0
 
@@ -164,7 +144,7 @@
 def test_a_first_line_written_in_parts_is_in_order_and_counts_as_written_with_its_last_byte(accepted):
     attempt = new_attempt(FIRST_LINE)
     connection = UpstreamConnection(attempt)
-    transport = PartialWriteTransport(accepted)
+    transport = FakeTransport(accepted)
     connection.makeConnection(transport)
     assert (attempt.stage == AttemptStage.WRITTEN) == (accepted == len(FIRST_LINE))
     for _ in range(2):
