--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -28,8 +28,7 @@
 
     def decide(self, now: float, event: events.Event) -> list[events.Action]:
         """Take one event and return the actions it calls for, in order."""
-        self.state.now = now
-        self.state.actions = []
+        self.state.start_event(now)
         if not isinstance(event, events.FlowEvent):
             self._handle(event)
         elif (flow := self.state.flows.get(event.id)) is not None:
@@ -49,6 +48,8 @@
                 outlier_detection.record_latency(self.state, self.state.servers[server_id], event.delay)
             case events.TimerFired():
                 self._run_tick()
+            case _ if not isinstance(event, events.LatencyReport):  # one of a server that is gone
+                raise TypeError(f"unknown event {event!r}")
 
     def _update_flow(self, flow: FlowState, event: events.FlowEvent) -> None:
         match event:
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -242,6 +242,11 @@
         """The least set-up target of the service types, in ms."""
         return min((kind.setup_target for kind in self.config.service_types.values()), default=0.0)
 
+    def start_event(self, now: float) -> None:
+        """Take over the time of an event, and start it with no actions."""
+        self.now = now
+        self.actions = []
+
     def count_arrival(self, request: events.Flow) -> None:
         """Count a flow that is asked for."""
         self.arrivals.count += 1
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,5 +1,6 @@
 """The director's events: endpoint lists, subscription and existing connections."""
 
+import pytest
 from harness import KEYS, SERVICE_CONFIG, FakeHost, actions_of
 
 from lotusroute.routing import events, slow_start
@@ -46,3 +47,12 @@
         host.decide(events.ClientDisconnected(connect.id))
     assert not host.director.state.flows and not host.director.state.flow_counts
     assert not any(h.connections for h in host.director.state.servers.values())
+
+
+def test_an_event_of_an_unknown_type_is_an_error():
+    with pytest.raises(TypeError, match="unknown event"):
+        FakeHost().decide(object())
+
+
+def test_a_latency_report_of_an_unknown_server_is_ignored():
+    assert FakeHost().decide(events.LatencyReport("gone", 500.0)) == []
