--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -261,9 +261,18 @@
 
     def end(self) -> None:
         """Print the result and stop."""
-        say({"asked": self.asked, "established": len(self.setups), "refused": self.refused,
-             "lost": self.failed, "moved": self.moved, "setups": self.setups, "delays": self.delays,
-             "seconds": self.done - self.started})  # fmt: skip
+        say(
+            {
+                "asked": self.asked,
+                "established": len(self.setups),
+                "refused": self.refused,
+                "lost": self.failed,
+                "moved": self.moved,
+                "setups": self.setups,
+                "delays": self.delays,
+                "seconds": self.done - self.started,
+            }
+        )
         reactor.stop()
 
 
@@ -286,8 +295,15 @@
         draw = Draw(told["spread"], random.Random(chance.getrandbits(64)))
         factory = Servers(setup, draw, tuple(slow[1:]) if slow and slow[0] == at else None)
         port = reactor.listenTCP(0, factory, backlog=1024, interface="127.0.0.1")
-        hosts.append({"host": f"{told.get('name', 's')}-{at}", "dial": f"127.0.0.1:{port.getHost().port}",
-                      "health": "SERVING", "share": 1.0, "born_ms": 0})  # fmt: skip
+        hosts.append(
+            {
+                "host": f"{told.get('name', 's')}-{at}",
+                "dial": f"127.0.0.1:{port.getHost().port}",
+                "health": "SERVING",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+        )
     say({"hosts": hosts})
 
 
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -7,9 +7,15 @@
 STATES = {"IN": i.READY, "LAME": i.DRAINING, "OUT": i.GONE}
 SCOPES = {"changes": i.CHANGES, "all": i.WHOLE, "remembered": i.REMEMBERED, "refused": i.REFUSED}
 RESULTS = {
-    "S": i.OK, "E": i.ERROR, "F": i.FULL, "T": i.TIMEOUT,
-    "C": i.UNREACHABLE, "R": i.RESET, "X": i.CANCELLED, "N": i.UNSENT,
-}  # fmt: skip
+    "S": i.OK,
+    "E": i.ERROR,
+    "F": i.FULL,
+    "T": i.TIMEOUT,
+    "C": i.UNREACHABLE,
+    "R": i.RESET,
+    "X": i.CANCELLED,
+    "N": i.UNSENT,
+}
 REPEAT, MID_FLOW, RETURNED = 2, 8, 16
 LOAD_CHANGED, MESSAGES_SLOW = 1, 2
 
@@ -57,8 +63,16 @@
 
 def _ask(v: list[str]) -> i.Flow:
     marks = integer(v[4])
-    return i.Flow(integer(v[0]), v[1], text_or_none(v[2]), text_or_none(v[3]), text_or_none(v[5]),
-                  number(v[7]), bool(marks & MID_FLOW), bool(marks & (REPEAT | RETURNED)))  # fmt: skip
+    return i.Flow(
+        integer(v[0]),
+        v[1],
+        text_or_none(v[2]),
+        text_or_none(v[3]),
+        text_or_none(v[5]),
+        number(v[7]),
+        bool(marks & MID_FLOW),
+        bool(marks & (REPEAT | RETURNED)),
+    )
 
 
 def _already_open(v: list[str]) -> i.AlreadyOpen:
--- a/lotusroute/cli.py
+++ b/lotusroute/cli.py
@@ -15,8 +15,14 @@
 from lotusroute.fleet import link, plan
 from lotusroute.vip import Malformed
 
-FILE = click.option("--fleet", "file", required=True, envvar="LB_FLEET", type=click.Path(),
-                    help="the operator's file on the fleet; else LB_FLEET")  # fmt: skip
+FILE = click.option(
+    "--fleet",
+    "file",
+    required=True,
+    envvar="LB_FLEET",
+    type=click.Path(),
+    help="the operator's file on the fleet; else LB_FLEET",
+)
 PEER = click.option("--peer", "peers", multiple=True, help="only this balancer; may be repeated")
 JSON = click.option("--json", "as_json", is_flag=True, help="print JSON, one object by balancer")
 
@@ -123,8 +129,11 @@
         outcome = scenario(seed + len(played), processes, int(keepers))
         played.append(outcome)
         verdict = "BREACH" if outcome.bad else "kept"
-        click.echo(f"seed {outcome.seed}: {verdict}, {outcome.hand_overs} hand-overs, held again "
-                   f"{outcome.recovered:.2f} s after: {'; '.join(outcome.faults)}", err=True)  # fmt: skip
+        click.echo(
+            f"seed {outcome.seed}: {verdict}, {outcome.hand_overs} hand-overs, held again "
+            f"{outcome.recovered:.2f} s after: {'; '.join(outcome.faults)}",
+            err=True,
+        )
         for breach in outcome.breaches:
             click.echo(str(breach), err=True)
     bad = [outcome.seed for outcome in played if outcome.bad]
@@ -135,9 +144,12 @@
         "hand_overs": sum(outcome.hand_overs for outcome in played),
         "recovered_s": {"p50": times[len(times) // 2], "worst": times[-1]} if times else {},
     }
-    click.echo(json.dumps(figures) if as_json else
-               f"{len(played)} scenarios, breached: {bad or 'none'}, {figures['hand_overs']} hand-overs, "
-               f"held again {figures['recovered_s']}")  # fmt: skip
+    click.echo(
+        json.dumps(figures)
+        if as_json
+        else f"{len(played)} scenarios, breached: {bad or 'none'}, {figures['hand_overs']} hand-overs, "
+        f"held again {figures['recovered_s']}"
+    )
     sys.exit(int(bool(bad)))
 
 
@@ -157,8 +169,10 @@
             holds = f"holds under {claim['fence']}, {claim['left_ms']} ms left"
             lines.append(f"{name}: {task}: {holds if claim['holds'] else claim['step']}")
         for task, kept in state["keeps"].items():
-            lines.append(f"{name}: keeps {task}: {kept['holder'] or 'nobody'} under {kept['fence']}, "
-                         f"{kept['left_ms']} ms left")  # fmt: skip
+            lines.append(
+                f"{name}: keeps {task}: {kept['holder'] or 'nobody'} under {kept['fence']}, "
+                f"{kept['left_ms']} ms left"
+            )
         if state["keeper_silent_ms"]:
             lines.append(f"{name}: keeper silent for {state['keeper_silent_ms']} ms more")
     _finish(shown, missing, as_json, lines)
--- a/lotusroute/fleet/link.py
+++ b/lotusroute/fleet/link.py
@@ -183,9 +183,17 @@
 class Link:
     """All connections of one balancer; those to peers are dialled when first called, and kept up then."""
 
-    def __init__(self, reactor, plan: Plan, name: str, chance: random.Random, counts,
-                 serve: Callable[[str, str, bytes], object], up: Callable[[str], object] = str,
-                 left: Callable[[str], object] = str) -> None:  # fmt: skip
+    def __init__(
+        self,
+        reactor,
+        plan: Plan,
+        name: str,
+        chance: random.Random,
+        counts,
+        serve: Callable[[str, str, bytes], object],
+        up: Callable[[str], object] = str,
+        left: Callable[[str], object] = str,
+    ) -> None:
         """`up(peer)`: one that we dialled is greeted; `left(peer)`: that, or the last from there, ended."""
         self.reactor, self.plan, self.name, self.chance, self.counts = reactor, plan, name, chance, counts
         self.up, self.left = up, left
@@ -259,8 +267,9 @@
         trying = endpoints.connectProtocol(point, connection)
         trying.addCallback(lambda connection: connection.greet(self.plan.name, self.name))
         trying.addTimeout(DIAL + HELLO, self.reactor)
-        trying.addCallbacks(lambda name: self._up(peer, connection, name),
-                            lambda _: self._down(peer, connection))  # fmt: skip
+        trying.addCallbacks(
+            lambda name: self._up(peer, connection, name), lambda _: self._down(peer, connection)
+        )
 
     def _up(self, peer: str, connection: Connection, name: str) -> None:
         unfit = connection.transport is None or connection.transport.disconnecting
--- a/lotusroute/fleet/part.py
+++ b/lotusroute/fleet/part.py
@@ -43,8 +43,9 @@
 class Part:
     """The fleet's part of one balancer."""
 
-    def __init__(self, reactor, plan: Plan, name: str, counts,
-                 changed: Callable = lambda task, fence: None) -> None:  # fmt: skip
+    def __init__(
+        self, reactor, plan: Plan, name: str, counts, changed: Callable = lambda task, fence: None
+    ) -> None:
         """`changed(task, fence)` is called as a task becomes this balancer's, and with 0 as it ends."""
         if name not in plan.peers:
             raise Malformed(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
@@ -213,19 +214,35 @@
         """Tasks, connections and keeper, for `leases show` and `fleet show`; times in ms from now."""
         now = self.clock()
         tasks = {
-            task: {"holds": claim.holds(now), "fence": claim.number if claim.holds(now) else 0,
-                   "left_ms": round(claim.until - now) if claim.holds(now) else 0, "step": claim.step,
-                   "asks_in_ms": round(max(0.0, claim.at - now)) if claim.at > -math.inf else 0,
-                   "highest_seen": claim.seen}
+            task: {
+                "holds": claim.holds(now),
+                "fence": claim.number if claim.holds(now) else 0,
+                "left_ms": round(claim.until - now) if claim.holds(now) else 0,
+                "step": claim.step,
+                "asks_in_ms": round(max(0.0, claim.at - now)) if claim.at > -math.inf else 0,
+                "highest_seen": claim.seen,
+            }
             for task, claim in self.asker.claims.items()
-        }  # fmt: skip
+        }
         kept = {}
         if self.keeper is not None:
-            kept = {task: {"holder": entry.holder, "fence": entry.fence, "promised": entry.promised,
-                           "left_ms": round(max(0.0, entry.until - now)) if entry.holder else 0}
-                    for task, entry in self.keeper.kept.items()}  # fmt: skip
+            kept = {
+                task: {
+                    "holder": entry.holder,
+                    "fence": entry.fence,
+                    "promised": entry.promised,
+                    "left_ms": round(max(0.0, entry.until - now)) if entry.holder else 0,
+                }
+                for task, entry in self.keeper.kept.items()
+            }
         silent = round(max(0.0, self.keeper.open_from - now)) if self.keeper else 0
-        return {"name": self.name, "fleet": self.plan.name, "tasks": tasks, "keeps": kept,
-                "keeper": self.keeper is not None, "keeper_silent_ms": silent,
-                "connections": {"out": sorted(self.link.out), "in": sorted(self.link.came_in)},
-                **{name: show() for name, show in self.shows.items()}}  # fmt: skip
+        return {
+            "name": self.name,
+            "fleet": self.plan.name,
+            "tasks": tasks,
+            "keeps": kept,
+            "keeper": self.keeper is not None,
+            "keeper_silent_ms": silent,
+            "connections": {"out": sorted(self.link.out), "in": sorted(self.link.came_in)},
+            **{name: show() for name, show in self.shows.items()},
+        }
--- a/lotusroute/fleet/plan.py
+++ b/lotusroute/fleet/plan.py
@@ -75,7 +75,7 @@
     if not isinstance(state, str):
         raise Malformed("state: give the path of a folder")
     if not isinstance(peers, dict) or not 0 < len(peers) <= PEERS:
-        raise Malformed(f"peers: give 1 to {PEERS} balancers, each as NAME = \"HOST:PORT\"")
+        raise Malformed(f'peers: give 1 to {PEERS} balancers, each as NAME = "HOST:PORT"')
     found = {}
     for peer, where in peers.items():
         try:
--- a/lotusroute/leases/asker.py
+++ b/lotusroute/leases/asker.py
@@ -134,8 +134,9 @@
             self._say(Prepare(task, claim.number, self.name, self.round))
         else:
             self._say(Propose(task, claim.number, self.name, self.round, self.terms.lease))
-        return claim._replace(step=step, round=self.round, began=now, yes=frozenset(), no=frozenset(),
-                              wanted=False)  # fmt: skip
+        return claim._replace(
+            step=step, round=self.round, began=now, yes=frozenset(), no=frozenset(), wanted=False
+        )
 
     def _renewal(self, claim: Claim) -> float:
         return max(claim.at, claim.until - self.terms.held * (1 - RENEW))
@@ -160,7 +161,9 @@
         claim = self.claims[task]
         claim = claim._replace(seen=max(claim.seen, reply.seen))
         if claim.step == IDLE or (reply.number, reply.step, reply.round) != (
-            claim.number, claim.step, claim.round
+            claim.number,
+            claim.step,
+            claim.round,
         ):
             self.claims[task] = claim
             return
--- a/lotusroute/migrate.py
+++ b/lotusroute/migrate.py
@@ -24,33 +24,53 @@
   python -m lotusroute.migrate old.json new.json --location hall-a --set settings.rules.warm_after=8500"""
 # What has no place in the new shape, and what stands there instead.
 TURNED_OFF = {
-    "settings.limits.probes": False, "settings.limits.peers": False, "settings.report.source": "silent",
-    "settings.report.names": [], "settings.deductions.probe": 0, "settings.deductions.peer": 0,
+    "settings.limits.probes": False,
+    "settings.limits.peers": False,
+    "settings.report.source": "silent",
+    "settings.report.names": [],
+    "settings.deductions.probe": 0,
+    "settings.deductions.peer": 0,
     "settings.deductions.cross_zone": 0,
-}  # fmt: skip
+}
 # What says how the old servers, clients or balancers were: carried, for without it rules would not be kept.
 OF_THE_OLD = (
-    "settings.me", "settings.siblings", "settings.weights", "settings.flavors", "settings.rules.cold_from",
-    "settings.rules.warm_after", "settings.rules.tip_multiple", "settings.rules.overload_for",
-    "settings.rules.stop_sending_within", "settings.limits.connect_timeout", "settings.limits.max_connects",
-    "settings.limits.max_retry_after", "settings.family_info.message_aim", "settings.service_types",
-    "settings.tenants", "listen", "discovery",
-)  # fmt: skip
-KNOWN = re.compile("|".join((
-    r"name|listen|discovery|seed|known|limits\.(cores|memory_mb|sockets)",
-    r"settings\.(me|siblings|weights|flavors|zones|my_zone|discovery|layers|tier|tick|service_type)",
-    r"settings\.(earnings_per|overage_earnings|client_habits\.\w+|goal\.\w+|report\.(names|source))",
-    r"settings\.service_types\.\d+\.(setup_target|deadline|effect|group|window|name|stream|aim_stretch)",
-    r"settings\.service_types\.\d+\.(earnings|late_earnings)",
-    r"settings\.tenants\.\d+\.(name|quota_per_s|share)",
-    r"settings\.deductions\.(connection|cross_zone|discovery|fleet|handshake|late_fail|moves|origin|waste)",
-    r"settings\.deductions\.(peer|probe)|settings\.limits\.(cancel|keepalive|connect_timeout|max_connects)",
-    r"settings\.limits\.(cpu_us_per_request|cpu_us_per_s|max_open|max_retry_after|multiplex|peers|probes)",
-    r"settings\.limits\.(retry_after|second_copies)|settings\.rules\.(grace_to_answer|ask_every|cold_from)",
-    r"settings\.rules\.(stop_sending_within|warm_after|tip_multiple|overload_for)",
-    r"settings\.family_info\.(groups|hint|message_aim|mode|notes|park|report_x[01]|tells_delay|tells_load)",
-    r"settings\.family_info\.tenant_quota_connections",
-)))  # fmt: skip
+    "settings.me",
+    "settings.siblings",
+    "settings.weights",
+    "settings.flavors",
+    "settings.rules.cold_from",
+    "settings.rules.warm_after",
+    "settings.rules.tip_multiple",
+    "settings.rules.overload_for",
+    "settings.rules.stop_sending_within",
+    "settings.limits.connect_timeout",
+    "settings.limits.max_connects",
+    "settings.limits.max_retry_after",
+    "settings.family_info.message_aim",
+    "settings.service_types",
+    "settings.tenants",
+    "listen",
+    "discovery",
+)
+KNOWN = re.compile(
+    "|".join(
+        (
+            r"name|listen|discovery|seed|known|limits\.(cores|memory_mb|sockets)",
+            r"settings\.(me|siblings|weights|flavors|zones|my_zone|discovery|layers|tier|tick|service_type)",
+            r"settings\.(earnings_per|overage_earnings|client_habits\.\w+|goal\.\w+|report\.(names|source))",
+            r"settings\.service_types\.\d+\.(setup_target|deadline|effect|group|window|name|stream|aim_stretch)",
+            r"settings\.service_types\.\d+\.(earnings|late_earnings)",
+            r"settings\.tenants\.\d+\.(name|quota_per_s|share)",
+            r"settings\.deductions\.(connection|cross_zone|discovery|fleet|handshake|late_fail|moves|origin|waste)",
+            r"settings\.deductions\.(peer|probe)|settings\.limits\.(cancel|keepalive|connect_timeout|max_connects)",
+            r"settings\.limits\.(cpu_us_per_request|cpu_us_per_s|max_open|max_retry_after|multiplex|peers|probes)",
+            r"settings\.limits\.(retry_after|second_copies)|settings\.rules\.(grace_to_answer|ask_every|cold_from)",
+            r"settings\.rules\.(stop_sending_within|warm_after|tip_multiple|overload_for)",
+            r"settings\.family_info\.(groups|hint|message_aim|mode|notes|park|report_x[01]|tells_delay|tells_load)",
+            r"settings\.family_info\.tenant_quota_connections",
+        )
+    )
+)
 
 
 class Report(NamedTuple):
@@ -206,15 +226,23 @@
 def main(argv: list[str] | None = None) -> int:
     """Run the command; 0 when done, 2 with one line on standard error when not."""
     parser = argparse.ArgumentParser(
-        prog="python -m lotusroute.migrate", epilog=EXAMPLE, formatter_class=argparse.RawTextHelpFormatter,
+        prog="python -m lotusroute.migrate",
+        epilog=EXAMPLE,
+        formatter_class=argparse.RawTextHelpFormatter,
         description="Write the counterpart of a configuration file for a deployment without probes,\n"
         "messages between balancers and further locations, and list what could not be carried over.",
-    )  # fmt: skip
+    )
     parser.add_argument("old", help="the file of the old shape; it is only read")
     parser.add_argument("new", help="the file to write")
     parser.add_argument("--location", required=True, help="the one location of the new deployment")
-    parser.add_argument("--set", action="append", default=[], type=setting, metavar="PATH=VALUE",
-                        help="give a figure anew, such as settings.siblings=40")  # fmt: skip
+    parser.add_argument(
+        "--set",
+        action="append",
+        default=[],
+        type=setting,
+        metavar="PATH=VALUE",
+        help="give a figure anew, such as settings.siblings=40",
+    )
     parser.add_argument("--keep-known", action="store_true", help="carry the remembered server list as well")
     parser.add_argument("--force", action="store_true", help="overwrite the new file if it exists")
     parser.add_argument("--dry-run", action="store_true", help="only list what would become of the keys")
--- a/lotusroute/net/clients.py
+++ b/lotusroute/net/clients.py
@@ -92,8 +92,17 @@
         raise Malformed("no c, or no time in d")
     key = None if asked[2] == b"-" else asked[2].decode()
     returned = said.get(b"r") == "1" or said.get(b"again") == "1"
-    return Opening(asked[1].decode(), said[b"c"], said.get(b"t"), said.get(b"g"), key, wait, returned,
-                   said.get(b"at"), (line[: figure[0]], line[figure[1]:]))  # fmt: skip
+    return Opening(
+        asked[1].decode(),
+        said[b"c"],
+        said.get(b"t"),
+        said.get(b"g"),
+        key,
+        wait,
+        returned,
+        said.get(b"at"),
+        (line[: figure[0]], line[figure[1] :]),
+    )
 
 
 class ClientSide(SliceReceiver):
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -93,9 +93,13 @@
         raise Malformed(f"host: {server!r} is no name")
     dial = None if state == i.GONE else address(entry["dial"])
     return i.Server(
-        server, str(entry.get("site", "")), int(entry.get("block") or 0), state,
-        number(str(entry.get("share", 1.0))), number(str(entry.get("born_ms") or 0)),
-    ), dial  # fmt: skip
+        server,
+        str(entry.get("site", "")),
+        int(entry.get("block") or 0),
+        state,
+        number(str(entry.get("share", 1.0))),
+        number(str(entry.get("born_ms") or 0)),
+    ), dial
 
 
 def version(seq: object) -> int:
@@ -113,9 +117,15 @@
     """Follows the server list and puts what it learns into the owner's queue."""
 
     def __init__(
-        self, where: tuple[str, int], seq: int | None, seed: int, put: Callable, counts,
-        grace: float = 2_000.0, pushed: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        where: tuple[str, int],
+        seq: int | None,
+        seed: int,
+        put: Callable,
+        counts,
+        grace: float = 2_000.0,
+        pushed: bool = False,
+    ) -> None:
         """`grace`: ms after news of a drain until nothing may be sent; `pushed`: an agent has the list."""
         self.base = f"http://{where[0]}:{where[1]}/api/targets"
         self.put, self.counts = put, counts
@@ -283,8 +293,11 @@
         """Take what another balancer heard from the same discovery, checked like discovery's own; false where
         it is no list, is older than ours, or is changes to another than ours. We then call by ourselves."""
         try:
-            if self.closed or self.seq is not None and version(told["seq"]) < self.seq or (
-                not told["whole"] and since != self.seq
+            if (
+                self.closed
+                or self.seq is not None
+                and version(told["seq"]) < self.seq
+                or (not told["whole"] and since != self.seq)
             ):
                 return False
             news = self._checked(told)
--- a/lotusroute/net/held.py
+++ b/lotusroute/net/held.py
@@ -16,8 +16,21 @@
 class Held:
     """A flow in hand."""
 
-    __slots__ = ("number", "opening", "kind", "due", "client", "link", "timer", "up", "left", "tries",
-                 "began", "until", "ran_at")  # fmt: skip
+    __slots__ = (
+        "number",
+        "opening",
+        "kind",
+        "due",
+        "client",
+        "link",
+        "timer",
+        "up",
+        "left",
+        "tries",
+        "began",
+        "until",
+        "ran_at",
+    )
 
     def __init__(
         self, number: int, opening: Opening, kind: i.ServiceType, due: float, client: ClientSide
--- a/lotusroute/net/lines.py
+++ b/lotusroute/net/lines.py
@@ -17,8 +17,16 @@
 SIP = 8_192  # bytes read at once, and that may wait to be written: 64 KiB each way made a full house 90 MB
 
 PING, PONG, OPEN, UP, BUSY, MOVE, BYE, ERR, LOAD = (
-    b"PING", b"PONG", b"OPEN", b"UP", b"BUSY", b"MOVE", b"BYE", b"ERR", b"LOAD",
-)  # fmt: skip
+    b"PING",
+    b"PONG",
+    b"OPEN",
+    b"UP",
+    b"BUSY",
+    b"MOVE",
+    b"BYE",
+    b"ERR",
+    b"LOAD",
+)
 END = b"\r\n"
 
 
--- a/lotusroute/net/log.py
+++ b/lotusroute/net/log.py
@@ -24,8 +24,12 @@
     """
 
     def format(self, record: logging.LogRecord) -> str:
-        fields = {"time": f"{record.created:.3f}", "level": record.levelname.lower(),
-                  "event": record.getMessage(), **getattr(record, "fields", {})}  # fmt: skip
+        fields = {
+            "time": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "event": record.getMessage(),
+            **getattr(record, "fields", {}),
+        }
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
         return " ".join(f"{key}={self._value(value)}" for key, value in fields.items())
--- a/lotusroute/net/owner.py
+++ b/lotusroute/net/owner.py
@@ -203,8 +203,14 @@
             kind = self.posting.vip.service_types[opening.service_type]
             held = self.flows[self.next] = Held(self.next, opening, kind, due, side)
             side.number = held.number
-            self._trace("asked", held, c=opening.service_type, g=opening.group, returned=opening.returned,
-                        at=opening.at)  # fmt: skip
+            self._trace(
+                "asked",
+                held,
+                c=opening.service_type,
+                g=opening.group,
+                returned=opening.returned,
+                at=opening.at,
+            )
             if opening.at:
                 held.due = min(held.due, event.at + STAND_LONGEST)
                 self._stand(held)
@@ -259,7 +265,12 @@
         now = held.began = self.clock()
         wait = until - now
         link = held.link = Link(
-            held.number, server, held.opening.rewritten(wait), self.put, self.clock, self.counts,
+            held.number,
+            server,
+            held.opening.rewritten(wait),
+            self.put,
+            self.clock,
+            self.counts,
             wanted=lambda: held.wanted(self.clock(), self.posting.grace),
         )
         limit = self.posting.come_up
@@ -384,8 +395,15 @@
         self.draining = {s: until for s, until in self.draining.items() if s in self.dials}
         if LOG.isEnabledFor(logging.DEBUG):
             for server in event.servers:
-                say("listed", logging.DEBUG, scope=event.scope, server=server.id, state=server.state,
-                    at=server.started, cell=server.cell)  # fmt: skip
+                say(
+                    "listed",
+                    logging.DEBUG,
+                    scope=event.scope,
+                    server=server.id,
+                    state=server.state,
+                    at=server.started,
+                    cell=server.cell,
+                )
         self._decide(i.ServerList(event.scope, event.servers))
         self._withdraw()
 
@@ -564,13 +582,27 @@
         self._answer(held, held.refusal(self._busy(STOP_ADVICE)))
 
     _on = {
-        Asked: _asked, Answered: _answered, Fell: _fell, Overdue: _overdue, Left: _left, Loaded: _loaded,
-        Timed: _timed, Listed: _listed, Again: _again, Gone: _gone, Look: _look,
+        Asked: _asked,
+        Answered: _answered,
+        Fell: _fell,
+        Overdue: _overdue,
+        Left: _left,
+        Loaded: _loaded,
+        Timed: _timed,
+        Listed: _listed,
+        Again: _again,
+        Gone: _gone,
+        Look: _look,
         Step: _step,
-        i.Wake: _decide, i.Withdrawn: _decide,
-    }  # fmt: skip
+        i.Wake: _decide,
+        i.Withdrawn: _decide,
+    }
     _do = {
-        i.Connect: _connect, i.Reject: _reject, i.Abort: _abort, i.Move: _move, i.WakeMe: _wake_me,
-        i.Say: _say, i.Subscribe: _nothing,
-    }  # fmt: skip
-
+        i.Connect: _connect,
+        i.Reject: _reject,
+        i.Abort: _abort,
+        i.Move: _move,
+        i.WakeMe: _wake_me,
+        i.Say: _say,
+        i.Subscribe: _nothing,
+    }
--- a/lotusroute/net/servers.py
+++ b/lotusroute/net/servers.py
@@ -129,7 +129,7 @@
 
     def _load(self, line: memoryview) -> None:
         try:
-            self.link.put(Loaded(self.link.number, number(str(line[len(LOAD):], "ascii").strip())))
+            self.link.put(Loaded(self.link.number, number(str(line[len(LOAD) :], "ascii").strip())))
         except (Malformed, UnicodeDecodeError):
             self.link.counts["loads_unread"] += 1
 
@@ -165,9 +165,15 @@
     noisy = False
 
     def __init__(
-        self, number: int, server: str, line: bytes, put: Callable, clock: Callable, counts,
+        self,
+        number: int,
+        server: str,
+        line: bytes,
+        put: Callable,
+        clock: Callable,
+        counts,
         wanted: Callable[[], bool] = lambda: True,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.number, self.server, self.line = number, server, line
         self.wanted = wanted  # whether the line may be sent; asked once, as the connection is up
         self.put, self.clock, self.counts = put, clock, counts
--- a/lotusroute/net/startup.py
+++ b/lotusroute/net/startup.py
@@ -146,14 +146,14 @@
         known=known,
         # The protocol has no frame in which a server says it is slow.
         vip=vip._replace(tells_delay=False),
-        come_up=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"),
-                       COME_UP),
+        come_up=figure("settings.limits.connect_timeout", env.get("limits.connect_timeout"), COME_UP),
         longest=max(figure(f"settings.{path}", env.get(path), LONGEST) for path in deadlines),
-        grace=figure("settings.rules.stop_sending_within", env.get("rules.stop_sending_within"),
-                     GRACE, none=True),
+        grace=figure(
+            "settings.rules.stop_sending_within", env.get("rules.stop_sending_within"), GRACE, none=True
+        ),
         pushed=env.get("discovery") == "push",
         log_level=level,
-    )  # fmt: skip
+    )
 
 
 def needing_restart(old: Posting, new: Posting) -> list[str]:
--- a/lotusroute/relay/command.py
+++ b/lotusroute/relay/command.py
@@ -78,7 +78,9 @@
             lines.append(f"{name}: no relay")
             continue
         origin = f", origin under {news['origin']}" * bool(news["origin"])
-        lines.append(f"{name}: version {news['version'][0]}.{news['version'][1]}, {news['age_ms']} ms old, "
-                     f"{news['items']} items, {news['subscribers']} subscribers, {news['lack']} lack it, "
-                     f"oldest {news['oldest'][0]}.{news['oldest'][1]}{origin}")  # fmt: skip
+        lines.append(
+            f"{name}: version {news['version'][0]}.{news['version'][1]}, {news['age_ms']} ms old, "
+            f"{news['items']} items, {news['subscribers']} subscribers, {news['lack']} lack it, "
+            f"oldest {news['oldest'][0]}.{news['oldest'][1]}{origin}"
+        )
     _finish(shown, missing, as_json, lines)
--- a/lotusroute/relay/host.py
+++ b/lotusroute/relay/host.py
@@ -87,8 +87,9 @@
     def _send(self, to: str, news) -> None:
         calls = messages.written(news, self.old())
         if not calls:
-            calls = messages.written(Snapshot(self.store.version, self.store.digest, dict(self.store.items)),
-                                  self.old())  # fmt: skip
+            calls = messages.written(
+                Snapshot(self.store.version, self.store.digest, dict(self.store.items)), self.old()
+            )
         defer.ensureDeferred(self._carry(to, calls))
 
     async def _carry(self, to: str, calls: list[bytes]) -> None:
@@ -218,8 +219,14 @@
         """For `relay show`; times in ms from now."""
         versions = [follower.version for follower in self.fan.followers.values()]
         lack = sum(version < self.store.version for version in versions)
-        return {"version": list(self.store.version), "digest": f"{self.store.digest:016x}",
-                "items": len(self.store.items), "age_ms": round(self.old()), "origin": self.fence,
-                "subscribers": len(versions), "lack": lack, "in_line": len(self.fan.waiting),
-                "oldest": list(min(versions, default=self.store.version))}  # fmt: skip
-
+        return {
+            "version": list(self.store.version),
+            "digest": f"{self.store.digest:016x}",
+            "items": len(self.store.items),
+            "age_ms": round(self.old()),
+            "origin": self.fence,
+            "subscribers": len(versions),
+            "lack": lack,
+            "in_line": len(self.fan.waiting),
+            "oldest": list(min(versions, default=self.store.version)),
+        }
--- a/lotusroute/relay/lists.py
+++ b/lotusroute/relay/lists.py
@@ -46,6 +46,9 @@
     """What is held, or what has changed in it, as an answer of discovery."""
     _, seq = about(store)
     items = store.items if changed is None else changed
-    hosts = [json.loads(value) if value is not None else {"host": name, "health": "DELETED"}
-             for name, value in items.items() if name != ABOUT]  # fmt: skip
+    hosts = [
+        json.loads(value) if value is not None else {"host": name, "health": "DELETED"}
+        for name, value in items.items()
+        if name != ABOUT
+    ]
     return {"seq": seq, "whole": changed is None, "hosts": hosts}
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -36,8 +36,10 @@
             return []
         message = Message(version, age, news.digest, tuple(news.since), items=news.changed)
         return [msgspec.msgpack.encode(message)]
-    return [msgspec.msgpack.encode(Message(version, age, news.digest, None, at, of, items))
-            for at, of, items in parts(news, PART)]  # fmt: skip
+    return [
+        msgspec.msgpack.encode(Message(version, age, news.digest, None, at, of, items))
+        for at, of, items in parts(news, PART)
+    ]
 
 
 def read(body: bytes) -> Message:
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -223,4 +223,3 @@
         waiting, self.waiting = self.waiting, None
         if waiting is not None:
             waiting.callback(None)
-
--- a/lotusroute/rig/wires.py
+++ b/lotusroute/rig/wires.py
@@ -75,8 +75,9 @@
                 await self._passes((of, peer))
                 far_reader, far = await asyncio.open_connection("127.0.0.1", self.ports[peer], limit=READ)
                 ways.update((writer, far))
-                await asyncio.gather(self._pump(reader, far, (of, peer)),
-                                     self._pump(far_reader, writer, (peer, of)))  # fmt: skip
+                await asyncio.gather(
+                    self._pump(reader, far, (of, peer)), self._pump(far_reader, writer, (peer, of))
+                )
             except (OSError, asyncio.CancelledError):
                 pass
             finally:
@@ -91,8 +92,9 @@
         async with self.free:
             await self.free.wait_for(lambda: way not in self.held)
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                    way: tuple[str, str]) -> None:  # fmt: skip
+    async def _pump(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: tuple[str, str]
+    ) -> None:
         while data := await reader.read(READ):
             await asyncio.sleep(self.delays.get(way, 0.0))
             await self._passes(way)
--- a/lotusroute/scale/command.py
+++ b/lotusroute/scale/command.py
@@ -55,8 +55,10 @@
     for one in lines:
         few = "" if len(asked) >= SIZES else f"  (only {len(asked)} sizes)"
         found = " ".join(f"{x:g}:{y:.4g}" for x, y in one.points)
-        click.echo(f"{one.name}: {one.slope:.5g} +- {one.error:.2g} {one.unit} by one, "
-                   f"{one.start:.4g} at none; {found}{few}")  # fmt: skip
+        click.echo(
+            f"{one.name}: {one.slope:.5g} +- {one.error:.2g} {one.unit} by one, "
+            f"{one.start:.4g} at none; {found}{few}"
+        )
     if file:
         pathlib.Path(file).write_text(json.dumps({"role": role, "seconds": seconds, "lines": told}, indent=1))
     if plot:
--- a/lotusroute/scale/herd.py
+++ b/lotusroute/scale/herd.py
@@ -22,9 +22,15 @@
     first: dict[int, float] = {}
     counts, cpu = Counter(), time.process_time()
     for at in range(followers):
-        one = Discovery(("127.0.0.1", port.getHost().port), 0, at,
-                        lambda _, at=at: first.setdefault(at, reactor.seconds() - began - down),
-                        counts, grace, False)  # fmt: skip
+        one = Discovery(
+            ("127.0.0.1", port.getHost().port),
+            0,
+            at,
+            lambda _, at=at: first.setdefault(at, reactor.seconds() - began - down),
+            counts,
+            grace,
+            False,
+        )
         defer.ensureDeferred(one.follow())
     reactor.callLater(down + seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
--- a/lotusroute/scale/news.py
+++ b/lotusroute/scale/news.py
@@ -53,16 +53,31 @@
         stack.callback(targets.end)
         targets.wait("event=ready")
         peers = "\n".join(f'{name} = "127.0.0.1:{at}"' for name, at in ports.items())
-        keepers = ", ".join(f'"{name}"' for name in names[:5 if relays >= 5 else 3])
+        keepers = ", ".join(f'"{name}"' for name in names[: 5 if relays >= 5 else 3])
         running = {}
         for name in names:
             (place / name).mkdir()
             file = place / f"{name}.toml"
-            file.write_text(f'name = "scale"\nstate = "{place / name}"\nkeepers = [{keepers}]\n'
-                            "lease_ms = 1500\ntasks = [\"origin\"]\nguests = 4000\n"
-                            f"[peers]\n{peers}\n")  # fmt: skip
-            running[name] = Started(["-m", "lotusroute", "relay", "run", "--fleet", str(file), "--name", name,
-                                     "--discovery", f"127.0.0.1:{where}"], {})  # fmt: skip
+            file.write_text(
+                f'name = "scale"\nstate = "{place / name}"\nkeepers = [{keepers}]\n'
+                'lease_ms = 1500\ntasks = ["origin"]\nguests = 4000\n'
+                f"[peers]\n{peers}\n"
+            )
+            running[name] = Started(
+                [
+                    "-m",
+                    "lotusroute",
+                    "relay",
+                    "run",
+                    "--fleet",
+                    str(file),
+                    "--name",
+                    name,
+                    "--discovery",
+                    f"127.0.0.1:{where}",
+                ],
+                {},
+            )
             stack.callback(running[name].end)
         for one in running.values():
             one.wait("relay ready", patience=60.0)
@@ -75,19 +90,29 @@
         for at in range(real):
             zone = f"z{at % zones}"
             file = place / f"b{at}.toml"
-            file.write_text(f'name = "scale"\nzone = "{zone}"\n' + "".join(
-                f"[relays.{z}]\n" + "".join(f'{r} = "{a}"\n' for r, a in table.items())
-                for z, table in tables.items()))  # fmt: skip
-            reals[f"b{at}"] = balancer(place, f"b{at}", port(), where,
-                                       {"LB_RELAYS": str(file), "LB_LOG": "DEBUG"})  # fmt: skip
+            file.write_text(
+                f'name = "scale"\nzone = "{zone}"\n'
+                + "".join(
+                    f"[relays.{z}]\n" + "".join(f'{r} = "{a}"\n' for r, a in table.items())
+                    for z, table in tables.items()
+                )
+            )
+            reals[f"b{at}"] = balancer(
+                place, f"b{at}", port(), where, {"LB_RELAYS": str(file), "LB_LOG": "DEBUG"}
+            )
             stack.callback(reals[f"b{at}"].end)
         hollows, group_zones, files = [], [], []
         for group in range(groups):
             mine = [f"h{at}" for at in range(group * EACH, min(hollow, (group + 1) * EACH))]
             zone = f"z{group % zones}"
             file = place / f"came{group}.json"
-            told = {"names": mine, "zones": dict.fromkeys(mine, zone), "relays": tables, "file": str(file),
-                    "discovery": f"127.0.0.1:{where}"}  # fmt: skip
+            told = {
+                "names": mine,
+                "zones": dict.fromkeys(mine, zone),
+                "relays": tables,
+                "file": str(file),
+                "discovery": f"127.0.0.1:{where}",
+            }
             one = Started(["-m", "lotusroute.scale.subscribers", write(place / f"s{group}.json", told)], {})
             stack.callback(one.end)
             hollows.append(one)
@@ -156,8 +181,11 @@
     while True:
         found, stores, counts = came(fleet)
         # A later change carries an earlier one with it: the first that is as new counts.
-        took = [min((when for n, when in mine.items() if n >= number), default=None)
-                for name, mine in found.items() if names is None or name in names]  # fmt: skip
+        took = [
+            min((when for n, when in mine.items() if n >= number), default=None)
+            for name, mine in found.items()
+            if names is None or name in names
+        ]
         lack = sum(when is None for when in took)
         if not lack or time.monotonic() > until:
             break
@@ -165,9 +193,16 @@
     reals = real_came(fleet, number)
     times = sorted(when - at for when in [*took, *reals.values()] if when is not None)
     pick = lambda share: round(times[min(len(times) - 1, int(share * len(times)))], 3)  # noqa: E731
-    return {"p50_s": pick(0.5), "p99_s": pick(0.99), "worst_s": round(times[-1], 3), "of": len(times),
-            "lack": lack, "real": len(reals), "states": len(stores),
-            "own_calls": counts.get("relay_stale", 0)}  # fmt: skip
+    return {
+        "p50_s": pick(0.5),
+        "p99_s": pick(0.99),
+        "worst_s": round(times[-1], 3),
+        "of": len(times),
+        "lack": lack,
+        "real": len(reals),
+        "states": len(stores),
+        "own_calls": counts.get("relay_stale", 0),
+    }
 
 
 def rates(fleet: Fleet, seconds: float) -> dict:
@@ -197,11 +232,15 @@
         real_bytes.append(sum(new.get(key, 0) - old.get(key, 0) for key in BYTES) / took)
     mean = lambda values: round(sum(values) / max(1, len(values)), 3)  # noqa: E731
     memory = [rss(one.pid) for one in fleet.relays.values()]
-    return {"origin": of_origin, "relay_cpu_percent": mean(figures["cpu"]),
-            "relay_bytes_s": mean(figures["bytes"]), "relay_rss_mb": mean(memory),
-            "balancer_cpu_percent": mean(real_cpu),
-            "balancer_bytes_s": mean(real_bytes),
-            "balancer_rss_mb": mean([rss(one.pid) for one in fleet.real.values()])}  # fmt: skip
+    return {
+        "origin": of_origin,
+        "relay_cpu_percent": mean(figures["cpu"]),
+        "relay_bytes_s": mean(figures["bytes"]),
+        "relay_rss_mb": mean(memory),
+        "balancer_cpu_percent": mean(real_cpu),
+        "balancer_bytes_s": mean(real_bytes),
+        "balancer_rss_mb": mean([rss(one.pid) for one in fleet.real.values()]),
+    }
 
 
 def relays(size: int, seconds: float, hosts: int, points: dict, say: Callable[[str], None]) -> None:
@@ -219,8 +258,15 @@
             add(points, name, unit, size, value)
 
 
-def play(relays: int, real: int, hollow: int, zones: int, hosts: int, scenarios: tuple[str, ...],
-         say: Callable[[str], None]) -> dict:  # fmt: skip
+def play(
+    relays: int,
+    real: int,
+    hollow: int,
+    zones: int,
+    hosts: int,
+    scenarios: tuple[str, ...],
+    say: Callable[[str], None],
+) -> dict:
     """Play scenarios one after the other on one fleet; returns their figures."""
     draw, number, out = random.Random(1), 0, {}
     with fleet(relays, real, hollow, zones, hosts, say) as running:
--- a/lotusroute/scale/processes.py
+++ b/lotusroute/scale/processes.py
@@ -64,8 +64,9 @@
     """One process, its log and its counters."""
 
     def __init__(self, call: list[str], env: dict[str, str]) -> None:
-        self.process = subprocess.Popen([sys.executable, *call], stderr=subprocess.PIPE, text=True,
-                                        env={**os.environ, **env})  # fmt: skip
+        self.process = subprocess.Popen(
+            [sys.executable, *call], stderr=subprocess.PIPE, text=True, env={**os.environ, **env}
+        )
         self.pid = self.process.pid
         self.lines: list[str] = []  # of its log; a run's length bounds it
         self.news = threading.Condition()
--- a/lotusroute/scale/roles.py
+++ b/lotusroute/scale/roles.py
@@ -22,8 +22,12 @@
 SERVERS = 8  # names of one stand-in: one alone that is slow for a moment is all there is, and refused
 LINES = 20  # of each client, one after the other, 16 clients at a time
 REALS = 5  # balancers that are processes of their own, where there are so many
-SETTINGS = {"service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
-            "limits": {"max_connects": 4, "connect_timeout": 250}, "siblings": 1, "me": 0}  # fmt: skip
+SETTINGS = {
+    "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
+    "limits": {"max_connects": 4, "connect_timeout": 250},
+    "siblings": 1,
+    "me": 0,
+}
 
 DRAWN = random.SystemRandom()
 GIVEN: set[int] = set()  # ports that this run has given out; a run's processes bound it
@@ -63,9 +67,15 @@
 
 def balancer(folder, name: str, listen: int, where: int, env: dict, hosts: tuple = ()) -> Started:
     """Start a real balancer."""
-    told = {"name": name, "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{where}", "seed": name,
-            "settings": SETTINGS, "known": {"seq": 0, "hosts": list(hosts)},
-            "limits": {"sockets": 16_384, "memory_mb": 4_096}}  # fmt: skip
+    told = {
+        "name": name,
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{where}",
+        "seed": name,
+        "settings": SETTINGS,
+        "known": {"seq": 0, "hosts": list(hosts)},
+        "limits": {"sockets": 16_384, "memory_mb": 4_096},
+    }
     file = write(folder / f"{name}.json", told)
     return Started(["-m", "lotusroute"], {"LB_CONFIG": file, "LB_LOG": "INFO", **env})
 
@@ -98,8 +108,10 @@
         for name in names[:reals]:
             (folder / name).mkdir()
             file = folder / f"{name}.toml"
-            file.write_text(f'name = "scale"\nstate = "{folder / name}"\nkeepers = [{keepers}]\n'
-                            f'tasks = ["watch"]\n[peers]\n{peers}\n')  # fmt: skip
+            file.write_text(
+                f'name = "scale"\nstate = "{folder / name}"\nkeepers = [{keepers}]\n'
+                f'tasks = ["watch"]\n[peers]\n{peers}\n'
+            )
             real[name] = balancer(folder, name, port(), where, {"LB_FLEET": str(file)})
             stack.callback(real[name].end)
         holder, started = None, time.monotonic()
@@ -113,8 +125,11 @@
         # Hollow ones ask for another task: the holder of this one is a process of its own.
         file.write_text(f'name = "scale"\nkeepers = [{keepers}]\ntasks = ["check"]\n[peers]\n{peers}\n')
         for at in range(reals, size, HOLLOW_EACH):
-            told = {"fleet": str(file), "names": names[at:at + HOLLOW_EACH],
-                    "discovery": f"127.0.0.1:{where}"}  # fmt: skip
+            told = {
+                "fleet": str(file),
+                "names": names[at : at + HOLLOW_EACH],
+                "discovery": f"127.0.0.1:{where}",
+            }
             one = Started(["-m", "lotusroute.scale.hollow", write(folder / f"hollow{at}.json", told)], {})
             stack.callback(one.end)
             hollow.append(one)
@@ -139,21 +154,41 @@
             raise RuntimeError(f"{holder} held and told nobody anything")
         add(points, "holder.cpu", "% of a core", size, percent(holder))
         add(points, "holder.messages", "calls out a second", size, rate(holder, "link_calls"))
-        add(points, "holder.bytes", "B a second, both ways", size,
-            rate(holder, "link_bytes_in") + rate(holder, "link_bytes_out"))  # fmt: skip
+        add(
+            points,
+            "holder.bytes",
+            "B a second, both ways",
+            size,
+            rate(holder, "link_bytes_in") + rate(holder, "link_bytes_out"),
+        )
         add(points, "holder.memory", "MB", size, rss(real[holder].pid))
         followers = [name for name in others if name not in names[:KEEPERS]] or others
         add(points, "balancer.cpu", "% of a core", size, sum(map(percent, followers)) / len(followers))
-        add(points, "balancer.bytes", "B a second, both ways", size,
-            sum(rate(n, "link_bytes_in") + rate(n, "link_bytes_out") for n in followers) / len(followers))
+        add(
+            points,
+            "balancer.bytes",
+            "B a second, both ways",
+            size,
+            sum(rate(n, "link_bytes_in") + rate(n, "link_bytes_out") for n in followers) / len(followers),
+        )
         add(points, "balancer.memory", "MB", size, sum(rss(real[n].pid) for n in followers) / len(followers))
         keeping = [name for name in names[:KEEPERS] if name != holder]
         add(points, "keeper.cpu", "% of a core", size, sum(map(percent, keeping)) / len(keeping))
-        add(points, "keeper.messages", "calls in a second", size,
-            sum(rate(n, "link_calls_in") for n in keeping) / len(keeping))  # fmt: skip
+        add(
+            points,
+            "keeper.messages",
+            "calls in a second",
+            size,
+            sum(rate(n, "link_calls_in") for n in keeping) / len(keeping),
+        )
         add(points, "keeper.memory", "MB", size, sum(rss(real[n].pid) for n in keeping) / len(keeping))
-        add(points, "discovery.calls", "calls a second", size,
-            (calls.get("calls", 0) - asked.get("calls", 0)) / took)  # fmt: skip
+        add(
+            points,
+            "discovery.calls",
+            "calls a second",
+            size,
+            (calls.get("calls", 0) - asked.get("calls", 0)) / took,
+        )
 
 
 # The list
@@ -173,8 +208,13 @@
             mine = cpu(one.pid)
             time.sleep(seconds)
             calls, took = targets.counters(), time.monotonic() - began
-            add(points, "discovery.alone.calls", "calls a second", size,
-                (calls["calls"] - asked["calls"]) / took)  # fmt: skip
+            add(
+                points,
+                "discovery.alone.calls",
+                "calls a second",
+                size,
+                (calls["calls"] - asked["calls"]) / took,
+            )
             add(points, "discovery.alone.cpu", "% of a core", size, 100 * (cpu(targets.pid) - before) / took)
             spent = 100 * (cpu(one.pid) - mine) / took
             add(points, "follower.cpu", "% of a core, of all together", size, spent)
@@ -207,10 +247,20 @@
 
     news = listed(whole, i.WHOLE)
     add(points, "list.read", "ms of CPU", size, timed(lambda: listed(json.loads(body), i.WHOLE)))
-    add(points, "list.take", "ms of CPU", size,
-        timed(lambda: director.decide(0.0, i.ServerList(i.WHOLE, news.servers))))  # fmt: skip
-    add(points, "list.change", "ms of CPU", size,
-        timed(lambda: director.decide(0.0, i.ServerList(i.CHANGES, news.servers[:1]))))  # fmt: skip
+    add(
+        points,
+        "list.take",
+        "ms of CPU",
+        size,
+        timed(lambda: director.decide(0.0, i.ServerList(i.WHOLE, news.servers))),
+    )
+    add(
+        points,
+        "list.change",
+        "ms of CPU",
+        size,
+        timed(lambda: director.decide(0.0, i.ServerList(i.CHANGES, news.servers[:1]))),
+    )
     number = 0
 
     def flows() -> None:
@@ -273,8 +323,9 @@
     back = port()
     with processes.folder() as folder, discovery(SERVERS, back) as (_, where):
         servers = subprocess.Popen([sys.executable, "-m", "lotusroute.scale.servers", str(back)])
-        one = balancer(folder, "n1", listen := port(), where, {},
-                       tuple(entry(f"s-{at}", back) for at in range(SERVERS)))  # fmt: skip
+        one = balancer(
+            folder, "n1", listen := port(), where, {}, tuple(entry(f"s-{at}", back) for at in range(SERVERS))
+        )
         try:
             ready(listen)
             asyncio.run(_flows(listen, 32))
