--- a/benchmarks/drawn.py
+++ b/benchmarks/sampled_days.py
@@ -3,7 +3,7 @@
 Owns which days are played, how many at once, and the table of what came of them. It must never change the
 program, play in a folder whose journal is not wanted, or call a day good that the bench did not finish.
 
-    python benchmarks/drawn.py --bench ../kit/mass --site ../kit/site.toml join+mass=90001..90010 roll+mass=7
+    python benchmarks/sampled_days.py --bench ../kit/mass --site ../kit/site.toml join+mass=90001..90010 roll+mass=7
 """
 
 import argparse
@@ -93,7 +93,7 @@
     """Play what is asked for; 0 where all days hold, 1 where one does not, 2 on a bad call."""
     parser = argparse.ArgumentParser(
         description="Play drawn days several at a time and say of each whether its rules and its gate hold.",
-        epilog="example: python benchmarks/drawn.py --bench kit/mass --site kit/site.toml join+mass=1..9",
+        epilog="example: python benchmarks/sampled_days.py --bench kit/mass --site kit/site.toml join+mass=1..9",
     )
     parser.add_argument("days", nargs="+", type=days, metavar="KIND=SEEDS", help="as join+mass=3..4,9")
     parser.add_argument("--bench", type=pathlib.Path, required=True, help="what plays a day")
