--- a/benchmarks/regression.py
+++ b/benchmarks/regression.py
@@ -1,7 +1,7 @@
-"""Runs the bench's panels one after the other and compares the scores with those kept from an earlier run.
+"""Runs the bench's panels one after the other and compares the scores with a baseline.
 
-Panels never run at the same time, since days on real sockets need the cores. Scores are kept only where no
-rule was broken and no score fell.
+Panels never run at the same time, since days on real sockets need the cores. With `--keep` the scores
+become the baseline, unless a rule was broken or a score fell.
 
     python benchmarks/regression.py --bench ../kit/lbreal --bench mass=../kit/mass --site ../kit/site.toml
 """
@@ -15,7 +15,7 @@
 import sys
 from dataclasses import dataclass
 
-KEPT_FILE = pathlib.Path(__file__).with_name("kept.json")
+BASELINE_FILE = pathlib.Path(__file__).with_name("kept.json")
 PANEL_ARGUMENTS: dict[str, list[str]] = {
     "mass": [],
     "vast": [],
@@ -86,8 +86,8 @@
         raise BenchError(f"panel {panel}: exit {completed.returncode}, {error} {stderr}") from None
 
 
-def load_kept_scores(file: pathlib.Path) -> dict[str, float]:
-    """Load the scores kept from an earlier run; none where there is no file."""
+def load_baseline(file: pathlib.Path) -> dict[str, float]:
+    """Load the baseline scores by panel; none where there is no file."""
     if not file.exists():
         return {}
     try:
@@ -125,7 +125,7 @@
 def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
     """Parse the command line; exits with code 2 where it cannot be used."""
     parser = argparse.ArgumentParser(
-        description="Run the bench's panels one after the other and compare the scores with those kept.",
+        description="Run the bench's panels one after the other and compare the scores with a baseline.",
         epilog="example: python benchmarks/regression.py --bench mass=../kit/lbreal --site ../kit/site.toml",
     )
     parser.add_argument(
@@ -142,8 +142,16 @@
     )
     parser.add_argument("--runs", type=int, default=1, help="runs of each panel; the median counts")
     parser.add_argument("--full", action="store_true", help="all days of each panel, not the quick ones")
-    parser.add_argument("--kept", type=pathlib.Path, default=KEPT_FILE, help="file of the scores kept")
-    parser.add_argument("--keep", action="store_true", help="write the medians there, if all holds")
+    parser.add_argument(
+        "--kept",
+        dest="baseline_file",
+        type=pathlib.Path,
+        default=BASELINE_FILE,
+        help="file of the baseline scores",
+    )
+    parser.add_argument(
+        "--keep", dest="write_baseline", action="store_true", help="write the medians there, if all holds"
+    )
     options = parser.parse_args(arguments)
     paths = [("--bench", path) for _, path in options.bench]
     paths.append(("--site", options.site))
@@ -163,14 +171,14 @@
     """Run the panels; returns 0 where all holds, 1 where a rule was broken or a score fell, 2 on an error."""
     options = parse_arguments(arguments)
     try:
-        return compare(options, load_kept_scores(options.kept))
+        return compare(options, load_baseline(options.baseline_file))
     except BenchError as error:
         print(f"regression: {error}", file=sys.stderr)
         return 2
 
 
-def compare(options: argparse.Namespace, kept_scores: dict[str, float]) -> int:
-    """Run the panels, print each beside its kept score, and return the exit code."""
+def compare(options: argparse.Namespace, baseline: dict[str, float]) -> int:
+    """Run the panels, print each beside its baseline, and return the exit code."""
     failed = False
     medians = {}
     for panel in options.panel or [panel for panel in PANEL_ARGUMENTS if panel in options.benches]:
@@ -179,20 +187,22 @@
         runs = [run_panel(bench, options.site.resolve(), panel, options.full) for _ in range(options.runs)]
         median = statistics.median(run.score for run in runs)
         medians[name] = median
-        fell = name in kept_scores and median < kept_scores[name] - NOISE
+        regressed = name in baseline and median < baseline[name] - NOISE
         broken = any(run.violations for run in runs)
-        failed = failed or fell or broken
-        print_panel(name, median, runs, kept_scores.get(name), fell)
-    if options.keep and not failed:
-        scores = {**kept_scores, **medians}
-        options.kept.write_text(json.dumps(scores, indent=1) + "\n", encoding="utf-8")
+        failed = failed or regressed or broken
+        print_panel(name, median, runs, baseline.get(name), regressed)
+    if options.write_baseline and not failed:
+        scores = {**baseline, **medians}
+        options.baseline_file.write_text(json.dumps(scores, indent=1) + "\n", encoding="utf-8")
     return int(failed)
 
 
-def print_panel(name: str, median: float, runs: list[PanelRun], kept_score: float | None, fell: bool) -> None:
+def print_panel(
+    name: str, median: float, runs: list[PanelRun], baseline_score: float | None, regressed: bool
+) -> None:
     """Print the scores of one panel, the G of each of its days, and what was violated."""
-    mark = "none" if kept_score is None else f"{kept_score:.3f}"
-    verdict = ", fell" if fell else ""
+    mark = "none" if baseline_score is None else f"{baseline_score:.3f}"
+    verdict = ", fell" if regressed else ""
     print(f"{name}: {median:.3f} of {[run.score for run in runs]}, kept {mark}{verdict}")
     for day in runs[0].days:
         print(f"  {day}: G {[run.days.get(day) for run in runs]}")
