--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -39,13 +39,13 @@
         self.director = Director(service_config, SEED)
         self.now = 0.0
         servers = tuple(events.Server(f"s{number}") for number in range(server_count))
-        self.director.decide(self.now, events.EndpointList(events.COMPLETE, servers))
+        self.director.decide(self.now, events.EndpointList(events.ListScope.COMPLETE, servers))
 
     def open_flow(self, flow_id: int) -> str:
         """Open and establish a flow; returns its server."""
         self.now += 1.0
         key = f"{self.rng.random()}"
-        flow = events.Flow(flow_id, "live", None, None, key, self.now + FLOW_DEADLINE_MS)
+        flow = events.FlowRequest(flow_id, "live", None, None, key, self.now + FLOW_DEADLINE_MS)
         connect = self.director.decide(self.now, flow)[0]
         assert isinstance(connect, events.Connect)  # there is capacity for each flow
         established_at = self.now + self.rng.uniform(0.5, 1.5) * SETUP_MS
@@ -56,7 +56,9 @@
         """Open a flow, establish it and end it."""
         ended_at = self.now + SETUP_MS
         server = self.open_flow(flow_id)
-        self.director.decide(ended_at, events.ConnectionEnded(flow_id, server, True, events.OK))
+        self.director.decide(
+            ended_at, events.ConnectionEnded(flow_id, server, True, events.ConnectionResult.OK)
+        )
 
     def tick(self) -> None:
         """Run one periodic check."""
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -143,7 +143,9 @@
     def run(self) -> None:
         """Run from the start to the end of the observation."""
         names = [f"s{index}" for index in range(self.case.server_count)]
-        endpoints = events.EndpointList(events.COMPLETE, tuple(events.Server(name) for name in names))
+        endpoints = events.EndpointList(
+            events.ListScope.COMPLETE, tuple(events.Server(name) for name in names)
+        )
         for director in range(len(self.directors)):
             self.decide(director, endpoints)
         self.schedule(0.0, self._next_client)
@@ -165,7 +167,7 @@
                 case events.Reject() | events.Abort():
                     self._retry(action)
                 case events.Migrate():
-                    self._close(action.id, events.CANCELLED, self.rng.uniform(50.0, 500.0))
+                    self._close(action.id, events.ConnectionResult.CANCELLED, self.rng.uniform(50.0, 500.0))
                 case events.SetTimer():
                     self.schedule(
                         action.delay, partial(self.decide, director, events.TimerFired(action.mark))
@@ -187,7 +189,7 @@
         self.attempts[flow] = Attempt(client, retries)
         self.decide(
             director,
-            events.Flow(
+            events.FlowRequest(
                 flow,
                 "live",
                 None,
@@ -224,7 +226,7 @@
     def _end(self, flow: int) -> None:
         if flow in self.connections:
             connection = self.connections.pop(flow)
-            ended = events.ConnectionEnded(flow, connection.server, True, events.OK)
+            ended = events.ConnectionEnded(flow, connection.server, True, events.ConnectionResult.OK)
             self.decide(connection.director, ended)
 
     def _close(self, flow: int, result: str, reconnect_delay: float) -> None:
@@ -238,7 +240,7 @@
     def _break_connections(self) -> None:
         for flow in list(self.connections):
             if self.rng.random() < 1 / 3:
-                self._close(flow, events.RESET, self.rng.uniform(50.0, 1_500.0))
+                self._close(flow, events.ConnectionResult.RESET, self.rng.uniform(50.0, 1_500.0))
 
     # Servers
 
@@ -253,14 +255,17 @@
     def _replace(self, old: str, new: str) -> None:
         self.started_at[new] = self.now
         self.connects[new] = []
-        changes = (events.Server(old, state=events.DRAINING), events.Server(new, started=self.now))
+        changes = (
+            events.Server(old, state=events.EndpointState.DRAINING),
+            events.Server(new, started=self.now),
+        )
         for director in range(len(self.directors)):
-            self.decide(director, events.EndpointList(events.CHANGES, changes))
+            self.decide(director, events.EndpointList(events.ListScope.CHANGES, changes))
         for flow, connection in list(self.connections.items()):
             if connection.server == old:
                 closing_delay = self.rng.uniform(0.0, DRAIN_MS)
                 reconnect_delay = self.rng.uniform(50.0, 500.0)
-                close = partial(self._close, flow, events.CANCELLED, reconnect_delay)
+                close = partial(self._close, flow, events.ConnectionResult.CANCELLED, reconnect_delay)
                 self.schedule(closing_delay, close)
 
 
--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -146,14 +146,14 @@
             raise ProtocolError(f"registry has {REGISTRY_VALUES} values, not {len(values)}")
         number, _version, scope_name = values
         scope = look_up(wire.SCOPES, scope_name, "scope")
-        if scope == events.REFUSED:
+        if scope == events.ListScope.REJECTED:
             return events.EndpointList(scope)
         return events.EndpointList(scope, look_up(self.lists, wire.parse_integer(number), "roster"))
 
 
 def _check_service_type(service: events.ServiceConfig, event: events.Event) -> None:
     match event:
-        case events.Flow():
+        case events.FlowRequest():
             service_type = event.service_type
         case events.ExistingConnection():
             service_type = event.flow.service_type
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -16,22 +16,26 @@
 ABSENT = "-"
 UNSET_SETTINGS = ("null", ABSENT)
 SERVER_VALUES = 7  # in a line of a server list
-STATES: dict[str, events.ServerState] = {"IN": events.READY, "LAME": events.DRAINING, "OUT": events.REMOVED}
+STATES: dict[str, events.EndpointState] = {
+    "IN": events.EndpointState.READY,
+    "LAME": events.EndpointState.DRAINING,
+    "OUT": events.EndpointState.REMOVED,
+}
 SCOPES: dict[str, events.ListScope] = {
-    "changes": events.CHANGES,
-    "all": events.COMPLETE,
-    "remembered": events.CACHED,
-    "refused": events.REFUSED,
+    "changes": events.ListScope.CHANGES,
+    "all": events.ListScope.COMPLETE,
+    "remembered": events.ListScope.CACHED,
+    "refused": events.ListScope.REJECTED,
 }
 RESULTS: dict[str, events.ConnectionResult] = {
-    "S": events.OK,
-    "E": events.ERROR,
-    "F": events.FULL,
-    "T": events.TIMEOUT,
-    "C": events.UNREACHABLE,
-    "R": events.RESET,
-    "X": events.CANCELLED,
-    "N": events.UNSENT,
+    "S": events.ConnectionResult.OK,
+    "E": events.ConnectionResult.ERROR,
+    "F": events.ConnectionResult.FULL,
+    "T": events.ConnectionResult.TIMEOUT,
+    "C": events.ConnectionResult.UNREACHABLE,
+    "R": events.ConnectionResult.RESET,
+    "X": events.ConnectionResult.CANCELLED,
+    "N": events.ConnectionResult.UNSENT,
 }
 # Bits of a new flow's flags; plain integers, for each flow of a simulated day passes here.
 FLAG_RETRY = 2
@@ -92,7 +96,7 @@
     )
 
 
-def _parse_flow(values: list[str]) -> events.Flow:
+def _parse_flow(values: list[str]) -> events.FlowRequest:
     flow, service_type, tenant, group, flag_bits, key, _hint, deadline = values
     return _make_flow(flow, service_type, tenant, group, key, deadline, parse_integer(flag_bits))
 
@@ -104,8 +108,8 @@
 
 def _make_flow(
     flow: str, service_type: str, tenant: str, group: str, key: str, deadline: str, flags: int = 0
-) -> events.Flow:
-    return events.Flow(
+) -> events.FlowRequest:
+    return events.FlowRequest(
         parse_integer(flow),
         service_type,
         parse_optional(tenant),
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -23,16 +23,16 @@
     hosts = [entry(f"s-{index:08x}", SERVER_PORT) for index in range(size)]
     document = {"seq": 1, "whole": True, "hosts": hosts}
     body = json.dumps(document).encode()
-    update = parse_endpoint_list(document, events.COMPLETE)
-    complete = events.EndpointList(events.COMPLETE, update.servers)
-    change = events.EndpointList(events.CHANGES, update.servers[:1])
+    update = parse_endpoint_list(document, events.ListScope.COMPLETE)
+    complete = events.EndpointList(events.ListScope.COMPLETE, update.servers)
+    change = events.EndpointList(events.ListScope.CHANGES, update.servers[:1])
     director = Director(
         events.ServiceConfig({"live": events.ServiceType(300.0)}, groups_share_work=True, max_attempts=4), 1
     )
     flow_ids = itertools.count(1)
 
     def parse() -> None:
-        parse_endpoint_list(json.loads(body), events.COMPLETE)
+        parse_endpoint_list(json.loads(body), events.ListScope.COMPLETE)
 
     def apply_complete() -> None:
         director.decide(0.0, complete)
@@ -55,7 +55,7 @@
 
 
 def _route_flow(director: Director, flow_id: int) -> None:
-    flow = events.Flow(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", 2_000.0)
+    flow = events.FlowRequest(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", 2_000.0)
     director.decide(1.0, flow)
     director.decide(2.0, events.ClientDisconnected(flow_id))
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -188,7 +188,7 @@
     def _put_update(self, update: EndpointUpdate) -> None:
         previous_list_at = self.list_current_at
         self.list_current_at = reactor.seconds()
-        if update.servers or update.scope == events.COMPLETE:
+        if update.servers or update.scope == events.ListScope.COMPLETE:
             self.put(update._replace(previous_list_at=previous_list_at))
 
     def _report_first_response(self) -> None:
@@ -325,10 +325,10 @@
 
     def _decode(self, message: dict) -> EndpointUpdate:
         """Decode a list and take its version; raises where it is no list or does not follow ours."""
-        scope = events.COMPLETE if message["whole"] else events.CHANGES
+        scope = events.ListScope.COMPLETE if message["whole"] else events.ListScope.CHANGES
         update = parse_endpoint_list(message, scope, self.counters)
         seq = parse_version(message["seq"])
-        if scope == events.CHANGES and (self.seq is None or seq < self.seq):
+        if scope == events.ListScope.CHANGES and (self.seq is None or seq < self.seq):
             raise ProtocolError(f"changes up to {seq} of a list held at {self.seq}")
         self.seq = seq
         return update
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -95,7 +95,7 @@
 def parse_cached_list(balancer_config: config.BalancerConfig) -> EndpointUpdate:
     """Parse the configuration's cached endpoint list; raises ConfigError."""
     try:
-        return parse_endpoint_list(balancer_config.cached_list, events.CACHED)
+        return parse_endpoint_list(balancer_config.cached_list, events.ListScope.CACHED)
     except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as error:
         raise ConfigError(f"known: {type(error).__name__} {error}") from None
 
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -15,7 +15,11 @@
 from lotusroute.routing import events
 from lotusroute.service_config import look_up, parse_number
 
-STATES = {"SERVING": events.READY, "DRAINING": events.DRAINING, "DELETED": events.REMOVED}
+STATES = {
+    "SERVING": events.EndpointState.READY,
+    "DRAINING": events.EndpointState.DRAINING,
+    "DELETED": events.EndpointState.REMOVED,
+}
 # What decoding raises where keys lack or values have other types than expected.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
 MAX_LOGGED_ENTRY = 200  # characters of a malformed entry in the log
@@ -39,7 +43,7 @@
     Raises ProtocolError where there are entries and all are malformed.
 
     >>> entry = {"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}
-    >>> parse_endpoint_list({"hosts": [entry, 7]}, events.COMPLETE).dials
+    >>> parse_endpoint_list({"hosts": [entry, 7]}, events.ListScope.COMPLETE).dials
     {'s-1': ('10.1.0.18', 9000)}
     """
     servers: list[events.Server] = []
@@ -69,7 +73,7 @@
     name = entry["host"]
     if not (isinstance(name, str) and name):
         raise ProtocolError(f"host: {name!r} is no name")
-    address = None if state == events.REMOVED else parse_address(entry["dial"])
+    address = None if state == events.EndpointState.REMOVED else parse_address(entry["dial"])
     server = events.Server(
         name,
         str(entry.get("site", "")),
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -23,12 +23,12 @@
 
     def update(self, update: EndpointUpdate, now: float) -> None:
         """Apply a list or changes to it."""
-        if update.scope != events.CHANGES:
+        if update.scope != events.ListScope.CHANGES:
             self.addresses.clear()
         for server in update.servers:
-            if server.state == events.REMOVED:
+            if server.state == events.EndpointState.REMOVED:
                 self.addresses.pop(server.id, None)
-            if server.state != events.DRAINING:
+            if server.state != events.EndpointState.DRAINING:
                 self.drain_deadlines.pop(server.id, None)
             elif server.id not in self.drain_deadlines:
                 self.drain_deadlines[server.id] = now + DRAIN_MIGRATION_SPREAD
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -59,7 +59,7 @@
 
     def attempt_failed(self, flow: ActiveFlow, result: str) -> None:
         """Retry after a failed attempt if the flow has not run, or may run again."""
-        if result in events.NEVER_RAN or flow.service_type.effect == events.IDEMPOTENT:
+        if result in events.NEVER_RAN or flow.service_type.effect == events.Effect.IDEMPOTENT:
             self._retry_later(flow)
         else:
             self._give_up(flow)
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -66,17 +66,17 @@
         service_type = self.service_type
         ran_at = self.may_have_run_since
         if (
-            service_type.effect == events.IDEMPOTENCY_KEY
+            service_type.effect == events.Effect.IDEMPOTENCY_KEY
             and ran_at is not None
             and now >= ran_at + service_type.dedup_window
         ):
             return False
         return now < self.attempt_started_at + max(grace, MIN_SEND_GRACE)
 
-    def routing_request(self) -> events.Flow:
+    def routing_request(self) -> events.FlowRequest:
         """Return what the Director is told of the flow."""
         opening = self.opening
-        return events.Flow(
+        return events.FlowRequest(
             self.number,
             opening.service_type,
             opening.tenant,
--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -176,7 +176,9 @@
             connection = flow.connection
             connection.abort()
             flow.downstream.half_close()
-            self._connection_ended(flow, connection, events.CANCELLED, EndReason.CLOSE_GRACE_EXPIRED)
+            self._connection_ended(
+                flow, connection, events.ConnectionResult.CANCELLED, EndReason.CLOSE_GRACE_EXPIRED
+            )
 
     # Connection attempts
 
@@ -288,7 +290,7 @@
             if not self._endpoints.accepts_new_flows(attempt.server):
                 self._counters["connects_cancelled"] += 1
                 attempt.abort()
-                self._connection_ended(flow, attempt, events.UNSENT, EndReason.SERVER_DRAINS)
+                self._connection_ended(flow, attempt, events.ConnectionResult.UNSENT, EndReason.SERVER_DRAINS)
 
     def retry_existing(self, event: RetryExisting) -> None:
         """Try an existing connection again after its backoff."""
@@ -307,7 +309,7 @@
             flow.log_step("client migrated", server=connection.server, why=reason)
             flow.downstream.send_migrate()
             connection.close_after_migration()
-            self._connection_ended(flow, connection, events.CANCELLED, EndReason.MIGRATED)
+            self._connection_ended(flow, connection, events.ConnectionResult.CANCELLED, EndReason.MIGRATED)
 
     def disconnect_unresponsive(self, flow: ActiveFlow, now: float) -> None:
         """Ask the client of a server that has gone silent to reconnect."""
@@ -317,7 +319,7 @@
         flow.log_step("server unresponsive", server=connection.server, silence=silence)
         connection.abort()
         flow.downstream.send_migrate()
-        self._connection_ended(flow, connection, events.RESET, EndReason.UNRESPONSIVE)
+        self._connection_ended(flow, connection, events.ConnectionResult.RESET, EndReason.UNRESPONSIVE)
 
     def reject_unfinished(self) -> None:
         """Give all flows that are not established their final answer: the shutdown waits no longer."""
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -26,7 +26,10 @@
 
 MAX_TIMED_REQUESTS = 64  # unanswered lines of a client that are timed at once: those of two minutes
 RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")  # a receipt as a server makes it; nothing less means served
-RESULTS_OF_ANSWERS = {BUSY: events.FULL, MOVE: events.CANCELLED}  # any other answer is an error
+RESULTS_OF_ANSWERS = {
+    BUSY: events.ConnectionResult.FULL,
+    MOVE: events.ConnectionResult.CANCELLED,
+}  # any other answer is an error
 
 
 class AttemptStage(IntEnum):
@@ -109,7 +112,7 @@
         self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_REQUESTS)  # each answer takes the oldest
         self.last_reply_time = 0.0  # when the server's last line came; 0: never
         self.last_request_time = 0.0  # when the client's last line came; 0: never
-        self.result_if_closed = events.RESET  # how the connection ends if it is closed now
+        self.result_if_closed = events.ConnectionResult.RESET  # how the connection ends if it is closed now
         self.downstream_left = False  # the client has stopped sending, or its connection broke
 
     def connectionMade(self) -> None:
@@ -117,7 +120,7 @@
         super().connectionMade()
         attempt = self.attempt
         if not attempt.may_send():
-            attempt.report_end(events.UNSENT, EndReason.NOT_SENT)
+            attempt.report_end(events.ConnectionResult.UNSENT, EndReason.NOT_SENT)
             self.transport.abortConnection()
             return
         attempt.line = self.write_now(attempt.line)
@@ -136,9 +139,9 @@
         if command == LOAD:
             self._report_load(line)
         elif command == BYE:
-            self.result_if_closed = events.OK
+            self.result_if_closed = events.ConnectionResult.OK
         elif command == MOVE:
-            self.result_if_closed = events.CANCELLED
+            self.result_if_closed = events.ConnectionResult.CANCELLED
         elif self.sent_times:
             self.attempt.put(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
         self.downstream.send_line(line)
@@ -150,11 +153,11 @@
             # Lines that come with the receipt are buffered until the client's connection is attached.
             self.buffering = True
             attempt.stage = AttemptStage.ESTABLISHED
-            self.result_if_closed = events.RESET
+            self.result_if_closed = events.ConnectionResult.RESET
             attempt.put(ReceiptReceived(attempt.flow_id, attempt, line))
         else:
             # An UP without a receipt, or before our line was complete, was not made for this request.
-            result = RESULTS_OF_ANSWERS.get(command_of(line), events.ERROR)
+            result = RESULTS_OF_ANSWERS.get(command_of(line), events.ConnectionResult.ERROR)
             attempt.report_end(result, EndReason.ANSWERED)
             self.transport.abortConnection()
 
@@ -199,7 +202,7 @@
 
     def lineLengthExceeded(self, line: bytes) -> None:
         """Close over a line that is too long."""
-        result = events.ERROR if self.downstream is None else events.RESET
+        result = events.ConnectionResult.ERROR if self.downstream is None else events.ConnectionResult.RESET
         self.attempt.report_end(result, EndReason.LINE_TOO_LONG)
         self.transport.abortConnection()
 
@@ -259,12 +262,16 @@
         """Twisted: the connection did not come up."""
         # Without a free descriptor the failure is ours, not the server's.
         local_failure = reason.check(error.ConnectBindError, error.UserError)
-        result = events.UNSENT if local_failure else events.UNREACHABLE
+        result = events.ConnectionResult.UNSENT if local_failure else events.ConnectionResult.UNREACHABLE
         self.report_end(result, EndReason.CONNECT_FAILED)
 
     def result_if_broken(self) -> str:
         """Return the result if the connection breaks now: after the last byte the request may have run."""
-        return events.RESET if self.stage >= AttemptStage.WRITTEN else events.UNREACHABLE
+        return (
+            events.ConnectionResult.RESET
+            if self.stage >= AttemptStage.WRITTEN
+            else events.ConnectionResult.UNREACHABLE
+        )
 
     def report_end(self, result: str, reason: EndReason) -> None:
         """Report the end, once."""
@@ -292,10 +299,10 @@
 
     def _result_of_abort(self) -> str:
         if self.stage >= AttemptStage.WRITTEN:
-            return events.TIMEOUT
+            return events.ConnectionResult.TIMEOUT
         if self.timeout_shortened:
-            return events.UNSENT
-        return events.UNREACHABLE
+            return events.ConnectionResult.UNSENT
+        return events.ConnectionResult.UNREACHABLE
 
     def attach_downstream(self, downstream: LineProtocol) -> None:
         """Forward lines to and from a client's connection from now on."""
@@ -323,7 +330,7 @@
         self.connection.transport.abortConnection()
 
     def _mark_downstream_left(self) -> None:
-        self.connection.result_if_closed = events.CANCELLED
+        self.connection.result_if_closed = events.ConnectionResult.CANCELLED
         self.connection.downstream_left = True
 
     def close_after_migration(self) -> None:
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from lotusroute.routing import events, migration, outlier_detection, retries, segments, slow_start
-from lotusroute.routing.state import DecayingCount, FlowState, RoutingState
+from lotusroute.routing.state import DecayingCount, FlowRecord, RoutingState
 
 REBALANCE_TICKS = 5  # ticks between rebalancing, 5 s as in the paper; without latency reports each tick
 DEPARTURE_GRACE = 5_000.0  # ms after a server left: clients are back within two, the list is seconds late
@@ -39,7 +39,7 @@
         match event:
             case events.EndpointList():
                 self._update_endpoints(event)
-            case events.Flow():
+            case events.FlowRequest():
                 self.state.count_arrival(event)
                 self._attempt(segments.register(self.state, event))
             case events.ExistingConnection():
@@ -51,7 +51,7 @@
             case _ if not isinstance(event, events.LatencyReport):  # one of a server that is gone
                 raise TypeError(f"unknown event {event!r}")
 
-    def _update_flow(self, flow: FlowState, event: events.FlowEvent) -> None:
+    def _update_flow(self, flow: FlowRecord, event: events.FlowEvent) -> None:
         match event:
             case events.Established():
                 flow.established = True
@@ -67,7 +67,7 @@
 
     def _update_endpoints(self, event: events.EndpointList) -> None:
         state = self.state
-        if event.scope == events.REFUSED:
+        if event.scope == events.ListScope.REJECTED:
             # A broken subscription goes unnoticed unless renewed; all renewing at once breaks it again.
             state.record_poll(accepted=False)
             wait = min(state.config.poll_interval / 2, SUBSCRIBE_BACKOFF * 2**state.refusals)
@@ -78,7 +78,7 @@
             state.actions.append(events.SetTimer(state.rng.uniform(0.0, slow_start.TICK_INTERVAL), "tick"))
         elif state.config.polls_discovery:
             state.record_poll(accepted=True)
-        if event.scope != events.CHANGES:
+        if event.scope != events.ListScope.CHANGES:
             state.mark_unlisted({endpoint.id for endpoint in event.servers})
         for endpoint in event.servers:
             self._update_server(endpoint)
@@ -90,7 +90,7 @@
         state = self.state
         server = state.servers.get(endpoint.id)
         if server is None:
-            if endpoint.state == events.REMOVED:
+            if endpoint.state == events.EndpointState.REMOVED:
                 return
             server = state.add_server(endpoint, segments.hash_text(endpoint.id))
             if state.lacks_latency_reports and state.ticks <= 1:
@@ -102,7 +102,7 @@
         # Squared: a heavy connection and its group's cost are little to a large server, half of a small one.
         server.size = endpoint.size**2 if state.config.trusts_weights and endpoint.size > 0 else 1.0
 
-    def _attempt(self, flow: FlowState) -> None:
+    def _attempt(self, flow: FlowRecord) -> None:
         """Connect a flow to a server, or reject it."""
         server = retries.next_server(self.state, flow)
         if isinstance(server, events.RejectReason):
@@ -118,11 +118,15 @@
         flow = segments.register(state, event.flow)
         server = state.servers.get(event.server)
         flow.restore_connection(server)
-        if server is not None and state.config.groups_share_work and server.state == events.READY:
+        if (
+            server is not None
+            and state.config.groups_share_work
+            and server.state == events.EndpointState.READY
+        ):
             # Groups that stood elsewhere than their defaults were paid for twice: 12 places became 25.
             state.overrides[flow.segment, flow.replica] = server
 
-    def _end_connection(self, flow: FlowState, event: events.ConnectionEnded) -> None:
+    def _end_connection(self, flow: FlowRecord, event: events.ConnectionEnded) -> None:
         self.state.connects.count_end(flow.established, event.result)
         if flow.server is not None:
             outlier_detection.record_result(self.state, flow.server, flow, event.result)
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,56 +1,67 @@
 """The events that the routing decisions take, the actions that they return, and the model of a service.
 
 All times are milliseconds with fractions on the host's clock; ids of flows are chosen by the host. The
-strings of closed sets appear in logs, so they stay as they are whatever their constants are called.
+values of the enumerations appear in logs and in the names of counters.
 """
 
 from enum import StrEnum
-from typing import Final, Literal, NamedTuple
-
-# What a flow of a service type may do if it runs twice.
-Effect = Literal["repeatable", "referenced", "once-only"]
-IDEMPOTENT: Final = "repeatable"
-IDEMPOTENCY_KEY: Final = "referenced"  # servers drop repeats of a key that they remember
-NON_IDEMPOTENT: Final = "once-only"
-
-# A server's state in an endpoint list.
-ServerState = Literal["ready", "draining", "gone"]
-READY: Final = "ready"
-DRAINING: Final = "draining"
-REMOVED: Final = "gone"
-
-# What an endpoint list is.
-ListScope = Literal["changes", "whole", "remembered", "refused"]
-CHANGES: Final = "changes"  # servers that changed since the last list
-COMPLETE: Final = "whole"  # all servers; those not listed are removed
-CACHED: Final = "remembered"  # all servers, from an earlier run and perhaps outdated
-REFUSED: Final = "refused"  # no list: discovery refused the call
-
-# How a connection attempt, or the connection that it established, ended.
-ConnectionResult = Literal["full", "unreachable", "unsent", "ok", "error", "timeout", "reset", "cancelled"]
-FULL: Final = "full"
-UNREACHABLE: Final = "unreachable"
-UNSENT: Final = "unsent"
-OK: Final = "ok"
-ERROR: Final = "error"
-TIMEOUT: Final = "timeout"
-RESET: Final = "reset"
-CANCELLED: Final = "cancelled"
-NEVER_RAN: Final = frozenset((FULL, UNREACHABLE, UNSENT))  # these prove that the flow never ran
+from typing import Final, NamedTuple
+
+
+class Effect(StrEnum):
+    """What happens if a flow of a service type runs twice."""
+
+    IDEMPOTENT = "idempotent"
+    IDEMPOTENCY_KEY = "idempotency-key"  # servers drop repeats of a key that they remember
+    NON_IDEMPOTENT = "non-idempotent"
+
+
+class EndpointState(StrEnum):
+    """A server's state in an endpoint list."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+class ListScope(StrEnum):
+    """Which servers an endpoint list names."""
+
+    CHANGES = "changes"  # those that changed since the last list
+    COMPLETE = "complete"  # all; a server that it does not name is removed
+    CACHED = "cached"  # all, from an earlier run and perhaps outdated
+    REJECTED = "rejected"  # none: discovery rejected the poll
+
+
+class ConnectionResult(StrEnum):
+    """How a connection attempt, or the connection that it established, ended."""
+
+    FULL = "full"  # the server has no capacity left
+    UNREACHABLE = "unreachable"
+    UNSENT = "unsent"  # nothing was written to the connection
+    OK = "ok"
+    ERROR = "error"
+    TIMEOUT = "timeout"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+
+
+NEVER_RAN: Final = frozenset((ConnectionResult.FULL, ConnectionResult.UNREACHABLE, ConnectionResult.UNSENT))
+"""Results that prove that the flow did not run."""
 
 
 class ServiceType(NamedTuple):
     """One service type, and what a retry of its flows may do."""
 
     setup_target: float  # ms, within which a connection should be established
-    effect: Effect = IDEMPOTENT
+    effect: Effect = Effect.IDEMPOTENT
     dedup_scope: str = "all"  # servers that drop repeats of a key: "all", or of one "zone" or "cell"
     dedup_window: float = 0.0  # ms, for how long they remember a key
 
     def safe_to_retry(self, ran: bool) -> bool:
         """Return whether a client may retry without harm; `ran` says that the flow may have run."""
-        deduplicated_everywhere = self.effect == IDEMPOTENCY_KEY and self.dedup_scope == "all"
-        return not ran or self.effect == IDEMPOTENT or deduplicated_everywhere
+        deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == "all"
+        return not ran or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
 
 
 class ServiceConfig(NamedTuple):
@@ -78,7 +89,7 @@
     id: str
     zone: str = ""
     cell: int = 0  # group of servers that share idempotency keys
-    state: ServerState = READY
+    state: EndpointState = EndpointState.READY
     size: float = 1.0  # the weight
     started: float = 0.0  # when it last started; 0 where unknown or long ago
 
@@ -90,7 +101,7 @@
     servers: tuple[Server, ...] = ()
 
 
-class Flow(NamedTuple):
+class FlowRequest(NamedTuple):
     """A client requests a connection and waits for it until the deadline."""
 
     id: int
@@ -106,7 +117,7 @@
 class ExistingConnection(NamedTuple):
     """A connection that was already open when this balancer started."""
 
-    flow: Flow
+    flow: FlowRequest
     server: str
 
 
@@ -209,7 +220,7 @@
 
 Event = (
     EndpointList
-    | Flow
+    | FlowRequest
     | ExistingConnection
     | Established
     | ConnectionEnded
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -5,7 +5,7 @@
 from lotusroute.routing.outlier_detection import overload_latency
 from lotusroute.routing.segments import assigned_server, default_server
 from lotusroute.routing.slow_start import admitted_fraction, capacity_fraction, warming_up
-from lotusroute.routing.state import RoutingState, ServerState
+from lotusroute.routing.state import RoutingState, ServerRecord
 
 MIGRATION_INTERVAL = 2_000.0  # ms: until reports can show what the last migration did
 MIGRATION_FRACTION = 0.15  # of the own connections at a time, times the latency over its threshold
@@ -23,7 +23,7 @@
         _migrate_to_defaults(state)
 
 
-def migrate_from_overloaded(state: RoutingState, server: ServerState) -> None:
+def migrate_from_overloaded(state: RoutingState, server: ServerRecord) -> None:
     """Migrate some connections away, the heaviest first; without latency reports the largest groups."""
     server.migrated_at = state.now
     flows = [flow for flow in server.connections.values() if flow.established]
@@ -41,7 +41,7 @@
             state.overrides[flow.segment, flow.replica] = min(targets, key=lambda s: (s.usage, s.id))
 
 
-def _migrating_fraction(state: RoutingState, server: ServerState, flows: int) -> float:
+def _migrating_fraction(state: RoutingState, server: ServerRecord, flows: int) -> float:
     fraction = 1 / (1 + flows)
     if state.lacks_latency_reports:
         return max(UNREPORTED_MIGRATION_FRACTION, fraction)
@@ -59,7 +59,7 @@
             state.request_migration(flow)
 
 
-def _takes_back(state: RoutingState, server: ServerState) -> bool:
+def _takes_back(state: RoutingState, server: ServerRecord) -> bool:
     if not server.started_at or server.restricted_until > state.now:
         return False
     sample = state.rng.random()
--- a/lotusroute/routing/outlier_detection.py
+++ b/lotusroute/routing/outlier_detection.py
@@ -4,7 +4,7 @@
 
 from lotusroute.routing import events
 from lotusroute.routing.slow_start import TICK_INTERVAL, start_recovery, warming_up
-from lotusroute.routing.state import DecayingMean, FlowState, RoutingState, ServerState
+from lotusroute.routing.state import DecayingMean, FlowRecord, RoutingState, ServerRecord
 
 EJECTION_TIME = 4_000.0  # ms: most of the list's delay on a dead server, and up to half more at random
 EJECTION_SCORE = 0.45  # two failed connects in a row, or one that found nobody
@@ -43,37 +43,41 @@
     return slow_latency(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
 
 
-def record_result(state: RoutingState, server: ServerState, flow: FlowState, result: str) -> None:
+def record_result(state: RoutingState, server: ServerRecord, flow: FlowRecord, result: str) -> None:
     """Take in how a connect, or the connection that came of it, has ended."""
-    if result == events.OK:
+    if result == events.ConnectionResult.OK:
         server.failure_score *= SUCCESS_FACTOR
-    elif result == events.FULL:
+    elif result == events.ConnectionResult.FULL:
         start_recovery(state, server)
         server.overloaded_until = max(server.overloaded_until, state.now + TICK_INTERVAL)
-    elif result == events.UNREACHABLE:
+    elif result == events.ConnectionResult.UNREACHABLE:
         _record_failure(state, server, UNREACHABLE_WEIGHT)
-    elif result in (events.ERROR, events.TIMEOUT, events.RESET):
-        was_cut = result == events.RESET and flow.established
-        if was_cut or (result == events.TIMEOUT and not _isolated_timeout(state, server)):
+    elif result in (
+        events.ConnectionResult.ERROR,
+        events.ConnectionResult.TIMEOUT,
+        events.ConnectionResult.RESET,
+    ):
+        was_cut = result == events.ConnectionResult.RESET and flow.established
+        if was_cut or (result == events.ConnectionResult.TIMEOUT and not _isolated_timeout(state, server)):
             start_recovery(state, server)
         _record_failure(state, server, RESET_WEIGHT if was_cut else FAILURE_WEIGHT)
 
 
-def _record_failure(state: RoutingState, server: ServerState, weight: float) -> None:
+def _record_failure(state: RoutingState, server: ServerRecord, weight: float) -> None:
     server.failure_score += weight * (1 - server.failure_score)
     if server.failure_score >= EJECTION_SCORE and server.ejected_until <= state.now:
         server.ejected_until = state.now + EJECTION_TIME + state.rng.uniform(0.0, EJECTION_TIME / 2)
         state.actions.append(events.OutlierEjected(server.id))
 
 
-def _isolated_timeout(state: RoutingState, server: ServerState) -> bool:
+def _isolated_timeout(state: RoutingState, server: ServerRecord) -> bool:
     """Tell whether a timeout stands among set-ups in time: one in 28 had three of four flows rejected."""
     setup_time = server.setup_time
     recent = setup_time is not None and setup_time.updated_at + TICK_INTERVAL > state.now
     return recent and server.failure_score < ISOLATED_TIMEOUT_SCORE
 
 
-def record_latency(state: RoutingState, server: ServerState, latency: float) -> None:
+def record_latency(state: RoutingState, server: ServerRecord, latency: float) -> None:
     """Take in a latency report; two thresholds, since with one a full fleet migrated all day."""
     server.latency = latency
     expiry = state.now + LATENCY_REPORT_TTL
@@ -87,7 +91,7 @@
         state.recently_overloaded[server.id] = server
 
 
-def record_setup(state: RoutingState, server: ServerState, flow: FlowState) -> None:
+def record_setup(state: RoutingState, server: ServerRecord, flow: FlowRecord) -> None:
     """Take in a set-up; without latency reports, slow ones are signs of overload if they are not chance."""
     took = state.now - flow.attempted_at
     server.failure_score *= SUCCESS_FACTOR
@@ -125,7 +129,7 @@
     return DecayingMean(value, SETUP_TIME_CONSTANT, min_weight, max_weight)
 
 
-def _record_timely_setup(state: RoutingState, server: ServerState) -> None:
+def _record_timely_setup(state: RoutingState, server: ServerRecord) -> None:
     server.setup_delay = 0.0
     if server.deprioritized_until <= state.now:
         server.slow_signs = 0
@@ -134,7 +138,7 @@
         server.recovering_until = min(server.recovering_until, state.now)
 
 
-def _record_slow_sign(state: RoutingState, server: ServerState, flow: FlowState) -> None:
+def _record_slow_sign(state: RoutingState, server: ServerRecord, flow: FlowRecord) -> None:
     if not server.slow_signs or flow.attempted_at >= server.slow_sign_at + STALL_WINDOW:
         server.slow_signs += 1
         server.slow_sign_at = flow.attempted_at
@@ -142,7 +146,7 @@
     state.recently_overloaded[server.id] = server
 
 
-def _confirm_slow(state: RoutingState, server: ServerState, mean: float, least: float, noise: float) -> None:
+def _confirm_slow(state: RoutingState, server: ServerRecord, mean: float, least: float, noise: float) -> None:
     """Migrate from a server that is slow for sure; on a second sign, of a later connect, reject flows too."""
     min_delay = SIGNIFICANT_DELAY_FRACTION * state.min_setup_target
     if mean <= max(least * SLOW_SETUP_RATIO, least + min_delay):
@@ -155,7 +159,7 @@
         start_recovery(state, server, SLOW_SETUP_TTL)
 
 
-def _reference(state: RoutingState, server: ServerState, fleet: DecayingMean) -> DecayingMean | None:
+def _reference(state: RoutingState, server: ServerRecord, fleet: DecayingMean) -> DecayingMean | None:
     """Return the set-up time of the quickest other server; of many that of an eighth: the least is luck."""
     if state.now >= state.sorted_at + len(state.ready):  # a ms a server: its cost is bounded
         state.by_setup_time = sorted(state.ready, key=lambda s: ((s.setup_time or fleet).value, s.id))
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -5,7 +5,7 @@
 from lotusroute.routing import events
 from lotusroute.routing.segments import SPILL_DEPTH, assigned_server, default_server, preference_order
 from lotusroute.routing.slow_start import admits, warming_up
-from lotusroute.routing.state import FlowState, RoutingState, ServerState
+from lotusroute.routing.state import FlowRecord, RoutingState, ServerRecord
 
 OVERLOADED_SPILL_DEPTH = 2  # servers a segment spills over while much of the fleet is overloaded
 OVERLOADED_FLEET_FRACTION = 0.5  # of the servers, what much means; 0.75 cost 0.03 on overloaded days
@@ -26,7 +26,7 @@
     state.spill_depth = OVERLOADED_SPILL_DEPTH if overloaded else SPILL_DEPTH
 
 
-def next_server(state: RoutingState, flow: FlowState) -> ServerState | events.RejectReason:
+def next_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | events.RejectReason:
     """Return the server of a flow's next attempt, or why there is none."""
     if len(flow.attempted) >= state.config.max_attempts:
         return events.RejectReason.ATTEMPTS_EXHAUSTED
@@ -37,7 +37,7 @@
     return _select_server(state, flow) or events.RejectReason.NO_FIT_SERVER
 
 
-def _select_server(state: RoutingState, flow: FlowState) -> ServerState | None:
+def _select_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
     """Return the first candidate that is fit and admits the flow; else the best of the others."""
     mid_flow = flow.request.mid_flow
     unknown = overloaded = deprioritized = ejected = None
@@ -60,7 +60,7 @@
     return ejected if overloaded is None and _admits(state, ejected, flow) else None
 
 
-def _candidates(state: RoutingState, flow: FlowState) -> Iterator[ServerState]:
+def _candidates(state: RoutingState, flow: FlowRecord) -> Iterator[ServerRecord]:
     """Yield servers in order of preference, as far as the segment spills.
 
     Of those that warm up, which are no step, one is yielded: the assigned or, without reports, the first.
@@ -83,7 +83,7 @@
             yield server
 
 
-def _skips_unknown(state: RoutingState, server: ServerState, request: events.Flow) -> bool:
+def _skips_unknown(state: RoutingState, server: ServerRecord, request: events.FlowRequest) -> bool:
     """Tell whether to skip an unknown server: that a client comes back may be the only sign of overload."""
     if not request.reconnecting or request.mid_flow or server.connections or warming_up(state, server):
         return False
@@ -91,11 +91,11 @@
     return not expected and state.rng.random() < UNKNOWN_SERVER_SKIP_PROBABILITY
 
 
-def _admits(state: RoutingState, server: ServerState | None, flow: FlowState) -> bool:
+def _admits(state: RoutingState, server: ServerRecord | None, flow: FlowRecord) -> bool:
     return server is not None and admits(state, server, flow.request.reconnecting)
 
 
-def _fallback_server(state: RoutingState, flow: FlowState) -> ServerState | None:
+def _fallback_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
     """Return a healthy server outside the preference order: flows were rejected beside idle servers."""
     start = int(state.rng.random() * len(state.ready))
     end = start + min(FALLBACK_CANDIDATES, len(state.ready))
@@ -106,20 +106,20 @@
     return None
 
 
-def _may_attempt(state: RoutingState, flow: FlowState, server: ServerState) -> bool:
+def _may_attempt(state: RoutingState, flow: FlowRecord, server: ServerRecord) -> bool:
     """Tell whether a retry is safe: a flow that may have run goes only where its repeat is dropped."""
     previous = flow.possibly_ran_on
     if previous is None or server.id in flow.attempted:
         return server.id not in flow.attempted
     service_type = state.config.service_types[flow.request.service_type]
-    if service_type.effect != events.IDEMPOTENCY_KEY:
-        return service_type.effect != events.NON_IDEMPOTENT
+    if service_type.effect != events.Effect.IDEMPOTENCY_KEY:
+        return service_type.effect != events.Effect.NON_IDEMPOTENT
     same = {"all": True, "zone": server.zone == previous.zone, "cell": server.cell == previous.cell}
     in_window = state.now < flow.possibly_ran_at + service_type.dedup_window
     return in_window and same.get(service_type.dedup_scope, False)
 
 
-def _throttled(state: RoutingState, request: events.Flow) -> bool:
+def _throttled(state: RoutingState, request: events.FlowRequest) -> bool:
     """Tell whether to reject a flow since most connects fail, whatever the server: retries keep it so."""
     failures = state.connects.failed
     successes = state.connects.established
@@ -137,7 +137,7 @@
     return True
 
 
-def attempt_timeout(state: RoutingState, flow: FlowState) -> float:
+def attempt_timeout(state: RoutingState, flow: FlowRecord) -> float:
     """Return how many ms the next attempt may take; 0 for all the time that is left."""
     if len(flow.attempted) + 1 >= state.config.max_attempts:
         return 0.0
@@ -150,7 +150,7 @@
 
 
 def final_answer(
-    state: RoutingState, flow: FlowState, reason: events.RejectReason
+    state: RoutingState, flow: FlowRecord, reason: events.RejectReason
 ) -> events.Reject | events.Abort:
     """Return the answer to a flow that gets no further attempt."""
     service_type = state.config.service_types[flow.request.service_type]
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from lotusroute.routing import events
-from lotusroute.routing.state import FlowState, RoutingState, ServerState
+from lotusroute.routing.state import FlowRecord, RoutingState, ServerRecord
 
 SEGMENT_BITS = 10  # 1024 segments, so that few groups share one; 8 bits mixed them, 12 gave no more
 MAX_LOAD_RATIO = 1.4  # mean servers' connections that one server takes: at 40% load, with a group's cost
@@ -27,13 +27,13 @@
     return crc32(text.encode()) * HASH_MULTIPLIER & HASH_MASK
 
 
-def segment_of(state: RoutingState, request: events.Flow) -> int:
+def segment_of(state: RoutingState, request: events.FlowRequest) -> int:
     """Return the segment of a flow: by its group where groups share work, else by its key."""
     shared = request.group if state.config.groups_share_work else None
     return crc32((shared or request.key or str(request.id)).encode()) >> (32 - SEGMENT_BITS)
 
 
-def register(state: RoutingState, request: events.Flow) -> FlowState:
+def register(state: RoutingState, request: events.FlowRequest) -> FlowRecord:
     """Take in a new flow; its key chooses the replica of its segment."""
     flow = state.add_flow(request, segment_of(state, request))
     key_hash = crc32((request.key or str(request.id)).encode())
@@ -58,15 +58,15 @@
     return min(1 + int(others / (MAX_LOAD_RATIO * (flows + PRIOR_FLOWS))), MAX_REPLICAS)
 
 
-def preference_order(state: RoutingState, segment: int) -> list[ServerState]:
+def preference_order(state: RoutingState, segment: int) -> list[ServerRecord]:
     """Return a segment's first servers, ranked on demand: for all after each list took five times the CPU."""
     if segment not in state.preference_orders:
         state.preference_orders[segment] = _rank_servers(state, hash_text(str(segment)))
     return state.preference_orders[segment]
 
 
-def _rank_servers(state: RoutingState, segment_hash: int) -> list[ServerState]:
-    def rank(server: ServerState) -> tuple[float, str, ServerState]:
+def _rank_servers(state: RoutingState, segment_hash: int) -> list[ServerRecord]:
+    def rank(server: ServerRecord) -> tuple[float, str, ServerRecord]:
         sample = ((segment_hash ^ server.hash) * HASH_MULTIPLIER & HASH_MASK) + 1
         return -math.log(sample / (HASH_MASK + 2)) / server.size, server.id, server
 
@@ -80,12 +80,12 @@
     return [server for _, _, server in ranks[:MAX_REPLICAS]]
 
 
-def default_server(state: RoutingState, segment: int, replica: int) -> ServerState | None:
+def default_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
     """Return the server that all balancers take for a replica of a segment."""
     return next(iter(preference_order(state, segment)[replica:]), None)
 
 
-def assigned_server(state: RoutingState, segment: int, replica: int) -> ServerState | None:
+def assigned_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
     """Return this balancer's server for a replica: its override, or else the default."""
     return state.overrides.get((segment, replica)) or default_server(state, segment, replica)
 
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: how many flows a server gets while it warms up or recovers from overload (docs/design.md)."""
 
 from lotusroute.routing.segments import assigned_server, preference_order
-from lotusroute.routing.state import RoutingState, ServerState
+from lotusroute.routing.state import RoutingState, ServerRecord
 
 TICK_INTERVAL = 1_000.0  # ms between upkeep; as often as servers report latency
 SLOT_ROUND = 3_000.0  # ms in which the slots of all balancers pass; the time in which a server fails
@@ -15,19 +15,19 @@
 RECOVERY_SLOT_FACTOR = 4.0  # times the first arrivals that come to a recovering server; 2 measured alike
 
 
-def warming_up(state: RoutingState, server: ServerState) -> bool:
+def warming_up(state: RoutingState, server: ServerRecord) -> bool:
     """Tell whether a server has started within the warm-up time."""
     return server.started_at > 0 and state.now < server.started_at + state.config.slow_start_duration
 
 
-def capacity_fraction(state: RoutingState, server: ServerState) -> float:
+def capacity_fraction(state: RoutingState, server: ServerRecord) -> float:
     """Return what part of its full capacity a server that has started has at least."""
     config = state.config
     progress = min(1.0, max(0.0, state.now - server.started_at) / max(config.slow_start_duration, 1.0))
     return config.slow_start_share + (1 - config.slow_start_share) * progress
 
 
-def start_recovery(state: RoutingState, server: ServerState, duration: float = RECOVERY_TIME) -> None:
+def start_recovery(state: RoutingState, server: ServerRecord, duration: float = RECOVERY_TIME) -> None:
     """Admit flows to a server that has been overloaded by slots, for `duration` ms."""
     if server.recovering_until <= state.now:
         server.last_slot_at = state.now
@@ -36,14 +36,14 @@
     state.recently_overloaded[server.id] = server
 
 
-def admits(state: RoutingState, server: ServerState, reconnecting: bool) -> bool:
+def admits(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
     """Tell whether a server gets one more flow now; if so, a slot or part of the quota is used up."""
     if warming_up(state, server):
         return _admits_warming_up(state, server, reconnecting)
     return server.recovering_until <= state.now or _admits_recovering(state, server)
 
 
-def _admits_warming_up(state: RoutingState, server: ServerState, reconnecting: bool) -> bool:
+def _admits_warming_up(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
     """Use the own quota, which with few balancers is most of the server's budget, or else a slot."""
     if state.lacks_latency_reports:
         return _take_slot(state, server, admitted_fraction(state, server, reconnecting))
@@ -65,7 +65,7 @@
     return _take_slot(state, server, fraction)
 
 
-def admitted_fraction(state: RoutingState, server: ServerState, reconnecting: bool) -> float:
+def admitted_fraction(state: RoutingState, server: ServerRecord, reconnecting: bool) -> float:
     """Return what part of the flows for a server that warms up is admitted without latency reports.
 
     All balancers together fill it in the warm-up time; one group that is back at once has a limit more.
@@ -82,14 +82,14 @@
     return min(1.0, limit, capacity * len(state.flows) / arrivals * even_share)
 
 
-def even_share_factor(state: RoutingState, server: ServerState) -> float:
+def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
     """Return a server's even share over the part of recent flows that want it, so that it gets no more."""
     recent = state.recent_replicas
     wanted = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
     return server.size / max(state.total_size, server.size) * len(recent) / max(1, wanted)
 
 
-def warming_up_target(state: RoutingState, segment: int, replica: int) -> ServerState | None:
+def warming_up_target(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
     """Return the one server that warms up which a replica's flows may reach: its own, or first in order."""
     assigned = assigned_server(state, segment, replica)
     if assigned is None or warming_up(state, assigned):
@@ -97,7 +97,7 @@
     return next((s for s in preference_order(state, segment) if warming_up(state, s)), None)
 
 
-def _admits_recovering(state: RoutingState, server: ServerState) -> bool:
+def _admits_recovering(state: RoutingState, server: ServerRecord) -> bool:
     """Use a slot; at hundreds of flows a second, where one a slot is next to nothing, the own rate."""
     calm = state.now + RECOVERY_TIME - server.recovering_until
     capacity = RECOVERY_RATE * 2 ** (calm / RECOVERY_DOUBLING_TIME)
@@ -111,7 +111,7 @@
     return True
 
 
-def _take_slot(state: RoutingState, server: ServerState, fraction: float) -> bool:
+def _take_slot(state: RoutingState, server: ServerRecord, fraction: float) -> bool:
     """Admit one flow in this balancer's slot: `fraction` of a round, at a phase by its index."""
     phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_ROUND) % 1
     if phase >= fraction or state.now < server.last_slot_at + fraction * SLOT_ROUND:
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -40,7 +40,7 @@
         `previous_list_at` is when the list before that was last known to be current, None where there was
         none. A server without a start, or that was removed, is returned as it is.
         """
-        if server.state == events.REMOVED or not server.started:
+        if server.state == events.EndpointState.REMOVED or not server.started:
             return server
         known = self._known.get(server.id)
         if known is None or known.reported != server.started:
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -77,9 +77,9 @@
     def count_end(self, was_established: bool, result: str) -> None:
         """Count a connect that failed, or a connection that was cut."""
         if was_established:
-            self.resets += result == events.RESET
+            self.resets += result == events.ConnectionResult.RESET
         else:
-            self.failed += result != events.OK
+            self.failed += result != events.ConnectionResult.OK
 
     def decay(self, factor: float) -> None:
         """Multiply all counts by `factor`."""
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ServerState:
+class ServerRecord:
     """A server as this balancer knows it: its line of the endpoint list, own connections and findings."""
 
     id: str
@@ -98,9 +98,9 @@
     first_seen_at: float  # as this process; the director may set it back, so that it does not count as new
     zone: str = ""
     cell: int = 0
-    state: str = events.REMOVED  # until its line of the list is read
+    state: str = events.EndpointState.REMOVED  # until its line of the list is read
     size: float = 1.0  # its weight in hashing and in shares of the load
-    connections: dict[int, "FlowState"] = field(default_factory=dict)  # by flow id
+    connections: dict[int, "FlowRecord"] = field(default_factory=dict)  # by flow id
     latency: float = 0.0  # ms, of the last latency report
     migrated_at: float = 0.0  # when clients were last migrated away
     slow_sign_at: float = 0.0  # when the connect of the last sign of slowness was begun
@@ -160,28 +160,28 @@
 
 
 @dataclass(slots=True, eq=False)
-class FlowState:
+class FlowRecord:
     """A flow that this balancer has not finished."""
 
-    request: events.Flow
+    request: events.FlowRequest
     segment: int
     replica: int = 0  # which server of the segment's preference order it is assigned to
     attempted: list[str] = field(default_factory=list)  # ids of servers, in order
-    possibly_ran_on: ServerState | None = None  # the first server on which it may have run
+    possibly_ran_on: ServerRecord | None = None  # the first server on which it may have run
     possibly_ran_at: float = 0.0  # when that connect was begun
-    server: ServerState | None = None  # of the last attempt
+    server: ServerRecord | None = None  # of the last attempt
     attempted_at: float = 0.0
     established: bool = False  # connected, and not asked to migrate
     load: float = 0.0  # work a second, of the last load report
 
-    def begin_attempt(self, server: ServerState, now: float) -> None:
+    def begin_attempt(self, server: ServerRecord, now: float) -> None:
         """Record that a connect to `server` begins."""
         self.attempted.append(server.id)
         self.attempted_at = now
         self.server = server
         server.connections[self.request.id] = self
 
-    def restore_connection(self, server: ServerState | None) -> None:
+    def restore_connection(self, server: ServerRecord | None) -> None:
         """Record a connection from before the start; its server may be unknown."""
         self.established = True
         self.server = server
@@ -208,20 +208,22 @@
     actions: list[events.Action] = field(default_factory=list)  # of the event in hand
     ticks: int = 0
 
-    servers: dict[str, ServerState] = field(default_factory=dict)  # removed ones leave with their connections
-    ready: list[ServerState] = field(default_factory=list)  # as of the last endpoint list
+    servers: dict[str, ServerRecord] = field(
+        default_factory=dict
+    )  # removed ones leave with their connections
+    ready: list[ServerRecord] = field(default_factory=list)  # as of the last endpoint list
     total_size: float = 1.0  # of the ready servers
     largest_size: float = 1.0
-    recently_overloaded: dict[str, ServerState] = field(default_factory=dict)
+    recently_overloaded: dict[str, ServerRecord] = field(default_factory=dict)
     reconnects_expected_until: float = 0.0  # clients of servers that left the list come back until then
     subscribed: bool = False
     refusals: int = 0  # of polls, in a row
     subscribe_at: float = 0.0
 
-    flows: dict[int, FlowState] = field(default_factory=dict)  # unfinished, by id
+    flows: dict[int, FlowRecord] = field(default_factory=dict)  # unfinished, by id
     flow_counts: Counter[int] = field(default_factory=Counter)  # unfinished, by segment
-    preference_orders: dict[int, list[ServerState]] = field(default_factory=dict)  # by segment, cached
-    overrides: dict[tuple[int, int], ServerState] = field(default_factory=dict)  # by segment and replica
+    preference_orders: dict[int, list[ServerRecord]] = field(default_factory=dict)  # by segment, cached
+    overrides: dict[tuple[int, int], ServerRecord] = field(default_factory=dict)  # by segment and replica
 
     arrivals: TickRate = field(default_factory=TickRate)  # flows asked for
     first_arrivals: TickRate = field(default_factory=TickRate)  # without clients that come back
@@ -229,7 +231,7 @@
     spill_depth: int = 0  # servers of its order that a segment spills over, set by the director
     setup_deviation: float = 0.0  # mean deviation of the logarithm of set-up times, set by the director
     fleet_setup_time: DecayingMean | None = None  # ms, of all servers
-    by_setup_time: list[ServerState] = field(default_factory=list)  # the quickest first, as of `sorted_at`
+    by_setup_time: list[ServerRecord] = field(default_factory=list)  # the quickest first, as of `sorted_at`
     sorted_at: float = -math.inf
 
     @property
@@ -247,7 +249,7 @@
         self.now = now
         self.actions = []
 
-    def count_arrival(self, request: events.Flow) -> None:
+    def count_arrival(self, request: events.FlowRequest) -> None:
         """Count a flow that is asked for."""
         self.arrivals.count += 1
         self.recent_arrivals.increment(self.now)
@@ -265,7 +267,7 @@
         """Drop recently overloaded servers whose findings have expired, or that are not ready."""
         for server in list(self.recently_overloaded.values()):
             expired = max(server.recovering_until, server.deprioritized_until) <= self.now
-            if expired or server.state != events.READY:
+            if expired or server.state != events.EndpointState.READY:
                 del self.recently_overloaded[server.id]
 
     def record_poll(self, accepted: bool) -> None:
@@ -273,9 +275,9 @@
         self.subscribed = accepted
         self.refusals = 0 if accepted else self.refusals + 1
 
-    def add_server(self, endpoint: events.Server, server_hash: int) -> ServerState:
+    def add_server(self, endpoint: events.Server, server_hash: int) -> ServerRecord:
         """Record a new server; its line of the list is still to be read."""
-        server = ServerState(endpoint.id, server_hash, endpoint.started, self.now)
+        server = ServerRecord(endpoint.id, server_hash, endpoint.started, self.now)
         self.servers[endpoint.id] = server
         return server
 
@@ -283,7 +285,7 @@
         """Mark the servers that a complete endpoint list does not hold as removed."""
         for server in self.servers.values():
             if server.id not in server_ids:
-                server.state = events.REMOVED
+                server.state = events.EndpointState.REMOVED
 
     def refresh_ready(self) -> bool:
         """Drop removed servers without connections, and list those that are ready, with their sizes.
@@ -291,27 +293,33 @@
         Returns whether a server is not ready any more, or none has been before.
         """
         previous = self.ready
-        self.servers = {s.id: s for s in self.servers.values() if s.state != events.REMOVED or s.connections}
-        self.ready = [server for server in self.servers.values() if server.state == events.READY]
+        self.servers = {
+            s.id: s for s in self.servers.values() if s.state != events.EndpointState.REMOVED or s.connections
+        }
+        self.ready = [
+            server for server in self.servers.values() if server.state == events.EndpointState.READY
+        ]
         self.total_size = sum(server.size for server in self.ready) or 1.0
         self.largest_size = max((server.size for server in self.ready), default=1.0)
         self.preference_orders.clear()
-        self.overrides = {key: s for key, s in self.overrides.items() if s.state == events.READY}
-        return not previous or any(server.state != events.READY for server in previous)
+        self.overrides = {
+            key: s for key, s in self.overrides.items() if s.state == events.EndpointState.READY
+        }
+        return not previous or any(server.state != events.EndpointState.READY for server in previous)
 
-    def add_flow(self, request: events.Flow, segment: int) -> FlowState:
+    def add_flow(self, request: events.FlowRequest, segment: int) -> FlowRecord:
         """Record a new flow."""
-        flow = FlowState(request, segment)
+        flow = FlowRecord(request, segment)
         self.flows[request.id] = flow
         self.flow_counts[segment] += 1
         return flow
 
-    def request_migration(self, flow: FlowState) -> None:
+    def request_migration(self, flow: FlowRecord) -> None:
         """Ask the client of an established connection to leave and come again."""
         flow.established = False
         self.actions.append(events.Migrate(flow.request.id))
 
-    def remove_flow(self, flow: FlowState) -> None:
+    def remove_flow(self, flow: FlowRecord) -> None:
         """Forget a finished flow."""
         del self.flows[flow.request.id]
         self.flow_counts[flow.segment] -= 1
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -16,9 +16,9 @@
 
 BOOLEANS = {"true": True, "false": False}
 EFFECTS: dict[str, events.Effect] = {
-    "read_like": events.IDEMPOTENT,
-    "idempotency_key": events.IDEMPOTENCY_KEY,
-    "non_idempotent": events.NON_IDEMPOTENT,
+    "read_like": events.Effect.IDEMPOTENT,
+    "idempotency_key": events.Effect.IDEMPOTENCY_KEY,
+    "non_idempotent": events.Effect.NON_IDEMPOTENT,
 }
 DEFAULT_EFFECT = "non_idempotent"  # the one that is never retried by mistake
 STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that stay the same between endpoint lists
@@ -79,8 +79,8 @@
 def parse_service_config(settings: Mapping[str, str]) -> events.ServiceConfig:
     """Parse the settings of a service.
 
-    >>> parse_service_config({"service_types.count": "1", "service_types.0.name": "live"}).service_types
-    {'live': ServiceType(setup_target=0.0, effect='once-only', dedup_scope='all', dedup_window=0.0)}
+    >>> parse_service_config({"limits.max_connects": "4", "discovery": "ask"}).max_attempts
+    4
     """
     latency_objective = _parse_latency_objective(settings)
     service_types = _parse_service_types(settings)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -40,25 +40,25 @@
         self.now, self.last_flow_id = 0.0, 0
         self.update_endpoints(
             *(events.Server(f"s{n}", zone=f"z{n % 2}", cell=n % 2) for n in range(servers)),
-            scope=events.COMPLETE,
+            scope=events.ListScope.COMPLETE,
         )
 
     def decide(self, event):
         return self.director.decide(self.now, event)
 
-    def update_endpoints(self, *servers, scope=events.CHANGES):
+    def update_endpoints(self, *servers, scope=events.ListScope.CHANGES):
         return self.decide(events.EndpointList(scope, servers))
 
     def request(self, key="k", group=None, tenant=None, **more):
         """A new flow; returns its first action."""
         self.last_flow_id += 1
-        flow = events.Flow(self.last_flow_id, "live", tenant, group, key, self.now + 1800.0, **more)
+        flow = events.FlowRequest(self.last_flow_id, "live", tenant, group, key, self.now + 1800.0, **more)
         return self.decide(flow)[0]
 
     def default_server(self, key):
         """The server that all balancers take for a key's segment."""
         state = self.director.state
-        segment = segments.segment_of(state, events.Flow(0, "live", None, None, key, 0.0))
+        segment = segments.segment_of(state, events.FlowRequest(0, "live", None, None, key, 0.0))
         return segments.preference_order(state, segment)[0].id
 
     def establish(self, key="k", **more):
@@ -78,7 +78,7 @@
             if isinstance(action, events.Connect):
                 self.now += setup_time(action.server)
                 self.decide(events.Established(action.id, action.server))
-                self.end(action, events.OK, final=True)
+                self.end(action, events.ConnectionResult.OK, final=True)
             self.now += gap
         return answers
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -136,7 +136,7 @@
 def endpoints(scope, **states):
     """An endpoint update with the states of servers by id."""
     servers = tuple(events.Server(server, state=state) for server, state in states.items())
-    listed = {server: ADDRESS for server, state in states.items() if state != events.REMOVED}
+    listed = {server: ADDRESS for server, state in states.items() if state != events.EndpointState.REMOVED}
     return EndpointUpdate(scope, servers, listed)
 
 
@@ -144,7 +144,12 @@
     on_drain_started = Mock()
     registry = EndpointRegistry(on_drain_started)
     for now in (0.0, 400.0):
-        registry.update(endpoints(events.CHANGES, s1=events.DRAINING, s2=events.READY), now)
+        registry.update(
+            endpoints(
+                events.ListScope.CHANGES, s1=events.EndpointState.DRAINING, s2=events.EndpointState.READY
+            ),
+            now,
+        )
     assert on_drain_started.call_count == 1 and registry.drain_deadlines == {"s1": DRAIN_MIGRATION_SPREAD}
     assert registry.has_address("s1") and not registry.accepts_new_flows("s1")
     assert registry.accepts_new_flows("s2")
@@ -152,10 +157,13 @@
 
 @pytest.mark.parametrize(
     "update",
-    [endpoints(events.CHANGES, s1=events.REMOVED), endpoints(events.COMPLETE, s2=events.READY)],
+    [
+        endpoints(events.ListScope.CHANGES, s1=events.EndpointState.REMOVED),
+        endpoints(events.ListScope.COMPLETE, s2=events.EndpointState.READY),
+    ],
 )
 def test_a_draining_server_that_is_removed_or_no_longer_listed_is_forgotten(update):
     registry = EndpointRegistry(Mock())
-    registry.update(endpoints(events.COMPLETE, s1=events.DRAINING), 0.0)
+    registry.update(endpoints(events.ListScope.COMPLETE, s1=events.EndpointState.DRAINING), 0.0)
     registry.update(update, 1.0)
     assert not registry.has_address("s1") and not registry.drain_deadlines
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -8,7 +8,7 @@
 
 def test_draining_servers_get_no_new_flows():
     host = FakeHost(2)
-    host.update_endpoints(events.Server("s0", state=events.DRAINING))
+    host.update_endpoints(events.Server("s0", state=events.EndpointState.DRAINING))
     assert {host.request(key).server for key in KEYS} == {"s1"}
 
 
@@ -19,7 +19,7 @@
 def test_a_restarted_server_warms_up_again_and_its_findings_are_reset():
     host = FakeHost()
     dead = host.request().server
-    host.end(events.Connect(1, dead), events.UNREACHABLE)
+    host.end(events.Connect(1, dead), events.ConnectionResult.UNREACHABLE)
     host.update_endpoints(events.Server(dead, started=1.0))
     known = host.director.state.servers[dead]
     assert known.ejected_until == 0.0 and slow_start.warming_up(host.director.state, known)
@@ -27,22 +27,22 @@
 
 def test_a_broken_subscription_is_renewed_with_backoff():
     host = FakeHost(polls_discovery=True, config=SERVICE_CONFIG)
-    host.decide(events.EndpointList(events.REFUSED))
+    host.decide(events.EndpointList(events.ListScope.REJECTED))
     asked = [actions_of(events.Subscribe, host.advance(1000.0)) for _ in range(3)]
     assert sum(map(len, asked)) == 1
-    host.decide(events.EndpointList(events.REFUSED))
-    host.decide(events.EndpointList(events.CHANGES))
+    host.decide(events.EndpointList(events.ListScope.REJECTED))
+    host.decide(events.EndpointList(events.ListScope.CHANGES))
     assert actions_of(events.Subscribe, host.advance(20_000.0)) == []
 
 
 def test_existing_connections_are_counted_and_no_state_of_finished_flows_remains():
     host = FakeHost()
-    host.decide(events.ExistingConnection(events.Flow(900, "live", "t", None, "k", 0.0), "s1"))
+    host.decide(events.ExistingConnection(events.FlowRequest(900, "live", "t", None, "k", 0.0), "s1"))
     connects = [host.establish(key) for key in KEYS]
     assert 900 in host.director.state.servers["s1"].connections
-    host.decide(events.ConnectionEnded(900, "s1", True, events.OK))
+    host.decide(events.ConnectionEnded(900, "s1", True, events.ConnectionResult.OK))
     for connect in connects[:100]:
-        host.end(connect, events.OK, True)
+        host.end(connect, events.ConnectionResult.OK, True)
     for connect in connects[100:]:
         host.decide(events.ClientDisconnected(connect.id))
     assert not host.director.state.flows and not host.director.state.flow_counts
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -64,7 +64,7 @@
 def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
     core.relist = following.request_complete_list
-    core.put(EndpointUpdate(events.CHANGES, (None,), {}))
+    core.put(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
     core.loop.run_pending()
     assert following.seq is None
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -369,10 +369,10 @@
     told = net_config.load_config({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     known = json.loads(CONFIG)["known"]
     types = {
-        "live": (300.0, events.IDEMPOTENCY_KEY, "zone", 60000.0),
-        "a": (0.0, events.IDEMPOTENT, "all", 0.0),
+        "live": (300.0, events.Effect.IDEMPOTENCY_KEY, "zone", 60000.0),
+        "a": (0.0, events.Effect.IDEMPOTENT, "all", 0.0),
     }
-    types["b"] = (0.0, events.NON_IDEMPOTENT, "all", 0.0)
+    types["b"] = (0.0, events.Effect.NON_IDEMPOTENT, "all", 0.0)
     posting = ("n2", ("127.0.0.1", 9000), ("127.0.0.1", 8500), 0x35656564, 2048, 80.0, {"t1"}, known)
     assert told == (*posting, (types, *VIP), 300.0, 3000.0, 600.0, True, "DEBUG")
     environ = {"LB_FLEET": "x", "LB_RELAYS": "y", "LB_LISTEN": "h:1", "LB_DISCOVERY": "h:2"}
@@ -443,10 +443,10 @@
 @pytest.mark.parametrize(
     "line, kind, values",
     [
-        ("ask 7 live t g 0 k 3 1800.5", events.Flow, (7, "live", "t", "g", "k", 1800.5, False, False)),
-        ("ask 7 live - - 8 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, True, False)),
-        ("ask 7 live - - 2 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
-        ("ask 7 live - - 16 - 3 9", events.Flow, (7, "live", None, None, None, 9.0, False, True)),
+        ("ask 7 live t g 0 k 3 1800.5", events.FlowRequest, (7, "live", "t", "g", "k", 1800.5, False, False)),
+        ("ask 7 live - - 8 - 3 9", events.FlowRequest, (7, "live", None, None, None, 9.0, True, False)),
+        ("ask 7 live - - 2 - 3 9", events.FlowRequest, (7, "live", None, None, None, 9.0, False, True)),
+        ("ask 7 live - - 16 - 3 9", events.FlowRequest, (7, "live", None, None, None, 9.0, False, True)),
         ("already_open 7 live t k 5.5 0 g 0 s", events.ExistingConnection, (OPEN_FLOW, "s")),
         ("under_way 7 0 s 1", events.Established, (7, "s")),
         ("withdrawn 7", events.ClientDisconnected, (7,)),
@@ -459,14 +459,14 @@
         *(
             (f"resolved 7 1 s 0 0 {code} -", events.ConnectionEnded, (7, "s", True, result))
             for code, result in [
-                ("S", events.OK),
-                ("E", events.ERROR),
-                ("F", events.FULL),
-                ("T", events.TIMEOUT),
-                ("C", events.UNREACHABLE),
-                ("R", events.RESET),
-                ("X", events.CANCELLED),
-                ("N", events.UNSENT),
+                ("S", events.ConnectionResult.OK),
+                ("E", events.ConnectionResult.ERROR),
+                ("F", events.ConnectionResult.FULL),
+                ("T", events.ConnectionResult.TIMEOUT),
+                ("C", events.ConnectionResult.UNREACHABLE),
+                ("R", events.ConnectionResult.RESET),
+                ("X", events.ConnectionResult.CANCELLED),
+                ("N", events.ConnectionResult.UNSENT),
             ]
         ),
     ],
@@ -478,13 +478,17 @@
 
 
 def test_rows_scopes_and_the_names_of_messages_are_these():
-    for code, state in (("IN", events.READY), ("LAME", events.DRAINING), ("OUT", events.REMOVED)):
+    for code, state in (
+        ("IN", events.EndpointState.READY),
+        ("LAME", events.EndpointState.DRAINING),
+        ("OUT", events.EndpointState.REMOVED),
+    ):
         assert wire.parse_server(f"s z 0 4 {code} 1.5 -".split(" ")) == ("s", "z", 4, state, 1.5, 0.0)
     scopes = {
-        "changes": events.CHANGES,
-        "all": events.COMPLETE,
-        "remembered": events.CACHED,
-        "refused": events.REFUSED,
+        "changes": events.ListScope.CHANGES,
+        "all": events.ListScope.COMPLETE,
+        "remembered": events.ListScope.CACHED,
+        "refused": events.ListScope.REJECTED,
     }
     assert scopes == wire.SCOPES
     names = "ask already_open under_way notice resolved withdrawn alarm checked from_peer"
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -46,7 +46,7 @@
         fleet = [FakeHost(4, seed=index, instance_count=200, instance_index=index) for index in range(200)]
         for host in fleet:
             key = next(key for key in KEYS if host.default_server(key) == "s1")
-            host.update_endpoints(events.Server("s1", state=events.DRAINING))
+            host.update_endpoints(events.Server("s1", state=events.EndpointState.DRAINING))
             host.establish(key)
             host.update_endpoints(events.Server("s1", started=host.now + 1.0))
             recent = host.director.state.recent_arrivals
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -11,7 +11,7 @@
 def test_an_unreachable_server_is_ejected_and_comes_back():
     host = FakeHost()
     dead = host.request().server
-    host.end(events.Connect(1, dead), events.UNREACHABLE)
+    host.end(events.Connect(1, dead), events.ConnectionResult.UNREACHABLE)
     assert host.request().server != dead
     host.now += 6001.0
     assert host.request().server == dead
@@ -20,7 +20,10 @@
 def test_flows_are_still_connected_when_all_servers_are_ejected():
     host = FakeHost(2)
     first = host.request()
-    host.end(actions_of(events.Connect, host.end(first, events.UNREACHABLE))[0], events.UNREACHABLE)
+    host.end(
+        actions_of(events.Connect, host.end(first, events.ConnectionResult.UNREACHABLE))[0],
+        events.ConnectionResult.UNREACHABLE,
+    )
     assert isinstance(host.request(), events.Connect)
 
 
@@ -109,7 +112,7 @@
         assert isinstance(connect, events.Connect)
         host.now += 5.0
         if index % 28 == 27:
-            connect = actions_of(events.Connect, host.end(connect, events.TIMEOUT))[0]
+            connect = actions_of(events.Connect, host.end(connect, events.ConnectionResult.TIMEOUT))[0]
         host.decide(events.Established(connect.id, connect.server))
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -19,7 +19,9 @@
     while isinstance(connect, events.Connect):
         seen.append(connect.server)
         actions = [
-            a for a in host.end(connect, events.UNREACHABLE) if not isinstance(a, events.OutlierEjected)
+            a
+            for a in host.end(connect, events.ConnectionResult.UNREACHABLE)
+            if not isinstance(a, events.OutlierEjected)
         ]
         assert len(actions) == 1
         connect = actions[0]
@@ -27,37 +29,41 @@
         connect == events.Reject(1, 1000.0, RejectReason.ATTEMPTS_EXHAUSTED)
         and len(set(seen)) == len(seen) == 4
     )
-    assert host.end(events.Connect(1, seen[-1]), events.TIMEOUT, True) == []
+    assert host.end(events.Connect(1, seen[-1]), events.ConnectionResult.TIMEOUT, True) == []
 
 
 def test_a_timeout_at_the_deadline_is_answered_and_not_retried():
     host = FakeHost()
     connect = host.request()
     host.now += 1800.0
-    actions = host.end(connect, events.TIMEOUT)
+    actions = host.end(connect, events.ConnectionResult.TIMEOUT)
     assert actions_of(events.Connect, actions) == []
     assert actions[-1].reason == RejectReason.DEADLINE_PASSED
     assert host.director.state.flows == {}
 
 
 def test_a_non_idempotent_flow_is_retried_only_if_it_never_ran():
-    host = FakeHost(service_types=service_types(events.NON_IDEMPOTENT))
-    second = actions_of(events.Connect, host.end(host.request(), events.FULL))[0]
-    assert host.end(second, events.TIMEOUT) == [events.Abort(1, RejectReason.NO_FIT_SERVER)]
+    host = FakeHost(service_types=service_types(events.Effect.NON_IDEMPOTENT))
+    second = actions_of(events.Connect, host.end(host.request(), events.ConnectionResult.FULL))[0]
+    assert host.end(second, events.ConnectionResult.TIMEOUT) == [events.Abort(1, RejectReason.NO_FIT_SERVER)]
 
 
 def test_a_flow_with_an_idempotency_key_is_retried_only_in_its_scope_and_window():
     for dedup_scope in ("zone", "cell"):
-        host = FakeHost(service_types=service_types(events.IDEMPOTENCY_KEY, dedup_scope))
+        host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY, dedup_scope))
         first = host.request()
-        second = actions_of(events.Connect, host.end(first, events.RESET))[0]
+        second = actions_of(events.Connect, host.end(first, events.ConnectionResult.RESET))[0]
         assert int(second.server[1:]) % 2 == int(first.server[1:]) % 2
-        assert host.end(second, events.RESET)[-1] == events.Abort(1, RejectReason.NO_FIT_SERVER)
-    host = FakeHost(service_types=service_types(events.IDEMPOTENCY_KEY))
+        assert host.end(second, events.ConnectionResult.RESET)[-1] == events.Abort(
+            1, RejectReason.NO_FIT_SERVER
+        )
+    host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY))
     first = host.request()
     host.director.state.flows[1].request = host.director.state.flows[1].request._replace(deadline=9000.0)
     host.now = 5000.0
-    assert host.end(first, events.RESET) == [events.Reject(1, 1000.0, RejectReason.NO_FIT_SERVER)]
+    assert host.end(first, events.ConnectionResult.RESET) == [
+        events.Reject(1, 1000.0, RejectReason.NO_FIT_SERVER)
+    ]
 
 
 def test_connects_are_throttled_while_most_fail_on_all_servers():
@@ -67,7 +73,7 @@
         answer = host.request(f"key-{index}")
         while isinstance(answer, events.Connect):
             connects += 1
-            answer = host.end(answer, events.ERROR)[-1]
+            answer = host.end(answer, events.ConnectionResult.ERROR)[-1]
     assert connects <= 20
     host.advance(60_000.0)
     assert isinstance(host.request(), events.Connect)
@@ -111,7 +117,7 @@
             if len(on_server) > 20:
                 for _ in range(7):
                     host, connect, client = on_server.pop(rng.randrange(len(on_server)))
-                    host.end(connect, events.RESET, final=True)
+                    host.end(connect, events.ConnectionResult.RESET, final=True)
                     next_due.append((now + 0.1, client, True))
                     resets += 1
         due = next_due
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -12,7 +12,7 @@
     one, two = FakeHost(), FakeHost(instance_index=1)
     before = {key: one.request(key).server for key in KEYS}
     assert before == {key: two.request(key).server for key in KEYS}
-    one.update_endpoints(events.Server("s2", state=events.REMOVED))
+    one.update_endpoints(events.Server("s2", state=events.EndpointState.REMOVED))
     after = {key: one.request(key).server for key in KEYS}
     assert all(after[key] == before[key] for key in KEYS if before[key] != "s2")
     assert "s2" in before.values() and "s2" not in after.values()
@@ -38,7 +38,7 @@
     migrated = [key for key in keys if host.request(key).server == "s1"]
     assert len(migrated) == 1
     assert host.request(migrated[0], mid_flow=True).server == "s0"
-    host.update_endpoints(events.Server("s1", state=events.DRAINING))
+    host.update_endpoints(events.Server("s1", state=events.EndpointState.DRAINING))
     assert host.request(migrated[0]).server == "s0"
 
 
@@ -59,9 +59,9 @@
     default = host.request(group="yard").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
     host = FakeHost(groups_share_work=True)
-    host.decide(events.ExistingConnection(events.Flow(99, "live", None, "yard", "k", 1800.0), other))
+    host.decide(events.ExistingConnection(events.FlowRequest(99, "live", None, "yard", "k", 1800.0), other))
     assert host.request(group="yard").server == other
-    host.update_endpoints(events.Server(other, state=events.DRAINING))
+    host.update_endpoints(events.Server(other, state=events.EndpointState.DRAINING))
     assert host.request(group="yard").server != other
 
 
@@ -105,9 +105,15 @@
     def spread_fraction(groups):
         host, rng = FakeHost(60, instance_count=200, groups_share_work=True), random.Random(1)
         for n in range(20):
-            host.end(host.establish(f"c{n}", group=f"g{rng.randrange(groups)}"), events.OK, final=True)
+            host.end(
+                host.establish(f"c{n}", group=f"g{rng.randrange(groups)}"),
+                events.ConnectionResult.OK,
+                final=True,
+            )
         found = [
-            segments.register(host.director.state, events.Flow(-n, "live", None, f"g{n}", f"c{n}", 0.0))
+            segments.register(
+                host.director.state, events.FlowRequest(-n, "live", None, f"g{n}", f"c{n}", 0.0)
+            )
             for n in range(groups)
         ]
         return sum(flow.replica > 0 for flow in found) / groups
--- a/tests/test_spilling.py
+++ b/tests/test_spilling.py
@@ -39,12 +39,12 @@
     # zanella-serra-later big-1: 157 balancers, of which most got no report that a server was overloaded.
     host = FakeHost(8, instance_count=150, reports_latency=True)
     default = host.request().server
-    host.end(events.Connect(1, default), events.OK, True)
+    host.end(events.Connect(1, default), events.ConnectionResult.OK, True)
     passed = 0
     for _ in range(40):
         back = host.request(reconnecting=True)
         passed += back.server != default
-        host.end(back, events.OK, True)
+        host.end(back, events.ConnectionResult.OK, True)
     assert 10 <= passed <= 30
     host.establish(reconnecting=False)
     assert host.request(reconnecting=True).server == default
@@ -60,8 +60,8 @@
     connects = [host.establish(f"key-{index}", group="yard") for index, host in enumerate(fleet)]
     left = connects[0].server
     for host, connect in zip(fleet, connects, strict=True):
-        host.update_endpoints(events.Server(left, state=events.DRAINING))
-        host.end(connect, events.CANCELLED, True)
+        host.update_endpoints(events.Server(left, state=events.EndpointState.DRAINING))
+        host.end(connect, events.ConnectionResult.CANCELLED, True)
         host.now += 500.0
     back = {
         host.request(f"key-{39 - index}", "yard", reconnecting=True).server
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -20,7 +20,9 @@
     return StartTimes(DELAY)
 
 
-def started(starts, reported, now=NOW, previous_list_at=NOW - 2_000.0, name="s1", state=events.READY):
+def started(
+    starts, reported, now=NOW, previous_list_at=NOW - 2_000.0, name="s1", state=events.EndpointState.READY
+):
     server = events.Server(name, state=state, started=reported)
     return starts.bound(server, now, previous_list_at).started
 
@@ -32,7 +34,7 @@
 
 def test_an_unknown_start_and_that_of_a_removed_server_are_left_as_they_are(starts):
     assert started(starts, 0.0) == 0.0
-    assert started(starts, 5.0, state=events.REMOVED) == 5.0
+    assert started(starts, 5.0, state=events.EndpointState.REMOVED) == 5.0
 
 
 @pytest.mark.parametrize("ahead", [20_000.0, HOUR])
@@ -52,7 +54,7 @@
 
 def test_a_start_keeps_its_time_in_later_lists_and_after_the_server_was_removed(starts):
     first = started(starts, NOW + HOUR)
-    started(starts, NOW + HOUR, now=NOW + 9_000.0, state=events.REMOVED)
+    started(starts, NOW + HOUR, now=NOW + 9_000.0, state=events.EndpointState.REMOVED)
     assert started(starts, NOW + HOUR, now=NOW + 9_000.0, previous_list_at=NOW + 8_000.0) == first
     restarted = started(starts, NOW + 2 * HOUR, now=NOW + 9_000.0, previous_list_at=NOW + 8_000.0)
     assert restarted == NOW + 9_000.0
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -95,7 +95,7 @@
         host = FakeHost(0, instance_count=94, instance_index=instance, reports_latency=True)
         host.now = 20_000.0
         host.update_endpoints(
-            *(events.Server(f"s{index}", size=3.0) for index in range(3)), scope=events.COMPLETE
+            *(events.Server(f"s{index}", size=3.0) for index in range(3)), scope=events.ListScope.COMPLETE
         )
         state = host.director.state
         state.first_arrivals.mean = state.arrivals.mean = 0.35
@@ -200,11 +200,11 @@
         actions = [host.request(str(now), group=group(), reconnecting=True)]
         if isinstance(actions[0], events.Connect) and rng.random() < 0.1:
             connects += actions[0].server == "cold"
-            actions = host.end(actions[0], events.UNREACHABLE)
+            actions = host.end(actions[0], events.ConnectionResult.UNREACHABLE)
         connects += sum(connect.server == "cold" for connect in actions_of(events.Connect, actions))
         if rng.random() < 0.3:
             for action in actions_of(events.Migrate, host.decide(events.TimerFired("tick"))):
-                host.end(events.Connect(action.id, ""), events.CANCELLED, final=True)
+                host.end(events.Connect(action.id, ""), events.ConnectionResult.CANCELLED, final=True)
     return connects
 
 
