--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -113,7 +113,7 @@
     def fences(self) -> list[int]:
         """Fencing tokens of the leases that it acquired, in order."""
         names = "|".join(LEASE_ACQUIRED)
-        pattern = re.compile(rf'event="(?:{names})" .*fence=(\d+)')
+        pattern = re.compile(rf'event="(?:{names})" .*(?:fence|fencing_token)=(\d+)')
         return [int(match[1]) for line in list(self.lines) if (match := pattern.search(line))]
 
     def counter(self, names: tuple[str, ...]) -> int:
--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -152,7 +152,7 @@
 
     def log_listen_failure(reason: Failure) -> None:
         # Without its peers this balancer serves as it does without the file.
-        structured_log.log_event("fleet listen failed", logging.WARNING, why=str(reason.value))
+        structured_log.log_event("fleet listen failed", logging.WARNING, reason=str(reason.value))
 
     def start() -> None:
         fleet.start().addErrback(log_listen_failure)
--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -39,7 +39,7 @@
             discovery.watch = shared_discovery.SharedDiscovery(leases)
             discovery.watch.discovery = discovery
         leases.start().addErrback(
-            lambda failure: structured_log.log_event("no address", name=name, why=str(failure.value))
+            lambda failure: structured_log.log_event("no address", name=name, reason=str(failure.value))
         )
         defer.ensureDeferred(discovery.follow())
 
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -41,8 +41,8 @@
 
     >>> def record(time, process, event, **fields):
     ...     return LogRecord(time, process, event, {"task": "t", **fields})
-    >>> first = record(1.0, "a", "lease acquired", fence="3")
-    >>> second = record(2.0, "b", "lease acquired", fence="4")
+    >>> first = record(1.0, "a", "lease acquired", fencing_token="3")
+    >>> second = record(2.0, "b", "lease acquired", fencing_token="4")
     >>> [str(violation).split(chr(10))[0] for violation in find_violations([first, second])]
     ['t at 2.000 s: b holds under 4 beside a under 3']
     >>> find_violations([first, record(1.9, "a", "lease lost"), second])
@@ -91,7 +91,7 @@
 
     def _check_acquired(self, index: int, task: str) -> None:
         process = self.records[index].process
-        token = int(self.records[index].fields["fence"])
+        token = int(self.records[index].fields["fencing_token"])
         tokens = self.holders.setdefault(task, {})
         for other, other_token in tokens.items():
             ignored = other == process or other in self.paused or self._loses_lease_soon(other, task, index)
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -159,11 +159,11 @@
                 self._send_request(acceptor, request)
             case LeaseAcquired(task, fencing_token):
                 self.counters["leases_acquired"] += 1
-                log_event("lease acquired", task=task, fence=fencing_token)
+                log_event("lease acquired", task=task, fencing_token=fencing_token)
                 self.on_lease_changed(task, fencing_token)
             case LeaseLost(task, reason):
                 self.counters[f"leases_lost_{reason.replace(' ', '_')}"] += 1
-                log_event("lease lost", task=task, why=reason)
+                log_event("lease lost", task=task, reason=reason)
                 self.on_lease_changed(task, 0)
 
     def _schedule_tick(self) -> None:
@@ -272,7 +272,7 @@
         # No ballot above the persisted one is promised: the fleet goes on with the other acceptors.
         self.persisting = False
         self.counters["acceptor_storage_failures"] += 1
-        log_event("acceptor storage failed", why=str(failure.value)[:200])
+        log_event("acceptor storage failed", reason=str(failure.value)[:200])
 
     # The status
 
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -147,7 +147,7 @@
     def _reject_unknown_peer(self, reason: str) -> None:
         self._cancel_hello_timer()
         self.manager.counters["unknown_peers"] += 1
-        log_event("unknown peer disconnected", why=reason)
+        log_event("unknown peer disconnected", reason=reason)
         self.transport.abortConnection()
 
     # Calls from the peer
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -154,7 +154,7 @@
         if discovery is None or update.discovery_url != discovery.base or self.fencing_token:
             raise CallError("not followed here")
         if update.fencing_token > self.highest_fencing_token:
-            log_event("shared discovery followed", holder=peer, fence=update.fencing_token)
+            log_event("shared discovery followed", holder=peer, fencing_token=update.fencing_token)
         self.highest_fencing_token = update.fencing_token
         self.last_update_at = self.lease_service.clock()
         self.holder_seq = update.seq
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -204,7 +204,7 @@
         if self.watch is not None:
             self.watch.on_failure()
         if not self.backoff:
-            log_event("discovery failed", reached=failure.reached, why=failure.why)
+            log_event("discovery failed", reached=failure.reached, reason=failure.why)
         if failure.reached == PollStage.REJECTED:
             self.rejections += 1
             self.backoff = self._rejection_backoff(first=self.rejections == 1)
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -76,7 +76,7 @@
             new = config.load_config(os.environ, reloading=True)
         except InvalidValueError as error:
             # A malformed file must not end a balancer that serves.
-            log_event("reload rejected", logging.WARNING, why=str(error))
+            log_event("reload rejected", logging.WARNING, reason=str(error))
             return
         old = self.config
         self.config = new
@@ -108,5 +108,5 @@
     try:
         return parse_version(cached_list.get("seq"))
     except InvalidValueError as error:
-        log_event("cached list without version", logging.WARNING, why=str(error))
+        log_event("cached list without version", logging.WARNING, reason=str(error))
         return None
--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -263,7 +263,7 @@
         flow.upstream = None
         self._counters[f"ended_{result}"] += 1
         flow.log_step(
-            "connection ended", server=server, result=result, why=reason, came=attempt.final_stage.log_name
+            "connection ended", server=server, result=result, reason=reason, came=attempt.final_stage.log_name
         )
         if flow.established:
             self._table.remove(flow)
@@ -306,7 +306,7 @@
         if flow is not None and flow.established and not flow.client_left_at:
             connection = flow.connection
             self._counters["migrated"] += 1
-            flow.log_step("client migrated", server=connection.server, why=reason)
+            flow.log_step("client migrated", server=connection.server, reason=reason)
             flow.downstream.send_migrate()
             connection.close_after_migration()
             self._connection_ended(flow, connection, events.ConnectionResult.CANCELLED, EndReason.MIGRATED)
@@ -355,7 +355,7 @@
     def _answer(self, flow: ActiveFlow, line: bytes, reason: str) -> None:
         self._table.remove(flow)
         flow.abort_attempt()
-        flow.log_step("answered", words=line.decode(), why=reason)
+        flow.log_step("answered", words=line.decode(), reason=reason)
         flow.downstream.send_final_answer(line)
 
     # The Director's commands
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -179,7 +179,7 @@
         fencing_token = message.version[0]
         self._check_origin(peer, fencing_token)
         if fencing_token > self.highest_fencing_token:
-            log_event("origin followed", origin=peer, fence=fencing_token)
+            log_event("origin followed", origin=peer, fencing_token=fencing_token)
         self.highest_fencing_token = fencing_token
         now = self.lease_service.clock()
         if not message.is_heartbeat and self._receive(message, now) == UpdateOutcome.CORRUPT:
@@ -267,7 +267,7 @@
             published = self.store.publish(self.fencing_token, changes)
         except PublishRejectedError as error:
             self.counters["updates_fenced"] += 1
-            log_event("publish rejected", why=str(error))
+            log_event("publish rejected", reason=str(error))
             return
         if published:
             self.counters["updates_published"] += 1
--- a/tests/test_clock_monitor.py
+++ b/tests/test_clock_monitor.py
@@ -67,8 +67,10 @@
         assert balancer.open_flow(id="busy", at="s2").readline() == b"ERR\r\n"
         wait_until(lambda: servers[0].lines[-1] == b"")
         log = balancer.terminate()
-    reasons = [(found["id"], found["why"].strip('"')) for found in fields_of("connection ended", log)]
+    reasons = [(found["id"], found["reason"].strip('"')) for found in fields_of("connection ended", log)]
     assert ("left", "client left") in reasons and ("busy", "server answered") in reasons
-    assert [found["why"].strip('"') for found in fields_of("answered", log)] == ["existing connection lost"]
+    assert [found["reason"].strip('"') for found in fields_of("answered", log)] == [
+        "existing connection lost"
+    ]
     monotonic = [float(value) for value in re.findall(r" mono=([\d.]+) ", log)]
     assert len(monotonic) == len(log.splitlines()) and monotonic == sorted(monotonic)
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -64,7 +64,7 @@
         balancer.reload(name="n2", limits={"sockets": 1024})
         wait_until(lambda: balancer.open_flow().readline() == b"UP r1\r\n")
         log = balancer.terminate()
-    assert log.count('event="reload rejected" why="LB_CONFIG: ') == 1
+    assert log.count('event="reload rejected" reason="LB_CONFIG: ') == 1
     assert "LB_DISCOVERY: 'nowhere' is not host:port" in log and "needs_restart=name" in log
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -328,7 +328,7 @@
         second = fleet.wait_for_holder(first.time, among=others)
         lost = fleet.wait_for(lambda records: first_record(records, "lease lost"))
         assert lost.process == first.process
-        assert lost.fields["why"] == "expired"
+        assert lost.fields["reason"] == "expired"
         assert lost.time < second.time + 0.25
         fleet.proxy.unblock()
         assert find_violations(fleet.records) == []
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -50,7 +50,7 @@
     fleet.proxy.partition([holder.process], others)
     second = fleet.wait_for_holder(holder.time, among=others)
     lost = fleet.wait_for(lambda records: first_record(records, "lease lost", holder.process))
-    assert lost.fields["why"] == "expired"
+    assert lost.fields["reason"] == "expired"
     assert lost.time < second.time + 0.25
     assert find_violations(fleet.records) == []
 
