--- /dev/null
+++ b/tests/golden_bytes_support.py
@@ -0,0 +1,69 @@
+"""Fakes and fixed values that the tests of golden bytes share."""
+
+import random
+from collections import Counter
+
+from twisted.internet import defer, task
+
+from lotusroute.fleet import config
+from lotusroute.fleet.lease_service import LeaseService
+from lotusroute.leases.acceptor import Acceptor
+from lotusroute.leases.proposer import Proposer
+
+NOW = 10_000.0
+PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
+FLEET = {"name": "f", "keepers": ["a", "b", "c"], "peers": PEERS}
+# A proposal of b: task, ballot, proposer, round, duration of 3000 ms.
+PROPOSE_B = b"\x95\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03\xcb\x40\xa7\x70\0\0\0\0\0"
+
+
+class RecordingTransport:
+    """Records calls as (way, peer, kind, body) and leaves the answers to the test."""
+
+    def __init__(self):
+        self.calls, self.answers, self.outbound, self.inbound = [], [], {}, {}
+        self.call = lambda *call: self._record("call", *call)
+        self.call_inbound = lambda *call: self._record("back", *call)
+        self.connect = self.disconnect = lambda peer: None
+
+    def _record(self, *call):
+        self.calls.append(call)
+        self.answers.append(defer.Deferred())
+        return self.answers[-1]
+
+    def take_calls(self):
+        calls, self.calls = self.calls, []
+        return calls
+
+
+def lease_service_at_fixed_clock(name, state):
+    """A lease service whose clock stands at NOW.
+
+    Its acceptor, if it has one, grants leases and may promise ballots up to 4095.
+    """
+    service = LeaseService(
+        task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
+    )
+    service.clock, service.transport = lambda: NOW, RecordingTransport()
+    service.proposer = Proposer(f"{name}#0a1b2c3d", service.config.terms, random.Random(1))
+    if service.acceptor is not None:
+        service.acceptor = Acceptor(service.config.terms, 0.0, 0)
+        service.acceptor.ballots_persisted(4096)
+    return service
+
+
+def exchange(connection, transport, data):
+    transport.clear()
+    connection.dataReceived(data)
+    return transport.value()
+
+
+class RecordingDiscovery:
+    base, seq, closed = "http://10.0.0.9:8500/api/targets", 12, False
+
+    def __init__(self):
+        self.taken = []
+
+    def apply_shared_update(self, *update):
+        self.taken.append(update)
+        return True
--- /dev/null
+++ b/tests/test_golden_bytes_clients.py
@@ -0,0 +1,58 @@
+"""Golden bytes of the protocol of clients and servers, written literally.
+
+A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
+and a new build reads the files of the old one. Expected bytes use no name of the project.
+"""
+
+from collections import Counter
+
+import pytest
+from golden_bytes_support import NOW, exchange
+from twisted.internet import task
+from twisted.internet.testing import StringTransport
+
+from lotusroute.net import line_protocol
+from lotusroute.net.admission import busy_line
+from lotusroute.net.downstream import DownstreamConnection
+from lotusroute.net.listener import DownstreamFactory
+from lotusroute.net.open_request import parse_open_request
+
+
+@pytest.mark.parametrize(
+    "ready, sent, answer",
+    [
+        (True, b"PING\r\n", b"PONG\r\n"),
+        (False, b"PING\r\n", b"BUSY\r\n"),
+        (True, b"OPEN 1\r\n", b"ERR\r\n"),
+    ],
+)
+def test_a_client_is_sent_these_lines(ready, sent, answer):
+    connection, transport = DownstreamConnection(), StringTransport()
+    connection.factory = DownstreamFactory(None, lambda: NOW, lambda: ready, 1024, Counter())
+    connection.callLater = task.Clock().callLater
+    transport.dataBuffer, transport._tempDataBuffer = b"", []
+    transport.setTcpNoDelay = transport.loseWriteConnection = transport.unregisterProducer = lambda *_: None
+    transport.writeSomeData = lambda data: transport.write(data) or len(data)
+    connection.makeConnection(transport)
+    assert exchange(connection, transport, sent) == answer
+    transport.clear()
+    connection.send_migrate()
+    assert transport.value() == b"MOVE\r\n"
+
+
+def test_the_keywords_of_the_protocol_and_the_line_to_a_server():
+    keywords = [
+        line_protocol.OPEN,
+        line_protocol.UP,
+        line_protocol.BUSY,
+        line_protocol.ERR,
+        line_protocol.MOVE,
+        line_protocol.BYE,
+        line_protocol.LOAD,
+        line_protocol.PING,
+    ]
+    assert keywords == [b"OPEN", b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE", b"LOAD", b"PING"]
+    assert [busy_line(ms, 900.0) for ms in (250.4, 2000.0, 0.0)] == [b"BUSY 250", b"BUSY 900", b"BUSY"]
+    request = parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f,r=1,at=s-1\r\n")
+    assert request[:8] == ("9b1f", "chat", "acme", "5c0f", "7f3a", 2000.5, True, "s-1")
+    assert request.rewritten(1499.9) == b"OPEN 9b1f 7f3a c=chat,t=acme,d=1499,g=5c0f,r=1,at=s-1\r\n"
