--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -34,14 +34,16 @@
 from functools import partial
 from typing import TYPE_CHECKING, NamedTuple
 
-from twisted.internet import error as twisted_error, reactor
+from twisted.internet import error as twisted_error
 from twisted.python.failure import Failure
 
+from lotusroute.address import Address
 from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.net import config, structured_log
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.discovery_session import DiscoverySession, parse_cached_list
 from lotusroute.net.listener import DownstreamFactory, Listener
+from lotusroute.net.reactor import reactor
 
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
@@ -102,7 +104,7 @@
     return Balancer(listener, session, core.stop)
 
 
-def open_listener(address: tuple[str, int], downstream: DownstreamFactory) -> Listener:
+def open_listener(address: Address, downstream: DownstreamFactory) -> Listener:
     """Listen for clients; raises ConfigError where the address cannot be used."""
     host, port = address
     listener = Listener(port, downstream, LISTEN_BACKLOG, host, reactor)
--- /dev/null
+++ b/lotusroute/address.py
@@ -0,0 +1,30 @@
+"""The address of a listening socket."""
+
+from typing import NamedTuple
+
+from lotusroute.errors import InvalidValueError
+
+MAX_PORT = 65_535
+
+
+class Address(NamedTuple):
+    """Host and port of a TCP socket."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        """Format as HOST:PORT."""
+        return f"{self.host}:{self.port}"
+
+
+def parse_address(text: str) -> Address:
+    """Parse HOST:PORT; raises `InvalidValueError`, as addresses come in files and in messages.
+
+    >>> parse_address("10.0.0.4:9000")
+    Address(host='10.0.0.4', port=9000)
+    """
+    host, colon, port = text.rpartition(":")
+    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
+        raise InvalidValueError(f"'{text}' is not host:port")
+    return Address(host, int(port))
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -4,9 +4,10 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from twisted.internet import reactor
 from twisted.web import resource, server
 
+from lotusroute.net.reactor import reactor
+
 MAX_QUEUE_SECONDS = 2.0  # that a poll waits in the queue; after that it is rejected
 MAX_QUEUE_LENGTH = 64  # polls in the queue; one more is rejected at once
 
--- a/lotusroute/capacity/discovery_stub.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -8,6 +8,7 @@
 """
 
 # ruff: noqa: E402, I001  the reactor has to be installed before others import it
+from lotusroute.net.reactor import reactor
 from lotusroute.net import monotonic_reactor
 
 monotonic_reactor.install()
@@ -17,7 +18,7 @@
 import sys
 import time
 
-from twisted.internet import reactor, task
+from twisted.internet import task
 from twisted.web import server
 
 from lotusroute.capacity.discovery_resource import DiscoveryResource
--- a/lotusroute/capacity/member_process.py
+++ b/lotusroute/capacity/member_process.py
@@ -13,7 +13,7 @@
 
 monotonic_reactor.install()
 
-from twisted.internet import reactor  # noqa: E402  the installation has to come first
+from lotusroute.net.reactor import reactor  # noqa: E402  the installation has to come first
 
 
 def run_members(
--- a/lotusroute/capacity/member_settings.py
+++ b/lotusroute/capacity/member_settings.py
@@ -5,6 +5,7 @@
 from dataclasses import asdict, dataclass
 from typing import Self
 
+from lotusroute.address import Address
 from lotusroute.capacity.processes import write_json
 
 
@@ -24,7 +25,7 @@
         """Write the settings; returns the file's path."""
         return write_json(file, asdict(self))
 
-    def discovery_address(self) -> tuple[str, int]:
+    def discovery_address(self) -> Address:
         """Return host and port of discovery."""
         host, _, port = self.discovery.rpartition(":")
         return host, int(port)
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -8,12 +8,13 @@
 from collections import Counter
 from dataclasses import asdict, dataclass
 
-from twisted.internet import defer, reactor
+from twisted.internet import defer
 from twisted.web import server
 
 from lotusroute.capacity.discovery_resource import DiscoveryResource
 from lotusroute.capacity.stubs import entry
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.reactor import reactor
 
 STORM_SECONDS = 10.0  # from the first answer on, whose polls are counted
 REST_SECONDS = 5.0  # at the end of a run, by which the rate at rest is measured
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -6,11 +6,12 @@
 from typing import NamedTuple, NoReturn
 
 import click
-from twisted.internet import defer, reactor
+from twisted.internet import defer
 
 from lotusroute.cli.options import ExitCode, exit_with_wrong_use
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import config, transport
+from lotusroute.net.reactor import reactor
 
 
 class PeerStates(NamedTuple):
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable
 
 import click
-from twisted.internet import reactor
 from twisted.python.failure import Failure
 
+from lotusroute.address import parse_address
 from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_wrong_use
 from lotusroute.cli.peer_query import print_and_exit, query_peers
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import config, lease_service
 from lotusroute.net import structured_log
-from lotusroute.net.config import parse_address
+from lotusroute.net.reactor import reactor
 
 SHUTDOWN_DELAY = 0.1  # s for the release of a lease to be sent
 
--- a/lotusroute/config_validation.py
+++ b/lotusroute/config_validation.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Collection
 from typing import Any, TypeVar
 
+from lotusroute.address import Address, parse_address
 from lotusroute.errors import ConfigError, InvalidValueError
-from lotusroute.net.config import parse_address
 
 ConfigT = TypeVar("ConfigT")
 
@@ -81,11 +81,11 @@
     return value
 
 
-def parse_address_entry(key: str, value: object) -> tuple[str, int]:
+def parse_address_entry(key: str, value: object) -> Address:
     """Return the HOST:PORT under a key of a table.
 
     >>> parse_address_entry("peers.a", "127.0.0.1:1")
-    ('127.0.0.1', 1)
+    Address(host='127.0.0.1', port=1)
     """
     try:
         return parse_address(str(value))
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -7,6 +7,7 @@
 import os
 from typing import Any, NamedTuple
 
+from lotusroute.address import Address
 from lotusroute.config_validation import (
     check_known_keys,
     load_toml_config,
@@ -40,7 +41,7 @@
 
     name: str  # of the fleet: connections of processes that name another are rejected
     state_dir: str  # directory that outlives the process; empty if this balancer stores nothing
-    peers: dict[str, tuple[str, int]]  # by the balancer's name, the address at which this balancer reaches it
+    peers: dict[str, Address]  # by the balancer's name, the address at which this balancer reaches it
     tasks: tuple[str, ...]
     terms: LeaseTerms
     max_subscribers: int = 0  # processes that may connect without being peers: subscribers of a relay
@@ -79,14 +80,14 @@
     return state_dir
 
 
-def _parse_peers(document: dict[str, Any]) -> dict[str, tuple[str, int]]:
+def _parse_peers(document: dict[str, Any]) -> dict[str, Address]:
     table = document.get("peers")
     if not isinstance(table, dict) or not 0 < len(table) <= MAX_PEERS:
         raise ConfigError(f'peers: give 1 to {MAX_PEERS} balancers, each as NAME = "HOST:PORT"')
     return {peer: parse_address_entry(f"peers.{peer}", address) for peer, address in table.items()}
 
 
-def _check_acceptors(acceptors: list[str], peers: dict[str, tuple[str, int]]) -> None:
+def _check_acceptors(acceptors: list[str], peers: dict[str, Address]) -> None:
     if len(acceptors) not in ACCEPTOR_COUNTS:
         raise ConfigError(f"keepers: {len(acceptors)} named; give 3, 5 or 7")
     for acceptor in acceptors:
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, TypeVar
 
+from lotusroute.address import Address, parse_address
 from lotusroute.errors import ConfigError, InvalidValueError
 from lotusroute.routing.events import ServiceConfig
 from lotusroute.service_config import flatten, parse_number, parse_service_config
@@ -22,7 +23,6 @@
 DEFAULT_CONNECT_TIMEOUT = 250.0  # ms: a distant location and one lost packet
 DEFAULT_DRAIN_GRACE = 500.0  # ms: the least that any deployment has asked for
 DEFAULT_DEADLINE = 3_000.0  # ms, of a service type that has none
-MAX_PORT = 65535
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
 
@@ -52,8 +52,8 @@
     """The configuration of one balancer process, checked and complete."""
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen: Address
+    discovery: Address
     seed: int  # of the random number generators
     sockets: int  # the limit of open descriptors
     memory_mb: float
@@ -67,18 +67,6 @@
     log_level: str
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """Parse host:port; raises InvalidValueError, for addresses come in files and in messages.
-
-    >>> parse_address("10.0.0.4:9000")
-    ('10.0.0.4', 9000)
-    """
-    host, colon, port = text.rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise InvalidValueError(f"'{text}' is not host:port")
-    return host, int(port)
-
-
 def load_config(environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
     """Read the file that LB_CONFIG names and the environment.
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -19,10 +19,11 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from twisted.internet import defer, reactor, task
+from twisted.internet import defer, task
 from twisted.internet.base import DelayedCall
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
+from lotusroute.address import Address
 from lotusroute.errors import ProtocolError
 from lotusroute.net.discovery_source import UpdateSource
 from lotusroute.net.endpoint_list import (
@@ -31,6 +32,7 @@
     parse_endpoint_list,
     parse_version,
 )
+from lotusroute.net.reactor import reactor
 from lotusroute.net.structured_log import log_event
 from lotusroute.routing import events
 
@@ -79,7 +81,7 @@
 
     def __init__(
         self,
-        address: tuple[str, int],
+        address: Address,
         seq: int | None,
         seed: int,
         put: Callable[[object], None],
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from typing import NamedTuple
 
+from lotusroute.address import Address, parse_address
 from lotusroute.errors import InvalidValueError, ProtocolError
-from lotusroute.net.config import parse_address
 from lotusroute.net.structured_log import log_event
 from lotusroute.routing import events
 from lotusroute.service_config import look_up, parse_number
@@ -30,7 +30,7 @@
 
     scope: str  # a scope of `routing.events`
     servers: tuple[events.Server, ...]
-    dials: dict[str, tuple[str, int]]
+    dials: dict[str, Address]
     # s of the monotonic clock at which the list before this update was last known to be current; None where
     # there was none
     previous_list_at: float | None = None
@@ -44,10 +44,10 @@
 
     >>> entry = {"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}
     >>> parse_endpoint_list({"hosts": [entry, 7]}, events.ListScope.COMPLETE).dials
-    {'s-1': ('10.1.0.18', 9000)}
+    {'s-1': Address(host='10.1.0.18', port=9000)}
     """
     servers: list[events.Server] = []
-    dials: dict[str, tuple[str, int]] = {}
+    dials: dict[str, Address] = {}
     malformed: list[str] = []
     for entry in message["hosts"]:
         try:
@@ -67,7 +67,7 @@
     return EndpointUpdate(scope, tuple(servers), dials)
 
 
-def _parse_entry(entry: dict) -> tuple[events.Server, tuple[str, int] | None]:
+def _parse_entry(entry: dict) -> tuple[events.Server, Address | None]:
     """Decode one entry; the address is None for a server that was removed."""
     state = look_up(STATES, entry["health"], "health")
     name = entry["host"]
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -5,6 +5,7 @@
 
 from collections.abc import Callable
 
+from lotusroute.address import Address
 from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.routing import events
 
@@ -18,7 +19,7 @@
 
     def __init__(self, on_drain_started: Callable[[], None]) -> None:
         self._on_drain_started = on_drain_started
-        self.addresses: dict[str, tuple[str, int]] = {}
+        self.addresses: dict[str, Address] = {}
         self.drain_deadlines: dict[str, float] = {}
 
     def update(self, update: EndpointUpdate, now: float) -> None:
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from twisted.internet import reactor
 from twisted.internet.base import DelayedCall
 
 from lotusroute import wall_clock
 from lotusroute.monotonic_clock import MS_PER_SECOND, monotonic_ms
 from lotusroute.net.clock_monitor import ClockMonitor
+from lotusroute.net.reactor import reactor
 from lotusroute.net.structured_log import Counters, log_exception
 
 
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -12,14 +12,16 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from twisted.internet import error, reactor
+from twisted.internet import error
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory
 from twisted.internet.tcp import Connector
 from twisted.python.failure import Failure
 
+from lotusroute.address import Address
 from lotusroute.errors import InvalidValueError
 from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, LineProtocol, command_of
+from lotusroute.net.reactor import reactor
 from lotusroute.net.reasons import EndReason
 from lotusroute.routing import events
 from lotusroute.service_config import parse_number
@@ -245,7 +247,7 @@
         # Whether the flow's deadline shortened the connect timeout: a timeout then says little of the server.
         self.timeout_shortened = False
 
-    def connect(self, address: tuple[str, int], timeout_shortened: bool) -> None:
+    def connect(self, address: Address, timeout_shortened: bool) -> None:
         """Start to connect.
 
         The caller keeps the timeout, so that a suspension of this process does not count as the server's.
--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -3,6 +3,7 @@
 import os
 from typing import Any, NamedTuple
 
+from lotusroute.address import Address
 from lotusroute.config_validation import (
     check_known_keys,
     load_toml_config,
@@ -13,8 +14,6 @@
 
 KEYS = {"name", "zone", "relays"}
 
-Address = tuple[str, int]
-
 
 class RelaysConfig(NamedTuple):
     """The relays as one balancer sees them."""
@@ -34,7 +33,7 @@
 
     >>> tables = {"a": {"r1": "127.0.0.1:1"}, "b": {"r2": "127.0.0.1:2"}}
     >>> parse_relays_config({"name": "f", "zone": "a", "relays": tables}).local
-    {'r1': ('127.0.0.1', 1)}
+    {'r1': Address(host='127.0.0.1', port=1)}
     """
     check_known_keys(settings, KEYS)
     fleet = parse_fleet_name(settings)
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -14,6 +14,7 @@
 from twisted.internet import defer
 from twisted.internet.base import DelayedCall
 
+from lotusroute.address import Address
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import CallError
 from lotusroute.net.discovery import Discovery
@@ -58,7 +59,7 @@
     def __init__(
         self,
         lease_service: LeaseService,
-        discovery_address: tuple[str, int],
+        discovery_address: Address,
         counters: Counter,
         seed: int = 0,
     ) -> None:
