--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -156,7 +156,7 @@
         case events.FlowRequest():
             service_type = event.service_type
         case events.ExistingConnection():
-            service_type = event.flow.service_type
+            service_type = event.request.service_type
         case _:
             return
     if service_type not in service.service_types:
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -204,7 +204,7 @@
     """
     match action:
         case events.Connect():
-            return f"pass_on {action.id} {action.server} {action.within:.3f}"
+            return f"pass_on {action.id} {action.server} {action.timeout:.3f}"
         case events.Reject():
             return f"not_now {action.id} {action.retry_after:.3f}"
         case events.Abort():
--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -366,7 +366,7 @@
             return
         if not self._endpoints.has_address(command.server):
             raise RuntimeError(f"no address of {command.server}")
-        timeout = command.within or math.inf
+        timeout = command.timeout or math.inf
         self._start_attempt(flow, command.server, min(flow.deadline, self._clock() + timeout))
 
     def _reject(self, command: events.Reject) -> None:
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -115,7 +115,7 @@
 
     def _restore_connection(self, event: events.ExistingConnection) -> None:
         state = self.state
-        flow = segments.register(state, event.flow)
+        flow = segments.register(state, event.request)
         server = state.servers.get(event.server)
         flow.restore_connection(server)
         if (
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -117,7 +117,7 @@
 class ExistingConnection(NamedTuple):
     """A connection that was already open when this balancer started."""
 
-    flow: FlowRequest
+    request: FlowRequest
     server: str
 
 
@@ -168,7 +168,7 @@
 
     id: int
     server: str
-    within: float = 0.0  # ms, the attempt's timeout; 0 means until the client's deadline
+    timeout: float = 0.0  # ms; 0: until the client's deadline
 
 
 class RejectReason(StrEnum):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -81,8 +81,8 @@
 
 def test_without_latency_reports_an_attempt_may_take_most_of_the_time_left():
     # join+mass: set-ups of 1.5 s everywhere timed out after 0.6 s and were retried, which kept them so.
-    assert FakeHost(4).request().within == pytest.approx(0.8 * 1800.0)
-    assert FakeHost(4, reports_latency=True).request().within == 600.0
+    assert FakeHost(4).request().timeout == pytest.approx(0.8 * 1800.0)
+    assert FakeHost(4, reports_latency=True).request().timeout == 600.0
 
 
 def overload_cutting_servers(seed):
