--- a/lotusroute/routing/__init__.py
+++ b/lotusroute/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: which server a flow goes to, and the events and commands they exchange with a host."""
+"""Routing decisions: events go in, actions for a host come out; no I/O and no clock of its own."""
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,7 +1,7 @@
-"""The events that the routing decisions take, the actions that they return, and the model of a service.
+"""The events that a director takes, the actions that it returns, and the configuration of a service.
 
-All times are milliseconds with fractions on the host's clock; ids of flows are chosen by the host. The
-values of the enumerations appear in logs and in the names of counters.
+All times are milliseconds on the host's clock, with fractions. The host chooses the ids of flows. The values
+of the enumerations appear in logs and in the names of counters.
 """
 
 from enum import StrEnum
@@ -9,10 +9,10 @@
 
 
 class Effect(StrEnum):
-    """What happens if a flow of a service type runs twice."""
+    """Whether a flow of a service type may run twice."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENCY_KEY = "idempotency-key"  # servers drop repeats of a key that they remember
+    IDEMPOTENCY_KEY = "idempotency-key"  # servers recognize a repeated key for some time
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -28,9 +28,9 @@
     """Which servers an endpoint list names."""
 
     CHANGES = "changes"  # those that changed since the last list
-    COMPLETE = "complete"  # all; a server that it does not name is removed
-    CACHED = "cached"  # all, from an earlier run and perhaps outdated
-    REJECTED = "rejected"  # none: discovery rejected the poll
+    COMPLETE = "complete"  # all servers; any other server is removed
+    CACHED = "cached"  # all servers, from an earlier run and possibly outdated
+    REJECTED = "rejected"  # none, since discovery rejected the poll
 
 
 class ConnectionResult(StrEnum):
@@ -47,40 +47,40 @@
 
 
 NEVER_RAN: Final = frozenset((ConnectionResult.FULL, ConnectionResult.UNREACHABLE, ConnectionResult.UNSENT))
-"""Results that prove that the flow did not run."""
+"""Results after which it is certain that the flow did not run."""
 
 
 class ServiceType(NamedTuple):
-    """One service type, and what a retry of its flows may do."""
+    """One service type, and when its flows may be retried."""
 
-    setup_target: float  # ms, within which a connection should be established
+    setup_target: float  # time in which a flow should be established
     effect: Effect = Effect.IDEMPOTENT
-    dedup_scope: str = "all"  # servers that drop repeats of a key: "all", or of one "zone" or "cell"
-    dedup_window: float = 0.0  # ms, for how long they remember a key
+    dedup_scope: str = "all"  # servers that recognize a key: "all", those of one "zone" or of one "cell"
+    dedup_window: float = 0.0  # time for which they remember a key
 
     def safe_to_retry(self, ran: bool) -> bool:
-        """Return whether a client may retry without harm; `ran` says that the flow may have run."""
+        """Return whether a client may safely retry; `ran` says whether the flow may have run."""
         deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == "all"
         return not ran or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
 
 
 class ServiceConfig(NamedTuple):
-    """The service that a director routes flows for, as configured at the start."""
+    """The configuration of the service that a director routes flows for."""
 
     service_types: dict[str, ServiceType]
     instance_index: int = 0  # of this balancer among the service's `instance_count`
     instance_count: int = 1
     groups_share_work: bool = False  # connections of one group share work on a server
-    trusts_weights: bool = True  # a server's weight stays the same between endpoint lists
-    reports_latency: bool = False  # servers report when their messages are slow
-    latency_objective: float = 0.0  # ms for a message, the strictest of the service types; 0 if none is set
-    polls_discovery: bool = False  # endpoint lists come only on request
-    poll_interval: float = 10_000.0  # ms between requests
-    max_attempts: int = 1  # connection attempts of one flow
-    max_retry_after: float = 0.0  # ms, the longest Retry-After that clients honour; 0 where they ignore it
-    slow_start_share: float = 1.0  # of its capacity with which a new server begins
-    slow_start_duration: float = 0.0  # ms until it has all of it
-    slow_start_burst: float = 1.0  # multiple of its capacity beyond which a server is overloaded
+    trusts_weights: bool = True  # servers keep their weight between endpoint lists
+    reports_latency: bool = False  # servers report when they are slow
+    latency_objective: float = 0.0  # of a message, the strictest of the service types; 0: none is set
+    polls_discovery: bool = False  # discovery sends endpoint lists only on request
+    poll_interval: float = 10_000.0
+    max_attempts: int = 1  # of one flow
+    max_retry_after: float = 0.0  # the longest Retry-After that clients honour; 0: they ignore it
+    slow_start_share: float = 1.0  # fraction of its capacity that a new server has at first
+    slow_start_duration: float = 0.0  # time until it has its full capacity
+    slow_start_burst: float = 1.0  # multiple of its capacity above which a server is overloaded
 
 
 class Server(NamedTuple):
@@ -88,14 +88,14 @@
 
     id: str
     zone: str = ""
-    cell: int = 0  # group of servers that share idempotency keys
+    cell: int = 0  # servers of one cell share their idempotency keys
     state: EndpointState = EndpointState.READY
-    size: float = 1.0  # the weight
-    started: float = 0.0  # when it last started; 0 where unknown or long ago
+    size: float = 1.0  # its weight
+    started: float = 0.0  # when it last started; 0: unknown or long ago
 
 
 class EndpointList(NamedTuple):
-    """Discovery has sent an endpoint list, part of one, or a refusal."""
+    """Discovery has sent a complete endpoint list or changes to it, or has rejected a poll."""
 
     scope: ListScope
     servers: tuple[Server, ...] = ()
@@ -110,26 +110,26 @@
     group: str | None  # connections of one group may share work on a server
     key: str | None  # the session or item that the flow is for
     deadline: float
-    mid_flow: bool = False  # its packets come from a balancer that had it before
-    reconnecting: bool = False  # the client has requested it before
+    mid_flow: bool = False  # another balancer had the flow before
+    reconnecting: bool = False  # the client has requested a connection before
 
 
 class ExistingConnection(NamedTuple):
-    """A connection that was already open when this balancer started."""
+    """A connection was already open when this balancer started."""
 
     request: FlowRequest
     server: str
 
 
 class Established(NamedTuple):
-    """An attempt succeeded; the connection stays open until its `ConnectionEnded`."""
+    """An attempt has succeeded; the connection is open until its `ConnectionEnded`."""
 
     id: int
     server: str
 
 
 class ConnectionEnded(NamedTuple):
-    """An attempt or an open connection has ended; `final` when the flow needs no further answer."""
+    """An attempt or a connection has ended; `final` if the flow has ended with it."""
 
     id: int
     server: str
@@ -144,17 +144,17 @@
 
 
 class LoadReport(NamedTuple):
-    """The work per second that an open connection now causes on its server."""
+    """A server has reported the load of a connection."""
 
     id: int
-    load: float
+    load: float  # work per second
 
 
 class LatencyReport(NamedTuple):
-    """The time that a message now takes on this server."""
+    """A server has reported its latency, or the host has measured it."""
 
     server: str
-    delay: float  # ms
+    delay: float  # of a message
 
 
 class TimerFired(NamedTuple):
@@ -164,15 +164,15 @@
 
 
 class Connect(NamedTuple):
-    """Connect this flow to a server."""
+    """Attempt to connect a flow to a server."""
 
     id: int
     server: str
-    timeout: float = 0.0  # ms; 0: until the client's deadline
+    timeout: float = 0.0  # of the attempt; 0: until the client's deadline
 
 
 class RejectReason(StrEnum):
-    """Why a flow gets no further attempt; the values are in the log."""
+    """Why a flow gets no further attempt."""
 
     ATTEMPTS_EXHAUSTED = "no attempt left"
     DEADLINE_PASSED = "deadline passed"
@@ -181,15 +181,15 @@
 
 
 class Reject(NamedTuple):
-    """Answer the client that a retry is harmless; the final answer."""
+    """Answer the client that it may safely retry."""
 
     id: int
-    retry_after: float  # ms to wait before it
+    retry_after: float  # time to wait before the retry
     reason: RejectReason
 
 
 class Abort(NamedTuple):
-    """Answer the client with an error, as a retry might run the flow twice; the final answer."""
+    """Answer the client with an error, since a retry might run the flow twice."""
 
     id: int
     reason: RejectReason
@@ -204,16 +204,16 @@
 class SetTimer(NamedTuple):
     """Set a timer that fires as a `TimerFired`."""
 
-    delay: float  # ms
+    delay: float
     mark: str
 
 
 class Subscribe(NamedTuple):
-    """Ask discovery for changes of the endpoint list from now on."""
+    """Subscribe to endpoint updates at discovery."""
 
 
 class OutlierEjected(NamedTuple):
-    """A server that failed connects gets no flows for some seconds; for the log of on-call staff."""
+    """Log that a server gets no flows for some seconds, since connections to it failed."""
 
     server: str
 
--- /dev/null
+++ b/lotusroute/routing/failure_detection.py
@@ -0,0 +1,59 @@
+"""Outlier ejection: servers that fail connections get no flows for some seconds (docs/design.md)."""
+
+from lotusroute.routing.events import ConnectionResult, OutlierEjected
+from lotusroute.routing.overload_detection import record_full_queue
+from lotusroute.routing.records import ServerRecord
+from lotusroute.routing.slow_start import TICK_INTERVAL_MS, start_recovery
+from lotusroute.routing.state import RoutingState
+
+# A score of 0 to 1. A failure moves it towards 1 by its weight; a success multiplies it by SUCCESS_FACTOR.
+EJECTION_SCORE = 0.45  # reached by two consecutive failures, or one unreachable server
+UNREACHABLE_WEIGHT = 0.6
+FAILURE_WEIGHT = 0.3
+RESET_WEIGHT = 0.15  # of an established connection: a server may shed load, so one reset says little
+SUCCESS_FACTOR = 0.5
+ISOLATED_TIMEOUT_SCORE = 0.05  # a timeout below it is isolated: three successes after a failure
+EJECTION_TIME_MS = 4_000.0  # at least; up to half more at random
+
+
+def record_result(
+    state: RoutingState, server: ServerRecord, result: ConnectionResult, was_established: bool
+) -> None:
+    """Update the server's failure score with the result of a connection attempt or connection."""
+    match result:
+        case ConnectionResult.OK:
+            record_success(server)
+        case ConnectionResult.FULL:
+            record_full_queue(state, server)
+        case ConnectionResult.UNREACHABLE:
+            _record_failure(state, server, UNREACHABLE_WEIGHT)
+        case ConnectionResult.RESET if was_established:
+            start_recovery(state, server)
+            _record_failure(state, server, RESET_WEIGHT)
+        case ConnectionResult.TIMEOUT:
+            if not _is_isolated_timeout(state, server):
+                start_recovery(state, server)
+            _record_failure(state, server, FAILURE_WEIGHT)
+        case ConnectionResult.ERROR | ConnectionResult.RESET:
+            _record_failure(state, server, FAILURE_WEIGHT)
+
+
+def record_success(server: ServerRecord) -> None:
+    """Lower the failure score of a server that established or completed a connection."""
+    server.failures.score *= SUCCESS_FACTOR
+
+
+def _record_failure(state: RoutingState, server: ServerRecord, weight: float) -> None:
+    failures = server.failures
+    failures.score += weight * (1 - failures.score)
+    if failures.score >= EJECTION_SCORE and failures.ejected_until <= state.now:
+        jitter = state.rng.uniform(0.0, EJECTION_TIME_MS / 2)
+        failures.ejected_until = state.now + EJECTION_TIME_MS + jitter
+        state.actions.append(OutlierEjected(server.id))
+
+
+def _is_isolated_timeout(state: RoutingState, server: ServerRecord) -> bool:
+    """Return whether a timeout is isolated: the server's other recent set-ups succeeded."""
+    times = server.overload.setup_times
+    has_recent_setup = times is not None and times.mean.updated_at + TICK_INTERVAL_MS > state.now
+    return has_recent_setup and server.failures.score < ISOLATED_TIMEOUT_SCORE
--- /dev/null
+++ b/lotusroute/routing/records.py
@@ -0,0 +1,147 @@
+"""Records of servers and flows. Each group of a server's fields is written by one module, which it names.
+
+Times are milliseconds on the host's clock; a time called `..._until` that has passed has no effect.
+"""
+
+import math
+from dataclasses import dataclass, field
+
+from lotusroute.routing.events import EndpointState, FlowRequest, Server
+from lotusroute.routing.statistics import DecayingMean
+
+
+@dataclass(slots=True)
+class FailureState:
+    """Failures of one server; written by `failure_detection.py`."""
+
+    score: float = 0.0  # 0 to 1, the higher the more connections failed lately
+    ejected_until: float = 0.0
+
+
+@dataclass(slots=True)
+class SetupTimes:
+    """Set-up times of one server; written by `overload_detection.py`."""
+
+    mean: DecayingMean
+    recent: DecayingMean  # of the last few set-ups
+
+    def add(self, now: float, sample: float) -> None:
+        """Add a set-up time that was measured at `now`."""
+        self.mean.add(now, sample)
+        self.recent.add(now, sample)
+
+
+@dataclass(slots=True)
+class OverloadState:
+    """What set-up times and latency reports say about one server; written by `overload_detection.py`."""
+
+    overloaded_until: float = 0.0  # no new flows
+    deprioritized_until: float = 0.0  # new flows only if no other server can take them
+    confirmed_slow_until: float = 0.0  # its connections are migrated
+    setup_times: SetupTimes | None = None  # until the first set-up
+    accumulated_delay: float = 0.0  # total excess of consecutive slow set-ups over the expected time
+    slow_samples: int = 0  # since the server was last neither slow nor deprioritized
+    last_slow_attempt_at: float = 0.0  # when the attempt of the last slow sample began
+
+
+@dataclass(slots=True)
+class AdmissionState:
+    """Limits on the flows to one server that warms up or recovers; written by `slow_start.py`."""
+
+    recovering_until: float = 0.0  # new flows are limited as long as the server recovers
+    timely_setups: int = 0  # since the server last began to recover
+    last_slot_at: float = -math.inf  # when an admission slot was last used
+    last_quota_at: float = 0.0  # when this balancer's own quota was last used; at first, when it began
+    quota_flows: int = 0  # flows admitted by the own quota
+
+
+@dataclass(slots=True, eq=False)
+class ServerRecord:
+    """What this balancer knows of a server."""
+
+    id: str
+    hash: int
+    started_at: float
+    first_seen_at: float  # by this process; set back for a server that does not count as new
+    zone: str = ""
+    cell: int = 0
+    state: EndpointState = EndpointState.REMOVED  # until its entry in the endpoint list is read
+    size: float = 1.0  # weight in hashing, and in the server's part of the load
+    connections: dict[int, "FlowRecord"] = field(default_factory=dict)  # of this balancer, by flow id
+
+    # Kept when the server restarts.
+    reported_latency: float = 0.0  # written by overload_detection.py
+    migrated_at: float = 0.0  # when clients were last migrated away; written by migration.py
+
+    failures: FailureState = field(default_factory=FailureState)
+    overload: OverloadState = field(default_factory=OverloadState)
+    admission: AdmissionState = field(default_factory=AdmissionState)
+
+    def __post_init__(self) -> None:
+        """Start the quota when the server is first seen."""
+        self.admission.last_quota_at = self.first_seen_at
+
+    @property
+    def usage(self) -> float:
+        """Connections of this balancer, relative to the server's size."""
+        return len(self.connections) / self.size
+
+    @property
+    def restricted_until(self) -> float:
+        """When the last restriction on new flows ends."""
+        return max(
+            self.failures.ejected_until,
+            self.overload.overloaded_until,
+            self.admission.recovering_until,
+            self.overload.deprioritized_until,
+        )
+
+    def update(self, endpoint: Server) -> None:
+        """Copy location and state from the server's entry in an endpoint list."""
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.state = endpoint.state
+
+    def restart(self, started_at: float, now: float) -> None:
+        """Record that the server is a new process, and discard what was found out about the old one."""
+        self.started_at = started_at
+        self.first_seen_at = now
+        self.failures = FailureState()
+        self.overload = OverloadState()
+        self.admission = AdmissionState(last_quota_at=now)
+
+
+@dataclass(slots=True, eq=False)
+class FlowRecord:
+    """A flow that has not ended."""
+
+    request: FlowRequest
+    segment: int
+    replica: int = 0  # index into the segment's preference order of the server it is assigned to
+    attempted: list[str] = field(default_factory=list)  # ids of the servers, in order
+    possibly_ran_on: ServerRecord | None = None  # the first server on which the flow may have run
+    possibly_ran_at: float = 0.0  # when that attempt began
+    server: ServerRecord | None = None  # of the last attempt
+    attempted_at: float = 0.0  # when the last attempt began
+    established: bool = False  # and not asked to migrate
+    load: float = 0.0  # work per second, by the last load report
+
+    def begin_attempt(self, server: ServerRecord, now: float) -> None:
+        """Record that an attempt to connect to `server` begins."""
+        self.attempted.append(server.id)
+        self.attempted_at = now
+        self.server = server
+        server.connections[self.request.id] = self
+
+    def restore_connection(self, server: ServerRecord | None) -> None:
+        """Record a connection that was open before the start; None stands for an unknown server."""
+        self.established = True
+        self.server = server
+        if server is not None:
+            server.connections[self.request.id] = self
+
+    def record_possible_run(self) -> None:
+        """Record that the flow may have run in the last attempt, unless it may have run before."""
+        if self.possibly_ran_on is None:
+            self.possibly_ran_on = self.server
+            self.possibly_ran_at = self.attempted_at
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -1,40 +1,46 @@
-"""Segments: hashing, preference orders and rebalancing, after SlimeMold (APNET 2023; docs/design.md)."""
+"""Segments: hashing, preference orders, replicas and rebalancing, after SlimeMold (docs/design.md).
+
+A segment is a hash bucket of flows. Its preference order, by weighted rendezvous hashing, is the same in all
+balancers. A segment has one or more replicas; replica n is assigned to server n of the preference order,
+unless this balancer has an override for it.
+"""
 
 import math
 from collections import Counter
 from zlib import crc32
 
-from lotusroute.routing import events
-from lotusroute.routing.state import FlowRecord, RoutingState, ServerRecord
-
-SEGMENT_BITS = 10  # 1024 segments, so that few groups share one; 8 bits mixed them, 12 gave no more
-MAX_LOAD_RATIO = 1.4  # mean servers' connections that one server takes: at 40% load, with a group's cost
-PRIOR_FLOWS = 5  # flows of no group added to the own ones, so that chance spreads no group
-RECENT_FLOWS = 64  # last flows that show what segments and servers are wanted; more cost CPU
-PRIOR_RECENT_FLOWS = 20  # flows of the usual mix added to them: as many as each of 200 balancers sees
-REBALANCE_RATIO = 0.8  # of least to most usage, the paper's value; 0.6 to 0.9 measured alike
-MIN_CONNECTIONS_TO_REBALANCE = 4  # on the busiest server: lower counts are chance
-NEW_SERVER_PERIOD = 10_000.0  # ms in which the low usage of a new server says nothing yet
-SPILL_DEPTH = 4  # servers of its order that a segment spills over: more scatter groups that share work
-MAX_REPLICAS = 2 * SPILL_DEPTH  # length of a preference order
-RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size that most servers of a preference order are under
-HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # the odd multiplier of SplitMix64; any odd one would do
+from lotusroute.routing.events import FlowRequest
+from lotusroute.routing.records import FlowRecord, ServerRecord
+from lotusroute.routing.state import RoutingState
+
+SEGMENT_BITS = 10
+MAX_LOAD_RATIO = 1.4  # load of one server over the mean, from which a segment gets another replica
+PRIOR_FLOWS = 5  # added to this balancer's flows, so that a few flows do not look like a large group
+RECENT_FLOWS = 64  # kept, with their segments and replicas
+PRIOR_RECENT_FLOWS = 20  # flows of the usual mix of groups, added to the recent ones
+REBALANCE_RATIO = 0.8  # usage of the idlest server over that of the busiest
+MIN_CONNECTIONS_TO_REBALANCE = 4  # on the busiest server
+NEW_SERVER_PERIOD_MS = 10_000.0  # in which the low usage of a new server says nothing
+SPILL_DEPTH = 4  # servers of its preference order that a segment may use
+MAX_REPLICAS = 2 * SPILL_DEPTH  # also the length of a preference order
+RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; the first servers of an order are likely below it
+HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # an odd number, from SplitMix64
 HASH_MASK = (1 << 64) - 1
 
 
 def hash_text(text: str) -> int:
-    """Return the 64-bit hash that ranks servers and segments alike in all balancers."""
+    """Return a 64-bit hash that is the same in all balancers."""
     return crc32(text.encode()) * HASH_MULTIPLIER & HASH_MASK
 
 
-def segment_of(state: RoutingState, request: events.FlowRequest) -> int:
+def segment_of(state: RoutingState, request: FlowRequest) -> int:
     """Return the segment of a flow: by its group where groups share work, else by its key."""
     shared = request.group if state.config.groups_share_work else None
     return crc32((shared or request.key or str(request.id)).encode()) >> (32 - SEGMENT_BITS)
 
 
-def register(state: RoutingState, request: events.FlowRequest) -> FlowRecord:
-    """Take in a new flow; its key chooses the replica of its segment."""
+def register(state: RoutingState, request: FlowRequest) -> FlowRecord:
+    """Add a new flow to the state; its key selects one of its segment's replicas."""
     flow = state.add_flow(request, segment_of(state, request))
     key_hash = crc32((request.key or str(request.id)).encode())
     flow.replica = key_hash % replica_count(state, flow.segment)
@@ -43,68 +49,85 @@
 
 
 def replica_count(state: RoutingState, segment: int) -> int:
-    """Return over how many servers a segment is spread: one cannot hold a tenth of the flows of 80."""
+    """Return the number of servers over which a segment is spread, by its part of the flows."""
     servers = len(state.ready)
     flows = len(state.flows)
     if state.lacks_latency_reports and flows < servers:
-        # The few own flows do not show how few groups there are; the recent ones do.
-        counts = Counter(recent for recent, _ in state.recent_replicas)
-        total = len(state.recent_replicas)
-        same_group = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
-        if same_group * servers > MAX_LOAD_RATIO:  # the usual group is more than one server takes
-            fraction = (counts[segment] + PRIOR_RECENT_FLOWS * same_group) / (total + PRIOR_RECENT_FLOWS)
-            return min(1 + int(fraction * servers / MAX_LOAD_RATIO), MAX_REPLICAS)
+        replicas = _replica_count_by_recent_flows(state, segment)
+        if replicas is not None:
+            return replicas
     others = (state.flow_counts[segment] - 1) * servers
     return min(1 + int(others / (MAX_LOAD_RATIO * (flows + PRIOR_FLOWS))), MAX_REPLICAS)
 
 
+def _replica_count_by_recent_flows(state: RoutingState, segment: int) -> int | None:
+    """Return the number of replicas by recent flows, which show large groups that few open flows do not.
+
+    Returns None if the usual group is not too large for one server.
+    """
+    servers = len(state.ready)
+    counts = Counter(recent for recent, _ in state.recent_replicas)
+    total = len(state.recent_replicas)
+    same_group = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
+    if same_group * servers <= MAX_LOAD_RATIO:
+        return None
+    fraction = (counts[segment] + PRIOR_RECENT_FLOWS * same_group) / (total + PRIOR_RECENT_FLOWS)
+    return min(1 + int(fraction * servers / MAX_LOAD_RATIO), MAX_REPLICAS)
+
+
 def preference_order(state: RoutingState, segment: int) -> list[ServerRecord]:
-    """Return a segment's first servers, ranked on demand: for all after each list took five times the CPU."""
+    """Return a segment's servers in order of preference; computed on first use after an endpoint update."""
     if segment not in state.preference_orders:
         state.preference_orders[segment] = _rank_servers(state, hash_text(str(segment)))
     return state.preference_orders[segment]
 
 
 def _rank_servers(state: RoutingState, segment_hash: int) -> list[ServerRecord]:
-    def rank(server: ServerRecord) -> tuple[float, str, ServerRecord]:
+    def rank(server: ServerRecord) -> float:
         sample = ((segment_hash ^ server.hash) * HASH_MULTIPLIER & HASH_MASK) + 1
-        return -math.log(sample / (HASH_MASK + 2)) / server.size, server.id, server
+        return -math.log(sample / (HASH_MASK + 2)) / server.size
 
-    # Whoever ranks under `cutoff` hashes to `least` or more; the first are among so many.
+    # Logarithms are slow, so servers are filtered by their hash first: all that rank up to `cutoff` have a
+    # hash of at least `least_hash`. If too few rank up to `cutoff`, all servers are ranked.
     cutoff = RANK_CUTOFF / state.total_size
-    least = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
-    likely = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= least]
-    ranks = sorted(map(rank, likely))
+    least_hash = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
+    likely = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= least_hash]
+    ranks = sorted((rank(server), server.id, server) for server in likely)
     if sum(value <= cutoff for value, _, _ in ranks) < MAX_REPLICAS:
-        ranks = sorted(map(rank, state.ready))
+        ranks = sorted((rank(server), server.id, server) for server in state.ready)
     return [server for _, _, server in ranks[:MAX_REPLICAS]]
 
 
 def default_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return the server that all balancers take for a replica of a segment."""
+    """Return a replica's server by the preference order, which is the same in all balancers."""
     return next(iter(preference_order(state, segment)[replica:]), None)
 
 
 def assigned_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return this balancer's server for a replica: its override, or else the default."""
+    """Return a replica's server in this balancer: the override if there is one, else the default."""
     return state.overrides.get((segment, replica)) or default_server(state, segment, replica)
 
 
 def rebalance(state: RoutingState) -> None:
-    """Reassign one replica from the busiest server to the idlest if usage is uneven."""
-    known = [s for s in state.ready if max(s.ejected_until, s.first_seen_at + NEW_SERVER_PERIOD) <= state.now]
-    if not known:
+    """Reassign one replica from the busiest server to the idlest one if their usage differs widely."""
+    candidates = [server for server in state.ready if _can_rebalance(state, server)]
+    if not candidates:
         return
-    busiest = max(known, key=lambda s: (s.usage, s.id))
-    idlest = min(known, key=lambda s: (s.usage, s.id))
+    busiest = max(candidates, key=lambda s: (s.usage, s.id))
+    idlest = min(candidates, key=lambda s: (s.usage, s.id))
     connections = len(busiest.connections)
     if connections < MIN_CONNECTIONS_TO_REBALANCE or idlest.usage >= REBALANCE_RATIO * busiest.usage:
         return
-    gap = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
+    half_gap = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
     replicas = {(flow.segment, flow.replica) for flow in busiest.connections.values()}
-    own = [key for key in replicas if assigned_server(state, *key) is busiest]
-    if own:
-        closest = min(own, key=lambda key: (abs(state.flow_counts[key[0]] - gap), key))
-        state.overrides.pop(closest, None)
-        if assigned_server(state, *closest) is not idlest:
-            state.overrides[closest] = idlest
+    assigned = [replica for replica in replicas if assigned_server(state, *replica) is busiest]
+    if not assigned:
+        return
+    closest = min(assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - half_gap), replica))
+    state.overrides.pop(closest, None)
+    if assigned_server(state, *closest) is not idlest:
+        state.overrides[closest] = idlest
+
+
+def _can_rebalance(state: RoutingState, server: ServerRecord) -> bool:
+    return max(server.failures.ejected_until, server.first_seen_at + NEW_SERVER_PERIOD_MS) <= state.now
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -1,79 +1,113 @@
-"""Slow start: how many flows a server gets while it warms up or recovers from overload (docs/design.md)."""
+"""Slow start: limits the flows to a server that warms up or recovers from overload (docs/design.md).
 
+An admission slot is a part of a fixed period in which one balancer may send a flow to a server. Each balancer
+has its slots at its own phase of the period, given by its index, so that all balancers take turns.
+"""
+
+from lotusroute.routing.records import ServerRecord
 from lotusroute.routing.segments import assigned_server, preference_order
-from lotusroute.routing.state import RoutingState, ServerRecord
+from lotusroute.routing.state import RoutingState
 
-TICK_INTERVAL = 1_000.0  # ms between upkeep; as often as servers report latency
-SLOT_ROUND = 3_000.0  # ms in which the slots of all balancers pass; the time in which a server fails
-GROUP_LOAD_FACTOR = 2.0  # times the mean that a large group may ask of one server; 1 broke the rule
-MIN_CAPACITY_FRACTION = 0.05  # of its capacity that a server is taken to have at least when it starts
-PRIOR_FLOWS_PER_TICK = 1.0  # added to rates: one flow in three ticks looked like a storm without it
-RATE_GAIN = 0.1  # weight of the last tick: arrivals and results are averaged over about ten
-RECOVERY_TIME = 12_000.0  # ms without a sign of overload until a server has recovered
-RECOVERY_RATE = 0.5  # times the mean first arrivals, for a server overloaded just now
-RECOVERY_DOUBLING_TIME = 4_000.0  # ms without a sign of overload in which that rate doubles
-RECOVERY_SLOT_FACTOR = 4.0  # times the first arrivals that come to a recovering server; 2 measured alike
+TICK_INTERVAL_MS = 1_000.0  # servers report their latency as often
+SLOT_ROUND_MS = 3_000.0  # in which each balancer has one slot
+GROUP_LOAD_FACTOR = 2.0  # load of a large group on one server, over the mean load of a server
+MIN_CAPACITY_FRACTION = 0.05  # least assumed capacity of a server that starts, of its full capacity
+PRIOR_FLOWS_PER_TICK = 1.0  # added to rates, so that a few flows do not look like a connection storm
+RATE_GAIN = 0.1  # weight of the last tick in arrival rates and connection counts
+RECOVERY_TIME_MS = 12_000.0
+RECOVERY_RATE = 0.5  # fraction of the server's part of first arrivals, when a recovery begins
+RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that rate
+RECOVERY_SLOT_FACTOR = 4.0  # flows per round up to which slots are used in place of a rate
+SETUPS_TO_RECOVER = 8  # timely set-ups that end a recovery early
 
 
 def warming_up(state: RoutingState, server: ServerRecord) -> bool:
-    """Tell whether a server has started within the warm-up time."""
+    """Return whether a server started less than the warm-up time ago."""
     return server.started_at > 0 and state.now < server.started_at + state.config.slow_start_duration
 
 
 def capacity_fraction(state: RoutingState, server: ServerRecord) -> float:
-    """Return what part of its full capacity a server that has started has at least."""
+    """Return which fraction of its full capacity a server has, by the time since its start."""
     config = state.config
     progress = min(1.0, max(0.0, state.now - server.started_at) / max(config.slow_start_duration, 1.0))
     return config.slow_start_share + (1 - config.slow_start_share) * progress
 
 
-def start_recovery(state: RoutingState, server: ServerRecord, duration: float = RECOVERY_TIME) -> None:
-    """Admit flows to a server that has been overloaded by slots, for `duration` ms."""
-    if server.recovering_until <= state.now:
-        server.last_slot_at = state.now
-    server.recovering_until = max(server.recovering_until, state.now + duration)
-    server.timely_setups = 0
+def start_recovery(state: RoutingState, server: ServerRecord, duration: float = RECOVERY_TIME_MS) -> None:
+    """Limit the flows to an overloaded server for `duration` ms."""
+    admission = server.admission
+    if admission.recovering_until <= state.now:
+        admission.last_slot_at = state.now
+    admission.recovering_until = max(admission.recovering_until, state.now + duration)
+    admission.timely_setups = 0
     state.recently_overloaded[server.id] = server
 
 
-def admits(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
-    """Tell whether a server gets one more flow now; if so, a slot or part of the quota is used up."""
+def record_timely_setup(state: RoutingState, server: ServerRecord) -> None:
+    """Count a set-up that was not slow, and end the server's recovery if there were enough."""
+    admission = server.admission
+    admission.timely_setups += 1
+    if admission.timely_setups >= SETUPS_TO_RECOVER:
+        admission.recovering_until = min(admission.recovering_until, state.now)
+
+
+def try_admit(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
+    """Return whether a server may get a flow now; if it may, its slot or quota is used up."""
     if warming_up(state, server):
-        return _admits_warming_up(state, server, reconnecting)
-    return server.recovering_until <= state.now or _admits_recovering(state, server)
+        return _try_admit_warming_up(state, server, reconnecting)
+    return server.admission.recovering_until <= state.now or _try_admit_recovering(state, server)
+
 
+def _try_admit_warming_up(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
+    """Use this balancer's own quota of the server's capacity, or else its slot.
 
-def _admits_warming_up(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
-    """Use the own quota, which with few balancers is most of the server's budget, or else a slot."""
+    With few balancers the quotas are most of the capacity; with many balancers the slots are.
+    """
     if state.lacks_latency_reports:
-        return _take_slot(state, server, admitted_fraction(state, server, reconnecting))
-    config = state.config
-    capacity = config.slow_start_burst * capacity_fraction(state, server)
+        return _try_take_slot(state, server, admitted_fraction(state, server, reconnecting))
+    capacity = state.config.slow_start_burst * capacity_fraction(state, server)
+    return _try_use_quota(state, server, capacity) or _try_take_slot(
+        state, server, _warming_up_slot_fraction(state, server, capacity, reconnecting)
+    )
+
+
+def _try_use_quota(state: RoutingState, server: ServerRecord, capacity: float) -> bool:
+    config, admission = state.config, server.admission
     total_size = max(state.total_size, server.size)
     first_rate = state.first_arrivals.mean
-    rate = first_rate * config.instance_count / TICK_INTERVAL * capacity * server.size / total_size
-    flows = config.instance_count if server.quota_flows else config.instance_index + 1
-    if state.now >= server.last_quota_at + flows / max(rate, 1e-9):
-        server.last_quota_at = state.now
-        server.quota_flows += 1
-        return True
-    # A group asks as much of a small server: 25 flows in a second overloaded one of two cores.
+    rate = first_rate * config.instance_count / TICK_INTERVAL_MS * capacity * server.size / total_size
+    flows = config.instance_count if admission.quota_flows else config.instance_index + 1
+    if state.now < admission.last_quota_at + flows / max(rate, 1e-9):
+        return False
+    admission.last_quota_at = state.now
+    admission.quota_flows += 1
+    return True
+
+
+def _warming_up_slot_fraction(
+    state: RoutingState, server: ServerRecord, capacity: float, reconnecting: bool
+) -> float:
+    """Return the length of a slot, as a fraction of the round."""
+    total_size = max(state.total_size, server.size)
+    # A group's load does not depend on the size of the server that it is assigned to.
     fraction = capacity / GROUP_LOAD_FACTOR * (server.size * len(state.ready) / total_size)
     if reconnecting:
+        first_rate = state.first_arrivals.mean
         all_rate = max(state.arrivals.mean, state.arrivals.count, first_rate)
         fraction *= (first_rate + PRIOR_FLOWS_PER_TICK) / (all_rate + PRIOR_FLOWS_PER_TICK)
-    return _take_slot(state, server, fraction)
+    return fraction
 
 
 def admitted_fraction(state: RoutingState, server: ServerRecord, reconnecting: bool) -> float:
-    """Return what part of the flows for a server that warms up is admitted without latency reports.
+    """Return which fraction of the flows for a warming server is admitted if there are no latency reports.
 
-    All balancers together fill it in the warm-up time; one group that is back at once has a limit more.
+    With these fractions all balancers together load the server up to its capacity in the warm-up time. A
+    further limit applies while all clients of a group that lost its server may reconnect at once.
     """
     config = state.config
     initial = max(config.slow_start_share, MIN_CAPACITY_FRACTION) * max(config.slow_start_duration, 1.0)
     even_share = even_share_factor(state, server)
-    capacity = config.slow_start_burst * capacity_fraction(state, server) * SLOT_ROUND / initial
+    capacity = config.slow_start_burst * capacity_fraction(state, server) * SLOT_ROUND_MS / initial
     limit = 1.0
     if reconnecting and config.groups_share_work and state.now < state.reconnects_expected_until:
         servers_per_flow = max(1.0, len(state.ready) / len(state.recent_replicas))
@@ -83,38 +117,41 @@
 
 
 def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
-    """Return a server's even share over the part of recent flows that want it, so that it gets no more."""
+    """Return the server's even share of the load over the fraction of recent flows that are meant for it."""
     recent = state.recent_replicas
-    wanted = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
-    return server.size / max(state.total_size, server.size) * len(recent) / max(1, wanted)
+    meant = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
+    return server.size / max(state.total_size, server.size) * len(recent) / max(1, meant)
 
 
 def warming_up_target(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return the one server that warms up which a replica's flows may reach: its own, or first in order."""
+    """Return the one warming server that a replica's flows may reach.
+
+    This is the assigned server if it warms up, else the first warming one in the segment's preference order.
+    """
     assigned = assigned_server(state, segment, replica)
     if assigned is None or warming_up(state, assigned):
         return assigned
     return next((s for s in preference_order(state, segment) if warming_up(state, s)), None)
 
 
-def _admits_recovering(state: RoutingState, server: ServerRecord) -> bool:
-    """Use a slot; at hundreds of flows a second, where one a slot is next to nothing, the own rate."""
-    calm = state.now + RECOVERY_TIME - server.recovering_until
-    capacity = RECOVERY_RATE * 2 ** (calm / RECOVERY_DOUBLING_TIME)
+def _try_admit_recovering(state: RoutingState, server: ServerRecord) -> bool:
+    """Use a slot; at high arrival rates, for which slots are too few, keep to this balancer's own rate."""
+    calm_time = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
+    capacity = RECOVERY_RATE * 2 ** (calm_time / RECOVERY_DOUBLING_TIME_MS)
     arrivals = max(state.first_arrivals.mean, state.first_arrivals.count)
-    rate = arrivals / TICK_INTERVAL * capacity * server.size / state.total_size
-    if rate * SLOT_ROUND <= RECOVERY_SLOT_FACTOR:
-        return _take_slot(state, server, capacity / RECOVERY_SLOT_FACTOR)
-    if state.now < server.last_slot_at + 1 / rate:
+    rate = arrivals / TICK_INTERVAL_MS * capacity * server.size / state.total_size
+    if rate * SLOT_ROUND_MS <= RECOVERY_SLOT_FACTOR:
+        return _try_take_slot(state, server, capacity / RECOVERY_SLOT_FACTOR)
+    if state.now < server.admission.last_slot_at + 1 / rate:
         return False
-    server.last_slot_at = state.now
+    server.admission.last_slot_at = state.now
     return True
 
 
-def _take_slot(state: RoutingState, server: ServerRecord, fraction: float) -> bool:
-    """Admit one flow in this balancer's slot: `fraction` of a round, at a phase by its index."""
-    phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_ROUND) % 1
-    if phase >= fraction or state.now < server.last_slot_at + fraction * SLOT_ROUND:
+def _try_take_slot(state: RoutingState, server: ServerRecord, fraction: float) -> bool:
+    """Return whether this balancer has an unused slot now; a slot lasts `fraction` of the round."""
+    phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_ROUND_MS) % 1
+    if phase >= fraction or state.now < server.admission.last_slot_at + fraction * SLOT_ROUND_MS:
         return False
-    server.last_slot_at = state.now
+    server.admission.last_slot_at = state.now
     return True
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -1,22 +1,22 @@
-"""When servers started, on the host's own clock.
+"""Start times of servers, on the host's own clock.
 
-The endpoint list gives starts as Unix time by the clocks of other machines. Comparing them with the clock of
-this machine is right only while both agree, and a wall clock may be wrong by an hour when the process starts.
-Slow start depends on the difference, so each start is kept within what this process has seen itself:
+Endpoint lists give start times as Unix time by the clocks of other machines. They cannot simply be compared
+with the clock of this machine, since any wall clock may be wrong by an hour or more. Slow start depends on
+the difference, so each start time is bounded by what this process has observed itself:
 
-- a server has started by the time at which its start is received;
-- a start that is new to this process is not older than the last list without it, less the time that a start
-  takes to be listed.
+- a server started before its start time was received;
+- a start time that is new to this process is not earlier than the last list without it, less the time that a
+  start takes to be listed.
 
-A server's entry affects that server alone: one wrong clock among the servers misleads about no other. Times
-are milliseconds on the host's clock unless they are called reported.
+Each server is bounded by itself, so that a wrong clock of one server does not affect the others. Times are
+milliseconds on the host's clock, but those called `reported` are by a server's clock.
 """
 
 from typing import NamedTuple
 
 from lotusroute.routing import events
 
-MAX_KNOWN_STARTS = 10_000  # three times the servers of the largest fleet; some 2 MB
+MAX_KNOWN_STARTS = 10_000  # of servers; bounds the memory to about 2 MB
 
 
 class _KnownStart(NamedTuple):
@@ -25,20 +25,20 @@
 
 
 class StartTimes:
-    """Bounds the reported starts of servers; each keeps its time until the server starts again."""
+    """Bounds reported start times; a server keeps its bounded time until it starts again."""
 
     def __init__(self, listing_delay: float) -> None:
-        """`listing_delay` is the longest time that a start takes until a list has it."""
+        """`listing_delay` is the longest time until a start is in an endpoint list, in ms."""
         self._listing_delay = listing_delay
-        # By server id, the oldest first. Servers that left the list are kept: one that is listed again with
-        # the same start has not been restarted.
+        # By server id, the oldest first. Servers that have left the list are kept: one that is listed again
+        # with the same start time has not restarted.
         self._known: dict[str, _KnownStart] = {}
 
     def bound(self, server: events.Server, now: float, previous_list_at: float | None) -> events.Server:
-        """Return a server of a list that was received `now`, with its start on the host's clock.
+        """Return the server of an endpoint list received at `now`, with its start time on the host's clock.
 
-        `previous_list_at` is when the list before that was last known to be current, None where there was
-        none. A server without a start, or that was removed, is returned as it is.
+        `previous_list_at` is the last time at which the previous list was known to be current; None for the
+        first list. A server that is removed or has no start time is returned unchanged.
         """
         if server.state == events.EndpointState.REMOVED or not server.started:
             return server
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -22,7 +22,7 @@
     host.end(events.Connect(1, dead), events.ConnectionResult.UNREACHABLE)
     host.update_endpoints(events.Server(dead, started=1.0))
     known = host.director.state.servers[dead]
-    assert known.ejected_until == 0.0 and slow_start.warming_up(host.director.state, known)
+    assert known.failures.ejected_until == 0.0 and slow_start.warming_up(host.director.state, known)
 
 
 def test_a_broken_subscription_is_renewed_with_backoff():
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -46,14 +46,17 @@
     host.now += 30_000.0
     for key in KEYS:  # a storm slows all alike; the first two may look overloaded
         open_in(lambda server: 200.0, key)
-        assert sum(known.overloaded_until > host.now for known in host.director.state.servers.values()) <= 2
+        assert (
+            sum(known.overload.overloaded_until > host.now for known in host.director.state.servers.values())
+            <= 2
+        )
     for ms in (20.0, 20.0, 80.0):  # all but one are slow: their median shows nothing
         host.now += 30_000.0
         for key in KEYS[:60]:
             open_in(lambda server, ms=ms: 20.0 if server == slow else ms, key)
-    assert [known.deprioritized_until > host.now for known in host.director.state.servers.values()].count(
-        True
-    ) == 3
+    assert [
+        known.overload.deprioritized_until > host.now for known in host.director.state.servers.values()
+    ].count(True) == 3
 
 
 @pytest.mark.parametrize("servers", [1, 2, 8, 40])
--- a/tests/test_spilling.py
+++ b/tests/test_spilling.py
@@ -27,7 +27,7 @@
     # i44d241, i60ba31: with every server overloaded, spilled groups overloaded the next ones.
     host = FakeHost(8, reports_latency=True)
     for server in list(host.director.state.servers.values())[:7]:
-        server.deprioritized_until = 90_000.0
+        server.overload.deprioritized_until = 90_000.0
         host.director.state.recently_overloaded[server.id] = server
     host.advance(1000.0)
     for _ in range(2):
@@ -74,5 +74,5 @@
     # Four of eight dead: flows of which these were the first four got BUSY beside four idle servers.
     host = FakeHost(8)
     for server in ("s0", "s1", "s2", "s3"):
-        host.director.state.servers[server].overloaded_until = host.now + 1e6
+        host.director.state.servers[server].overload.overloaded_until = host.now + 1e6
     assert host.establish_each(lambda _: 1.0, 200) == {events.Connect: 200}
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -196,7 +196,7 @@
     for now in sorted(42_000.0 + rng.random() * 1_200.0 for _ in range(400)):
         host = rng.choice(hosts)
         host.now = now
-        host.director.state.servers[f"s{rng.randrange(59)}"].recovering_until = now + 5_000.0
+        host.director.state.servers[f"s{rng.randrange(59)}"].admission.recovering_until = now + 5_000.0
         actions = [host.request(str(now), group=group(), reconnecting=True)]
         if isinstance(actions[0], events.Connect) and rng.random() < 0.1:
             connects += actions[0].server == "cold"
