--- a/lotusroute/adapter/__init__.py
+++ b/lotusroute/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: runs the routing decisions under the simulator, on its text protocol."""
+"""The adapter: runs the routing decisions in a simulation, by the simulator's text protocol."""
--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -1,8 +1,9 @@
-"""One process's part of a simulation: routes each event to its instance and collects the reply of a batch.
+"""A simulation session: passes each event to its instance and collects the reply to a batch.
 
-A batch begins with `mark` and ends with `your_turn`; `at` names the instance that the lines after it concern.
-A `roster` line announces a server list and is followed by its rows; `registry` events refer to the list by
-its number. Input that does not follow the protocol raises `ProtocolError` with the number of the line.
+A batch of lines begins with `mark` and ends with `your_turn`; `at` names the instance to which the next lines
+belong. A `roster` line announces a server list, whose rows follow it; `registry` events refer to the list by
+its number. Input that does not follow the protocol raises `ProtocolError` with the number of the line. Times
+are in milliseconds.
 """
 
 from collections.abc import Iterable, Iterator
@@ -15,23 +16,23 @@
 from lotusroute.service_config import look_up, parse_number
 
 MAX_LIST_NUMBER = 15
-ROSTER_VALUES = 2
-REGISTRY_VALUES = 3
+ROSTER_VALUE_COUNT = 2
+REGISTRY_VALUE_COUNT = 3
 
 
 @dataclass(slots=True)
 class Batch:
-    """The batch being read."""
+    """A batch of which some lines have been read."""
 
-    now: float  # ms, of all its events
-    instance: int | None = None  # that the next events concern
+    now: float  # the time of all its events
+    instance: int | None = None  # to which the next lines belong
     reply: list[str] = field(default_factory=list)
-    replying: int | None = None  # the instance whose actions the reply lists last
+    replying: int | None = None  # the instance of the last actions in the reply
 
 
 @dataclass(slots=True)
 class IncompleteList:
-    """A server list some of whose rows are still to come."""
+    """A server list of which some rows have not been read."""
 
     number: int
     rows_missing: int
@@ -47,16 +48,16 @@
 
 
 class SimulatorSession:
-    """All instances of this process, and the server lists that their events refer to."""
+    """The instances of a simulation, and the server lists to which their events refer."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
-        self.lists: dict[int, tuple[events.Server, ...]] = {}  # bounded by MAX_LIST_NUMBER
+        self.instances: dict[int, Instance] = {}  # by number
+        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, up to MAX_LIST_NUMBER
         self.incomplete_list: IncompleteList | None = None
         self.batch: Batch | None = None
 
     def read_line(self, line: str) -> str | None:
-        """Handle one line; return the reply when it ends a batch."""
+        """Handle one line; return the reply if the line ends a batch, else None."""
         name, *values = line.split(" ")
         if name == "row":
             self._add_server(values)
@@ -76,7 +77,7 @@
 
     def _begin_batch(self, values: list[str]) -> None:
         if self.batch is not None or len(values) != 1:
-            raise ProtocolError("a mark stands at the start of a batch, with the clock")
+            raise ProtocolError("'mark' has one value and begins a batch")
         self.batch = Batch(parse_number(values[0]))
 
     def _end_batch(self, batch: Batch) -> str:
@@ -96,8 +97,8 @@
             self._handle_event(batch, batch.instance, name, values)
 
     def _begin_list(self, values: list[str]) -> None:
-        if len(values) != ROSTER_VALUES:
-            raise ProtocolError(f"roster has {ROSTER_VALUES} values, not {len(values)}")
+        if len(values) != ROSTER_VALUE_COUNT:
+            raise ProtocolError(f"roster has {ROSTER_VALUE_COUNT} values, not {len(values)}")
         number = wire.parse_integer(values[0])
         rows = wire.parse_integer(values[1])
         if number > MAX_LIST_NUMBER:
@@ -110,7 +111,7 @@
     def _add_server(self, values: list[str]) -> None:
         pending = self.incomplete_list
         if pending is None:
-            raise ProtocolError("a row outside of a roster")
+            raise ProtocolError("'row' outside of a roster")
         pending.servers.append(wire.parse_server(values))
         pending.rows_missing -= 1
         if not pending.rows_missing:
@@ -119,7 +120,7 @@
 
     def _add_instance(self, number: int, values: list[str]) -> None:
         if not values:
-            raise ProtocolError("attach has no seed")
+            raise ProtocolError("'attach' has no seed")
         seed, *settings = values
         service = wire.parse_settings(settings)
         self.instances[number] = Instance(service, Director(service, wire.parse_integer(seed)))
@@ -142,8 +143,8 @@
         batch.reply.extend(wire.format_action(action) for action in actions)
 
     def _parse_endpoint_list(self, values: list[str]) -> events.EndpointList:
-        if len(values) != REGISTRY_VALUES:
-            raise ProtocolError(f"registry has {REGISTRY_VALUES} values, not {len(values)}")
+        if len(values) != REGISTRY_VALUE_COUNT:
+            raise ProtocolError(f"registry has {REGISTRY_VALUE_COUNT} values, not {len(values)}")
         number, _version, scope_name = values
         scope = look_up(wire.SCOPES, scope_name, "scope")
         if scope == events.ListScope.REJECTED:
@@ -164,7 +165,7 @@
 
 
 def generate_replies(lines: Iterable[str]) -> Iterator[str]:
-    """Yield the reply of each batch; a malformed line raises ProtocolError with its number and fault.
+    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and the reason.
 
     >>> list(generate_replies(["mark 8412.25", "your_turn"]))
     ['finished\\n']
@@ -177,7 +178,7 @@
         try:
             reply = session.read_line(text)
         except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
-            # The latter ones come from the decisions, for events that contradict earlier ones.
+            # The errors of Python are raised by the decisions for events that contradict earlier ones.
             raise ProtocolError(f"line {line_number}: {error}") from None
         if reply is not None:
             yield reply
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -1,8 +1,8 @@
 """The simulator's text protocol: parses its messages into events, and formats actions as its lines.
 
-The names of messages, codes and flags are the protocol's; nothing outside this package knows them. Values are
-separated by single spaces, `-` is an absent value and times are in ms. Input that does not follow the
-protocol raises `InvalidValueError`, mostly a `ProtocolError`.
+The names of messages, codes and flags are the protocol's and are not used outside this package. Values are
+separated by single spaces, `-` stands for an absent value, and times are in milliseconds. Input that does not
+follow the protocol raises `InvalidValueError` or one of its subclasses.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 ABSENT = "-"
 UNSET_SETTINGS = ("null", ABSENT)
-SERVER_VALUES = 7  # in a line of a server list
+SERVER_VALUE_COUNT = 7
 STATES: dict[str, events.EndpointState] = {
     "IN": events.EndpointState.READY,
     "LAME": events.EndpointState.DRAINING,
@@ -37,28 +37,28 @@
     "X": events.ConnectionResult.CANCELLED,
     "N": events.ConnectionResult.UNSENT,
 }
-# Bits of a new flow's flags; plain integers, for each flow of a simulated day passes here.
-FLAG_RETRY = 2
-FLAG_MID_FLOW = 8
-FLAG_RETURNED = 16
+# Bits of a new flow's flags; plain integers, since every flow is parsed with them and an IntFlag is slow.
+RETRY_FLAG = 2
+MID_FLOW_FLAG = 8
+RECONNECTING_FLAG = 16
 
 
 class NoticeTopic(IntEnum):
-    """What a notice on an open connection is about; others are ignored."""
+    """The topics of notices on an open connection that are used; others are ignored."""
 
     LOAD = 1
     LATENCY = 2
 
 
 def parse_integer(text: str) -> int:
-    """Parse an integer of 0 or more."""
+    """Parse an integer that is not negative."""
     if not (text.isascii() and text.isdigit()):
         raise ProtocolError(f"'{text}' is not a whole number")
     return int(text)
 
 
 def parse_boolean(text: str) -> bool:
-    """Parse 1 or 0."""
+    """Parse `1` or `0`."""
     if text not in ("1", "0"):
         raise ProtocolError(f"'{text}' is neither 1 nor 0")
     return text == "1"
@@ -70,7 +70,7 @@
 
 
 def parse_settings(pairs: list[str]) -> events.ServiceConfig:
-    """Parse an instance's settings, PATH=VALUE each."""
+    """Parse the settings of an instance, each of which is PATH=VALUE."""
     settings: dict[str, str] = {}
     for pair in pairs:
         path, equals, value = pair.partition("=")
@@ -82,9 +82,9 @@
 
 
 def parse_server(values: list[str]) -> events.Server:
-    """Parse one line of a server list."""
-    if len(values) != SERVER_VALUES:
-        raise ProtocolError(f"a row has {SERVER_VALUES} values, not {len(values)}")
+    """Parse one row of a server list."""
+    if len(values) != SERVER_VALUE_COUNT:
+        raise ProtocolError(f"a row has {SERVER_VALUE_COUNT} values, not {len(values)}")
     server, zone, _kind, cell, state, weight, started = values
     return events.Server(
         server,
@@ -98,27 +98,30 @@
 
 def _parse_flow(values: list[str]) -> events.FlowRequest:
     flow, service_type, tenant, group, flag_bits, key, _hint, deadline = values
-    return _make_flow(flow, service_type, tenant, group, key, deadline, parse_integer(flag_bits))
+    flags = parse_integer(flag_bits)
+    return events.FlowRequest(
+        parse_integer(flow),
+        service_type,
+        parse_optional(tenant),
+        parse_optional(group),
+        parse_optional(key),
+        parse_number(deadline),
+        mid_flow=bool(flags & MID_FLOW_FLAG),
+        reconnecting=bool(flags & (RETRY_FLAG | RECONNECTING_FLAG)),
+    )
 
 
 def _parse_existing_connection(values: list[str]) -> events.ExistingConnection:
     flow, service_type, tenant, key, deadline, _hint, group, _flags, server = values
-    return events.ExistingConnection(_make_flow(flow, service_type, tenant, group, key, deadline), server)
-
-
-def _make_flow(
-    flow: str, service_type: str, tenant: str, group: str, key: str, deadline: str, flags: int = 0
-) -> events.FlowRequest:
-    return events.FlowRequest(
+    request = events.FlowRequest(
         parse_integer(flow),
         service_type,
         parse_optional(tenant),
         parse_optional(group),
         parse_optional(key),
         parse_number(deadline),
-        mid_flow=bool(flags & FLAG_MID_FLOW),
-        reconnecting=bool(flags & (FLAG_RETRY | FLAG_RETURNED)),
     )
+    return events.ExistingConnection(request, server)
 
 
 def _parse_established(values: list[str]) -> events.Established:
@@ -159,17 +162,17 @@
 
 
 def _ignore(_values: list[str]) -> None:
-    """Accept results of health checks and messages of peers: this balancer asks for neither."""
+    """Ignore a result of a health check or a message of a peer; this balancer requests neither."""
 
 
 class EventFormat(NamedTuple):
-    """How a message is parsed."""
+    """How to parse the values of a message."""
 
     value_count: int
     parse: Callable[[list[str]], events.Event | None]
 
 
-EVENT_FORMATS = {
+EVENT_FORMATS: dict[str, EventFormat] = {
     "ask": EventFormat(8, _parse_flow),
     "already_open": EventFormat(9, _parse_existing_connection),
     "under_way": EventFormat(4, _parse_established),
@@ -183,7 +186,7 @@
 
 
 def parse_event(name: str, values: list[str]) -> events.Event | None:
-    """Parse one event; None for those that the routing decisions do not use.
+    """Parse one event; return None if the routing decisions do not use it.
 
     >>> parse_event("withdrawn", ["242166553"])
     ClientDisconnected(id=242166553)
--- a/lotusroute/errors.py
+++ b/lotusroute/errors.py
@@ -12,6 +12,23 @@
     """A value cannot be used where it was read; the message says where and why."""
 
 
+class MalformedNumberError(InvalidValueError):
+    """A text of a file or message is not a number."""
+
+    def __init__(self, text: str) -> None:
+        super().__init__(f"'{text}' is not a number")
+        self.text = text
+
+
+class UnknownNameError(InvalidValueError):
+    """A name or number of a file or message is not one of the known ones."""
+
+    def __init__(self, kind: str, name: object) -> None:
+        super().__init__(f"unknown {kind} '{name}'")
+        self.kind = kind
+        self.name = name
+
+
 class ConfigError(InvalidValueError):
     """A configuration file or environment variable is missing, unreadable or invalid."""
 
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -16,6 +16,15 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
+class DedupScope(StrEnum):
+    """Which servers recognize a repeated idempotency key."""
+
+    ALL = "all"
+    ZONE = "zone"  # those in the zone of the server that ran the flow
+    CELL = "cell"  # those in its cell
+    NONE = "none"
+
+
 class EndpointState(StrEnum):
     """A server's state in an endpoint list."""
 
@@ -55,12 +64,12 @@
 
     setup_target: float  # time in which a flow should be established
     effect: Effect = Effect.IDEMPOTENT
-    dedup_scope: str = "all"  # servers that recognize a key: "all", those of one "zone" or of one "cell"
-    dedup_window: float = 0.0  # time for which they remember a key
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: float = 0.0  # time for which servers remember a key
 
     def safe_to_retry(self, ran: bool) -> bool:
         """Return whether a client may safely retry; `ran` says whether the flow may have run."""
-        deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == "all"
+        deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
         return not ran or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
 
 
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from lotusroute.routing.events import Effect, FlowRequest
+from lotusroute.routing.events import DedupScope, Effect, FlowRequest
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.segments import SPILL_DEPTH, assigned_server, default_server, preference_order
 from lotusroute.routing.slow_start import try_admit, warming_up
@@ -109,11 +109,11 @@
         return service_type.effect != Effect.NON_IDEMPOTENT
     in_window = state.now < flow.possibly_ran_at + service_type.dedup_window
     match service_type.dedup_scope:
-        case "all":
+        case DedupScope.ALL:
             return in_window
-        case "zone":
+        case DedupScope.ZONE:
             return in_window and server.zone == previous.zone
-        case "cell":
+        case DedupScope.CELL:
             return in_window and server.cell == previous.cell
         case _:
             return False
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -1,14 +1,14 @@
-"""Parses the settings of a service, for every host of the routing decisions.
+"""Parses the settings of a service, for all hosts of the routing decisions.
 
-The settings come as a flat mapping from dotted paths to texts; `flatten` makes one from nested JSON. Unknown
-settings are ignored; a value that cannot be used raises `ConfigError` with its path.
+The settings are a flat mapping from dotted paths to texts; `flatten` makes one from nested JSON. Unknown
+settings are ignored. An invalid value raises `ConfigError` with its path. Times are in milliseconds.
 """
 
 import math
 from collections.abc import Iterable, Iterator, Mapping
 from typing import TypeVar
 
-from lotusroute.errors import ConfigError, InvalidValueError
+from lotusroute.errors import ConfigError, MalformedNumberError, UnknownNameError
 from lotusroute.routing import events
 
 Key = TypeVar("Key")
@@ -20,14 +20,14 @@
     "idempotency_key": events.Effect.IDEMPOTENCY_KEY,
     "non_idempotent": events.Effect.NON_IDEMPOTENT,
 }
-DEFAULT_EFFECT = "non_idempotent"  # the one that is never retried by mistake
-STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that stay the same between endpoint lists
-DEFAULT_POLL_INTERVAL = 10_000.0  # ms
-LATENCY_OBJECTIVES = "family_info.message_aim"
+DEFAULT_EFFECT = "non_idempotent"  # a flow of it never runs twice
+STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that do not change between endpoint lists
+DEFAULT_POLL_INTERVAL_MS = 10_000.0
+LATENCY_OBJECTIVES_PATH = "family_info.message_aim"
 
 
 def parse_number(text: str) -> float:
-    """Parse a finite number; `-` is 0. Raises InvalidValueError, for settings and messages hold numbers.
+    """Parse a finite number; `-` stands for 0. Raises `MalformedNumberError`.
 
     >>> parse_number("8652.25"), parse_number("-")
     (8652.25, 0.0)
@@ -39,20 +39,20 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise InvalidValueError(f"'{text}' is not a number")
+        raise MalformedNumberError(text)
     return value
 
 
-def look_up(table: Mapping[Key, Value], key: Key, what: str) -> Value:
-    """Return the table's value; raises InvalidValueError that says `what` is unknown."""
+def look_up(table: Mapping[Key, Value], key: Key, kind: str) -> Value:
+    """Return the value of a key; raises `UnknownNameError`, which calls the key a `kind`."""
     try:
         return table[key]
     except KeyError:
-        raise InvalidValueError(f"unknown {what} '{key}'") from None
+        raise UnknownNameError(kind, key) from None
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield the dotted paths of nested JSON with their values as texts; a list's length is under `.count`.
+    """Yield each value of nested JSON as a text, with its dotted path; a list's length is under `.count`.
 
     >>> dict(flatten({"a": {"b": True, "c": None}, "d": [{"e": 1.5}], "f": ["x", "y"]}))
     {'a.b': 'true', 'd.count': '1', 'd.0.e': '1.5', 'f.count': '2', 'f.0': 'x', 'f.1': 'y'}
@@ -93,7 +93,7 @@
         reports_latency=_parse_boolean(settings, "family_info.tells_delay"),
         latency_objective=latency_objective,
         polls_discovery=settings.get("discovery") == "ask",
-        poll_interval=_parse_setting(settings, "rules.ask_every", DEFAULT_POLL_INTERVAL),
+        poll_interval=_parse_setting(settings, "rules.ask_every", DEFAULT_POLL_INTERVAL_MS),
         max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, least=1)),
         max_retry_after=_parse_max_retry_after(settings),
         slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, most=1.0),
@@ -116,38 +116,47 @@
     return events.ServiceType(
         setup_target=_parse_setting(settings, f"{prefix}.setup_target"),
         effect=_parse_choice(EFFECTS, effect, f"{prefix}.effect"),
-        dedup_scope=settings.get(f"{prefix}.group", "all"),
+        dedup_scope=_parse_dedup_scope(settings.get(f"{prefix}.group", "all")),
         dedup_window=_parse_setting(settings, f"{prefix}.window"),
     )
 
 
+def _parse_dedup_scope(text: str) -> events.DedupScope:
+    """Parse the servers that recognize a repeated key; none for an unknown text."""
+    try:
+        return events.DedupScope(text)
+    except ValueError:
+        return events.DedupScope.NONE
+
+
 def _parse_latency_objective(settings: Mapping[str, str]) -> float:
-    """Return the least of the service types' objectives, in ms; 0 where none has one.
+    """Return the strictest of the service types' objectives; 0 if none is set.
 
-    The simulator joins them with commas; nested JSON has an entry for each.
+    The simulator joins them with commas; in nested JSON they are a list.
     """
-    texts = settings.get(LATENCY_OBJECTIVES, "").split(",")
-    for index in range(int(_parse_setting(settings, f"{LATENCY_OBJECTIVES}.count"))):
-        texts.append(settings.get(f"{LATENCY_OBJECTIVES}.{index}", ""))
-    return min((_parse_amount(LATENCY_OBJECTIVES, text) for text in texts if text), default=0.0)
+    path = LATENCY_OBJECTIVES_PATH
+    texts = settings.get(path, "").split(",")
+    for index in range(int(_parse_setting(settings, f"{path}.count"))):
+        texts.append(settings.get(f"{path}.{index}", ""))
+    return min((_parse_amount(path, text) for text in texts if text), default=0.0)
 
 
 def _parse_max_retry_after(settings: Mapping[str, str]) -> float:
-    """Return the longest Retry-After, in ms; 0 where clients ignore it."""
+    """Return the longest Retry-After that clients honour; 0 if they ignore it."""
     if not _parse_boolean(settings, "limits.retry_after"):
         return 0.0
     return _parse_setting(settings, "limits.max_retry_after")
 
 
 def _parse_boolean(settings: Mapping[str, str], path: str) -> bool:
-    return _parse_choice(BOOLEANS, settings.get(path, "false"), f"{path}, which is true or false:")
+    return _parse_choice(BOOLEANS, settings.get(path, "false"), path)
 
 
-def _parse_choice(choices: Mapping[str, Value], text: str, what: str) -> Value:
+def _parse_choice(choices: Mapping[str, Value], text: str, path: str) -> Value:
     try:
-        return look_up(choices, text, what)
-    except InvalidValueError as error:
-        raise ConfigError(str(error)) from None
+        return look_up(choices, text, "value")
+    except UnknownNameError as error:
+        raise ConfigError(f"{path}: {error}; it is one of {', '.join(choices)}") from None
 
 
 def _parse_setting(
@@ -161,7 +170,7 @@
 def _parse_amount(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
     try:
         value = parse_number(text)
-    except InvalidValueError as error:
+    except MalformedNumberError as error:
         raise ConfigError(f"{path}: {error}") from None
     if not least <= value <= most:
         raise ConfigError(f"{path}: {value:g} is not between {least:g} and {most:g}")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: its replies to the simulator, and its errors for malformed lines."""
+"""The adapter: replies to batches, and errors for malformed lines."""
 
 import pytest
 
--- a/tests/test_golden_bytes_simulator.py
+++ b/tests/test_golden_bytes_simulator.py
@@ -1,7 +1,7 @@
 """Golden bytes of the simulator's protocol, written literally.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+The simulator and the adapter exchange these lines; they stay the same when types or modules are renamed.
+The expected lines use no names of the project.
 """
 
 import pytest
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -9,7 +9,7 @@
 from lotusroute.routing.events import RejectReason
 
 
-def service_types(effect, dedup_scope="all"):
+def service_types(effect, dedup_scope=events.DedupScope.ALL):
     return {"live": events.ServiceType(300.0, effect, dedup_scope, 5000.0)}
 
 
@@ -49,7 +49,7 @@
 
 
 def test_a_flow_with_an_idempotency_key_is_retried_only_in_its_scope_and_window():
-    for dedup_scope in ("zone", "cell"):
+    for dedup_scope in (events.DedupScope.ZONE, events.DedupScope.CELL):
         host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY, dedup_scope))
         first = host.request()
         second = actions_of(events.Connect, host.end(first, events.ConnectionResult.RESET))[0]
