--- a/tests/test_migrate.py
+++ b/tests/test_config_upgrade.py
@@ -6,7 +6,7 @@
 import pytest
 from harness import SETTINGS, Balancer, FakeServer
 
-from lotusroute import migrate
+from lotusroute import config_upgrade
 from lotusroute.errors import ConfigError
 from lotusroute.net import config
 
@@ -42,9 +42,9 @@
     return file
 
 
-def run_migrate(old, *more, new="new.json"):
+def run_upgrade(old, *more, new="new.json"):
     """Run the command on a file; the target is beside it."""
-    return migrate.main([str(old), str(old.with_name(new)), "--location", "hall-a", *more])
+    return config_upgrade.main([str(old), str(old.with_name(new)), "--location", "hall-a", *more])
 
 
 NOT_CARRIED = (
@@ -59,7 +59,7 @@
 
 
 def test_a_dry_run_reports_and_writes_nothing(old, capsys):
-    assert run_migrate(old, "--dry-run") == 0
+    assert run_upgrade(old, "--dry-run") == 0
     output = capsys.readouterr().out
     assert os.listdir(old.parent) == ["old.json"]
     assert all(f"  settings.{key} " in output for key in NOT_CARRIED)
@@ -67,7 +67,7 @@
 
 
 def test_keys_that_are_not_carried_or_must_be_given_anew_are_reported(old, capsys):
-    assert run_migrate(old, "--set", "settings.siblings=40") == 0
+    assert run_upgrade(old, "--set", "settings.siblings=40") == 0
     output = capsys.readouterr().out
     assert all(f"  settings.{key} " in output for key in NOT_CARRIED)
     assert "known: 1 servers" in output and "  settings.rules.warm_after\n" in output
@@ -75,7 +75,7 @@
 
 
 def test_unknown_keys_are_reported_by_name_and_carried_over(old, capsys):
-    assert run_migrate(old) == 0
+    assert run_upgrade(old) == 0
     output = capsys.readouterr().out
     assert "  api_key\n" in output and "  settings.odd.token\n" in output and "s3cret" not in output
     new = json.loads(old.with_name("new.json").read_text())
@@ -83,13 +83,13 @@
 
 
 def test_a_misspelt_override_is_reported_as_unknown(old, capsys):
-    assert run_migrate(old, "--dry-run", "--set", "settings.rules.warmafter=5") == 0
+    assert run_upgrade(old, "--dry-run", "--set", "settings.rules.warmafter=5") == 0
     assert "  settings.rules.warmafter\n" in capsys.readouterr().out
 
 
 def test_the_new_file_has_the_overrides_and_one_location_and_the_old_permissions(old):
     before = old.read_bytes()
-    assert run_migrate(old, "--set", "settings.siblings=40") == 0
+    assert run_upgrade(old, "--set", "settings.siblings=40") == 0
     new = json.loads(old.with_name("new.json").read_text())
     assert new["settings"]["siblings"] == 40
     assert new["settings"]["zones"] == ["hall-a"] and new["settings"]["limits"]["probes"] is False
@@ -98,9 +98,9 @@
 
 
 def test_migrating_a_file_of_the_new_shape_changes_nothing(old, capsys):
-    assert run_migrate(old, "--keep-known") == 0
+    assert run_upgrade(old, "--keep-known") == 0
     capsys.readouterr()
-    assert run_migrate(old.with_name("new.json"), new="again.json") == 0
+    assert run_upgrade(old.with_name("new.json"), new="again.json") == 0
     output = capsys.readouterr().out
     assert "not carried" not in output and "give anew" not in output
     assert old.with_name("again.json").read_bytes() == old.with_name("new.json").read_bytes()
@@ -110,14 +110,14 @@
 def test_an_existing_file_is_overwritten_only_with_force(old, capsys):
     target = old.with_name("new.json")
     target.write_text("mine")
-    assert run_migrate(old) == 2 and target.read_text() == "mine" and "--force" in capsys.readouterr().err
-    assert run_migrate(old, "--force") == 0 and json.loads(target.read_text())["name"] == "n1"
+    assert run_upgrade(old) == 2 and target.read_text() == "mine" and "--force" in capsys.readouterr().err
+    assert run_upgrade(old, "--force") == 0 and json.loads(target.read_text())["name"] == "n1"
     assert sorted(os.listdir(old.parent)) == ["new.json", "old.json"]
 
 
 def test_the_old_file_is_never_overwritten_even_through_a_link(old):
     os.symlink(old, old.with_name("link.json"))
-    assert run_migrate(old, "--force", new="link.json") == 2 and "api_key" in old.read_text()
+    assert run_upgrade(old, "--force", new="link.json") == 2 and "api_key" in old.read_text()
     assert sorted(os.listdir(old.parent)) == ["link.json", "old.json"]
 
 
@@ -135,11 +135,11 @@
         old.unlink()
     else:
         old.write_text(text)
-    assert run_migrate(old) == 2
+    assert run_upgrade(old) == 2
     err = capsys.readouterr().err
     assert err.count("\n") == 1 and str(old) in err and message in err
     assert not old.with_name("new.json").exists()
-    assert run_migrate(old, "--set", "settings.siblings=-1") == 2
+    assert run_upgrade(old, "--set", "settings.siblings=-1") == 2
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
 )
 def test_an_invalid_setting_is_named_at_the_start_too(old, path, value):
     document = config.read_json_object(old)
-    migrate.set_path(document, path, value)
+    config_upgrade.set_path(document, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
     with pytest.raises(ConfigError, match=rf"^settings[:.].*{named}"):
         config.parse_config(document, {})
@@ -169,7 +169,7 @@
     with Balancer(server, settings=OLD_SETTINGS) as before:
         assert before.open_flow().readline() == b"UP r1\r\n"
         new = before.config_file.with_name("new.json")
-        assert migrate.main([str(before.config_file), str(new), "--location", "hall-a"]) == 0
+        assert config_upgrade.main([str(before.config_file), str(new), "--location", "hall-a"]) == 0
         before.terminate()
         after = Balancer(server, env={"LB_CONFIG": str(new)}.items())
         after.port = before.port
