--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -89,17 +89,17 @@
     cached_list = parse_cached_list(balancer_config)
     structured_log.configure_logging(balancer_config.log_level)
     core = BalancerCore(balancer_config, counters)
-    core.put(cached_list)
-    downstream = DownstreamFactory(core.put, core.clock, core.ready, balancer_config.sockets, counters)
+    core.enqueue(cached_list)
+    downstream = DownstreamFactory(core.enqueue, core.clock, core.ready, balancer_config.sockets, counters)
     listener = open_listener(balancer_config.listen, downstream)
 
     def apply_limits(new: config.BalancerConfig) -> None:
-        core.allow(new)
+        core.apply_limits(new)
         downstream.set_descriptor_limit(new.sockets)
 
-    session = DiscoverySession(balancer_config, core.put, apply_limits, counters)
-    core.owing = partial(downstream.accept_pending, listener)
-    core.relist = session.request_complete_list
+    session = DiscoverySession(balancer_config, core.enqueue, apply_limits, counters)
+    core.has_pending_answers = partial(downstream.accept_pending, listener)
+    core.request_complete_list = session.request_complete_list
     follow_discovery(session, listener)
     return Balancer(listener, session, core.stop)
 
--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -62,28 +62,28 @@
         """Accept no more flows: the balancer is shutting down."""
         self._closed = True
 
-    def evaluate(self, opening: OpenRequest) -> AdmissionResult:
+    def evaluate(self, request: OpenRequest) -> AdmissionResult:
         """Decide on a client's request. Existing connections take no capacity that they did not have."""
-        if not self._usable(opening):
+        if not self._usable(request):
             return AdmissionResult.MALFORMED
-        if opening.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW:
+        if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW:
             return AdmissionResult.MALFORMED
         if self._closed:
             return AdmissionResult.SHUTTING_DOWN
         full = len(self._table) >= self._capacity or self._loop.backlog > MAX_BACKLOG
-        if full and not opening.existing_server:
+        if full and not request.existing_server:
             return AdmissionResult.AT_CAPACITY
         return AdmissionResult.ACCEPTED
 
-    def _usable(self, opening: OpenRequest) -> bool:
+    def _usable(self, request: OpenRequest) -> bool:
         """Return whether a server could use the request.
 
         The id of an open flow, sent by another client, made servers answer ERR to healthy flows of the same
         id, and the servers were ejected for it.
         """
         tenants = self._config.tenants
-        if opening.service_type not in self._config.service.service_types:
+        if request.service_type not in self._config.service.service_types:
             return False
-        if self._table.knows_id(opening.id):
+        if self._table.knows_id(request.id):
             return False
-        return not (tenants and opening.tenant and opening.tenant not in tenants)
+        return not (tenants and request.tenant and request.tenant not in tenants)
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -12,7 +12,7 @@
 from lotusroute.net.config import BalancerConfig
 from lotusroute.net.connection_monitor import CHECK_INTERVAL, ConnectionMonitor, PeriodicCheck
 from lotusroute.net.discovery import CHANGE_DEADLINE
-from lotusroute.net.downstream import DownstreamClosed, FlowRequested
+from lotusroute.net.downstream import DownstreamClosed, RequestReceived
 from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator, DrainStep, ServerDraining
 from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.net.endpoints import EndpointRegistry
@@ -31,7 +31,7 @@
 MIN_LOGGED_CORRECTION = 100.0  # ms by which a server's start is not as the endpoint list has it
 
 
-def _no_answers_owed() -> bool:
+def _no_pending_answers() -> bool:
     return False
 
 
@@ -43,10 +43,14 @@
         director = Director(config.service, config.seed)
         rng = random.Random(config.seed + 1)  # its own sequence: what is sampled here shifts no decision
         self.loop = EventLoop(counters)
-        self.put = self.loop.put
+        self.enqueue = self.loop.enqueue
         self.clock = self.loop.clock
-        self.owing: Callable[[], bool] = _no_answers_owed  # whether clients without a flow are owed an answer
-        self.relist: Callable[[], None] | None = None  # asks discovery for the complete list again
+        self.has_pending_answers: Callable[[], bool] = (
+            _no_pending_answers  # whether clients without a flow are owed an answer
+        )
+        self.request_complete_list: Callable[[], None] | None = (
+            None  # asks discovery for the complete list again
+        )
         self.flow_table = FlowTable(self.clock)
         self._drain_timer = CoalescedTimer(self.loop, MIGRATION_INTERVAL, DrainStep())
         self._endpoints = EndpointRegistry(self._drain_timer.schedule)
@@ -75,7 +79,7 @@
             self._admission,
             migrator,
             self._drain_timer,
-            self._answers_owed,
+            self._has_pending_answers,
         )
         self._register_handlers()
         self._monitor.start()
@@ -85,7 +89,7 @@
         self.loop.on_failure = self._recover
         self.loop.register(
             {
-                FlowRequested: flows.flow_requested,
+                RequestReceived: flows.request_received,
                 ReceiptReceived: flows.receipt_received,
                 AttemptEnded: flows.attempt_ended,
                 AttemptTimedOut: flows.attempt_timed_out,
@@ -106,7 +110,7 @@
         """Whether flows can be served."""
         return bool(self._endpoints.addresses) and not self._shutdown.in_progress
 
-    def allow(self, config: BalancerConfig) -> None:
+    def apply_limits(self, config: BalancerConfig) -> None:
         """Set the capacity by the descriptors and the memory of a new configuration."""
         self._admission.resize(config)
 
@@ -114,8 +118,8 @@
         """Finish the flows in flight and migrate all clients; call `on_stopped` when they are gone."""
         self._shutdown.start(on_stopped)
 
-    def _answers_owed(self) -> bool:
-        return self.owing()
+    def _has_pending_answers(self) -> bool:
+        return self.has_pending_answers()
 
     def _endpoints_updated(self, event: EndpointUpdate) -> None:
         """Apply a list, or changes to it, to connections and decisions."""
@@ -171,11 +175,11 @@
         elif isinstance(event, DrainStep):
             # Without its next one the shutdown would never end.
             self.loop.call_later(MIGRATION_INTERVAL, event)
-        elif isinstance(event, FlowRequested) and not event.flow_id:
+        elif isinstance(event, RequestReceived) and not event.flow_id:
             event.connection.send_final_answer(ERR)
-        elif isinstance(event, EndpointUpdate) and self.relist is not None:
+        elif isinstance(event, EndpointUpdate) and self.request_complete_list is not None:
             # Part of it may have been applied, a drain not: it is not sent again unless asked for.
-            self.relist()
+            self.request_complete_list()
 
 
 def _log_endpoints(event: EndpointUpdate) -> None:
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -43,7 +43,7 @@
     "connect_timeout": "come_up",
     "longest_connect_timeout": "longest",
     "drain_grace": "grace",
-    "discovery_pushed": "pushed",
+    "discovery_is_local_agent": "pushed",
     "log_level": "log_level",
 }
 
@@ -63,7 +63,7 @@
     connect_timeout: float  # ms, of one connection to a server
     longest_connect_timeout: float  # ms, the longest deadline of any service type
     drain_grace: float  # ms from the notice of a drain until nothing may be sent to that server
-    discovery_pushed: bool  # an agent on this machine holds the endpoint list
+    discovery_is_local_agent: bool  # an agent on this machine holds the endpoint list
     log_level: str
 
 
@@ -133,7 +133,7 @@
         drain_grace=_parse_setting(
             flat_settings, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE, zero_allowed=True
         ),
-        discovery_pushed=flat_settings.get("discovery") == "push",
+        discovery_is_local_agent=flat_settings.get("discovery") == "push",
         log_level=log_level,
     )
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -2,7 +2,7 @@
 
 `Discovery` follows the list at one address: it long-polls for changes, one poll after the other, from the
 version that it has, and for the complete list where it has none. It backs off when discovery fails, rejects
-polls or does not answer. Updates go to `put`; what they mean for flows is decided there. Times are in s
+polls or does not answer. Updates go to `enqueue`; what they mean for flows is decided there. Times are in s
 unless a name ends in `_ms`.
 
 One deadline covers all polls: whatever becomes of them, a change counts as received `CHANGE_DEADLINE` after
@@ -84,28 +84,28 @@
         address: Address,
         seq: int | None,
         seed: int,
-        put: Callable[[object], None],
+        enqueue: Callable[[object], None],
         counters: Counter,
         grace_ms: float = DEFAULT_GRACE_MS,
-        from_agent: bool = False,
+        discovery_is_local_agent: bool = False,
     ) -> None:
-        """`seq` is the version of the list that `put` has already, None where the complete one is needed.
+        """`seq` is the version of the list that `enqueue` has already, None where the complete one is needed.
 
         `grace_ms` is the time from the news of a drain until nothing more may be sent to the server;
-        `from_agent` says that an agent on this machine has the list.
+        `discovery_is_local_agent` says that an agent on this machine has the list.
         """
         self.base = f"http://{address[0]}:{address[1]}/api/targets"
         self.seq = seq
-        self.put = put
+        self.enqueue = enqueue
         self.counters = counters
         self.rng = random.Random(seed)
-        self.from_agent = from_agent
+        self.discovery_is_local_agent = discovery_is_local_agent
         self.max_hold_ms = LONG_POLL_HOLD_MS
         # From one complete response to the end of the next.
         self.update_interval = CHANGE_DEADLINE + grace_ms / 1000 - TIMING_MARGIN
         # When the list was last known to be current: the last complete response, or the start.
         self.as_of = reactor.seconds()
-        # When the list that `put` has was last known to be current: the last complete response; None before.
+        # When the list that was passed on was last known to be current; None before the first.
         self.list_current_at: float | None = None
         self._set_timeouts(grace_ms)
         self.pool = HTTPConnectionPool(reactor)
@@ -124,7 +124,7 @@
 
     def _set_timeouts(self, grace_ms: float) -> None:
         """Derive the timeouts and the longest backoff from the grace of a drain."""
-        if self.from_agent:
+        if self.discovery_is_local_agent:
             # What the agent learns while we do not hear it counts as received at once: half of the grace to
             # notice that it does not answer, a quarter for the backoff. It has no queue.
             timeout = min(max(MIN_AGENT_REQUEST_TIMEOUT, grace_ms / 2000), MAX_AGENT_REQUEST_TIMEOUT)
@@ -191,7 +191,7 @@
         previous_list_at = self.list_current_at
         self.list_current_at = reactor.seconds()
         if update.servers or update.scope == events.ListScope.COMPLETE:
-            self.put(update._replace(previous_list_at=previous_list_at))
+            self.enqueue(update._replace(previous_list_at=previous_list_at))
 
     def _report_first_response(self) -> None:
         """Call `on_first_response`, once: an update has come, or a poll has failed."""
@@ -226,7 +226,7 @@
         A rejection costs discovery too, and those of 40 balancers each second kept it busy: where there is
         time it is used, and the poll after the backoff has to wait in the queue within what is left.
         """
-        if self.from_agent:
+        if self.discovery_is_local_agent:
             return self.max_backoff
         left = self.remaining()
         interval = self.update_interval - self.queue_timeout
@@ -265,7 +265,7 @@
         if self.seq is None or self.unanswered:
             return 0.0
         left = self.remaining() - timeout - MIN_BACKOFF - self.queue_timeout
-        if not (self.from_agent or self.queued):
+        if not (self.discovery_is_local_agent or self.queued):
             left -= MIN_REJECTION_BACKOFF
         return max(0.0, min(self.max_hold_ms / 1000, left))
 
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -25,14 +25,14 @@
     def __init__(
         self,
         balancer_config: config.BalancerConfig,
-        put: Callable[[object], None],
+        enqueue: Callable[[object], None],
         apply_limits: Callable[[config.BalancerConfig], None],
         counters: Counters,
     ) -> None:
-        """`put` takes endpoint updates; `apply_limits` takes a reloaded configuration."""
+        """`enqueue` takes endpoint updates; `apply_limits` takes a reloaded configuration."""
         self.first_config = balancer_config
         self.config = balancer_config
-        self.put = put
+        self.enqueue = enqueue
         self.apply_limits = apply_limits
         self.counters = counters
         self.discovery: Discovery | None = None
@@ -53,10 +53,10 @@
             self.config.discovery,
             version,
             self.config.seed,
-            self.put,
+            self.enqueue,
             self.counters,
             self.config.drain_grace,
-            self.config.discovery_pushed,
+            self.config.discovery_is_local_agent,
         )
         self.discovery.on_first_response = on_first_result
         if self.update_source is not None:
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -1,6 +1,6 @@
 """Downstream connections: those that clients, or the load balancer in front of us, open to this balancer.
 
-A `DownstreamConnection` reads the client's first line, reports it as `FlowRequested`, writes the one final
+A `DownstreamConnection` reads the client's first line, reports it as `RequestReceived`, writes the one final
 answer or, once the flow is established, forwards lines to the server's connection. It chooses no server, and
 once a flow is reported its answer is left to whoever took the report.
 """
@@ -25,7 +25,7 @@
 MAX_DISCARDED = 16_384  # bytes read and discarded after our last line; then reading stops
 
 
-class FlowRequested(NamedTuple):
+class RequestReceived(NamedTuple):
     """A client has sent the first line of a flow."""
 
     connection: "DownstreamConnection"
@@ -47,7 +47,7 @@
 class ConnectionManager(Protocol):
     """What a connection needs from the factory that accepted it."""
 
-    put: Callable[[object], None]  # takes the messages of this module
+    enqueue: Callable[[object], None]  # takes the messages of this module
     clock: Callable[[], float]  # ms
     ready: Callable[[], bool]  # whether flows can be taken: the answer to a health check
     counters: Counter
@@ -127,7 +127,7 @@
         self.setTimeout(None)
         self.factory.mark_active(self)
         self.factory.counters["flows"] += 1
-        self.factory.put(FlowRequested(self, request, now))
+        self.factory.enqueue(RequestReceived(self, request, now))
 
     def reject_malformed(self) -> None:
         """Answer a line that cannot be parsed or used."""
@@ -183,9 +183,9 @@
 
     def _report_closed(self) -> None:
         if self.flow_id:
-            self.factory.put(DownstreamClosed(self.flow_id))
+            self.factory.enqueue(DownstreamClosed(self.flow_id))
 
-    def is_owed_data(self) -> bool:
+    def has_pending_answer(self) -> bool:
         """Whether a request has begun to arrive and is not answered, or the last line is not yet written."""
         return self.has_unsent_data() or (not self.answered and self.has_buffered_data())
 
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -50,7 +50,7 @@
         """Add handlers, by the type of the events that they take."""
         self._handlers.update(handlers)
 
-    def put(self, event: object) -> None:
+    def enqueue(self, event: object) -> None:
         """Queue an event; every input of the balancer arrives through here."""
         self._queue.append(event)
         if not self._run_scheduled:
@@ -59,7 +59,7 @@
 
     def call_later(self, delay: float, event: object) -> DelayedCall:
         """Queue an event after `delay` ms."""
-        return reactor.callLater(max(0.0, delay) / MS_PER_SECOND, self.put, event)
+        return reactor.callLater(max(0.0, delay) / MS_PER_SECOND, self.enqueue, event)
 
     def run_pending(self) -> None:
         """Dispatch queued events until none is left, those that handlers add included."""
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -49,7 +49,7 @@
 
     def reconnect(self, flow: ActiveFlow) -> None:
         """Start an attempt at the flow's server, or wait for a list that names it."""
-        server = flow.opening.existing_server
+        server = flow.request.existing_server
         if server is not None and self._endpoints.has_address(server):
             flow.attempts += 1
             deadline = min(flow.deadline, self._loop.clock() + EXISTING_ATTEMPT_TIMEOUT)
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -25,7 +25,7 @@
     """A flow in flight."""
 
     number: int
-    opening: OpenRequest
+    request: OpenRequest
     service_type: events.ServiceType
     deadline: float  # by which its client has to be answered
     downstream: DownstreamConnection
@@ -61,7 +61,7 @@
         """
         if now >= self.attempt_deadline or self.downstream.has_disconnected():
             return False
-        if self.opening.existing_server:
+        if self.request.existing_server:
             return True  # an existing connection returns to its server, draining or not
         service_type = self.service_type
         ran_at = self.may_have_run_since
@@ -75,15 +75,15 @@
 
     def routing_request(self) -> events.FlowRequest:
         """Return what the Director is told of the flow."""
-        opening = self.opening
+        request = self.request
         return events.FlowRequest(
             self.number,
-            opening.service_type,
-            opening.tenant,
-            opening.group,
-            opening.key,
+            request.service_type,
+            request.tenant,
+            request.group,
+            request.key,
             self.deadline,
-            reconnecting=opening.reconnecting,
+            reconnecting=request.reconnecting,
         )
 
     @property
@@ -108,4 +108,4 @@
     def log_step(self, event: str, **fields: object) -> None:
         """Log a step at debug level under the client's id, which is the same at every balancer."""
         if LOGGER.isEnabledFor(logging.DEBUG):
-            log_event(event, logging.DEBUG, id=self.opening.id, flow=self.number, **fields)
+            log_event(event, logging.DEBUG, id=self.request.id, flow=self.number, **fields)
--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -13,7 +13,7 @@
 
 from lotusroute.net.admission import AdmissionControl, AdmissionResult, busy_line
 from lotusroute.net.config import BalancerConfig
-from lotusroute.net.downstream import DownstreamClosed, DownstreamConnection, FlowRequested
+from lotusroute.net.downstream import DownstreamClosed, DownstreamConnection, RequestReceived
 from lotusroute.net.endpoints import EndpointRegistry
 from lotusroute.net.event_loop import CoalescedTimer, EventLoop
 from lotusroute.net.existing_connections import EXISTING_MAX_WAIT, ExistingConnections, RetryExisting
@@ -99,7 +99,7 @@
 
     # Events of clients
 
-    def flow_requested(self, event: FlowRequested) -> None:
+    def request_received(self, event: RequestReceived) -> None:
         """Admit a new flow or an existing connection, or answer it at once."""
         downstream = event.connection
         if downstream.disconnected or downstream.has_disconnected():
@@ -116,24 +116,24 @@
         else:
             self._admit(event)
 
-    def _admit(self, event: FlowRequested) -> None:
-        opening = event.request
-        margin = min(DEADLINE_MARGIN, DEADLINE_MARGIN_SHARE * opening.wait)
+    def _admit(self, event: RequestReceived) -> None:
+        request = event.request
+        margin = min(DEADLINE_MARGIN, DEADLINE_MARGIN_SHARE * request.wait)
         flow = self._table.add(
-            opening,
-            self._config.service.service_types[opening.service_type],
-            event.received_at + opening.wait - margin,
+            request,
+            self._config.service.service_types[request.service_type],
+            event.received_at + request.wait - margin,
             event.connection,
         )
         event.connection.flow_id = flow.number
         flow.log_step(
             "flow requested",
-            c=opening.service_type,
-            g=opening.group,
-            returned=opening.reconnecting,
-            at=opening.existing_server,
+            c=request.service_type,
+            g=request.group,
+            returned=request.reconnecting,
+            at=request.existing_server,
         )
-        if opening.existing_server:
+        if request.existing_server:
             flow.deadline = min(flow.deadline, event.received_at + EXISTING_MAX_WAIT)
             self._existing.reconnect(flow)
         else:
@@ -166,7 +166,7 @@
         self._table.remove(flow)
         flow.abort_attempt()
         flow.downstream.send_final_answer(ERR)
-        if not flow.opening.existing_server:
+        if not flow.request.existing_server:
             self.decide(events.ClientDisconnected(flow.number))
 
     def close_grace_expired(self, event: CloseGraceExpired) -> None:
@@ -192,8 +192,8 @@
         attempt = UpstreamAttempt(
             flow.number,
             server,
-            flow.opening.rewritten(timeout),
-            self._loop.put,
+            flow.request.rewritten(timeout),
+            self._loop.enqueue,
             self._clock,
             self._counters,
             may_send=lambda: flow.may_send(self._clock(), self._config.drain_grace),
@@ -227,7 +227,7 @@
         flow.downstream.attach_upstream(event.attempt, event.receipt)
         if self._endpoints.is_draining(server):
             self._drain_timer.schedule()
-        if flow.opening.existing_server:
+        if flow.request.existing_server:
             self.decide(events.ExistingConnection(flow.routing_request(), server))
         else:
             self.decide(events.Established(flow.number, server))
@@ -270,7 +270,7 @@
             self.decide(events.ConnectionEnded(flow.number, server, True, result))
             return
         flow.record_attempt_result(result)
-        if flow.opening.existing_server:
+        if flow.request.existing_server:
             self._existing.attempt_failed(flow, result)
             return
         self.decide(events.ConnectionEnded(flow.number, server, False, result))
@@ -285,7 +285,7 @@
         """
         for flow in list(self._table):
             attempt = flow.upstream
-            if attempt is None or attempt.stage != AttemptStage.CONNECTING or flow.opening.existing_server:
+            if attempt is None or attempt.stage != AttemptStage.CONNECTING or flow.request.existing_server:
                 continue
             if not self._endpoints.accepts_new_flows(attempt.server):
                 self._counters["connects_cancelled"] += 1
@@ -343,7 +343,7 @@
             flow.downstream.send_migrate()
         else:
             flow.downstream.send_final_answer(ERR)
-        self._loop.put(events.ClientDisconnected(flow_number))
+        self._loop.enqueue(events.ClientDisconnected(flow_number))
 
     def load_reported(self, event: LoadReported) -> None:
         """Pass a server's load report for a connection to the Director."""
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -39,22 +39,22 @@
 
     def add(
         self,
-        opening: OpenRequest,
+        request: OpenRequest,
         service_type: ServiceType,
         deadline: float,
         downstream: DownstreamConnection,
     ) -> ActiveFlow:
         """Create a flow with the next number."""
         self._last_number += 1
-        self._ids.add(opening.id)
-        flow = ActiveFlow(self._last_number, opening, service_type, deadline, downstream)
+        self._ids.add(request.id)
+        flow = ActiveFlow(self._last_number, request, service_type, deadline, downstream)
         self._flows[flow.number] = flow
         return flow
 
     def remove(self, flow: ActiveFlow) -> None:
         """Take out a flow that is answered or whose connection is over."""
         del self._flows[flow.number]
-        self._closed.append((self._clock(), flow.opening.id))
+        self._closed.append((self._clock(), flow.request.id))
 
     def established(self) -> list[ActiveFlow]:
         """Return the flows whose connection stands and whose client is there."""
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -29,14 +29,14 @@
 
     def __init__(
         self,
-        put: Callable[[object], None],
+        enqueue: Callable[[object], None],
         clock: Callable[[], float],
         ready: Callable[[], bool],
         sockets: int,
         counters: Counter,
     ) -> None:
-        """`put` takes the connections' messages; `sockets` is the process's limit of descriptors."""
-        self.put = put
+        """`enqueue` takes the connections' messages; `sockets` is the process's limit of descriptors."""
+        self.enqueue = enqueue
         self.clock = clock
         self.ready = ready
         self.counters = counters
@@ -105,7 +105,7 @@
             listener.doRead()
         for connection in list(self.idle):
             connection.read_pending()
-        return any(connection.is_owed_data() for connection in self.connections)
+        return any(connection.has_pending_answer() for connection in self.connections)
 
     def buildProtocol(self, addr: IAddress) -> DownstreamConnection:
         """Count and create a connection."""
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -41,7 +41,7 @@
         admission: AdmissionControl,
         migrator: BatchMigrator,
         drain_timer: CoalescedTimer,
-        answers_owed: Callable[[], bool],
+        has_pending_answers: Callable[[], bool],
     ) -> None:
         self._loop = loop
         self._flows = flows
@@ -49,7 +49,7 @@
         self._admission = admission
         self._migrator = migrator
         self._drain_timer = drain_timer
-        self._answers_owed = answers_owed  # whether clients without a flow are owed an answer
+        self._has_pending_answers = has_pending_answers  # whether clients without a flow are owed an answer
         self._answer_limit = min(config.longest_connect_timeout, MAX_CONNECT_TIMEOUT) + ANSWER_MARGIN
         self._started_at = 0.0
         self._last_busy = 0.0  # ms after the start when there were flows last
@@ -99,4 +99,4 @@
             return False
         if elapsed >= end + MIGRATION_INTERVAL:
             return True
-        return not (self._answers_owed() or self._loop.backlog)
+        return not (self._has_pending_answers() or self._loop.backlog)
--- a/lotusroute/net/upstream.py
+++ b/lotusroute/net/upstream.py
@@ -145,7 +145,7 @@
         elif command == MOVE:
             self.result_if_closed = events.ConnectionResult.CANCELLED
         elif self.sent_times:
-            self.attempt.put(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
+            self.attempt.enqueue(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
         self.downstream.send_line(line)
 
     def _receive_answer(self, line: memoryview) -> None:
@@ -156,7 +156,7 @@
             self.buffering = True
             attempt.stage = AttemptStage.ESTABLISHED
             self.result_if_closed = events.ConnectionResult.RESET
-            attempt.put(ReceiptReceived(attempt.flow_id, attempt, line))
+            attempt.enqueue(ReceiptReceived(attempt.flow_id, attempt, line))
         else:
             # An UP without a receipt, or before our line was complete, was not made for this request.
             result = RESULTS_OF_ANSWERS.get(command_of(line), events.ConnectionResult.ERROR)
@@ -169,7 +169,7 @@
         except (InvalidValueError, UnicodeDecodeError):
             self.attempt.counters["malformed_load_reports"] += 1
             return
-        self.attempt.put(LoadReported(self.attempt.flow_id, load))
+        self.attempt.enqueue(LoadReported(self.attempt.flow_id, load))
 
     def forward(self, line: memoryview) -> None:
         """Send a client's line to the server."""
@@ -223,12 +223,12 @@
         flow_id: int,
         server: str,
         line: bytes,
-        put: Callable[[object], None],
+        enqueue: Callable[[object], None],
         clock: Callable[[], float],
         counters: Counter,
         may_send: Callable[[], bool] = _always_may_send,
     ) -> None:
-        """`put` takes the messages of this module.
+        """`enqueue` takes the messages of this module.
 
         `may_send` is asked once, as the connection is up: whether `line` may still be sent.
         """
@@ -236,7 +236,7 @@
         self.server = server
         self.line = line
         self.may_send = may_send
-        self.put = put
+        self.enqueue = enqueue
         self.clock = clock
         self.counters = counters
         self.stage = AttemptStage.CONNECTING
@@ -279,7 +279,7 @@
         """Report the end, once."""
         if self.stage != AttemptStage.OVER:
             self._mark_over()
-            self.put(AttemptEnded(self.flow_id, self, result, reason))
+            self.enqueue(AttemptEnded(self.flow_id, self, result, reason))
 
     def _mark_over(self) -> None:
         """Record the final stage; nothing is reported any more."""
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -28,11 +28,11 @@
     def handle_text(text):
         handled.append(text)
         if text == "first":
-            loop.put(3)
+            loop.enqueue(3)
 
     loop.register({str: handle_text, int: handled.append})
     for event in ("first", "second"):
-        loop.put(event)
+        loop.enqueue(event)
     loop.run_pending()
     assert handled == ["first", "second", 3] and loop.backlog == 0
 
@@ -42,8 +42,8 @@
     handled = []
     loop.on_failure = Mock()
     loop.register({Tick: Mock(side_effect=OSError("gone")), int: handled.append})
-    loop.put(event)
-    loop.put(7)
+    loop.enqueue(event)
+    loop.enqueue(7)
     loop.run_pending()
     assert handled == [7] and counters == {"internal_errors": 1}
     loop.on_failure.assert_called_once_with(event, 0)
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -10,7 +10,7 @@
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.config import load_config
 from lotusroute.net.discovery import Discovery
-from lotusroute.net.downstream import FlowRequested
+from lotusroute.net.downstream import RequestReceived
 from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.net.open_request import parse_open_request
 from lotusroute.net.structured_log import Counters
@@ -30,8 +30,8 @@
 
 def established_flow(core, number):
     """A flow in the table of `core` whose both sides are mocks."""
-    opening = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
-    flow = core.flow_table.add(opening, events.ServiceType(300.0), 900.0, Mock())
+    request = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
+    flow = core.flow_table.add(request, events.ServiceType(300.0), 900.0, Mock())
     flow.established = True
     flow.upstream = Mock(server="s1", final_stage=AttemptStage.ESTABLISHED)
     return flow
@@ -55,7 +55,7 @@
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
     sound.has_disconnected.return_value = False
     for downstream in (broken, sound):
-        core.put(FlowRequested(downstream, unknown, 0.0))
+        core.enqueue(RequestReceived(downstream, unknown, 0.0))
     core.loop.run_pending()
     assert broken.send_final_answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
     assert sound.reject_malformed.called
@@ -63,8 +63,8 @@
 
 def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
     following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
-    core.relist = following.request_complete_list
-    core.put(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
+    core.request_complete_list = following.request_complete_list
+    core.enqueue(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
     core.loop.run_pending()
     assert following.seq is None
 
