--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -16,6 +16,7 @@
 from lotusroute.fleet import config, lease_service, shared_discovery
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.poll_schedule import PollLimits
 
 START_INTERVAL = 0.01  # s
 DRAIN_GRACE = 2_000.0  # ms
@@ -32,9 +33,8 @@
     def start(self, name: str, seed: int) -> None:
         """Start one."""
         leases = lease_service.LeaseService(member_process.reactor, self.fleet, name, self.counters)
-        discovery = Discovery(
-            self.discovery_address, 0, seed, self._count_update, self.counters, DRAIN_GRACE, False
-        )
+        limits = PollLimits.for_remote_discovery(DRAIN_GRACE)
+        discovery = Discovery(self.discovery_address, 0, seed, self._count_update, self.counters, limits)
         if self.fleet.tasks:
             discovery.watch = shared_discovery.SharedDiscovery(leases)
             discovery.watch.discovery = discovery
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -20,6 +20,7 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.endpoint_list import EndpointUpdate
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.relay import config, subscription
 
 # s. Thousands that started at once on one machine's cores all fell back on discovery, and its one process
@@ -48,7 +49,8 @@
         def record(update: EndpointUpdate) -> None:
             self._record(name, update)
 
-        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, DRAIN_GRACE)
+        limits = PollLimits.for_remote_discovery(DRAIN_GRACE)
+        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, limits)
         discovery.watch = subscribed
         subscribed.discovery = discovery
         self.subscriptions[name] = subscribed
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -14,6 +14,7 @@
 from lotusroute.capacity.discovery_resource import DiscoveryResource
 from lotusroute.capacity.stubs import entry
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 
 STORM_SECONDS = 10.0  # from the first answer on, whose polls are counted
@@ -54,7 +55,8 @@
             self.first_lists.setdefault(index, reactor.seconds() - self._available_from)
 
         address = ("127.0.0.1", self._port)
-        discovery = Discovery(address, 0, index, record, self._counters, self._grace, False)
+        limits = PollLimits.for_remote_discovery(self._grace)
+        discovery = Discovery(address, 0, index, record, self._counters, limits)
         defer.ensureDeferred(discovery.follow())
 
 
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -14,8 +14,8 @@
 
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
-from lotusroute.net.discovery import LONG_POLL_HOLD_MS
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.poll_schedule import LONG_POLL_HOLD_MS
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -11,7 +11,6 @@
 from lotusroute.net.admission import AdmissionControl
 from lotusroute.net.config import BalancerConfig
 from lotusroute.net.connection_monitor import CHECK_INTERVAL, ConnectionMonitor, PeriodicCheck
-from lotusroute.net.discovery import CHANGE_DEADLINE
 from lotusroute.net.downstream import DownstreamClosed, RequestReceived
 from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator, DrainStep, ServerDraining
 from lotusroute.net.endpoint_list import EndpointUpdate
@@ -21,6 +20,7 @@
 from lotusroute.net.flow_manager import AttemptTimedOut, CloseGraceExpired, FlowManager
 from lotusroute.net.flow_table import FlowTable
 from lotusroute.net.line_protocol import ERR
+from lotusroute.net.poll_schedule import CHANGE_DEADLINE_S
 from lotusroute.net.shutdown import GracefulShutdown
 from lotusroute.net.structured_log import LOGGER, Counters, log_event
 from lotusroute.net.upstream import AttemptEnded, LoadReported, ReceiptReceived, ReplyTimed
@@ -65,7 +65,7 @@
             self._endpoints,
             self._drain_timer,
         )
-        self._start_times = StartTimes(CHANGE_DEADLINE * MS_PER_SECOND)
+        self._start_times = StartTimes(CHANGE_DEADLINE_S * MS_PER_SECOND)
         self._monitor = ConnectionMonitor(
             counters, self.loop, self.flow_manager, self.flow_table, director.slow_latency_threshold
         )
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -14,9 +14,15 @@
 from lotusroute.net import config
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.discovery_source import UpdateSource
-from lotusroute.net.endpoint_list import EndpointUpdate, parse_endpoint_list, parse_version
+from lotusroute.net.endpoint_list import (
+    MALFORMED_LIST_ERRORS,
+    EndpointUpdate,
+    parse_endpoint_list,
+    parse_version,
+)
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.structured_log import Counters, log_event
-from lotusroute.routing import events
+from lotusroute.routing.events import ListScope
 
 
 class DiscoverySession:
@@ -30,48 +36,49 @@
         counters: Counters,
     ) -> None:
         """`enqueue` takes endpoint updates; `apply_limits` takes a reloaded configuration."""
-        self.first_config = balancer_config
         self.config = balancer_config
-        self.enqueue = enqueue
-        self.apply_limits = apply_limits
-        self.counters = counters
-        self.discovery: Discovery | None = None
         self.update_source: UpdateSource | None = None  # set where balancers share discovery's updates
+        self._first_config = balancer_config
+        self._enqueue = enqueue
+        self._apply_limits = apply_limits
+        self._counters = counters
+        self._discovery: Discovery | None = None
 
-    def follow(self, on_first_result: Callable[[], None] | None = None) -> None:
-        """Follow discovery at the configured address; `on_first_result` is called once, also after a failure.
+    def follow(self, on_first_response: Callable[[], None] | None = None) -> None:
+        """Follow discovery at the configured address.
 
-        The first client continues from the cached list's version. A later one starts without a version, for
-        another address may count its versions in another way.
+        `on_first_response` is called once, also after a failure. The first client continues from the cached
+        list's version. A later one starts without a version, because another address may count its versions
+        in another way.
         """
         version = None
-        if self.discovery is None:
+        if self._discovery is None:
             version = _cached_version(self.config)
         else:
-            self.discovery.close()
-        self.discovery = Discovery(
+            self._discovery.close()
+        discovery = Discovery(
             self.config.discovery,
             version,
             self.config.seed,
-            self.enqueue,
-            self.counters,
-            self.config.drain_grace,
-            self.config.discovery_is_local_agent,
+            self._enqueue,
+            self._counters,
+            _poll_limits(self.config),
         )
-        self.discovery.on_first_response = on_first_result
+        self._discovery = discovery
+        discovery.on_first_response = on_first_response
         if self.update_source is not None:
-            self.discovery.watch = self.update_source
-            self.update_source.discovery = self.discovery
-        defer.ensureDeferred(self.discovery.follow())
+            discovery.watch = self.update_source
+            self.update_source.discovery = discovery
+        defer.ensureDeferred(discovery.follow())
 
     def request_complete_list(self) -> None:
-        """Have the next call ask for the complete list, after an update that was not applied."""
-        if self.discovery is not None:
-            self.discovery.request_complete_list()
+        """Have the next poll request the complete list, after an update that was not applied."""
+        if self._discovery is not None:
+            self._discovery.request_complete_list()
 
     def reload(self) -> None:
         """Read the configuration file again and apply what a running balancer can."""
-        self.counters["reloads"] += 1
+        self._counters["reloads"] += 1
         try:
             new = config.load_config(os.environ, reloading=True)
         except InvalidValueError as error:
@@ -80,13 +87,13 @@
             return
         old = self.config
         self.config = new
-        self.apply_limits(new)
+        self._apply_limits(new)
         if new.discovery != old.discovery:
             self.follow()
-        needs_restart = config.settings_needing_restart(self.first_config, new)
+        needs_restart = config.settings_needing_restart(self._first_config, new)
         log_event(
             "reloaded",
-            discovery=new.discovery[0],
+            discovery=new.discovery.host,
             sockets=new.sockets,
             needs_restart=",".join(needs_restart) or "nothing",
         )
@@ -95,11 +102,17 @@
 def parse_cached_list(balancer_config: config.BalancerConfig) -> EndpointUpdate:
     """Parse the configuration's cached endpoint list; raises ConfigError."""
     try:
-        return parse_endpoint_list(balancer_config.cached_list, events.ListScope.CACHED)
-    except (KeyError, TypeError, ValueError, AttributeError, InvalidValueError) as error:
+        return parse_endpoint_list(balancer_config.cached_list, ListScope.CACHED)
+    except MALFORMED_LIST_ERRORS as error:
         raise ConfigError(f"known: {type(error).__name__} {error}") from None
 
 
+def _poll_limits(balancer_config: config.BalancerConfig) -> PollLimits:
+    if balancer_config.discovery_is_local_agent:
+        return PollLimits.for_local_agent(balancer_config.drain_grace)
+    return PollLimits.for_remote_discovery(balancer_config.drain_grace)
+
+
 def _cached_version(balancer_config: config.BalancerConfig) -> int | None:
     """Return the version of the cached list; None where it is empty or has none, which is logged."""
     cached_list = balancer_config.cached_list
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -4,24 +4,26 @@
 each poll, is notified of the result, and may apply updates that other processes received.
 """
 
-from typing import Any, Protocol
+from typing import Protocol
+
+from lotusroute.net.endpoint_list import EndpointListMessage
 
 
 class DiscoveryClient(Protocol):
     """What an update source may use of the discovery client that it is attached to."""
 
     base: str  # URL of the endpoint list
-    seq: int | None  # version of the cached list; None: the full list is needed
+    seq: int | None  # version of the cached list; None: the complete list is needed
     closed: bool
 
     def remaining(self) -> float:
-        """Seconds until the next complete answer has to be in."""
+        """Return the s left until the next complete response has to be in."""
         ...
 
-    def apply_shared_update(self, message: dict[str, Any], since: int | None, /) -> bool:
-        """Apply an answer of discovery that another process received; whether it was applied.
+    def apply_shared_update(self, message: EndpointListMessage, since: int | None, /) -> bool:
+        """Apply a response that another process received, and return whether it was applied.
 
-        `since` is the list version that the changes are relative to, None for a full list.
+        `since` is the list version that the changes are relative to, None for a complete list.
         """
         ...
 
@@ -35,14 +37,14 @@
         """Return when the client has to poll by itself, or is closed."""
 
     def age(self) -> float:
-        """Upper bound of the age of the shared list, in seconds; infinity where nothing is known of it."""
+        """Return an upper bound of the shared list's age in s; infinity where nothing is known of it."""
         ...
 
-    def on_response(self, message: dict[str, Any], since: int | None, /) -> None:
-        """Discovery answered a poll that asked for the changes since a version, None for the full list."""
+    def on_response(self, message: EndpointListMessage, since: int | None, /) -> None:
+        """Take a response to a poll for the changes since a version, None for the complete list."""
 
     def on_failure(self) -> None:
-        """A poll failed."""
+        """Note that a poll failed."""
 
     def wake(self) -> None:
         """Re-evaluate a pending `wait_until_poll_due` at once."""
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -7,82 +7,94 @@
 
 import logging
 from collections import Counter
-from typing import NamedTuple
+from typing import Any, NamedTuple, TypeAlias
 
 from lotusroute.address import Address, parse_address
 from lotusroute.errors import InvalidValueError, ProtocolError
 from lotusroute.net.structured_log import log_event
-from lotusroute.routing import events
+from lotusroute.routing.events import EndpointState, ListScope, Server
 from lotusroute.service_config import look_up, parse_number
 
 STATES = {
-    "SERVING": events.EndpointState.READY,
-    "DRAINING": events.EndpointState.DRAINING,
-    "DELETED": events.EndpointState.REMOVED,
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
 }
-# What decoding raises where keys lack or values have other types than expected.
+# What decoding raises where keys are missing or values have other types than expected.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
-MAX_LOGGED_ENTRY = 200  # characters of a malformed entry in the log
+MAX_LOGGED_ENTRY_LENGTH = 200
+
+# A list as discovery sends it, not checked yet: `seq` is its version, `whole` whether it is complete, `hosts`
+# has an entry for each server.
+EndpointListMessage: TypeAlias = dict[str, Any]
 
 
 class EndpointUpdate(NamedTuple):
-    """A list of servers, or changes to it, with the address of each server."""
+    """A list of servers, or changes to it, with the addresses of the servers."""
 
-    scope: str  # a scope of `routing.events`
-    servers: tuple[events.Server, ...]
-    dials: dict[str, Address]
+    scope: ListScope
+    servers: tuple[Server, ...]
+    addresses: dict[str, Address]  # by server; one that was removed has none
     # s of the monotonic clock at which the list before this update was last known to be current; None where
-    # there was none
+    # there was none.
     previous_list_at: float | None = None
 
 
-def parse_endpoint_list(message: dict, scope: str, counters: Counter | None = None) -> EndpointUpdate:
+class EndpointEntry(NamedTuple):
+    """One server of a list, and its address unless the server was removed."""
+
+    server: Server
+    address: Address | None
+
+
+def parse_endpoint_list(
+    message: EndpointListMessage, scope: ListScope, counters: Counter[str] | None = None
+) -> EndpointUpdate:
     """Decode a list in discovery's format.
 
     Malformed entries are counted and logged, the others used: one of them must not hide that servers drain.
     Raises ProtocolError where there are entries and all are malformed.
 
     >>> entry = {"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}
-    >>> parse_endpoint_list({"hosts": [entry, 7]}, events.ListScope.COMPLETE).dials
+    >>> parse_endpoint_list({"hosts": [entry, 7]}, ListScope.COMPLETE).addresses
     {'s-1': Address(host='10.1.0.18', port=9000)}
     """
-    servers: list[events.Server] = []
-    dials: dict[str, Address] = {}
+    servers: list[Server] = []
+    addresses: dict[str, Address] = {}
     malformed: list[str] = []
-    for entry in message["hosts"]:
+    for value in message["hosts"]:
         try:
-            server, address = _parse_entry(entry)
+            server, address = _parse_entry(value)
         except (*MALFORMED_LIST_ERRORS, OverflowError) as error:
-            malformed.append(f"{type(error).__name__}: {error} in {entry!r}"[:MAX_LOGGED_ENTRY])
+            malformed.append(f"{type(error).__name__}: {error} in {value!r}"[:MAX_LOGGED_ENTRY_LENGTH])
             continue
         servers.append(server)
         if address is not None:
-            dials[server.id] = address
+            addresses[server.id] = address
     if malformed:
         if counters is not None:
             counters["malformed_list_entries"] += len(malformed)
         log_event("malformed list entries", logging.WARNING, entries=len(malformed), first=malformed[0])
         if not servers:
             raise ProtocolError(malformed[0])
-    return EndpointUpdate(scope, tuple(servers), dials)
+    return EndpointUpdate(scope, tuple(servers), addresses)
 
 
-def _parse_entry(entry: dict) -> tuple[events.Server, Address | None]:
-    """Decode one entry; the address is None for a server that was removed."""
-    state = look_up(STATES, entry["health"], "health")
-    name = entry["host"]
+def _parse_entry(value: dict[str, Any]) -> EndpointEntry:
+    state = look_up(STATES, value["health"], "health")
+    name = value["host"]
     if not (isinstance(name, str) and name):
         raise ProtocolError(f"host: {name!r} is no name")
-    address = None if state == events.EndpointState.REMOVED else parse_address(entry["dial"])
-    server = events.Server(
-        name,
-        str(entry.get("site", "")),
-        int(entry.get("block") or 0),
-        state,
-        parse_number(str(entry.get("share", 1.0))),
-        parse_number(str(entry.get("born_ms") or 0)),
+    address = None if state == EndpointState.REMOVED else parse_address(value["dial"])
+    server = Server(
+        id=name,
+        zone=str(value.get("site", "")),
+        cell=int(value.get("block") or 0),
+        state=state,
+        size=parse_number(str(value.get("share", 1.0))),
+        started=parse_number(str(value.get("born_ms") or 0)),
     )
-    return server, address
+    return EndpointEntry(server, address)
 
 
 def parse_version(seq: object) -> int:
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -34,7 +34,7 @@
             elif server.id not in self.drain_deadlines:
                 self.drain_deadlines[server.id] = now + DRAIN_MIGRATION_SPREAD
                 self._on_drain_started()
-        self.addresses.update(update.dials)
+        self.addresses.update(update.addresses)
         for server_id in self.drain_deadlines.keys() - self.addresses.keys():
             del self.drain_deadlines[server_id]
 
--- /dev/null
+++ b/lotusroute/net/poll_schedule.py
@@ -0,0 +1,209 @@
+"""When a discovery client polls, how long each poll may take, and how long the client waits after a failure.
+
+One deadline covers all polls. Whatever becomes of them, a change counts as received `CHANGE_DEADLINE_S` after
+discovery had it, and from then on a draining server may be sent to only for its grace. So each poll, its
+timeout and each backoff have to fit into what is left of both since the last complete response.
+
+Nothing here does I/O or reads a clock: the caller passes the time. All times are seconds of the monotonic
+clock unless a name ends in `_ms`.
+"""
+
+import random
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+from lotusroute.monotonic_clock import MS_PER_SECOND
+
+CHANGE_DEADLINE_S = 6.0  # by the protocol
+LONG_POLL_HOLD_MS = 2_000  # the longest hold of a poll that has nothing to report
+DEFAULT_DRAIN_GRACE_MS = 2_000.0
+TIMING_MARGIN_S = 0.15  # for a busy CPU and the response's way through the network
+# For how long polls of many balancers may wait in discovery's queue.
+QUEUE_TIMEOUT_S = 2.0
+# Beyond the hold, for a complete response; less where the last response shows that nothing is queued.
+REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
+UNQUEUED_REQUEST_TIMEOUT_S = 1.0
+# The same for an agent on this machine, which has the list and answers at once.
+MIN_AGENT_REQUEST_TIMEOUT_S = 0.1
+MAX_AGENT_REQUEST_TIMEOUT_S = 1.0
+MIN_BACKOFF_S = 0.1  # leaves time within the 200 ms that a watch event may take
+MAX_BACKOFF_S = 1.0
+MAX_AGENT_BACKOFF_S = 0.5
+# Kept free for the backoff after a rejection, over which the polls of many balancers spread.
+MIN_REJECTION_BACKOFF_S = 1.2
+MIN_BACKOFF_FRACTION = 0.2  # of a backoff that is always waited; the rest is random
+
+
+class PollStage(StrEnum):
+    """How far a failed poll had come; the values are in the log."""
+
+    NO_RESPONSE = "no response"
+    PARTIAL_RESPONSE = "partial response"
+    REJECTED = "rejected"
+    MALFORMED_RESPONSE = "malformed response"
+
+
+UNANSWERED_STAGES = frozenset((PollStage.NO_RESPONSE, PollStage.PARTIAL_RESPONSE))
+
+
+@dataclass(frozen=True, slots=True)
+class PollLimits:
+    """The spans that bound polls and backoffs."""
+
+    discovery_is_local_agent: bool
+    update_interval: float  # from one complete response to the end of the next
+    request_timeout: float  # beyond the hold
+    unqueued_request_timeout: float
+    queue_timeout: float
+    max_backoff: float
+
+    @classmethod
+    def for_remote_discovery(cls, drain_grace_ms: float) -> "PollLimits":
+        """Return the limits for a discovery that serves many balancers.
+
+        Discovery may return just after a poll was sent that nobody answers. That poll, the backoff after it,
+        a rejection and a poll in the queue have to fit into the interval.
+        """
+        update_interval = _update_interval(drain_grace_ms)
+        left = update_interval - REQUEST_TIMEOUT_S - MIN_REJECTION_BACKOFF_S - QUEUE_TIMEOUT_S
+        return cls(
+            discovery_is_local_agent=False,
+            update_interval=update_interval,
+            request_timeout=REQUEST_TIMEOUT_S,
+            unqueued_request_timeout=UNQUEUED_REQUEST_TIMEOUT_S,
+            queue_timeout=QUEUE_TIMEOUT_S,
+            max_backoff=min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, left)),
+        )
+
+    @classmethod
+    def for_local_agent(cls, drain_grace_ms: float) -> "PollLimits":
+        """Return the limits for an agent on this machine.
+
+        A change counts as received when the agent has it, even if the agent cannot be reached. Half of the
+        grace is for noticing that it does not answer, a quarter for the backoff. An agent has no queue.
+        """
+        grace = drain_grace_ms / MS_PER_SECOND
+        timeout = min(max(MIN_AGENT_REQUEST_TIMEOUT_S, grace / 2), MAX_AGENT_REQUEST_TIMEOUT_S)
+        return cls(
+            discovery_is_local_agent=True,
+            update_interval=_update_interval(drain_grace_ms),
+            request_timeout=timeout,
+            unqueued_request_timeout=timeout,
+            queue_timeout=0.0,
+            max_backoff=min(MAX_AGENT_BACKOFF_S, max(MIN_BACKOFF_S, grace / 4)),
+        )
+
+
+def _update_interval(drain_grace_ms: float) -> float:
+    return CHANGE_DEADLINE_S + drain_grace_ms / MS_PER_SECOND - TIMING_MARGIN_S
+
+
+class PollTiming(NamedTuple):
+    """The times of one poll."""
+
+    started_at: float
+    hold: float  # for which discovery is asked to hold a poll that has nothing to report
+    timeout: float  # for the complete response, with the hold
+    suspension_extension: float  # beyond the timeout where this process was suspended meanwhile
+
+
+class PollSchedule:
+    """Decides on the times of polls and backoffs from the results of earlier polls."""
+
+    def __init__(self, limits: PollLimits, rng: random.Random, now: float) -> None:
+        self._limits = limits
+        self._rng = rng
+        self._list_current_at = now  # when the list was last known to be current
+        self._unanswered = True  # the last poll was not answered, or there was none
+        self._queued = True  # the last response may have waited in discovery's queue, or there was none
+        self._backoff = 0.0  # the last one; 0 after a success
+        self._rejections = 0  # in a row
+
+    @property
+    def is_backing_off(self) -> bool:
+        """Whether the poll before the last one failed too."""
+        return self._backoff > 0
+
+    def remaining(self, now: float) -> float:
+        """Return how much time is left until the next complete response has to be in."""
+        return self._list_current_at + self._limits.update_interval - now
+
+    def note_list_current_at(self, time: float) -> None:
+        """Record that the list was known to be current at a time, from whatever source."""
+        self._list_current_at = max(self._list_current_at, time)
+
+    def next_poll(self, now: float, has_version: bool, max_hold: float) -> PollTiming:
+        """Return the times of a poll that is sent now; without a version it requests the complete list."""
+        limits = self._limits
+        may_be_queued = self._queued or self._unanswered
+        request_timeout = limits.request_timeout if may_be_queued else limits.unqueued_request_timeout
+        hold = self._hold(now, request_timeout, max_hold) if has_version else 0.0
+        timeout = request_timeout + hold
+        extension = self.remaining(now) - timeout - limits.request_timeout
+        return PollTiming(now, hold, timeout, max(TIMING_MARGIN_S, extension))
+
+    def _hold(self, now: float, request_timeout: float, max_hold: float) -> float:
+        """Return for how long a poll is held.
+
+        A poll after an unanswered one is not held: a held one does not show whether discovery is back. Else
+        there has to be time for what may follow: the timeout of this poll, a rejection of the next and the
+        queue. No time is kept for the rejection where polls are queued: shorter holds mean more polls, and
+        these lengthen the queue.
+        """
+        if self._unanswered:
+            return 0.0
+        left = self.remaining(now) - request_timeout - MIN_BACKOFF_S - self._limits.queue_timeout
+        if not (self._limits.discovery_is_local_agent or self._queued):
+            left -= MIN_REJECTION_BACKOFF_S
+        return max(0.0, min(max_hold, left))
+
+    def response_received(self, now: float, poll: PollTiming, has_changes: bool) -> None:
+        """Record a complete response.
+
+        This process may have read it late, but it is no older than the poll's timeout allows.
+        """
+        self._list_current_at = min(now, poll.started_at + poll.timeout)
+        hold_used = 0.0 if has_changes else poll.hold
+        waited = now - poll.started_at - hold_used
+        self._queued = waited > self._limits.unqueued_request_timeout / 2
+
+    def poll_succeeded(self) -> None:
+        """Record a poll that brought a list."""
+        self._unanswered = False
+        self._backoff = 0.0
+        self._rejections = 0
+
+    def poll_failed(self, poll: PollTiming, stage: PollStage) -> None:
+        """Record a failed poll."""
+        was_unanswered = self._unanswered
+        self._unanswered = stage in UNANSWERED_STAGES
+        if was_unanswered and self._unanswered:
+            # Discovery is down, and its changes count from its return on.
+            self.note_list_current_at(poll.started_at)
+
+    def next_backoff(self, now: float, stage: PollStage) -> float:
+        """Return how long to wait after a failed poll; the bound grows with each failure."""
+        if stage == PollStage.REJECTED:
+            self._rejections += 1
+            self._backoff = self._rejection_backoff(now, first=self._rejections == 1)
+        else:
+            self._backoff = min(max(MIN_BACKOFF_S, 2 * self._backoff), self._limits.max_backoff)
+        return self._backoff * self._rng.uniform(MIN_BACKOFF_FRACTION, 1.0)
+
+    def _rejection_backoff(self, now: float, first: bool) -> float:
+        """Return the longest backoff after a rejection.
+
+        A rejection costs discovery work too, so the backoff takes what time there is, less what the poll
+        after it may wait in the queue.
+        """
+        limits = self._limits
+        if limits.discovery_is_local_agent:
+            return limits.max_backoff
+        left = self.remaining(now)
+        interval = limits.update_interval - limits.queue_timeout
+        if left - limits.queue_timeout >= MIN_REJECTION_BACKOFF_S or (first and left > 0):
+            half_interval = min(interval / 2, left - limits.queue_timeout)
+            return max(half_interval, min(MIN_REJECTION_BACKOFF_S, left))
+        # The next response is late whatever happens, and more polls only mean fewer that are answered.
+        return interval
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -18,8 +18,8 @@
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.monotonic_clock import monotonic_ms
-from lotusroute.net.discovery import MIN_REJECTION_BACKOFF, QUEUE_TIMEOUT
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.poll_schedule import MIN_REJECTION_BACKOFF_S, QUEUE_TIMEOUT_S
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.config import RelaysConfig
@@ -173,7 +173,7 @@
 
         The wait leaves enough of the time in which a change has to be in force for the poll itself.
         """
-        longest = max(0.0, min(MIN_REJECTION_BACKOFF, discovery.remaining() - QUEUE_TIMEOUT))
+        longest = max(0.0, min(MIN_REJECTION_BACKOFF_S, discovery.remaining() - QUEUE_TIMEOUT_S))
         await self._wait(longest * self.rng.random())
         if not self.selector.is_fresh(self.clock()):
             self.polling = True
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,8 +11,8 @@
     AdmissionControl,
     AdmissionResult,
 )
-from lotusroute.net.discovery import EndpointUpdate
 from lotusroute.net.downstream import parse_open_request
+from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD, EndpointRegistry
 from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL, MAX_CLOSED_FLOW_IDS, FlowTable
 from lotusroute.routing import events
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -8,7 +8,8 @@
 from twisted.internet import defer
 
 from lotusroute.net import structured_log
-from lotusroute.net.discovery import Discovery, DiscoveryFailed, PollStage
+from lotusroute.net.discovery import Discovery, DiscoveryFailed
+from lotusroute.net.poll_schedule import PollStage
 
 AGENT_SETTINGS = {**SETTINGS, "discovery": "push", "rules": {"stop_sending_within": 500}}
 
