--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -10,7 +10,8 @@
 
 from lotusroute.cli.options import ExitCode, exit_with_wrong_use
 from lotusroute.errors import InvalidValueError
-from lotusroute.fleet import config, transport
+from lotusroute.fleet import config
+from lotusroute.fleet.status_query import query_status
 from lotusroute.net.reactor import reactor
 
 
@@ -47,7 +48,7 @@
         reactor.stop()
 
     def query_all() -> None:
-        queries = [transport.query_peer(reactor, fleet_config, name) for name in names]
+        queries = [query_status(reactor, fleet_config, name) for name in names]
         defer.DeferredList(queries, consumeErrors=True).addCallback(collect)
 
     reactor.callWhenRunning(query_all)
--- /dev/null
+++ b/lotusroute/fleet/process.py
@@ -0,0 +1,23 @@
+"""What all parts of one process of the fleet share."""
+
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from twisted.internet.base import ReactorBase
+
+from lotusroute.fleet.config import FleetConfig
+from lotusroute.monotonic_clock import monotonic_ms
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetProcess:
+    """One process of the fleet, with its collaborators."""
+
+    reactor: ReactorBase
+    config: FleetConfig
+    name: str  # among the peers of the configuration
+    counters: Counter[str]
+    rng: random.Random
+    clock: Callable[[], float] = monotonic_ms  # ms
--- /dev/null
+++ b/lotusroute/fleet/process_status.py
@@ -0,0 +1,146 @@
+"""The status of one process, which `leases show` and `fleet show` read.
+
+The bytes between processes are JSON whose keys are older than the names here; `rename` maps them. Services
+may add sections of their own. Durations are in milliseconds from the time of the status.
+"""
+
+import math
+from collections.abc import Mapping
+from typing import Any
+
+import msgspec
+
+from lotusroute.leases.acceptor import Acceptor, AcceptorState
+from lotusroute.leases.proposer import Proposer, ProposerState
+
+
+class LeaseStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "fencing_token": "fence",
+        "remaining_ms": "left_ms",
+        "phase": "step",
+        "retry_in_ms": "asks_in_ms",
+        "highest_ballot": "highest_seen",
+    },
+):
+    """What a proposer knows of the lease on one task."""
+
+    holds: bool
+    fencing_token: int  # 0 unless it holds the lease
+    remaining_ms: int  # 0 unless it holds the lease
+    phase: str  # a `Phase` of the proposer
+    retry_in_ms: int
+    highest_ballot: int
+
+
+class GrantStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={"fencing_token": "fence", "promised_ballot": "promised", "remaining_ms": "left_ms"},
+):
+    """What an acceptor knows of the lease on one task."""
+
+    holder: str  # the proposer that it granted the lease to last; empty if none
+    fencing_token: int  # of that holder
+    promised_ballot: int
+    remaining_ms: int
+
+
+class ConnectionsStatus(msgspec.Struct, frozen=True, rename={"outbound": "out", "inbound": "in"}):
+    """The names of the connected peers."""
+
+    outbound: list[str]
+    inbound: list[str]
+
+
+class ProcessStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "leases": "tasks",
+        "grants": "keeps",
+        "is_acceptor": "keeper",
+        "acceptor_silent_ms": "keeper_silent_ms",
+    },
+):
+    """The status of one process, without the sections of further services."""
+
+    name: str
+    fleet: str
+    leases: dict[str, LeaseStatus]  # by task, of its proposer
+    grants: dict[str, GrantStatus]  # by task, of its acceptor
+    is_acceptor: bool
+    acceptor_silent_ms: int  # until its acceptor serves
+    connections: ConnectionsStatus
+
+
+def lease_statuses(proposer: Proposer, now: float) -> dict[str, LeaseStatus]:
+    """Return the status of a proposer, by task."""
+    return {task: _lease_status(state, now) for task, state in proposer.states.items()}
+
+
+def _lease_status(state: ProposerState, now: float) -> LeaseStatus:
+    holds = state.holds(now)
+    retry_in = max(0.0, state.retry_at - now) if state.retry_at > -math.inf else 0.0
+    return LeaseStatus(
+        holds=holds,
+        fencing_token=state.ballot if holds else 0,
+        remaining_ms=round(state.expires_at - now) if holds else 0,
+        phase=state.phase,
+        retry_in_ms=round(retry_in),
+        highest_ballot=state.highest_ballot,
+    )
+
+
+def grant_statuses(acceptor: Acceptor, now: float) -> dict[str, GrantStatus]:
+    """Return the status of an acceptor, by task."""
+    return {task: _grant_status(state, now) for task, state in acceptor.states.items()}
+
+
+def _grant_status(state: AcceptorState, now: float) -> GrantStatus:
+    return GrantStatus(
+        holder=state.holder,
+        fencing_token=state.ballot,
+        promised_ballot=state.promised,
+        remaining_ms=round(max(0.0, state.expires_at - now)) if state.holder else 0,
+    )
+
+
+def encode_status(status: ProcessStatus, sections: Mapping[str, object]) -> bytes:
+    """Encode a status, followed by the sections of further services, for the wire."""
+    return msgspec.json.encode({**msgspec.to_builtins(status), **sections})
+
+
+def decode_status(body: bytes) -> ProcessStatus:
+    """Decode a status, without its further sections; raises `msgspec.MsgspecError` if it is malformed."""
+    return msgspec.json.decode(body, type=ProcessStatus)
+
+
+def status_document(body: bytes) -> dict[str, Any]:
+    """Return an encoded status as a JSON object under the names of this module, for programs that read it.
+
+    Further sections keep the form in which they were sent. Raises `msgspec.MsgspecError` if it is malformed.
+
+    >>> connections = '"connections": {"out": ["b"], "in": []}'
+    >>> head = '{"name": "a", "fleet": "f", "tasks": {}, "keeps": {}, "keeper": true, "keeper_silent_ms": 0, '
+    >>> status_document((head + connections + ', "more": 1}').encode())  # doctest: +NORMALIZE_WHITESPACE
+    {'name': 'a', 'fleet': 'f', 'leases': {}, 'grants': {}, 'is_acceptor': True, 'acceptor_silent_ms': 0,
+     'connections': {'outbound': ['b'], 'inbound': []}, 'more': 1}
+    """
+    sections = msgspec.json.decode(body, type=dict[str, Any])
+    for key in ProcessStatus.__struct_encode_fields__:
+        sections.pop(key, None)
+    return {**_fields_of(decode_status(body)), **sections}
+
+
+def _fields_of(value: Any) -> Any:  # noqa: ANN401  any JSON value
+    """Return a Struct as a dictionary of its fields, and so on for the values in it."""
+    match value:
+        case msgspec.Struct():
+            return {name: _fields_of(field) for name, field in msgspec.structs.asdict(value).items()}
+        case dict():
+            return {key: _fields_of(item) for key, item in value.items()}
+        case _:
+            return value
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -12,8 +12,9 @@
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
+from lotusroute.fleet.errors import CallError, DeposedHolderError, UpdateNotFollowedError
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.peer_connection import MAX_BODY_BYTES, CallError
+from lotusroute.fleet.peer_connection import MAX_BODY_BYTES
 from lotusroute.net.discovery import LONG_POLL_HOLD_MS
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
@@ -149,10 +150,10 @@
         update = msgspec.msgpack.decode(body, type=SharedUpdate)
         if update.fencing_token < self.highest_fencing_token:
             self.counters["shared_discovery_fenced"] += 1
-            raise CallError("a later holder has spoken")
+            raise DeposedHolderError(update.fencing_token, self.highest_fencing_token)
         discovery = self.discovery
         if discovery is None or update.discovery_url != discovery.base or self.fencing_token:
-            raise CallError("not followed here")
+            raise UpdateNotFollowedError
         if update.fencing_token > self.highest_fencing_token:
             log_event("shared discovery followed", holder=peer, fencing_token=update.fencing_token)
         self.highest_fencing_token = update.fencing_token
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -15,8 +15,8 @@
 from twisted.internet.base import DelayedCall
 
 from lotusroute.address import Address
+from lotusroute.fleet.errors import CallError
 from lotusroute.fleet.lease_service import LeaseService
-from lotusroute.fleet.peer_connection import CallError
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.structured_log import log_event
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -14,7 +14,9 @@
 from twisted.python.failure import Failure
 
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import CallError
+from lotusroute.fleet.errors import CallError
+from lotusroute.fleet.peer_connection import PeerHandlers
+from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.monotonic_clock import monotonic_ms
@@ -38,16 +40,12 @@
         self.counters = counters
         self.rng = random.Random(os.urandom(16))
         self.selector = RelaySelector(name, list(config.local), list(config.remote), self.rng)
-        self.transport = PeerTransport(
-            reactor,
-            FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(())),
-            name,
-            self.rng,
-            counters,
-            self.handle_call,
-            self.on_connected,
-            self._on_lost,
+        relays = FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(()))
+        process = FleetProcess(reactor=reactor, config=relays, name=name, counters=counters, rng=self.rng)
+        handlers = PeerHandlers(
+            handle_call=self.handle_call, on_connected=self.on_connected, on_disconnected=self._on_lost
         )
+        self.transport = PeerTransport(process, handlers)
         self.store = VersionedStore()
         self.assembler = messages.SnapshotAssembler()
         self.discovery: DiscoveryClient | None = None  # the current one; a reload replaces it
--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -41,14 +41,14 @@
 
     Its acceptor, if it has one, grants leases and may promise ballots up to 4095.
     """
-    service = LeaseService(
-        task.Clock(), config.parse_fleet_config({**FLEET, "state": str(state)}), name, Counter()
-    )
-    service.clock, service.transport = lambda: NOW, RecordingTransport()
-    service.proposer = Proposer(f"{name}#0a1b2c3d", service.config.terms, random.Random(1))
-    if service.acceptor is not None:
-        service.acceptor = Acceptor(service.config.terms, 0.0, 0)
-        service.acceptor.ballots_persisted(4096)
+    fleet = config.parse_fleet_config({**FLEET, "state": str(state)})
+    service = LeaseService(task.Clock(), fleet, name, Counter(), clock=lambda: NOW)
+    service.transport = service.proposer_host.transport = RecordingTransport()
+    service.proposer_host.proposer = Proposer(f"{name}#0a1b2c3d", fleet.terms, random.Random(1))
+    if service.acceptor_host is not None:
+        service.acceptor_host.transport = service.transport
+        service.acceptor_host.acceptor = Acceptor(fleet.terms, 0.0, 0)
+        service.acceptor_host.acceptor.ballots_persisted(4096)
     return service
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,9 @@
 from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.fault_injection.random_scenarios import run_scenario
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.peer_connection import PeerConnection
+from lotusroute.fleet.errors import BodyTooLargeError, CallLimitError, CallTimeoutError
+from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
+from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.transport import PeerTransport
 
 FLEET_DOCUMENT = {
@@ -118,12 +120,16 @@
     def __init__(self):
         self.clock = task.Clock()
         self.counters = Counter()
-        fleet_config = config.parse_fleet_config(FLEET_DOCUMENT)
-        self.peers = PeerTransport(
-            self.clock, fleet_config, "a", random.Random(1), self.counters, lambda peer, kind, body: body
+        process = FleetProcess(
+            reactor=self.clock,
+            config=config.parse_fleet_config(FLEET_DOCUMENT),
+            name="a",
+            counters=self.counters,
+            rng=random.Random(1),
         )
+        self.peers = PeerTransport(process, PeerHandlers(handle_call=lambda peer, kind, body: body))
         self.connection = PeerConnection(self.peers)
-        self.failures = []  # messages of the calls that failed
+        self.failures = []  # types of the errors of the calls that failed
         self.transport = StringTransport()
         self.transport.setTcpNoDelay = lambda enabled: None
         self.transport.setTcpKeepAlive = lambda enabled: None
@@ -142,7 +148,7 @@
 
     def call(self, body):
         call = self.connection.call("k", body)
-        call.addErrback(lambda failure: self.failures.append(str(failure.value)))
+        call.addErrback(lambda failure: self.failures.append(failure.type))
 
 
 @pytest.fixture
@@ -210,10 +216,10 @@
 def test_calls_in_flight_to_a_stalled_peer_are_bounded_and_time_out(identified):
     for _ in range(70):
         identified.call(b"x" * 100)
-    assert identified.failures == ["crowded"] * 6
+    assert identified.failures == [CallLimitError] * 6
     assert identified.counters["peer_calls_over_limit"] == 6
     identified.clock.advance(1.1)
-    assert identified.failures.count("late") == 64
+    assert identified.failures.count(CallTimeoutError) == 64
     assert identified.aborted
     assert identified.connection.calls_in_flight == 64  # a call that timed out still occupies the peer
 
@@ -221,10 +227,10 @@
 def test_bytes_in_flight_and_the_size_of_a_call_are_bounded(identified):
     for _ in range(5):
         identified.call(b"x" * 59_000)
-    assert identified.failures[-1] == "crowded"
+    assert identified.failures[-1] is CallLimitError
     assert identified.connection.bytes_in_flight <= 262_144
     identified.call(b"x" * 60_001)
-    assert identified.failures[-1] == "large"
+    assert identified.failures[-1] is BodyTooLargeError
 
 
 # Commands
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -21,7 +21,9 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.peer_connection import CallError, PeerConnection
+from lotusroute.fleet.errors import CallError
+from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
+from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.shared_discovery import SharedDiscovery
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.acceptor import Acceptor, AcceptorState
@@ -29,10 +31,15 @@
 
 
 def _connection(peer="", serve=None):
-    link = PeerTransport(
-        task.Clock(), config.parse_fleet_config(FLEET), "a", random.Random(1), Counter(), serve
+    process = FleetProcess(
+        reactor=task.Clock(),
+        config=config.parse_fleet_config(FLEET),
+        name="a",
+        counters=Counter(),
+        rng=random.Random(1),
     )
-    connection, transport = PeerConnection(link, peer), StringTransport()
+    manager = PeerTransport(process, PeerHandlers(handle_call=serve))
+    connection, transport = PeerConnection(manager, peer), StringTransport()
     transport.setTcpNoDelay = transport.setTcpKeepAlive = lambda _: None
     transport.abortConnection = lambda: setattr(transport, "disconnecting", True)
     connection.makeConnection(transport)
@@ -134,9 +141,9 @@
 
 def test_an_acceptor_that_is_silent_or_full_answers_these_bytes(tmp_path):
     service = lease_service_at_fixed_clock("a", tmp_path)
-    service.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
+    service.acceptor_host.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
     assert service.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO_MS + b"\xc2"
-    service.acceptor = Acceptor(service.config.terms, NOW - 1000.0, 7)
+    service.acceptor_host.acceptor = Acceptor(service.config.terms, NOW - 1000.0, 7)
     silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
     assert service.handle_call("b", "release", FROM_B) == REPLY + silent
 
