--- a/benchmarks/peer_messages.py
+++ b/benchmarks/peer_messages.py
@@ -1,13 +1,17 @@
-"""Messages between a benchmark and its peer processes: settings as an argument, results as lines of JSON."""
+"""Messages between a benchmark and its peer processes.
+
+A process receives its settings as an argument and writes its results as lines of JSON.
+"""
 
 import dataclasses
 import json
 from dataclasses import dataclass, field
+from typing import Any
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowPeriod:
-    """When one server takes ten times as long, in seconds from its start."""
+    """The time in which one server takes ten times as long, in seconds from its start."""
 
     server: int  # its index
     start_s: float
@@ -18,8 +22,8 @@
 class ServersSettings:
     """Settings of a process of servers."""
 
-    setups_ms: list[float]  # median time to a receipt, one for each server
-    spread: str  # light, heavy or wild
+    setups_ms: list[float]  # of each server, the median time until its receipt
+    spread: str  # of the set-up times: light, heavy or wild
     seed: int
     name: str = "s"  # prefix of the servers' names
     slow: SlowPeriod | None = None
@@ -37,7 +41,7 @@
 class EndpointListSettings:
     """Settings of a process that serves the endpoint list."""
 
-    hosts: list[dict]
+    hosts: list[dict[str, Any]]  # entries of the endpoint list
 
     @classmethod
     def from_json(cls, text: str) -> "EndpointListSettings":
@@ -53,9 +57,9 @@
     flows: int
     concurrency: int
     seed: int
-    skewed: bool = False  # keys by a Zipf distribution, else each key once
-    hold_s: float = 0.0  # how long flows stay open once all are established; 0: each ends at its receipt
-    line_count: int = 0  # lines that one client sends, one after the other
+    skewed: bool = False  # whether keys follow a Zipf distribution; otherwise each key occurs once
+    hold_s: float = 0.0  # for how long flows stay open after all are established; 0: each ends at its receipt
+    line_count: int = 0  # lines that one client sends, each after the reply to the previous one
 
     @classmethod
     def from_json(cls, text: str) -> "ClientsSettings":
@@ -65,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServersStarted:
-    """All servers listen."""
+    """All servers are listening."""
 
-    hosts: list[dict]
+    hosts: list[dict[str, Any]]  # entries of the endpoint list
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointListStarted:
-    """The endpoint list is served."""
+    """The endpoint list is being served."""
 
     port: int
 
@@ -97,9 +101,10 @@
     line_delays_ms: list[float] = field(default_factory=list)
 
 
+Settings = ServersSettings | EndpointListSettings | ClientsSettings
 Message = ServersStarted | EndpointListStarted | FlowsEstablished | ClientsResult
 
 
-def to_json(message: object) -> str:
+def to_json(message: Settings | Message) -> str:
     """Serialize settings or a message."""
-    return json.dumps(dataclasses.asdict(message))  # type: ignore[call-overload]
+    return json.dumps(dataclasses.asdict(message))
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lotusroute.capacity.stubs import entry
-from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
+from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL_S as HOLDER_HEARTBEAT_INTERVAL
 from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL, Action, Drop, FanOut, Heartbeat
--- a/lotusroute/cli/__init__.py
+++ b/lotusroute/cli/__init__.py
@@ -1,12 +1,13 @@
 """The command line: `lotusroute GROUP COMMAND`. Without arguments, `lotusroute` runs a balancer instead.
 
-Each group lives in a module of its own, which is imported when the group is called: the groups differ in the
-optional dependencies that they need, and `lotusroute --help` works without any of them.
+Each group has a module of its own, which is imported when the group is called, because the groups need
+different optional dependencies. `lotusroute --help` works without any of them.
 
 Exit codes of all commands are those of `lotusroute.cli.options.ExitCode`.
 """
 
 import importlib
+from typing import NamedTuple, cast
 
 import click
 
@@ -19,22 +20,33 @@
         self.module = module
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands of this group, hidden ones too."""
+        """Return the names of all commands of this group, including hidden ones."""
         return sorted(self._load_commands())
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return one command of this group; None where there is none of that name."""
+        """Return one command of this group; None if there is none of that name."""
         return self._load_commands().get(cmd_name)
 
     def _load_commands(self) -> dict[str, click.Command]:
-        return importlib.import_module(self.module).COMMANDS
+        return cast(dict[str, click.Command], importlib.import_module(self.module).COMMANDS)
 
 
-CAPACITY = "lotusroute.cli.capacity", "Measure the cost of each role by size, and compare it with the target."
-FAULT_INJECTION = "lotusroute.cli.fault_injection", "Test several processes with faults between them."
-FLEET = "lotusroute.cli.fleet", "Show which peers of the fleet are connected."
-LEASES = "lotusroute.cli.leases", "Show who holds the lease of each fleet-wide task."
-RELAY = "lotusroute.cli.relay", "Run a relay, which forwards the endpoint list to subscribers."
+class GroupSource(NamedTuple):
+    """Where the commands of a group are, and what `--help` says of the group."""
+
+    module: str
+    help_text: str
+
+
+CAPACITY = GroupSource(
+    "lotusroute.cli.capacity", "Measure the cost of each role by size, and compare it with the target."
+)
+FAULT_INJECTION = GroupSource(
+    "lotusroute.cli.fault_injection", "Test several processes with faults between them."
+)
+FLEET = GroupSource("lotusroute.cli.fleet", "Show which peers of the fleet are connected.")
+LEASES = GroupSource("lotusroute.cli.leases", "Show who holds the lease of each fleet-wide task.")
+RELAY = GroupSource("lotusroute.cli.relay", "Run a relay, which forwards the endpoint list to subscribers.")
 
 
 @click.group()
@@ -50,6 +62,6 @@
 root_group.add_command(LazyGroup("fleet", *FLEET))
 root_group.add_command(LazyGroup("leases", *LEASES))
 root_group.add_command(LazyGroup("relay", *RELAY))
-# Older names of two groups, which operators' scripts use.
+# Older names of two groups; operators' scripts still use them.
 root_group.add_command(LazyGroup("scale", *CAPACITY, hidden=True))
 root_group.add_command(LazyGroup("rig", *FAULT_INJECTION, hidden=True))
--- a/lotusroute/cli/leases.py
+++ b/lotusroute/cli/leases.py
@@ -1,9 +1,12 @@
 """The commands of `lotusroute leases`."""
 
+from collections.abc import Iterator
+
 import click
 
 from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION
 from lotusroute.cli.peer_query import print_and_exit, query_peers
+from lotusroute.fleet.process_status import GrantStatus, LeaseStatus, ProcessStatus
 
 
 @click.command()
@@ -16,25 +19,43 @@
     Example: lotusroute leases show --fleet deploy/fleet.toml --peer n1
     """
     answers = query_peers(file, peers)
-    lines = []
-    for name, state in answers.states.items():
-        lines.extend(_lease_lines(name, state))
+    lines = [line for name, status in answers.statuses.items() for line in _status_lines(name, status)]
     print_and_exit(answers, as_json, lines)
 
 
-def _lease_lines(name: str, state: dict) -> list[str]:
-    lines = []
-    for task, lease in state["tasks"].items():
-        if lease["holds"]:
-            lines.append(f"{name}: {task}: holds under {lease['fence']}, {lease['left_ms']} ms left")
-        else:
-            lines.append(f"{name}: {task}: {lease['step']}")
-    for task, grant in state["keeps"].items():
-        holder = grant["holder"] or "nobody"
-        lines.append(f"{name}: keeps {task}: {holder} under {grant['fence']}, {grant['left_ms']} ms left")
-    if state["keeper_silent_ms"]:
-        lines.append(f"{name}: keeper silent for {state['keeper_silent_ms']} ms more")
-    return lines
+def _status_lines(name: str, status: ProcessStatus) -> Iterator[str]:
+    for task, lease in status.leases.items():
+        yield f"{name}: {task}: {_describe_lease(lease)}"
+    for task, grant in status.grants.items():
+        yield f"{name}: acceptor of {task}: {_describe_grant(grant)}"
+    if status.acceptor_silent_ms:
+        yield f"{name}: acceptor silent for {status.acceptor_silent_ms} ms more"
+
+
+def _describe_lease(lease: LeaseStatus) -> str:
+    """Return what a proposer knows of a lease.
+
+    >>> _describe_lease(LeaseStatus(True, 7, 1500, "idle", 0, 7))
+    'holds the lease, fencing token 7, 1500 ms left'
+    >>> _describe_lease(LeaseStatus(False, 0, 0, "idle", 250, 7))
+    'does not hold the lease, phase idle, retries in 250 ms'
+    """
+    if lease.holds:
+        return f"holds the lease, fencing token {lease.fencing_token}, {lease.remaining_ms} ms left"
+    return f"does not hold the lease, phase {lease.phase}, retries in {lease.retry_in_ms} ms"
+
+
+def _describe_grant(grant: GrantStatus) -> str:
+    """Return what an acceptor knows of a lease.
+
+    >>> _describe_grant(GrantStatus("n1#0a1b2c3d", 7, 7, 1500))
+    'granted to n1#0a1b2c3d, fencing token 7, 1500 ms left'
+    >>> _describe_grant(GrantStatus("", 0, 7, 0))
+    'granted to nobody'
+    """
+    if not grant.holder:
+        return "granted to nobody"
+    return f"granted to {grant.holder}, fencing token {grant.fencing_token}, {grant.remaining_ms} ms left"
 
 
 COMMANDS = {"show": show}
--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -1,4 +1,4 @@
-"""What the commands share: options, exit codes and the report of wrong use. It needs nothing but click."""
+"""Options, exit codes and the report of wrong use that all commands share. It needs nothing but click."""
 
 import copy
 import enum
@@ -13,7 +13,7 @@
 
     OK = 0
     FAILED = 1  # a peer did not answer, an invariant was violated, a figure grew or a limit was exceeded
-    WRONG_USE = 2  # as click's own; also a configuration file that cannot be used
+    WRONG_USE = 2  # the same as click's own; also for a configuration file that cannot be used
 
 
 FLEET_FILE_OPTION = click.option(
@@ -29,7 +29,7 @@
 
 
 def hidden_alias(command: click.Command) -> click.Command:
-    """Return the same command for an older name of it, which `--help` does not list."""
+    """Return a copy of a command, to be registered under an older name that `--help` does not list."""
     alias = copy.copy(command)
     alias.hidden = True
     return alias
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -1,16 +1,18 @@
-"""Queries the state of running peers for the `show` commands, and prints it. It changes nothing at a peer."""
+"""The status of running processes for the `show` commands: how it is queried and printed."""
 
 import json
 import sys
-from collections.abc import Sequence
-from typing import NamedTuple, NoReturn
+from collections.abc import Iterable, Sequence
+from typing import Any, NamedTuple, NoReturn
 
 import click
 from twisted.internet import defer
+from twisted.python.failure import Failure
 
 from lotusroute.cli.options import ExitCode, exit_with_wrong_use
 from lotusroute.errors import InvalidValueError
-from lotusroute.fleet import config
+from lotusroute.fleet.config import FleetConfig, load_fleet_config
+from lotusroute.fleet.process_status import ProcessStatus, decode_status, status_document
 from lotusroute.fleet.status_query import query_status
 from lotusroute.net.reactor import reactor
 
@@ -18,48 +20,58 @@
 class PeerStates(NamedTuple):
     """What was queried, by the peer's name."""
 
-    states: dict[str, dict]
-    errors: dict[str, str]  # of peers that did not answer
+    statuses: dict[str, ProcessStatus]
+    states: dict[str, dict[str, Any]]  # the same as JSON objects, with the sections of further services
+    errors: dict[str, str]  # of peers without a usable answer
 
 
 def query_peers(file: str, peers: Sequence[str]) -> PeerStates:
-    """Query the state of `peers`, or of all peers in the fleet's file where none is named.
+    """Query the status of `peers`, or of all peers in the fleet's file if none is named.
 
-    Exits with `ExitCode.WRONG_USE` where the file cannot be used or lacks a peer. It runs the reactor, which
-    can be done once in a process.
+    Exits with `ExitCode.WRONG_USE` if the file cannot be used or lacks a peer. It runs the reactor, which can
+    be done once in a process.
     """
+    config = _load_config(file, peers)
+    answers = PeerStates({}, {}, {})
+
+    def query_all() -> None:
+        queries = [_query_peer(config, name, answers) for name in peers or config.peers]
+        defer.DeferredList(queries).addCallback(lambda _: reactor.stop())
+
+    reactor.callWhenRunning(query_all)
+    reactor.run(installSignalHandlers=False)
+    return answers
+
+
+def _load_config(file: str, peers: Sequence[str]) -> FleetConfig:
     try:
-        fleet_config = config.load_fleet_config(file)
+        config = load_fleet_config(file)
     except InvalidValueError as error:
         exit_with_wrong_use(str(error))
     for peer in peers:
-        if peer not in fleet_config.peers:
-            known_peers = ", ".join(fleet_config.peers)
+        if peer not in config.peers:
+            known_peers = ", ".join(config.peers)
             exit_with_wrong_use(f"--peer {peer}: not among the peers of {file}: {known_peers}")
-    names = peers or tuple(fleet_config.peers)
-    answers = PeerStates({}, {})
+    return config
 
-    def collect(results: list[tuple[bool, object]]) -> None:
-        for name, (succeeded, result) in zip(names, results, strict=True):
-            if succeeded:
-                answers.states[name] = json.loads(result)
-            else:
-                answers.errors[name] = str(result.value) or type(result.value).__name__
-        reactor.stop()
 
-    def query_all() -> None:
-        queries = [query_status(reactor, fleet_config, name) for name in names]
-        defer.DeferredList(queries, consumeErrors=True).addCallback(collect)
+def _query_peer(config: FleetConfig, name: str, answers: PeerStates) -> "defer.Deferred[None]":
+    """Query one peer and record its answer or error; the result never fails."""
 
-    reactor.callWhenRunning(query_all)
-    reactor.run(installSignalHandlers=False)
-    return answers
+    def record(body: bytes) -> None:
+        answers.statuses[name] = decode_status(body)
+        answers.states[name] = status_document(body)
+
+    def record_error(failure: Failure) -> None:
+        answers.errors[name] = str(failure.value) or type(failure.value).__name__
+
+    return query_status(reactor, config, name).addCallback(record).addErrback(record_error)
 
 
-def print_and_exit(answers: PeerStates, as_json: bool, lines: list[str]) -> NoReturn:
-    """Print the answers as one JSON object, or else `lines` and the peers that did not answer, and exit."""
+def print_and_exit(answers: PeerStates, as_json: bool, lines: Iterable[str]) -> NoReturn:
+    """Print the answers as one JSON object, or else `lines` and the peers without an answer, and exit."""
     if as_json:
-        click.echo(json.dumps({"balancers": answers.states, "missing": answers.errors}, indent=1))
+        click.echo(json.dumps({"balancers": answers.states, "errors": answers.errors}, indent=1))
     else:
         for line in lines:
             click.echo(line)
--- a/lotusroute/config_validation.py
+++ b/lotusroute/config_validation.py
@@ -1,4 +1,4 @@
-"""Reading and checking of the operators' TOML files; shared by the fleet and the relay configuration.
+"""Reading and validation of the operators' TOML files, for the fleet and the relay configuration.
 
 Every error is a `ConfigError` whose message names the key and how to correct it. `load_toml_config` prepends
 the environment variable and the file.
@@ -13,13 +13,14 @@
 from lotusroute.address import Address, parse_address
 from lotusroute.errors import ConfigError, InvalidValueError
 
+Document = dict[str, Any]  # a parsed file, or a table of it
 ConfigT = TypeVar("ConfigT")
 
 
 def load_toml_config(
-    variable: str, path: str | os.PathLike[str], parse: Callable[[dict[str, Any]], ConfigT]
+    variable: str, path: str | os.PathLike[str], parse: Callable[[Document], ConfigT]
 ) -> ConfigT:
-    """Read a TOML file and parse its document; `variable` is the environment variable that names the file."""
+    """Read a TOML file and pass it to `parse`; `variable` is the environment variable that names the file."""
     try:
         document = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -30,50 +31,50 @@
         raise ConfigError(f"{variable}: {path}: {error}") from None
 
 
-def check_known_keys(document: dict[str, Any], known: Collection[str]) -> None:
-    """Reject a document with a key that does not exist.
+def check_known_keys(document: Document, known: Collection[str]) -> None:
+    """Raise `ConfigError` if the document has an unknown key.
 
     >>> check_known_keys({"nmae": "f"}, {"name", "zone"})
     Traceback (most recent call last):
-    lotusroute.errors.ConfigError: nmae: no such key; there are name, zone
+    lotusroute.errors.ConfigError: nmae: no such key; the keys are name, zone
     """
     unknown = sorted(set(document) - set(known))
     if unknown:
-        raise ConfigError(f"{unknown[0]}: no such key; there are {', '.join(sorted(known))}")
+        raise ConfigError(f"{unknown[0]}: no such key; the keys are {', '.join(sorted(known))}")
 
 
-def parse_fleet_name(document: dict[str, Any]) -> str:
+def parse_fleet_name(document: Document) -> str:
     """Return the required name of the fleet."""
     name = document.get("name")
     if not isinstance(name, str) or not name:
-        raise ConfigError("name: not set; give the fleet's")
+        raise ConfigError("name: not set; give the name of the fleet")
     return name
 
 
-def parse_name_list(document: dict[str, Any], key: str) -> list[str]:
+def parse_name_list(document: Document, key: str) -> list[str]:
     """Return a list of distinct names; empty if the key is missing.
 
     >>> parse_name_list({"tasks": ["watch", "watch"]}, "tasks")
     Traceback (most recent call last):
-    lotusroute.errors.ConfigError: tasks: a name stands twice
+    lotusroute.errors.ConfigError: tasks: a name is given twice
     """
     names = document.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) and name for name in names):
         raise ConfigError(f"{key}: give a list of names")
     if len(set(names)) < len(names):
-        raise ConfigError(f"{key}: a name stands twice")
+        raise ConfigError(f"{key}: a name is given twice")
     return names
 
 
-def parse_milliseconds(document: dict[str, Any], key: str, default: float, low: float, high: float) -> float:
-    """Return a duration in ms within a range, or the default if the key is missing."""
+def parse_milliseconds(document: Document, key: str, default: float, low: float, high: float) -> float:
+    """Return a duration in ms from `low` to `high`, or the default if the key is missing."""
     value = document.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
         raise ConfigError(f"{key}: give milliseconds from {low:g} to {high:g}")
     return float(value)
 
 
-def parse_count(document: dict[str, Any], key: str, high: int) -> int:
+def parse_count(document: Document, key: str, high: int) -> int:
     """Return a whole number from 0 to `high`; 0 if the key is missing."""
     value = document.get(key, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= high:
@@ -82,7 +83,7 @@
 
 
 def parse_address_entry(key: str, value: object) -> Address:
-    """Return the HOST:PORT under a key of a table.
+    """Return the address that is given as HOST:PORT; errors name the key.
 
     >>> parse_address_entry("peers.a", "127.0.0.1:1")
     Address(host='127.0.0.1', port=1)
--- a/lotusroute/errors.py
+++ b/lotusroute/errors.py
@@ -1,15 +1,16 @@
-"""The exceptions that lotusroute raises for input that it cannot use.
+"""The base classes of the exceptions that lotusroute raises.
 
-Each message names the key or value at fault and can be shown to an operator as it is.
+Each message names the key or value at fault and can be shown to an operator unchanged. Packages define more
+specific types in modules of their own.
 """
 
 
 class LotusrouteError(Exception):
-    """Base class of all errors that this package raises on purpose."""
+    """Base class of all errors that this package raises itself."""
 
 
 class InvalidValueError(LotusrouteError):
-    """A value cannot be used where it was read; the message says where and why."""
+    """A value that was read cannot be used; the message says where it was read and why it is invalid."""
 
 
 class ConfigError(InvalidValueError):
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -1,7 +1,7 @@
-"""Checks the lease invariants against the log records of a fleet and the faults injected into it.
+"""Checks the lease invariants in the log records of a fleet, with the faults injected into it.
 
-At most one process holds a task at any time, and fencing tokens grow from one holder to the next. Times are
-seconds of the clock of the process that reads the logs.
+At most one process holds the lease on a task at any time, and fencing tokens grow from one holder to the
+next. Times are seconds of the clock of the process that reads the logs.
 """
 
 from typing import NamedTuple
@@ -9,21 +9,21 @@
 from lotusroute.errors import LotusrouteError
 from lotusroute.fault_injection.processes import INJECTOR, LogRecord
 
-MAX_READ_DELAY = 0.25  # s from writing a record to reading it on a busy machine; 0.02 was measured
-CONTEXT_RECORDS = 20  # records shown with a violation
+MAX_READ_DELAY_S = 0.25  # from writing a record to reading it, on a busy machine
+CONTEXT_RECORDS = 20  # shown with a violation
 
 
 class InvariantViolationError(LotusrouteError):
-    """A model checker found a state in which an invariant does not hold; the message says which."""
+    """A model checker found a state that violates an invariant; the message says which."""
 
 
 class Violation(NamedTuple):
-    """A violation of an invariant that was found in log records."""
+    """A violation of an invariant in log records."""
 
     task: str
     time: float
     description: str
-    context: tuple[LogRecord, ...]  # the last records up to it
+    context: tuple[LogRecord, ...]  # the last records, up to the one that shows it
 
     def __str__(self) -> str:
         lines = [f"{self.task} at {self.time:.3f} s: {self.description}"]
@@ -35,16 +35,16 @@
 def find_violations(records: list[LogRecord]) -> list[Violation]:
     """Return all violations, in the order of the records.
 
-    A process stops being a holder when it logs that it lost the lease, when it is killed, and while it is
-    paused: a paused process does nothing, and what it does once it continues is rejected by its fencing
-    token.
+    A process is not a holder any more when it logs that it lost the lease, or when it is killed. It does not
+    count as a holder while it is paused: it does nothing then, and the acts after its pause are rejected by
+    their fencing token.
 
     >>> def record(time, process, event, **fields):
     ...     return LogRecord(time, process, event, {"task": "t", **fields})
     >>> first = record(1.0, "a", "lease acquired", fencing_token="3")
     >>> second = record(2.0, "b", "lease acquired", fencing_token="4")
     >>> [str(violation).split(chr(10))[0] for violation in find_violations([first, second])]
-    ['t at 2.000 s: b holds under 4 beside a under 3']
+    ['t at 2.000 s: b (fencing token 4) and a (3) both hold the lease']
     >>> find_violations([first, record(1.9, "a", "lease lost"), second])
     []
     >>> paused = record(1.9, "injector", "stop", of="a")
@@ -58,7 +58,7 @@
 
 
 class _LeaseChecker:
-    """The holders after each record, and the violations found so far."""
+    """The holders after the records checked so far, and the violations in them."""
 
     def __init__(self, records: list[LogRecord]) -> None:
         self.records = records
@@ -68,7 +68,7 @@
         self.paused: set[str] = set()  # processes
 
     def check(self, index: int) -> None:
-        """Check the record at an index, after all before it."""
+        """Check the record at an index; all records before it have been checked."""
         record = self.records[index]
         task = record.fields.get("task", "")
         if record.process == INJECTOR:
@@ -96,16 +96,20 @@
         for other, other_token in tokens.items():
             ignored = other == process or other in self.paused or self._loses_lease_soon(other, task, index)
             if not ignored:
-                self._report(index, task, f"{process} holds under {token} beside {other} under {other_token}")
+                self._report(
+                    index,
+                    task,
+                    f"{process} (fencing token {token}) and {other} ({other_token}) both hold the lease",
+                )
         highest = self.highest_tokens.get(task, 0)
         if token <= highest:
-            self._report(index, task, f"{process} holds under {token} after {highest}")
+            self._report(index, task, f"{process} has fencing token {token}, not higher than {highest}")
         self.highest_tokens[task] = max(token, highest)
         tokens[process] = token
 
     def _loses_lease_soon(self, process: str, task: str, index: int) -> bool:
-        """Whether the loss of the lease was read only a little later than the next holder's record."""
-        deadline = self.records[index].time + MAX_READ_DELAY
+        """Return whether the loss of the lease was read shortly after the record of the next holder."""
+        deadline = self.records[index].time + MAX_READ_DELAY_S
         return any(
             (record.process, record.event) == (process, "lease lost")
             and record.fields.get("task") == task
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -1,11 +1,11 @@
 """Model of the lease protocol for the model checker: pure proposers and acceptors, a network and a clock.
 
-Messages are delayed, lost, duplicated and reordered; processes crash, stall and have drifting clocks. Each
-state is checked against the invariants: at most one holder at any time, and fencing tokens that only grow.
+Messages are delayed, lost, duplicated and reordered. Processes crash and stall, and their clocks drift. Two
+invariants are checked in each state: at most one proposer holds the lease, and fencing tokens only grow.
 
-Real time advances in steps. Acceptors' clocks run fast and proposers' slow, both at the limit of the drift:
-the worst case for a lease. A proposer reads its clock only when it is ticked or receives a message; otherwise
-it is stalled, and its next act belongs to the past. Every promised ballot is persisted.
+Real time advances in steps. The clocks of acceptors are fast and those of proposers slow, both at the limit
+of the drift, which is the worst case for a lease. A proposer reads its clock only when it is ticked or
+receives a message; at all other times it is stalled. Every promised ballot is persisted.
 """
 
 import random
@@ -28,14 +28,14 @@
 )
 from lotusroute.leases.proposer import Proposer, ProposerState
 
-STEP = 500.0  # ms of real time per step: six are a lease, so that few steps reach its end
+STEP_MS = 500.0  # of real time; a lease ends after six steps
 TASK = "task"
-MAX_IN_FLIGHT = 16  # messages; beyond that the oldest is lost
-DRIFT = 0.2  # far more than real clocks have, so that it shows in whole steps
+MAX_IN_FLIGHT = 16  # messages; the oldest is lost if there are more
+DRIFT_FRACTION = 0.2  # far more than real clocks have, so that it makes a difference of whole steps
 
 
 class LowerBoundRng(random.Random):
-    """Samples the lower bound: the checker explores interleavings, not backoffs."""
+    """Always returns the lower bound, because the checker explores interleavings and not backoffs."""
 
     def uniform(self, a: float, b: float) -> float:
         """Return the lower bound."""
@@ -45,25 +45,28 @@
 LOWER_BOUND_RNG = LowerBoundRng()
 
 
+NO_TARGET = -1
+
+
 class TransitionKind(StrEnum):
-    """What can happen next."""
+    """The kind of a transition; the values are shown in counterexamples."""
 
-    ADVANCE_TIME = "time"
-    TICK = "look"
+    ADVANCE_TIME = "advance time"
+    TICK = "tick"
     DELIVER = "deliver"
-    DUPLICATE = "double"  # deliver a message that stays in flight
-    CRASH_ACCEPTOR = "crash keeper"
-    CRASH_PROPOSER = "crash asker"
+    DUPLICATE = "duplicate"  # deliver a message that stays in flight
+    CRASH_ACCEPTOR = "crash acceptor"
+    CRASH_PROPOSER = "crash proposer"
 
 
 class Transition(NamedTuple):
     """A transition of the model."""
 
     kind: TransitionKind
-    target: int = -1  # index of the process or of the message in flight that it is about
+    target: int = NO_TARGET  # index of the process, or of the message in flight
 
     def __repr__(self) -> str:
-        if self.target < 0:
+        if self.target == NO_TARGET:
             return f"({self.kind.value!r},)"
         return f"({self.kind.value!r}, {self.target})"
 
@@ -81,7 +84,7 @@
 
     proposer: int
     acceptor: int
-    proposer_name: str  # of the incarnation that it is for
+    proposer_name: str  # of the incarnation that it is sent to
     event: ReplyReceived | LeaseReleased
 
 
@@ -109,8 +112,8 @@
     acceptors: tuple[AcceptorSnapshot, ...]
     proposers: tuple[ProposerSnapshot, ...]
     in_flight: tuple[RequestInFlight | EventInFlight, ...]  # oldest first
-    fencing_token: int  # the highest of any holder
-    holder: str  # who had it
+    fencing_token: int  # the highest of all holders
+    holder: str  # the proposer that had it
     duplicates: int  # messages that may still be duplicated
     crashes: int  # processes that may still crash
 
@@ -124,14 +127,14 @@
         acceptors: int = 3,
         duplicates: int = 1,
         crashes: int = 1,
-        drift: float = DRIFT,
-        known_drift: float = DRIFT,
+        drift: float = DRIFT_FRACTION,
+        known_drift: float = DRIFT_FRACTION,
     ) -> None:
         """`known_drift` is the drift that the lease terms allow for."""
         names = tuple(f"k{index}" for index in range(acceptors))
-        # As in production, except for durations that would only add steps.
+        # The defaults, except for durations that would only add steps.
         self.terms = LeaseTerms(
-            names, drift=known_drift, margin=0.0, request_timeout=2 * STEP, stall_threshold=8 * STEP
+            names, drift=known_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
         )
         self.fast = 1 + drift
         self.slow = 1 - drift
@@ -204,7 +207,10 @@
         return state
 
     def _crash_acceptor(self, state: ModelState, index: int) -> ModelState:
-        """Lose the acceptor's memory but not its disk; it restarts at once, which is the worst case."""
+        """Restart an acceptor, which loses its memory but not its disk.
+
+        It restarts at once, which is the worst case.
+        """
         before = state.acceptors[index]
         persisted = max([before.ballot_floor, *(entry.promised for _, entry in before.states)])
         acceptor = Acceptor(self.terms, self._acceptor_clock(state), persisted)
@@ -212,7 +218,7 @@
         return self._store_acceptor(state, index, acceptor)
 
     def _crash_proposer(self, state: ModelState, index: int) -> ModelState:
-        """Restart the proposer under the name of its next incarnation."""
+        """Restart a proposer under the name of its next incarnation."""
         name, incarnation = state.proposers[index].name.split(".")
         proposer = Proposer(f"{name}.{int(incarnation) + 1}", self.terms, LOWER_BOUND_RNG)
         actions = proposer.handle(self._proposer_clock(state), RequestLease(TASK))
@@ -220,9 +226,11 @@
         return self._store_proposer(state, index, proposer, actions)
 
     def _deliver(self, state: ModelState, message: RequestInFlight | EventInFlight) -> ModelState:
-        if isinstance(message, RequestInFlight):
-            return self._deliver_request(state, message)
-        return self._deliver_event(state, message)
+        match message:
+            case RequestInFlight():
+                return self._deliver_request(state, message)
+            case EventInFlight():
+                return self._deliver_event(state, message)
 
     def _deliver_request(self, state: ModelState, message: RequestInFlight) -> ModelState:
         index = message.acceptor
@@ -246,12 +254,12 @@
     # Clocks
 
     def _acceptor_clock(self, state: ModelState) -> float:
-        return state.now * STEP * self.fast
+        return state.now * STEP_MS * self.fast
 
     def _proposer_clock(self, state: ModelState) -> float:
-        return state.now * STEP * self.slow
+        return state.now * STEP_MS * self.slow
 
-    # Restoring the state machines from snapshots, and back
+    # Conversion of snapshots to state machines and back
 
     def _restore_acceptor(self, state: ModelState, index: int) -> Acceptor:
         snapshot = state.acceptors[index]
@@ -286,11 +294,12 @@
         )
         in_flight = list(state.in_flight)
         for action in actions:
-            if isinstance(action, LeaseAcquired):
-                state = self._record_holder(state, proposer.name, action.fencing_token)
-            elif isinstance(action, SendRequest):
-                acceptor = self.terms.acceptors.index(action.acceptor)
-                in_flight.append(RequestInFlight(acceptor, index, action.request))
+            match action:
+                case LeaseAcquired(_, fencing_token):
+                    state = self._record_holder(state, proposer.name, fencing_token)
+                case SendRequest(acceptor, request):
+                    acceptor_index = self.terms.acceptors.index(acceptor)
+                    in_flight.append(RequestInFlight(acceptor_index, index, request))
         proposers = (*state.proposers[:index], snapshot, *state.proposers[index + 1 :])
         return state._replace(proposers=proposers, in_flight=tuple(in_flight[-MAX_IN_FLIGHT:]))
 
@@ -301,7 +310,8 @@
         """Check that fencing tokens increase from one holder to the next."""
         if fencing_token <= state.fencing_token and name != state.holder:
             raise InvariantViolationError(
-                f"{name} holds under {fencing_token}, not over {state.fencing_token} of {state.holder}"
+                f"{name} acquired the lease with fencing token {fencing_token}, "
+                f"which is not higher than {state.fencing_token} of {state.holder}"
             )
         return state._replace(fencing_token=max(fencing_token, state.fencing_token), holder=name)
 
@@ -310,4 +320,4 @@
         now = self._proposer_clock(state)
         holders = [proposer.name for proposer in state.proposers if proposer.state.holds(now)]
         if len(holders) > 1:
-            raise InvariantViolationError(f"{' and '.join(holders)} hold at step {state.now}")
+            raise InvariantViolationError(f"{' and '.join(holders)} hold the lease at step {state.now}")
--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -1,5 +1,6 @@
 """Model checker of the lease protocol: explores the states of `LeaseModel` at random or breadth first.
 
+Examples:
 python -m lotusroute.fault_injection.lease_model_checker --walks 20000 --seed 1
 python -m lotusroute.fault_injection.lease_model_checker --search 200000
 """
@@ -20,6 +21,7 @@
 )
 
 WALK_LENGTH = 120  # transitions of a random walk
+SHOWN_TRANSITIONS = 20  # the last ones before a violation
 
 
 def random_walk(model: LeaseModel, rng: random.Random, length: int) -> int:
@@ -27,8 +29,8 @@
     state = model.initial
     taken: list[Transition] = []
     fencing_tokens = set()
-    # Each walk has its own conditions: fast and slow networks, many crashes and none. Time passes seldom
-    # compared with messages, or no proposer would ever win a majority.
+    # Each walk has weights of its own, so that networks are fast or slow and crashes frequent or rare. Time
+    # advances less often than messages are delivered; otherwise no proposer would win a majority.
     weights = {
         TransitionKind.ADVANCE_TIME: rng.choice((0.3, 1.0, 2.0)),
         TransitionKind.TICK: rng.choice((0.5, 2.0)),
@@ -45,7 +47,7 @@
             fencing_tokens.add(state.fencing_token)
     except InvariantViolationError as violation:
         raise InvariantViolationError(
-            f"{violation}; after {len(taken)} moves, the last {taken[-20:]}"
+            f"{violation}; after {len(taken)} transitions, the last are {taken[-SHOWN_TRANSITIONS:]}"
         ) from None
     return len(fencing_tokens) - 1
 
@@ -53,9 +55,9 @@
 class SearchResult(NamedTuple):
     """The extent of a search."""
 
-    states: int
-    depth: int
-    exhaustive: bool  # all reachable states were visited
+    states: int  # visited
+    depth: int  # transitions from the initial state
+    exhaustive: bool  # whether all reachable states were visited
 
 
 def search(model: LeaseModel, max_states: int) -> SearchResult:
@@ -72,7 +74,7 @@
                 next_state = model.apply(state, transition)
             except InvariantViolationError as violation:
                 raise InvariantViolationError(
-                    f"{violation}; after {len(next_path)} moves {next_path}"
+                    f"{violation}; after {len(next_path)} transitions {next_path}"
                 ) from None
             if next_state in seen:
                 continue
@@ -86,48 +88,57 @@
 def run_search(model: LeaseModel, max_states: int, started: float) -> None:
     """Search, and print the extent."""
     result = search(model, max_states)
-    extent = "all" if result.exhaustive else "cut off there"
+    extent = "exhaustive" if result.exhaustive else "cut off"
     print(
-        f"search: {result.states} states, {result.depth} moves deep, {extent}, "
-        f"{time.monotonic() - started:.1f} s, no breach"
+        f"search: {result.states} states, {result.depth} transitions deep, {extent}, "
+        f"{time.monotonic() - started:.1f} s, no violation"
     )
 
 
 def run_walks(model: LeaseModel, walks: int, length: int, seed: int, started: float) -> None:
-    """Take random walks, and print how many holders they saw."""
+    """Take random walks, and print the number of changes of holder."""
     rng = random.Random(seed)
     changes = sum(random_walk(model, rng, length) for _ in range(walks))
     print(
-        f"walks: {walks} of {length} moves, {changes} hand-overs, "
-        f"{time.monotonic() - started:.1f} s, no breach"
+        f"walks: {walks} of {length} transitions, {changes} changes of holder, "
+        f"{time.monotonic() - started:.1f} s, no violation"
     )
 
 
+OLDER_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden, as scripts may use them
+
+
 def create_parser() -> argparse.ArgumentParser:
     """Create the parser of the command line."""
     parser = argparse.ArgumentParser(
-        description="Try interleavings of the lease machines and judge each state.",
-        epilog="example: python -m lotusroute.fault_injection.lease_model_checker --walks 20000 --askers 3",
+        description="Explore interleavings of the lease protocol and check the invariants in each state.",
+        epilog="example: python -m lotusroute.fault_injection.lease_model_checker --walks 500 --proposers 3",
     )
-    parser.add_argument("--walks", type=int, default=0, help="random interleavings to try")
-    parser.add_argument("--length", type=int, default=WALK_LENGTH, help="transitions of each")
-    parser.add_argument("--seed", type=int, default=1, help="of the random walks")
+    parser.add_argument("--walks", type=int, default=0, help="number of random walks")
+    parser.add_argument("--length", type=int, default=WALK_LENGTH, help="transitions of each walk")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the random walks")
     parser.add_argument(
-        "--search", type=int, default=0, metavar="STATES", help="visit all states up to so many"
+        "--search",
+        type=int,
+        default=0,
+        metavar="STATES",
+        help="visit all states breadth first, up to this number",
     )
-    parser.add_argument("--askers", type=int, default=2, help="number of proposers")
-    parser.add_argument("--keepers", type=int, default=3, help="number of acceptors")
+    parser.add_argument("--proposers", type=int, default=2, help="number of proposers")
+    parser.add_argument("--acceptors", type=int, default=3, help="number of acceptors")
     parser.add_argument("--crashes", type=int, default=1, help="processes that crash in one interleaving")
+    for older, current in OLDER_OPTIONS.items():
+        parser.add_argument(older, dest=current, type=int, default=argparse.SUPPRESS, help=argparse.SUPPRESS)
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the checker; 0 if no invariant was violated, 1 otherwise, 2 on wrong usage."""
+    """Run the checker; return 0 if no invariant was violated, otherwise 1. Exits with 2 on wrong usage."""
     parser = create_parser()
     options = parser.parse_args(arguments)
     if not options.walks and not options.search:
         parser.error("nothing to do: give --walks N or --search STATES")
-    model = LeaseModel(options.askers, options.keepers, crashes=options.crashes)
+    model = LeaseModel(options.proposers, options.acceptors, crashes=options.crashes)
     started = time.monotonic()
     try:
         if options.search:
@@ -135,7 +146,7 @@
         if options.walks:
             run_walks(model, options.walks, options.length, options.seed, started)
     except InvariantViolationError as violation:
-        print(f"explorer: breach: {violation}", file=sys.stderr)
+        print(f"violation: {violation}", file=sys.stderr)
         return 1
     return 0
 
--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -1,7 +1,7 @@
-"""The acceptor's file on disk: the ballot below which it may have promised any.
+"""The acceptor's file on disk, which holds a ballot: every ballot below it may have been promised.
 
-The file has one line, the ballot and its CRC-32 in hexadecimal. Calls block on the disk: after the start they
-belong on a thread, not on the reactor.
+The file has one line, the ballot and its CRC-32 in hexadecimal. Calls block on the disk. After the start of
+the process they have to be made on a thread, not on the reactor.
 """
 
 import os
@@ -10,20 +10,26 @@
 
 from lotusroute.errors import ConfigError
 
-FILE = "promised"  # in the state directory
+FILE_NAME = "promised"  # in the state directory
 
 
-def _checksum(text: str) -> str:
-    return f"{zlib.crc32(text.encode()):08x}"
+class CorruptBallotFileError(ConfigError):
+    """The acceptor's file does not hold a ballot with its checksum."""
+
+    def __init__(self, path: pathlib.Path) -> None:
+        super().__init__(
+            f"{path}: corrupt; restore a backup, or remove it while no process of the fleet is running"
+        )
+        self.path = path
 
 
 def load(state_dir: str | os.PathLike[str]) -> int:
     """Read the persisted ballot; 0 if there is no file yet.
 
-    Raises ConfigError for an unreadable or corrupt file: an acceptor that took it for a missing one could
-    promise a ballot twice.
+    Raises `ConfigError` for an unreadable or corrupt file, because an acceptor that treated it as missing
+    could promise a ballot twice.
     """
-    path = pathlib.Path(state_dir, FILE)
+    path = pathlib.Path(state_dir, FILE_NAME)
     try:
         text = path.read_text(encoding="ascii")
     except FileNotFoundError:
@@ -32,16 +38,14 @@
         raise ConfigError(f"{path}: {error}") from None
     ballot, _, checksum = text.strip().partition(" ")
     if not ballot.isdecimal() or checksum != _checksum(ballot):
-        raise ConfigError(
-            f"{path}: spoilt; put back a copy, or remove it while no balancer of the fleet runs"
-        )
+        raise CorruptBallotFileError(path)
     return int(ballot)
 
 
 def store(state_dir: str | os.PathLike[str], ballot: int) -> None:
-    """Write the ballot and wait for the disk; after a crash at any moment the old or the new one is there."""
+    """Write the ballot durably; after a crash at any moment the file holds the old ballot or the new one."""
     text = str(ballot)
-    path = pathlib.Path(state_dir, FILE)
+    path = pathlib.Path(state_dir, FILE_NAME)
     temporary = path.with_suffix(".new")
     with open(temporary, "w", encoding="ascii") as file:
         file.write(f"{text} {_checksum(text)}\n")
@@ -58,3 +62,7 @@
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
+
+
+def _checksum(text: str) -> str:
+    return f"{zlib.crc32(text.encode()):08x}"
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -1,14 +1,16 @@
 """The fleet's configuration file, `deploy/fleet.toml`, named by the environment variable LB_FLEET.
 
-Reads and checks the file and applies defaults. Every error is a `ConfigError` that names the file, the key
-and the correction.
+The file is validated and defaults are applied. Every error is a `ConfigError` that names the file, the key
+and the correction. The keys `keepers`, `term_ms` and `guests` are older words for acceptors, maximum tenure
+and subscribers.
 """
 
 import os
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from lotusroute.address import Address
 from lotusroute.config_validation import (
+    Document,
     check_known_keys,
     load_toml_config,
     parse_address_entry,
@@ -18,42 +20,37 @@
     parse_name_list,
 )
 from lotusroute.errors import ConfigError
-from lotusroute.leases.messages import LEASE_DURATION, MAX_TENURE, LeaseTerms
-
-ACCEPTOR_COUNTS = (
-    3,
-    5,
-    7,
-)  # an even number tolerates no more failures than the odd one below, at more messages
-LEASE_DURATION_LIMITS = (
-    500.0,
-    60_000.0,
-)  # ms: a stall ends shorter leases; longer ones mean minutes of failure
-MAX_TENURE_LIMITS = 1_000.0, 1e9  # ms
-TASKS = ("watch", "cold", "check", "origin")  # the tasks that a balancer may request
-MAX_PEERS = 1_024  # balancers of one fleet: each keeps connections to the acceptors only
-MAX_SUBSCRIBERS = 4_096  # connections of processes that are not peers: each occupies a descriptor
+from lotusroute.leases.messages import LEASE_DURATION_MS, MAX_TENURE_MS, LeaseTerms
+
+ACCEPTOR_COUNTS = (3, 5, 7)  # an even number tolerates no more failures than the odd number below it
+SHORTEST_LEASE_MS = 500.0  # a stall of the holder ends a shorter lease
+LONGEST_LEASE_MS = 60_000.0  # the time for which a task may have no holder after a failure
+SHORTEST_MAX_TENURE_MS = 1_000.0
+LONGEST_MAX_TENURE_MS = 1e9
+TASKS = ("watch", "cold", "check", "origin")  # the tasks that a process may request
+MAX_PEERS = 1_024  # processes of one fleet; each is connected to the acceptors only
+MAX_SUBSCRIBERS = 4_096  # each connection of a process that is not a peer occupies a descriptor
 KEYS = {"name", "state", "keepers", "tasks", "lease_ms", "term_ms", "peers", "guests"}
 
 
 class FleetConfig(NamedTuple):
-    """The fleet as configured at one balancer."""
+    """The fleet as configured at one process."""
 
-    name: str  # of the fleet: connections of processes that name another are rejected
-    state_dir: str  # directory that outlives the process; empty if this balancer stores nothing
-    peers: dict[str, Address]  # by the balancer's name, the address at which this balancer reaches it
+    name: str  # of the fleet; connections of processes of another fleet are rejected
+    state_dir: str  # persistent directory of the acceptor; empty if this process is not an acceptor
+    peers: dict[str, Address]  # by name, the address at which this process reaches the peer
     tasks: tuple[str, ...]
     terms: LeaseTerms
-    max_subscribers: int = 0  # processes that may connect without being peers: subscribers of a relay
+    max_subscribers: int = 0  # relay subscribers, which may connect without being peers
 
 
 def load_fleet_config(path: str | os.PathLike[str]) -> FleetConfig:
-    """Read and check the file."""
+    """Read and validate the file."""
     return load_toml_config("LB_FLEET", path, parse_fleet_config)
 
 
-def parse_fleet_config(document: dict[str, Any]) -> FleetConfig:
-    """Check the parsed file.
+def parse_fleet_config(document: Document) -> FleetConfig:
+    """Validate the parsed file.
 
     >>> peers = {"a": "127.0.0.1:1", "b": "127.0.0.1:2"}
     >>> parse_fleet_config({"name": "f", "keepers": ["a", "b", "c"], "peers": peers})
@@ -73,14 +70,14 @@
     return FleetConfig(name, state_dir, peers, tuple(tasks), terms, max_subscribers)
 
 
-def _parse_state_dir(document: dict[str, Any]) -> str:
+def _parse_state_dir(document: Document) -> str:
     state_dir = document.get("state", "")
     if not isinstance(state_dir, str):
-        raise ConfigError("state: give the path of a folder")
+        raise ConfigError("state: give the path of a directory")
     return state_dir
 
 
-def _parse_peers(document: dict[str, Any]) -> dict[str, Address]:
+def _parse_peers(document: Document) -> dict[str, Address]:
     table = document.get("peers")
     if not isinstance(table, dict) or not 0 < len(table) <= MAX_PEERS:
         raise ConfigError(f'peers: give 1 to {MAX_PEERS} balancers, each as NAME = "HOST:PORT"')
@@ -101,7 +98,11 @@
             raise ConfigError(f"tasks: '{task}' is none of {', '.join(TASKS)}")
 
 
-def _parse_terms(document: dict[str, Any], acceptors: list[str]) -> LeaseTerms:
-    lease_duration = parse_milliseconds(document, "lease_ms", LEASE_DURATION, *LEASE_DURATION_LIMITS)
-    max_tenure = parse_milliseconds(document, "term_ms", MAX_TENURE, *MAX_TENURE_LIMITS)
+def _parse_terms(document: Document, acceptors: list[str]) -> LeaseTerms:
+    lease_duration = parse_milliseconds(
+        document, "lease_ms", LEASE_DURATION_MS, SHORTEST_LEASE_MS, LONGEST_LEASE_MS
+    )
+    max_tenure = parse_milliseconds(
+        document, "term_ms", MAX_TENURE_MS, SHORTEST_MAX_TENURE_MS, LONGEST_MAX_TENURE_MS
+    )
     return LeaseTerms(tuple(acceptors), lease_duration=lease_duration, max_tenure=max_tenure)
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -1,9 +1,9 @@
 """The leased task `watch`: one balancer polls discovery and sends each update to all others.
 
 The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
-discovery themselves once no message has come for `HOLDER_TIMEOUT`, or while the holder has a newer version
+discovery themselves once no message has come for `HOLDER_TIMEOUT_MS`, or while the holder has a newer version
 than they do. Updates under a lower fencing token than one seen are rejected, and a holder that discovery does
-not answer stays silent. `Discovery` uses it as an `UpdateSource`.
+not answer sends no heartbeats. `Discovery` uses it as an `UpdateSource`. Times are in milliseconds.
 """
 
 from typing import Any
@@ -20,12 +20,12 @@
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
-HEARTBEAT_INTERVAL = 0.4  # s; three fit into HOLDER_TIMEOUT, so that a lost one does no harm
-HOLDER_TIMEOUT = 1_500.0  # ms without a message until a balancer polls itself: within the 2 s for a drain
-# ms after discovery's last answer in which the holder sends heartbeats
-MAX_ANSWER_AGE = LONG_POLL_HOLD_MS + 1_000.0
-MAX_SEND_DURATION = 50.0  # ms that sending takes at most: so much of the lease must be left
-NEVER = -1e12  # ms, a time before any other
+HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that a lost one does no harm
+# A balancer polls itself after this time without a message; it leaves time for a drain's limit of 2 s.
+HOLDER_TIMEOUT_MS = 1_500.0
+MAX_ANSWER_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # of discovery's last answer, for heartbeats to be sent
+MAX_SEND_DURATION_MS = 50.0  # so much of the lease must be left to send
+NEVER_MS = -1e12  # a time before any other
 NO_SEQ = -1
 
 
@@ -37,11 +37,11 @@
     seq: int  # the version that the holder has
     since: int = NO_SEQ  # the version that `entries` are changes to; NO_SEQ if complete, or a heartbeat
     complete: bool = False
-    entries: list | None = None  # discovery's entries; None in a heartbeat
+    entries: list[dict[str, Any]] | None = None  # discovery's entries; None in a heartbeat
 
 
 class SharedDiscovery:
-    """One balancer's part in the task, as holder or as follower."""
+    """The task in one balancer, which is the holder or a follower."""
 
     def __init__(self, lease_service: LeaseService) -> None:
         self.lease_service = lease_service
@@ -50,19 +50,19 @@
         self.discovery: DiscoveryClient | None = None  # the current one; replaced at a reload
         self.fencing_token = 0  # while this balancer holds the task
         self.highest_fencing_token = 0  # of the messages accepted so far
-        self.last_update_at = NEVER  # ms, when a message was last accepted
+        self.last_update_at = NEVER_MS  # ms, when a message was last accepted
         self.holder_seq = NO_SEQ  # the version that the holder had at its last message
-        self.answered_at = NEVER  # ms, when discovery last answered this balancer
+        self.answered_at = NEVER_MS  # ms, when discovery last answered this balancer
         self.waiting: defer.Deferred[None] | None = None
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
-    # The UpdateSource of the discovery client
+    # The interface `UpdateSource` of the discovery client
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
-        """Wait until this balancer has to poll discovery itself, or this discovery is closed."""
+        """Wait until this balancer has to poll discovery itself, or the discovery client is closed."""
         while not (self.fencing_token or self._behind() or discovery.closed):
-            remaining = self.last_update_at + HOLDER_TIMEOUT - self.lease_service.clock()
+            remaining = self.last_update_at + HOLDER_TIMEOUT_MS - self.lease_service.clock()
             if remaining <= 0:
                 break
             self.waiting = defer.Deferred()
@@ -73,7 +73,7 @@
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
-        """Make a pending `wait_until_poll_due` check again whether to poll."""
+        """Make a pending `wait_until_poll_due` evaluate its condition again."""
         waiting = self.waiting
         self.waiting = None
         if waiting is not None:
@@ -84,9 +84,9 @@
         return (self.lease_service.clock() - self.last_update_at) / 1000
 
     def on_response(self, answer: dict[str, Any], since: int | None) -> None:
-        """Send discovery's answer to the others, if this balancer is the holder."""
+        """Send an answer of discovery to the others, if this balancer is the holder."""
         self.answered_at = self.lease_service.clock()
-        if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
+        if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             return
         if answer["hosts"] or answer["whole"]:
             self._broadcast(
@@ -101,13 +101,13 @@
             )
 
     def on_failure(self) -> None:
-        """Stop the heartbeats after a failed poll until the next answer: the others poll themselves."""
-        self.answered_at = NEVER
+        """Stop the heartbeats until discovery's next answer, so that the others poll themselves."""
+        self.answered_at = NEVER_MS
 
     # The holder
 
     def on_lease_changed(self, task: str, fencing_token: int) -> None:
-        """Start or stop sending, as this balancer acquires or loses the lease."""
+        """Start sending when this balancer acquires the lease, stop when it loses the lease."""
         if task != TASK:
             return
         self.fencing_token = fencing_token
@@ -118,20 +118,20 @@
             self._send_heartbeat(fencing_token)
 
     def _send_heartbeat(self, fencing_token: int) -> None:
-        """Send heartbeats for as long as this lease is held."""
+        """Send a heartbeat, and repeat it while the lease under this token is held."""
         if fencing_token != self.fencing_token:
             return
-        self.reactor.callLater(HEARTBEAT_INTERVAL, self._send_heartbeat, fencing_token)
+        self.reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat, fencing_token)
         if self.discovery is None or self.discovery.seq is None:
             return
-        fresh = self.lease_service.clock() - self.answered_at < MAX_ANSWER_AGE
-        if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION):
+        fresh = self.lease_service.clock() - self.answered_at < MAX_ANSWER_AGE_MS
+        if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             self._broadcast(SharedUpdate(fencing_token, self.discovery.base, self.discovery.seq))
 
     def _broadcast(self, update: SharedUpdate) -> None:
         body = msgspec.msgpack.encode(update)
         if len(body) > MAX_BODY_BYTES:
-            # The version in the next heartbeat makes the others poll.
+            # The next heartbeat carries the new version, which makes the others poll.
             self.counters["shared_discovery_oversized"] += 1
             return
         self.counters["shared_discovery_sent"] += 1
@@ -139,7 +139,7 @@
             self.lease_service.transport.call(peer, TASK, body).addErrback(self._on_send_failed)
 
     def _on_send_failed(self, failure: Failure) -> None:
-        """Count an update that did not arrive; its receiver will poll."""
+        """Count an update that was not delivered; its receiver polls discovery."""
         failure.trap(CallError)
         self.counters["shared_discovery_unsent"] += 1
 
@@ -166,14 +166,14 @@
         return b""
 
     def _apply(self, discovery: DiscoveryClient, update: SharedUpdate) -> None:
-        """Hand the update to discovery, which checks it like an answer of its own."""
+        """Pass the update to the discovery client, which validates it like an answer to its own poll."""
         answer = {"seq": update.seq, "whole": update.complete, "hosts": update.entries}
         since = None if update.since < 0 else update.since
         applied = discovery.apply_shared_update(answer, since)
         self.counters["shared_discovery_applied"] += applied
 
     def _behind(self) -> bool:
-        """Whether the holder has a version that has not arrived here."""
+        """Return whether the holder has a newer version than this balancer."""
         if self.discovery is None or self.discovery.seq is None:
             return True
         return self.discovery.seq < self.holder_seq
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -1,8 +1,9 @@
 """The acceptor of the lease protocol: grants each task to one proposer at a time.
 
-Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds, sends the reply
-and persists ballots when told to. After a restart an acceptor has lost its state. It stays silent until every
-lease that it may have granted has expired, and promises no ballot below the persisted one.
+It is a pure state machine without I/O, clock or timers. The caller passes the time in milliseconds, sends
+the reply and persists ballots as the decision says. An acceptor that restarts has lost its state. It grants
+nothing until every lease that it may have granted has expired, and promises no ballot below the persisted
+one.
 """
 
 import math
@@ -18,37 +19,44 @@
     Reply,
 )
 
-MAX_WAITERS = 8  # proposers notified when a lease is released: one of them gets it, the others retry by timer
-MAX_TASKS = 256  # task names come from the program: more of them mean a defect or a malicious peer
-BALLOT_BLOCK = 1_024  # ballots persisted at a time: one write at a start and one in so many changes of holder
-BALLOT_LIMIT = 2**62  # a ballot beyond this is malicious: fencing tokens must be able to grow after it
+MAX_WAITERS = 8  # proposers notified of a release; the others retry by their timers
+MAX_TASKS = 256  # more tasks mean a defect or a malicious peer, for the program has only a few
+BALLOT_BLOCK = 1_024  # ballots persisted with one write
+BALLOT_LIMIT = 2**62  # higher ballots are rejected, so that fencing tokens can always grow
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor remembers of one task; times by its own clock."""
+    """What an acceptor stores about one task; times by its own clock."""
 
     promised: int = 0  # the highest ballot that it has promised
     ballot: int = 0  # of the last holder
     holder: str = ""
     expires_at: float = -math.inf
-    contended_at: float = -math.inf  # when a proposer other than the holder last asked for it
-    waiters: tuple[str, ...] = ()  # the latest MAX_WAITERS that were rejected; cleared when notified
+    contended_at: float = -math.inf  # when a proposer other than the holder last requested it
+    waiters: tuple[str, ...] = ()  # the last MAX_WAITERS proposers rejected; cleared when notified
 
 
 class PersistBallots(NamedTuple):
-    """Persist that any ballot below this one may have been promised."""
+    """Persist that every ballot below this one may have been promised."""
 
     below: int
 
 
 class AcceptorDecision(NamedTuple):
-    """The acceptor's reply to a request, and what the caller has to do besides sending it."""
+    """The acceptor's reply to a request, and what else the caller has to do."""
 
     reply: Reply
     persist: PersistBallots | None = None
     notify: tuple[str, ...] = ()  # waiting proposers to notify that the lease was released
 
 
+class AppliedRequest(NamedTuple):
+    """The result of a request about one task."""
+
+    state: AcceptorState
+    reply: Reply
+
+
 def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
     """Build the reply that accepts a request."""
     identity = (request.task, request.ballot, request.kind, request.round)
@@ -65,55 +73,56 @@
 
 def apply_request(
     state: AcceptorState, now: float, request: LeaseRequest, terms: LeaseTerms
-) -> tuple[AcceptorState, Reply]:
+) -> AppliedRequest:
     """Apply a request about one task; returns the task's new state and the reply.
 
-    The ballot that a majority has promised is the fencing token: each acceptor promises a ballot once and two
-    majorities share an acceptor, so that no two holders have the same token and the later one's is higher
-    (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
+    The ballot that a majority has promised is the fencing token. Each acceptor promises a ballot once, and
+    any two majorities have an acceptor in common. So no two holders have the same token, and the later holder
+    has the higher one (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
     """
-    if isinstance(request, Release):
-        return _apply_release(state, now, request)
-    if now < state.expires_at and state.holder != request.proposer:
-        # No promise either: it would end the holder's renewals here although nobody else gets the task.
-        return _reject_while_leased(state, now, request)
-    if isinstance(request, Prepare):
-        return _apply_prepare(state, request)
-    return _apply_propose(state, now, request, terms)
-
-
-def _apply_release(state: AcceptorState, now: float, request: Release) -> tuple[AcceptorState, Reply]:
+    match request:
+        case Release():
+            return _apply_release(state, now, request)
+        case _ if now < state.expires_at and state.holder != request.proposer:
+            # Not promised either: a promise would stop the holder's renewals, and nobody would get the task.
+            return _reject_while_leased(state, now, request)
+        case Prepare():
+            return _apply_prepare(state, request)
+        case Propose():
+            return _apply_propose(state, now, request, terms)
+
+
+def _apply_release(state: AcceptorState, now: float, request: Release) -> AppliedRequest:
     if state.holder == request.proposer and state.ballot == request.ballot:
         state = state._replace(expires_at=min(state.expires_at, now), waiters=())
-    return state, accept(request, highest_ballot=state.promised)
+    return AppliedRequest(state, accept(request, highest_ballot=state.promised))
 
 
-def _reject_while_leased(
-    state: AcceptorState, now: float, request: Prepare | Propose
-) -> tuple[AcceptorState, Reply]:
-    """Reject a request of another proposer than the holder, and remember that it is waiting."""
+def _reject_while_leased(state: AcceptorState, now: float, request: Prepare | Propose) -> AppliedRequest:
+    """Reject a request of a proposer other than the holder, and add that proposer to the waiters."""
     other_waiters = [name for name in state.waiters if name != request.proposer]
     waiters = (*other_waiters, request.proposer)[-MAX_WAITERS:]
     state = state._replace(contended_at=now, waiters=waiters)
     remaining = state.expires_at - now
     reply = reject(request, RejectReason.LEASED, highest_ballot=state.promised, remaining=remaining)
-    return state, reply
+    return AppliedRequest(state, reply)
 
 
-def _apply_prepare(state: AcceptorState, request: Prepare) -> tuple[AcceptorState, Reply]:
+def _apply_prepare(state: AcceptorState, request: Prepare) -> AppliedRequest:
     if request.ballot <= state.promised:
-        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+        return AppliedRequest(state, reply)
     state = state._replace(promised=request.ballot)
-    return state, accept(request, highest_ballot=state.promised)
+    return AppliedRequest(state, accept(request, highest_ballot=state.promised))
 
 
-def _apply_propose(
-    state: AcceptorState, now: float, request: Propose, terms: LeaseTerms
-) -> tuple[AcceptorState, Reply]:
+def _apply_propose(state: AcceptorState, now: float, request: Propose, terms: LeaseTerms) -> AppliedRequest:
     if request.ballot < state.promised:
-        return state, reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+        return AppliedRequest(state, reply)
     if not 0 < request.lease_duration <= terms.lease_duration:
-        return state, reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised)
+        reply = reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised)
+        return AppliedRequest(state, reply)
     contended = now - state.contended_at < terms.lease_duration
     state = state._replace(
         promised=request.ballot,
@@ -121,36 +130,39 @@
         holder=request.proposer,
         expires_at=now + request.lease_duration,
     )
-    return state, accept(request, highest_ballot=request.ballot, contended=contended)
+    reply = accept(request, highest_ballot=request.ballot, contended=contended)
+    return AppliedRequest(state, reply)
 
 
 class Acceptor:
     """The acceptor of one process, for all tasks."""
 
     def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
-        """Start with the persisted ballot: none below `ballot_floor` is promised again.
+        """Start with the persisted ballot: no ballot up to `ballot_floor` is promised again.
 
-        Earlier promises and grants are lost. New ballots start above the floor; earlier grants are waited
-        out, for as long as the longest of them lasts by this same clock.
+        The promises and grants of an earlier run are lost. New ballots start above the floor. The acceptor
+        serves only after the longest lease that it may have granted has expired by this same clock.
         """
         self.terms = terms
         self.serving_from = now + terms.lease_duration + terms.margin
         self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
-        self.persisted_below = ballot_floor  # ballots below it may be promised
+        self.persisted_below = ballot_floor  # ballots below this one may be promised
         self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
 
     def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
-        """Handle one request; a ballot that must be persisted first is rejected, and the proposer retries."""
+        """Handle one request.
+
+        A ballot that must be persisted first is rejected; the proposer retries after that.
+        """
         floor = self.ballot_floor
         if now < self.serving_from:
             remaining = self.serving_from - now
-            return AcceptorDecision(
-                reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
-            )
+            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
+            return AcceptorDecision(reply)
         if not 0 < request.ballot < BALLOT_LIMIT:
             return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
         if request.ballot >= self.persisted_below:
-            # A crash after an unpersisted promise would allow the same ballot twice.
+            # After a crash, a promise that was not persisted could be given a second time.
             reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
             return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
         before = self.states.get(request.task)
@@ -168,7 +180,10 @@
         self.persisted_below = max(self.persisted_below, below)
 
     def _evict_expired(self, now: float) -> bool:
-        """Forget the task that expired first; the floor keeps its ballots from being promised again."""
+        """Remove the task that expired first, if any has expired; return whether one was removed.
+
+        The floor prevents its ballots from being promised again.
+        """
         task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
         if state.expires_at + self.terms.lease_duration > now:
             return False
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -10,22 +10,15 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LEASE_DURATION = (
-    3_000.0  # ms without a holder after one is killed; a one-second stall would cost a shorter lease
-)
-CLOCK_DRIFT = 0.01  # maximum rate error of any clock, as a fraction: a hundred times what real clocks show
-SAFETY_MARGIN = (
-    50.0  # ms subtracted from the holder's end: one reactor iteration, to finish an act in progress
-)
-RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews: leaves time for two more attempts
-REQUEST_TIMEOUT = (
-    400.0  # ms to wait for acceptors: long paths and busy cores fit, and several fit into a lease
-)
-RETRY_BACKOFF = 100.0, 400.0  # ms, range of the random backoff that separates two competing proposers
-MAX_TENURE = 60_000.0  # ms after which a holder yields if another proposer asks for the task
-STALL_THRESHOLD = (
-    1_000.0  # ms between two events after which a holder assumes that it was stalled, and yields
-)
+LEASE_DURATION_MS = 3_000.0  # after a holder is killed, nobody holds its tasks for so long
+CLOCK_DRIFT_FRACTION = 0.01  # maximum rate error of any clock, far more than real clocks have
+SAFETY_MARGIN_MS = 50.0  # subtracted from the holder's duration, so that an act in progress can end
+RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews; two more attempts fit into the rest
+REQUEST_TIMEOUT_MS = 400.0  # for the replies of a majority of acceptors
+MIN_RETRY_BACKOFF_MS = 100.0  # the backoff is random, so that competing proposers separate
+MAX_RETRY_BACKOFF_MS = 400.0
+MAX_TENURE_MS = 60_000.0  # after which a holder yields if another proposer asks for the task
+STALL_THRESHOLD_MS = 1_000.0  # between two events, after which a holder yields because it was stalled
 
 
 class RequestKind(StrEnum):
@@ -39,27 +32,27 @@
 class RejectReason(StrEnum):
     """Why an acceptor rejects a request; the value is on the wire and part of a counter's name."""
 
-    NOT_READY = "silent"  # it restarted less than a lease ago, or the ballot is not persisted yet
+    NOT_READY = "silent"  # it started less than a lease ago, or the ballot is not persisted yet
     LEASED = "held"  # another proposer holds the lease here
     BALLOT_TOO_LOW = "low"  # it has promised an equal or higher ballot
     OUT_OF_RANGE = "long"  # ballot or lease duration outside the permitted range
-    TASK_LIMIT = "full"  # it tracks the maximum number of tasks already
+    TASK_LIMIT = "full"  # it already has the maximum number of tasks
 
 
 class LeaseTerms(NamedTuple):
-    """The parameters that every process of a fleet must agree on; durations in ms."""
+    """The parameters that all processes of a fleet must have in common; durations in ms."""
 
     acceptors: tuple[str, ...]
-    lease_duration: float = LEASE_DURATION
-    drift: float = CLOCK_DRIFT
-    margin: float = SAFETY_MARGIN
-    request_timeout: float = REQUEST_TIMEOUT
-    max_tenure: float = MAX_TENURE
-    stall_threshold: float = STALL_THRESHOLD
+    lease_duration: float = LEASE_DURATION_MS
+    drift: float = CLOCK_DRIFT_FRACTION
+    margin: float = SAFETY_MARGIN_MS
+    request_timeout: float = REQUEST_TIMEOUT_MS
+    max_tenure: float = MAX_TENURE_MS
+    stall_threshold: float = STALL_THRESHOLD_MS
 
     @property
     def majority(self) -> int:
-        """The quorum size: any two sets of so many acceptors share one.
+        """The quorum size: any two sets of this size have an acceptor in common.
 
         >>> LeaseTerms(("a", "b", "c")).majority, LeaseTerms(tuple("abcde")).majority
         (2, 3)
@@ -70,9 +63,9 @@
     def holder_duration(self) -> float:
         """How long a proposer may consider itself the holder, by its own clock, from before it proposed.
 
-        An acceptor counts the full lease from the arrival of the proposal, possibly by a fast clock: it
-        expires no sooner than lease_duration / (1 + drift). The proposer's clock may be slow, so that what it
-        measures as h lasts up to h / (1 - drift) (Gray and Cheriton 1989, section 5).
+        An acceptor counts the full lease from the arrival of the proposal. If its clock is fast, the lease
+        expires there after lease_duration / (1 + drift) of real time. If the proposer's clock is slow, what
+        it measures as h lasts h / (1 - drift) of real time (Gray and Cheriton 1989, section 5).
 
         >>> round(LeaseTerms(("a",), lease_duration=3_000.0, drift=0.01, margin=50.0).holder_duration, 1)
         2890.6
@@ -84,12 +77,12 @@
 
 
 class Prepare(NamedTuple):
-    """Phase 1: asks an acceptor to promise the ballot, that is to accept no lower one for the task."""
+    """Phase 1: asks an acceptor to promise the ballot, which means to accept no lower one for the task."""
 
     task: str
     ballot: int
     proposer: str
-    round: int  # counts the proposer's phases: a reply is valid only in the round that it answers
+    round: int  # counts the proposer's phases; a reply is valid only in the round of its request
 
     @property
     def kind(self) -> RequestKind:
@@ -98,7 +91,7 @@
 
 
 class Propose(NamedTuple):
-    """Phase 2: takes the lease under the ballot, or renews it."""
+    """Phase 2: asks an acceptor to grant the lease under the ballot, or to renew it."""
 
     task: str
     ballot: int
@@ -113,7 +106,7 @@
 
 
 class Release(NamedTuple):
-    """Gives up a lease, or a proposal that did not win a majority."""
+    """Gives up a lease, or a proposal that was not accepted by a majority."""
 
     task: str
     ballot: int
@@ -153,13 +146,13 @@
 
 
 class RequestLease(NamedTuple):
-    """This process wants to hold the task from now on."""
+    """This process requests the lease on the task from now on."""
 
     task: str
 
 
 class ReleaseLease(NamedTuple):
-    """This process does not want the task any longer."""
+    """This process does not request the lease on the task any longer."""
 
     task: str
 
@@ -172,7 +165,7 @@
 
 
 class LeaseReleased(NamedTuple):
-    """An acceptor notifies a waiting proposer that the holder released the lease; on the wire too."""
+    """An acceptor notifies a waiting proposer that the holder released the lease; also a wire message."""
 
     task: str
 
@@ -195,14 +188,14 @@
 
 
 class LeaseAcquired(NamedTuple):
-    """This process holds the task now; every act for it has to carry the fencing token."""
+    """This process holds the lease on the task; each of its acts must carry the fencing token."""
 
     task: str
     fencing_token: int
 
 
 class LeaseLost(NamedTuple):
-    """This process does not hold the task any longer."""
+    """This process does not hold the lease on the task any longer."""
 
     task: str
     reason: str
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -1,7 +1,7 @@
 """The proposer of the lease protocol: acquires, renews and releases leases for one process.
 
-Pure state machine without I/O, clock or timers: the caller passes the time in milliseconds with each event,
-carries out the returned actions, and sends a `Tick` when `next_tick_in` has elapsed. A proposer never
+It is a pure state machine without I/O, clock or timers. The caller passes the time in milliseconds with each
+event, carries out the returned actions, and sends a `Tick` when `next_tick_in` has elapsed. A proposer never
 considers itself the holder for longer than a majority of acceptors does; see `LeaseTerms.holder_duration`.
 """
 
@@ -11,8 +11,9 @@
 from typing import NamedTuple
 
 from lotusroute.leases.messages import (
+    MAX_RETRY_BACKOFF_MS,
+    MIN_RETRY_BACKOFF_MS,
     RENEW_FRACTION,
-    RETRY_BACKOFF,
     LeaseAcquired,
     LeaseAction,
     LeaseEvent,
@@ -32,7 +33,7 @@
 )
 
 MAX_TASKS = 64  # tasks of one proposer; their names come from the program
-NEVER = -math.inf  # a time that has not come yet, or that no longer matters
+NEVER_MS = -math.inf  # a time before any other
 
 
 class Phase(StrEnum):
@@ -44,35 +45,36 @@
 
 
 class ProposerState(NamedTuple):
-    """What a proposer knows of one task; times by its own clock."""
+    """What a proposer stores about one task; times by its own clock."""
 
-    requested: bool = False  # this process wants to hold the task
+    requested: bool = False  # this process requests the lease
     phase: Phase = Phase.IDLE
     ballot: int = 0  # of the current phase; the fencing token while it holds the lease
     round: int = 0  # of the current phase
     phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
     accepted_by: frozenset[str] = frozenset()
     rejected_by: frozenset[str] = frozenset()
-    expires_at: float = NEVER  # it considers itself the holder before this time
+    expires_at: float = NEVER_MS  # it considers itself the holder before this time
     acquired_at: float = 0.0  # when it became the holder; renewals do not change it
-    retry_at: float = NEVER  # it does not prepare again before this time
+    retry_at: float = NEVER_MS  # it does not prepare again before this time
     highest_ballot: int = 0  # the highest ballot seen in any reply
-    contended: bool = False  # an acceptor reported that another proposer asked for the task
+    contended: bool = False  # an acceptor reported that another proposer requested the task
 
     @property
     def has_lease(self) -> bool:
         """Whether it holds a lease, or held one whose expiry has not been handled yet."""
-        return self.expires_at > NEVER
+        return self.expires_at > NEVER_MS
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is this proposer's at that time."""
+        """Return whether this proposer holds the lease at that time."""
         return now < self.expires_at
 
 
 class Proposer:
     """The leases of one process, for all tasks.
 
-    `name` must be unique to each start of the process: what a crashed process holds is not its successor's.
+    `name` must be unique to each start of the process, because a restarted process does not hold the leases
+    that it held before.
     """
 
     def __init__(self, name: str, terms: LeaseTerms, rng: random.Random) -> None:
@@ -80,12 +82,12 @@
         self.terms = terms
         self.rng = rng
         self.states: dict[str, ProposerState] = {}  # by task; at most MAX_TASKS, removed when released
-        self.last_event_at = NEVER
+        self.last_event_at = NEVER_MS
         self.round = 0  # of all phases started so far
         self.actions: list[LeaseAction] = []
 
     def handle(self, now: float, event: LeaseEvent) -> list[LeaseAction]:
-        """Handle one event; returns the requests to send and the changes of lease holdership, in order."""
+        """Handle one event; returns the requests to send and the leases acquired and lost, in order."""
         self.actions = []
         self._yield_if_stalled(now)
         self.last_event_at = now
@@ -111,8 +113,8 @@
     def fencing_token(self, task: str, now: float, max_duration: float = 0.0) -> int:
         """Return the fencing token for an act that takes at most `max_duration` ms; 0 if it must not begin.
 
-        Such an act ends before the lease does. The process may still be stalled between this call and the
-        act: rejecting the late act is the responsibility of its target, which checks the token.
+        Such an act ends before the lease does, unless the process is stalled between this call and the act.
+        The target of the act checks the token and rejects an act that comes too late.
         """
         state = self.states.get(task)
         if state is None or not state.holds(now + max_duration):
@@ -120,11 +122,10 @@
         return state.ballot
 
     def next_tick_in(self, now: float) -> float:
-        """Return the ms until the next `Tick` is due; infinite if no lease is wanted.
+        """Return the ms until the next `Tick` is due; infinite if no lease is requested.
 
-        There are two ticks per stall threshold, or idleness would be taken for a stall: three processes, each
-        told to retry after a lease duration above the threshold, considered themselves stalled when they
-        woke up, and backed off forever.
+        There are two ticks per stall threshold. Otherwise a proposer that waits for longer than the threshold
+        would consider itself stalled when it wakes up, and back off again.
         """
         if not self.states:
             return math.inf
@@ -134,7 +135,7 @@
         return max(0.0, min(deadlines) - now)
 
     def _deadlines(self, state: ProposerState) -> list[float]:
-        """Return the times at which `_check_deadlines` has something to do for a task."""
+        """Return the times at which `_check_deadlines` has to act on a task."""
         deadlines = []
         if state.has_lease:
             deadlines.append(state.expires_at)
@@ -147,17 +148,17 @@
         return deadlines
 
     def _renewal_due(self, state: ProposerState) -> float:
-        """Return when a lease is renewed."""
+        """Return the time at which a lease is to be renewed."""
         return max(state.retry_at, state.expires_at - self.terms.holder_duration * (1 - RENEW_FRACTION))
 
     def _yield_if_stalled(self, now: float) -> None:
-        """Give up all leases after a stall: another process will serve the tasks better."""
-        if self.last_event_at > NEVER and now - self.last_event_at > self.terms.stall_threshold:
+        """Give up all leases after a stall, so that a process that is not stalled can acquire them."""
+        if self.last_event_at > NEVER_MS and now - self.last_event_at > self.terms.stall_threshold:
             for task in self.states:
                 self._give_up_lease(task, now, "stalled", self.terms.lease_duration)
 
     def _check_deadlines(self, task: str, now: float) -> None:
-        """Do what is due by time alone: expiry, a phase that timed out, renewal, the next attempt."""
+        """Handle what is due at this time: expiry, the timeout of a phase, renewal, the next attempt."""
         state = self.states[task]
         if state.has_lease and not state.holds(now):
             state = self._give_up_lease(task, now, "expired")
@@ -173,10 +174,10 @@
         self.states[task] = state
 
     def _start_phase(self, task: str, state: ProposerState, phase: Phase, now: float) -> ProposerState:
-        """Send a phase's request to all acceptors, in a round of its own.
+        """Send a phase's request to all acceptors, in a new round.
 
-        A late reply to an earlier renewal under the same ballot must not count in this round: the acceptor
-        that sent it counts the lease from that renewal.
+        A late reply to an earlier renewal under the same ballot must not count in this round, because the
+        acceptor that sent it counts the lease from that renewal.
         """
         self.round += 1
         if phase == Phase.PREPARE:
@@ -197,11 +198,11 @@
         self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
 
     def _on_released(self, task: str, now: float) -> None:
-        """Retry soon, at a random time, for other waiting proposers were notified too."""
+        """Retry soon, at a random time because other waiting proposers were notified as well."""
         state = self.states.get(task)
         if state is None or state.phase != Phase.IDLE or state.holds(now):
             return
-        retry_at = now + self.rng.uniform(0.0, RETRY_BACKOFF[0])
+        retry_at = now + self.rng.uniform(0.0, MIN_RETRY_BACKOFF_MS)
         self.states[task] = state._replace(retry_at=min(state.retry_at, retry_at))
 
     def _on_reply(self, acceptor: str, reply: Reply, now: float) -> None:
@@ -226,9 +227,9 @@
         self.states[task] = state
 
     def _on_majority(self, task: str, state: ProposerState, now: float) -> ProposerState:
-        """Go on to the propose phase, or hold the lease, once a majority has accepted."""
+        """Start the propose phase, or hold the lease, after a majority has accepted."""
         if state.phase == Phase.PREPARE:
-            # The holder's duration starts before the proposal is sent: acceptors count from its arrival.
+            # The holder's duration starts before the proposal is sent, and the acceptors' after it arrives.
             return self._start_phase(task, state, Phase.PROPOSE, now)
         renewed = state.holds(now)
         expires_at = state.phase_started_at + self.terms.holder_duration
@@ -246,24 +247,24 @@
     def _abandon_phase(
         self, task: str, state: ProposerState, now: float, remaining: float = 0.0
     ) -> ProposerState:
-        """End a phase without a majority and back off; a lease acquired before stays valid until it expires.
+        """End a phase without a majority and back off; a lease that is held stays valid until it expires.
 
-        `remaining` is how long another holder's lease still lasts, in ms.
+        `remaining` is for how many ms the lease of another holder still lasts.
         """
         if state.phase == Phase.PROPOSE and not state.holds(now):
-            # The acceptors that accepted would reject everybody else for a full lease.
+            # Otherwise the acceptors that accepted would reject all other proposers for a full lease.
             self._broadcast(Release(task, state.ballot, self.name, state.round))
-        retry_at = now + remaining + self.rng.uniform(*RETRY_BACKOFF)
+        retry_at = now + remaining + self.rng.uniform(MIN_RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS)
         return state._replace(phase=Phase.IDLE, retry_at=retry_at)
 
     def _give_up_lease(self, task: str, now: float, reason: str, cooldown: float = 0.0) -> ProposerState:
-        """Stop holding a task, and do not ask for it again before `cooldown` ms have passed."""
+        """Give up a task, and do not request it again before `cooldown` ms have passed."""
         state = self.states[task]
         if state.has_lease:
             self.actions.append(LeaseLost(task, reason))
         if state.has_lease or state.phase == Phase.PROPOSE:
             self._broadcast(Release(task, state.ballot, self.name, state.round))
         retry_at = max(state.retry_at, now + cooldown)
-        state = state._replace(phase=Phase.IDLE, expires_at=NEVER, retry_at=retry_at)
+        state = state._replace(phase=Phase.IDLE, expires_at=NEVER_MS, retry_at=retry_at)
         self.states[task] = state
         return state
--- /dev/null
+++ b/tests/test_acceptor_storage.py
@@ -0,0 +1,21 @@
+"""The acceptor's storage of ballots."""
+
+import pytest
+
+from lotusroute.fleet import acceptor_storage
+
+
+def test_the_last_ballot_that_was_stored_completely_is_loaded(tmp_path):
+    assert acceptor_storage.load(tmp_path) == 0
+    acceptor_storage.store(tmp_path, 1024)
+    acceptor_storage.store(tmp_path, 2048)
+    assert acceptor_storage.load(tmp_path) == 2048
+    (tmp_path / "promised.new").write_text("40")  # as after a crash during the next write
+    assert acceptor_storage.load(tmp_path) == 2048
+
+
+def test_a_corrupt_ballot_file_is_an_error(tmp_path):
+    acceptor_storage.store(tmp_path, 2048)
+    (tmp_path / acceptor_storage.FILE_NAME).write_text("2049 00000000\n")
+    with pytest.raises(acceptor_storage.CorruptBallotFileError, match="corrupt"):
+        acceptor_storage.load(tmp_path)
--- /dev/null
+++ b/tests/test_fleet_processes.py
@@ -0,0 +1,74 @@
+"""Leases of several real processes with faults between them."""
+
+import json
+import time
+
+import pytest
+from fleet_support import first_record, other_processes, run_program
+
+from lotusroute.fault_injection.invariants import find_violations
+from lotusroute.fault_injection.processes import ProcessFleet
+from lotusroute.fault_injection.random_scenarios import run_scenario
+
+
+def show_leases(fleet):
+    """Return what `leases show` prints of each balancer."""
+    fleet_file = fleet.fleet_file("n1")
+    result = run_program("-m", "lotusroute", "leases", "show", "--fleet", fleet_file, "--json")
+    assert result.returncode == 0, result.stderr
+    return json.loads(result.stdout)["balancers"]
+
+
+def test_a_lease_moves_on_when_its_holder_is_terminated_killed_or_paused():
+    with ProcessFleet(3, lease_ms=1_000.0) as fleet:
+        first = fleet.wait_for_holder()
+        terminated_at = time.monotonic()
+        assert fleet.terminate(first.process) == 0
+        second = fleet.wait_for_holder(first.time)
+        # Waiting proposers are notified of a release: measured from the log of the release, for a busy
+        # machine may deliver the signal late. Nobody waits for the lease to expire.
+        released = first_record(fleet.records, "lease lost", first.process)
+        assert second.process != first.process
+        assert second.time - released.time < 0.5
+        assert second.time - terminated_at < 1.0
+
+        fleet.start(first.process)
+        # The restarted acceptor is silent for a lease; after the next kill it is needed for a majority.
+        fleet.wait_for(lambda records: first_record(records, "acceptor serving", first.process, second.time))
+        killed_at = time.monotonic()
+        fleet.kill(second.process)
+        third = fleet.wait_for_holder(killed_at)
+        assert third.process != second.process
+        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # the lease, and one attempt
+
+        with fleet.paused(third.process):
+            # One of three acceptors is dead and one is paused: nobody holds the lease until one is back.
+            fleet.start(second.process)
+            fourth = fleet.wait_for_holder(third.time, among=other_processes(fleet, third.process))
+        fleet.wait_for(lambda records: first_record(records, "lease lost", third.process))
+        assert fourth.process != third.process
+        assert find_violations(fleet.records) == []
+        balancers = show_leases(fleet)
+        assert sum(status["leases"]["watch"]["holds"] for status in balancers.values()) <= 1
+        assert len(balancers) == 3
+
+
+def test_a_partitioned_holder_loses_its_lease_before_the_next_one_acquires_it():
+    with ProcessFleet(3, lease_ms=1_000.0) as fleet:
+        first = fleet.wait_for_holder()
+        others = other_processes(fleet, first.process)
+        fleet.proxy.partition([first.process], others)
+        second = fleet.wait_for_holder(first.time, among=others)
+        lost = fleet.wait_for(lambda records: first_record(records, "lease lost"))
+        assert lost.process == first.process
+        assert lost.fields["reason"] == "expired"
+        assert lost.time < second.time + 0.25
+        fleet.proxy.unblock()
+        assert find_violations(fleet.records) == []
+
+
+@pytest.mark.parametrize("seed", [1, 2])
+def test_random_faults_violate_no_invariant_and_the_fleet_recovers(seed):
+    outcome = run_scenario(seed)
+    assert outcome.violations == (), outcome
+    assert outcome.recovery_time >= 0, outcome
--- /dev/null
+++ b/tests/test_peer_connection.py
@@ -0,0 +1,147 @@
+"""Peer connections: identification, malformed input, and the bounds on calls in flight."""
+
+import random
+from collections import Counter
+
+import pytest
+from fleet_support import FLEET_DOCUMENT
+from twisted.internet import task
+from twisted.internet.testing import StringTransport
+
+from lotusroute.fleet import config
+from lotusroute.fleet.errors import BodyTooLargeError, CallLimitError, CallTimeoutError
+from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
+from lotusroute.fleet.process import FleetProcess
+from lotusroute.fleet.transport import PeerTransport
+
+
+def amp_box(**pairs):
+    """Return an AMP box as it goes over the wire."""
+    box = b""
+    for key, value in pairs.items():
+        key = f"_{key}" if key in ("ask", "command") else key
+        box += len(key).to_bytes(2, "big") + key.encode() + len(value).to_bytes(2, "big") + value
+    return box + b"\0\0"
+
+
+HELLO = amp_box(ask=b"1", command=b"Hello", fleet=b"f", form=b"1", name=b"b")
+SHOW_CALL = amp_box(ask=b"2", command=b"Call", kind=b"show", body=b"x")
+
+
+class InboundConnection:
+    """An inbound connection of balancer `a` before its Hello, with a fake clock and transport."""
+
+    def __init__(self):
+        self.clock = task.Clock()
+        self.counters = Counter()
+        process = FleetProcess(
+            reactor=self.clock,
+            config=config.parse_fleet_config(FLEET_DOCUMENT),
+            name="a",
+            counters=self.counters,
+            rng=random.Random(1),
+        )
+        self.peers = PeerTransport(process, PeerHandlers(handle_call=lambda peer, kind, body: body))
+        self.connection = PeerConnection(self.peers)
+        self.failures = []  # types of the errors of the calls that failed
+        self.transport = StringTransport()
+        self.transport.setTcpNoDelay = lambda enabled: None
+        self.transport.setTcpKeepAlive = lambda enabled: None
+        self.transport.abortConnection = self._abort
+        self.connection.makeConnection(self.transport)
+
+    def _abort(self):
+        self.transport.disconnecting = True
+
+    @property
+    def aborted(self):
+        return self.transport.disconnecting
+
+    def receive(self, data):
+        self.connection.dataReceived(data)
+
+    def call(self, body):
+        call = self.connection.call("k", body)
+        call.addErrback(lambda failure: self.failures.append(failure.type))
+
+
+@pytest.fixture
+def inbound():
+    return InboundConnection()
+
+
+@pytest.fixture
+def identified():
+    """An inbound connection that has identified itself as balancer `b`."""
+    connection = InboundConnection()
+    connection.receive(HELLO)
+    return connection
+
+
+def random_bytes(rng):
+    return rng.randbytes(rng.randrange(1, 300))
+
+
+def truncated_calls(rng):
+    data = HELLO + SHOW_CALL
+    return data[: rng.randrange(len(data))]
+
+
+def calls_with_one_byte_changed(rng):
+    data = bytearray(HELLO + SHOW_CALL)
+    data[rng.randrange(len(data))] = rng.randrange(256)
+    return bytes(data)
+
+
+@pytest.mark.parametrize("malformed", [random_bytes, truncated_calls, calls_with_one_byte_changed])
+def test_malformed_input_at_most_closes_its_connection(malformed):
+    rng = random.Random(3)
+    for _ in range(134):
+        inbound = InboundConnection()
+        data = malformed(rng)
+        inbound.receive(data)
+        inbound.clock.advance(10.0)
+        assert inbound.aborted or b"show" not in data or inbound.counters["peer_calls_received"] <= 1
+
+
+@pytest.mark.parametrize(
+    "first_data",
+    [
+        pytest.param(HELLO.replace(b"\0\1f", b"\0\1g"), id="of another fleet"),
+        pytest.param(HELLO.replace(b"\0\1b", b"\0\1z"), id="of an unknown name"),
+        pytest.param(b"", id="silent"),
+        pytest.param(amp_box(ask=b"1", command=b"Call", kind=b"show", body=b""), id="calls before its Hello"),
+    ],
+)
+def test_an_unknown_peer_is_disconnected(first_data, inbound):
+    if first_data:
+        inbound.receive(first_data)
+    inbound.clock.advance(2.1)
+    assert inbound.aborted
+    assert inbound.counters["unknown_peers"] == 1
+
+
+def test_an_identified_peer_stays_connected(identified):
+    identified.clock.advance(2.1)
+    assert not identified.aborted
+    assert identified.peers.inbound == {"b": [identified.connection]}
+
+
+def test_calls_in_flight_to_a_stalled_peer_are_bounded_and_time_out(identified):
+    for _ in range(70):
+        identified.call(b"x" * 100)
+    assert identified.failures == [CallLimitError] * 6
+    assert identified.counters["peer_calls_over_limit"] == 6
+    identified.clock.advance(1.1)
+    assert identified.failures.count(CallTimeoutError) == 64
+    assert identified.aborted
+    assert identified.connection.calls_in_flight == 64  # a call that timed out still occupies the peer
+
+
+def test_bytes_in_flight_and_the_size_of_a_call_are_bounded(identified):
+    for _ in range(5):
+        identified.call(b"x" * 59_000)
+    assert identified.failures[-1] is CallLimitError
+    assert identified.connection.bytes_in_flight <= 262_144
+    identified.call(b"x" * 60_001)
+    assert identified.failures[-1] is BodyTooLargeError
--- /dev/null
+++ b/tests/test_shared_discovery.py
@@ -0,0 +1,82 @@
+"""The task `watch` in several real processes: one polls discovery for all."""
+
+import time
+
+import pytest
+from fleet_support import first_record, other_processes
+from harness import FakeDiscovery, FakeServer
+
+from lotusroute.fault_injection.processes import ProcessFleet
+
+
+class SharedDiscoveryFleet:
+    """A fleet that polls a discovery service with one server."""
+
+    def __init__(self, fleet, service, server):
+        self.fleet = fleet
+        self.service = service
+        self.server = server
+
+    def change_health(self, health):
+        """Change the server's health in discovery; returns when."""
+        self.service.entries = [self.server.entry(health)]
+        self.service.seq += 1
+        return time.monotonic()
+
+    def propagation_delay(self, processes, state, changed_at):
+        """Wait until all the processes log the server's state; returns the s until the last one did."""
+
+        def last_update(records):
+            updates = [
+                first_record(
+                    [record for record in records if record.fields.get("state") == state],
+                    "endpoint update",
+                    process,
+                    changed_at,
+                )
+                for process in processes
+            ]
+            return None not in updates and max(update.time for update in updates)
+
+        return self.fleet.wait_for(last_update) - changed_at
+
+    def wait_until_shared(self, followers):
+        """Wait until all followers have received an update of the holder."""
+        self.fleet.wait_for(
+            lambda records: all(
+                first_record(records, "shared discovery followed", process) for process in followers
+            )
+        )
+
+    def count_polls(self, duration):
+        """Return how many polls of discovery begin during some seconds."""
+        before = len(self.service.polls)
+        time.sleep(duration)
+        return len(self.service.polls) - before
+
+
+@pytest.fixture
+def shared():
+    server = FakeServer("s1")
+    service = FakeDiscovery(server)
+    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=service.server_port, log_level="DEBUG") as fleet:
+        yield SharedDiscoveryFleet(fleet, service, server)
+    service.shutdown()
+
+
+def test_one_process_polls_discovery_for_all_and_updates_are_in_time_after_it_is_killed(shared):
+    fleet = shared.fleet
+    holder = fleet.wait_for_holder()
+    others = other_processes(fleet, holder.process)
+    shared.wait_until_shared(others)
+    time.sleep(4.2)  # the polls that the others had begun end
+    assert shared.count_polls(3.0) <= 2  # one process with long polls of 2 s; three would make more
+    assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
+
+    fleet.kill(holder.process)
+    # Nobody holds the lease for two seconds.
+    assert shared.propagation_delay(others, "ready", shared.change_health("SERVING")) < 2.0
+
+    second = fleet.wait_for_holder(holder.time, among=others)
+    fleet.proxy.partition([second.process], [name for name in others if name != second.process])
+    assert shared.propagation_delay(others, "draining", shared.change_health("DRAINING")) < 2.0
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -4,14 +4,14 @@
 import time
 
 import pytest
+from fleet_support import first_record, other_processes
 from relay_harness import running_deployment
-from test_fleet import first_record, other_processes
 from wall_clock import SteppableWallClock
 
 from lotusroute.fault_injection.invariants import find_violations
 from lotusroute.fault_injection.processes import ProcessFleet
 
-HOUR = 3_600.0
+HOUR_S = 3_600.0
 NAMES = ["n1", "n2", "n3"]
 
 
@@ -28,7 +28,7 @@
         yield fleet
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_lease_moves_on_in_time_when_its_holder_is_killed_after_a_step(fleet, clocks, step):
     holder = fleet.wait_for_holder()
     for clock in clocks.values():
@@ -42,7 +42,7 @@
     assert find_violations(fleet.records) == []
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_holder_whose_clock_is_stepped_loses_its_lease_before_the_next_one_acquires_it(fleet, clocks, step):
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
@@ -55,7 +55,7 @@
     assert find_violations(fleet.records) == []
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_change_is_in_force_over_relays_within_four_seconds_of_a_step(tmp_path, monkeypatch, step):
     clock = SteppableWallClock(tmp_path / "clock")
     for name, value in clock.environment:
