--- /dev/null
+++ b/tests/test_relay_model_checker.py
@@ -0,0 +1,74 @@
+"""Tests of the model checker of relays: the invariants hold, and it finds seeded defects."""
+
+from collections import Counter
+
+import pytest
+
+from lotusroute.fault_injection import relay_model_checker
+from lotusroute.fault_injection.invariants import InvariantViolationError
+from lotusroute.relay import fanout
+from lotusroute.relay.versioned_store import Delta, Snapshot, UpdateOutcome, VersionedStore
+
+WALKS = 300
+
+
+def check_model():
+    return sum((relay_model_checker.walk(seed) for seed in range(WALKS)), start=Counter())
+
+
+def test_invariants_hold_and_all_outcomes_are_met():
+    outcomes = check_model()
+    assert min(outcomes[outcome] for outcome in UpdateOutcome) > 10
+
+
+class AppliesStale(VersionedStore):
+    """Goes back to an older version."""
+
+    def apply(self, update):
+        if update.version >= self.version:
+            return super().apply(update)
+        if isinstance(update, Snapshot):
+            self.items = dict(update.items)
+        self.version = update.version
+        self.digest = update.digest
+        return UpdateOutcome.APPLIED
+
+
+class IgnoresDigest(VersionedStore):
+    """Applies corrupt updates."""
+
+    def apply(self, update):
+        self.digest_after = lambda changes: update.digest
+        try:
+            return super().apply(update)
+        finally:
+            del self.digest_after
+
+
+class IgnoresBaseVersion(IgnoresDigest):
+    """Applies deltas from other versions than its own."""
+
+    def apply(self, update):
+        if isinstance(update, Delta):
+            update = update._replace(base_version=self.version)
+        return super().apply(update)
+
+
+class IgnoresFencingToken(VersionedStore):
+    """Lets a deposed origin publish."""
+
+    def publish(self, fencing_token, changes):
+        return super().publish(max(fencing_token, self.version.fencing_token), changes)
+
+
+@pytest.mark.parametrize("store", [AppliesStale, IgnoresDigest, IgnoresBaseVersion, IgnoresFencingToken])
+def test_the_model_checker_finds_a_faulty_store(store, monkeypatch):
+    monkeypatch.setattr(relay_model_checker, "VersionedStore", store)
+    with pytest.raises(InvariantViolationError):
+        check_model()
+
+
+def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
+    monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT", 1e12)
+    with pytest.raises(InvariantViolationError):
+        check_model()
--- /dev/null
+++ b/tests/test_relay_processes.py
@@ -0,0 +1,74 @@
+"""Tests of relays as processes: changes of the endpoint list while relays and the origin fail."""
+
+import signal
+import time
+
+import pytest
+from harness import FakeDiscovery, FakeServer, wait_until
+from relay_harness import RELAYS, running_deployment
+
+
+@pytest.fixture
+def deployment(tmp_path):
+    with running_deployment(tmp_path) as deployment:
+        yield deployment
+
+
+def test_a_change_is_in_force_by_the_relays_and_only_the_origin_polls_discovery(deployment):
+    time.sleep(1.0)  # a window without changes, in which polls are counted
+    polls = deployment.poll_count()
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 1.5
+    time.sleep(2.0)
+    # The origin polls for 0.5 s, again and again: nobody else does.
+    elapsed = time.monotonic() - changed_at
+    assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
+    states = deployment.relays.status().values()
+    assert len({(tuple(state["version"]), state["digest"]) for state in states}) == 1
+    assert not any(state["lack"] for state in states)
+
+
+@pytest.mark.parametrize("victim", ["relay", "origin"])
+@pytest.mark.parametrize("fault", [signal.SIGKILL, signal.SIGSTOP])
+def test_a_change_is_in_force_within_four_seconds_of_a_relay_fault(deployment, fault, victim):
+    relays = deployment.relays
+    origin = relays.origin()
+    name = origin if victim == "origin" else next(name for name in RELAYS if name != origin)
+    relays.send_signal(name, fault)
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 4.0
+    if fault == signal.SIGSTOP:
+        relays.send_signal(name, signal.SIGCONT)
+        # What it had in hand is older than what all have now: nobody applies it.
+        changed_at = deployment.drain(2)
+        assert deployment.wait_until_drained(2, changed_at) < 4.0
+    for balancer in deployment.balancers:
+        assert "event failed" not in balancer.terminate()
+
+
+def test_without_relays_balancers_poll_discovery_and_subscribe_again_when_relays_return(deployment):
+    relays = deployment.relays
+    for name in RELAYS:
+        relays.send_signal(name, signal.SIGKILL)
+    polls = deployment.poll_count()
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at) < 6.0
+    assert deployment.poll_count() > polls
+    for name in RELAYS:
+        relays.start(name)
+    wait_until(relays.origin)
+    deployment.wait_until_subscribed()
+    changed_at = deployment.drain(2)
+    assert deployment.wait_until_drained(2, changed_at) < 4.0
+
+
+def test_after_a_reload_to_another_discovery_the_relays_list_is_ignored(deployment):
+    reloaded, *others = deployment.balancers
+    other_discovery = FakeDiscovery(FakeServer("s9", b"UP s9\r\n"))
+    other_discovery.seq = 7
+    reloaded.reload(discovery=f"127.0.0.1:{other_discovery.server_port}")
+    wait_until(lambda: reloaded.open_flow("new").readline() == b"UP s9\r\n")
+    changed_at = deployment.drain(1)
+    assert deployment.wait_until_drained(1, changed_at, others) < 4.0
+    assert reloaded.open_flow("newer").readline() == b"UP s9\r\n"
+    other_discovery.shutdown()
--- /dev/null
+++ b/tests/test_relay_selector.py
@@ -0,0 +1,83 @@
+"""Tests of the choice of a relay: order, timeouts, failback and backoff."""
+
+import random
+from collections import Counter
+
+from lotusroute.relay.relay_selector import (
+    FAILBACK_DELAY,
+    JOIN_TIMEOUT,
+    SILENCE_TIMEOUT,
+    STALENESS_LIMIT,
+    Join,
+    Leave,
+    RelaySelector,
+    preference_order,
+)
+
+
+def test_a_silent_relay_is_left_in_time_for_the_next_in_order():
+    first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
+    selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
+    assert third == "b1"
+    assert selector.tick(0.0) == [Join(first)]
+    selector.on_joined(10.0, first)
+    assert selector.on_message(20.0, first)
+    assert not selector.on_message(20.0, second)
+    selector.on_confirmed(20.0, 100.0)
+    assert selector.is_fresh(20.0 + STALENESS_LIMIT - 101.0)
+    assert not selector.is_fresh(20.0 + STALENESS_LIMIT)
+    assert selector.tick(19.0 + SILENCE_TIMEOUT) == []
+    assert selector.tick(20.0 + SILENCE_TIMEOUT) == [Leave(first), Join(second)]
+    assert selector.tick(20.0 + SILENCE_TIMEOUT + JOIN_TIMEOUT) == [Leave(second), Join(third)]
+
+
+def test_a_subscriber_in_another_zone_returns_to_its_own():
+    first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
+    selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
+    selector.tick(0.0)
+    selector.on_lost(0.0, first)
+    selector.on_lost(0.0, second)
+    selector.on_joined(5_000.0, third)
+    now = 5_000.0
+    while not (actions := selector.tick(now)):
+        now += 100.0
+        selector.on_message(now, third)
+        selector.on_confirmed(now, 100.0)
+    assert actions == [Leave(third), Join(first)]
+    assert now > 5_000.0 + FAILBACK_DELAY[0]
+
+
+def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_sends_heartbeats():
+    selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
+    selector.tick(0.0)
+    selector.on_joined(0.0, "a1")
+    now = 0.0
+    while not (actions := selector.tick(now)):
+        now += 100.0
+        selector.on_message(now, "a1")
+        selector.on_confirmed(now, 50.0 + now)  # what it has grows stale
+    assert actions == [Leave("a1"), Join("b1")]
+    assert now <= STALENESS_LIMIT + SILENCE_TIMEOUT + 200.0
+
+
+def test_attempts_are_paced_by_a_backoff_where_all_relays_are_unreachable():
+    selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
+    attempts = 0
+    now = 0.0
+    actions = selector.tick(now)
+    while now < 20_000.0:
+        attempts += sum(isinstance(action, Join) for action in actions)
+        if selector.joining:
+            actions = selector.on_lost(now, selector.joining)
+        else:
+            now += 50.0
+            actions = selector.tick(now)
+    assert 20 <= attempts <= 60  # two a round, and a round every 1 to 2 s
+
+
+def test_subscribers_of_a_failed_relay_spread_over_the_others():
+    relays = [f"r{index}" for index in range(8)]
+    orders = [preference_order(f"n{index}", relays, []) for index in range(800)]
+    seconds = Counter(order[1] for order in orders if order[0] == "r0")
+    assert seconds.total() > 60
+    assert max(seconds.values()) < seconds.total() / 3
