--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -9,15 +9,15 @@
 from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
 from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
-from lotusroute.relay.fanout import HEARTBEAT_INTERVAL, Action, Drop, FanOut, Heartbeat
+from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
 ENDPOINTS = 20  # in the list
-IDLE_TIME = 6_000.0  # ms without a change, at the end
+IDLE_TIME_MS = 6_000.0  # without a change, at the end of the script
 CHANGES = 3
-CHANGE_INTERVAL = 10.0  # ms
-TICK_INTERVAL = 100.0  # ms
-AGE = 100.0  # ms, of the list in all messages
+CHANGE_INTERVAL_MS = 10.0
+TICK_INTERVAL_MS = 100.0
+AGE_MS = 100.0  # of the endpoint list, in all messages
 DISCOVERY_ADDRESS = "d:1"
 
 
@@ -43,7 +43,7 @@
 
     def tick(self) -> None:
         """Let the relay send what is due."""
-        self.perform(self.fanout.tick(self.now, AGE))
+        self.perform(self.fanout.tick(self.now, AGE_MS))
 
     def perform(self, actions: list[Action]) -> None:
         """Deliver messages and their acknowledgements until there are no more."""
@@ -51,14 +51,14 @@
         while pending:
             action = pending.pop(0)
             assert not isinstance(action, Drop)
-            for body in messages.encode_update(action.message, AGE):
+            for body in messages.encode_update(action.message, AGE_MS):
                 self.messages += 1
                 self.bytes += len(body)
             subscriber = self.subscribers[action.subscriber]
             if not isinstance(action.message, Heartbeat):
                 subscriber.apply(action.message)
             self.bytes += len(messages.encode_acknowledgement(subscriber.version))
-            pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE)
+            pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE_MS)
 
 
 def relay(size: int) -> dict[str, int]:
@@ -73,14 +73,14 @@
     script.publish({"seq": 1, "whole": True, "hosts": endpoints})
     script.join_all()
     for change in range(CHANGES):
-        script.now += CHANGE_INTERVAL
+        script.now += CHANGE_INTERVAL_MS
         script.publish({"seq": 2 + change, "whole": False, "hosts": [entry("s-0", health="DRAINING")]})
         script.fanout.on_store_changed(script.now)
-        script.now += HEARTBEAT_INTERVAL
+        script.now += HEARTBEAT_INTERVAL_MS
         script.tick()
-    end = script.now + IDLE_TIME
+    end = script.now + IDLE_TIME_MS
     while script.now < end:
-        script.now += TICK_INTERVAL
+        script.now += TICK_INTERVAL_MS
         script.tick()
     assert all(subscriber.items == script.store.items for subscriber in script.subscribers.values())
     return {"messages": script.messages, "bytes": script.bytes}
@@ -96,7 +96,7 @@
     discovery_url = "http://127.0.0.1:8500/api/targets"
     update = SharedUpdate(7, discovery_url, 2, 1, False, [entry("s-0", health="DRAINING")])
     heartbeat = SharedUpdate(7, discovery_url, 2)
-    heartbeats = round(IDLE_TIME / 1_000 / HOLDER_HEARTBEAT_INTERVAL)
+    heartbeats = round(IDLE_TIME_MS / 1_000 / HOLDER_HEARTBEAT_INTERVAL)
     update_bytes = len(msgspec.msgpack.encode(update))
     heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
     peers = size - 1
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -20,9 +20,9 @@
 
 from lotusroute.fault_injection.invariants import InvariantViolationError
 from lotusroute.relay.fanout import (
-    ACKNOWLEDGEMENT_TIMEOUT,
-    COALESCE_DELAY,
-    HEARTBEAT_INTERVAL,
+    ACKNOWLEDGEMENT_TIMEOUT_MS,
+    COALESCE_DELAY_MS,
+    HEARTBEAT_INTERVAL_MS,
     Action,
     FanOut,
     Heartbeat,
@@ -150,7 +150,9 @@
 
     def tick(self) -> None:
         """Let a random time pass."""
-        self.now += self.rng.choice((COALESCE_DELAY, HEARTBEAT_INTERVAL, ACKNOWLEDGEMENT_TIMEOUT / 2))
+        self.now += self.rng.choice(
+            (COALESCE_DELAY_MS, HEARTBEAT_INTERVAL_MS, ACKNOWLEDGEMENT_TIMEOUT_MS / 2)
+        )
         for name, fanout in self.fanouts.items():
             if name in self.origins:
                 self.join_other_relays(name)
@@ -252,7 +254,7 @@
         for name in SUBSCRIBERS:
             self.join(name, self.rng.choice(RELAYS))
         for _ in range(RECOVERY_TICKS):
-            self.now += HEARTBEAT_INTERVAL
+            self.now += HEARTBEAT_INTERVAL_MS
             self.origins = {origin: self.origins[origin]}  # the leases of all others have expired
             self.tick()
             while self.in_flight:
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -14,11 +14,11 @@
 
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
-HEARTBEAT_INTERVAL = 600.0  # ms; a subscriber without a message for 1.5 s changes to another relay
-ACKNOWLEDGEMENT_TIMEOUT = 2_500.0  # ms after which a subscriber is dropped: it has left by then
-COALESCE_DELAY = 50.0  # ms that a change waits for further ones
-MIN_UPDATE_INTERVAL = 250.0  # ms between updates to one subscriber: a burst of 50 is 5 messages, not 20
-MAX_SNAPSHOTS_IN_FLIGHT = 8  # bounds what a zone that returns as a whole takes; the others are queued
+HEARTBEAT_INTERVAL_MS = 600.0
+ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # after which a subscriber is dropped
+COALESCE_DELAY_MS = 50.0  # that a change waits for further ones
+MIN_UPDATE_INTERVAL_MS = 250.0  # between updates to one subscriber
+MAX_SNAPSHOTS_IN_FLIGHT = 8  # bounds the load when a whole zone reconnects
 
 
 class Heartbeat(NamedTuple):
@@ -103,25 +103,25 @@
             subscriber.snapshot_in_flight = False
             self.snapshots_in_flight -= 1
         actions = self._serve_snapshot_queue(now)
-        if self.pending_since == math.inf or now >= self.pending_since + COALESCE_DELAY:
+        if self.pending_since == math.inf or now >= self.pending_since + COALESCE_DELAY_MS:
             actions += self._next_message(now, name, age_ms)
         return actions
 
     def on_store_changed(self, now: float) -> None:
-        """Note that the store has changed; the first tick after COALESCE_DELAY sends the change."""
+        """Note that the store has changed; the first tick after COALESCE_DELAY_MS sends the change."""
         self.pending_since = min(self.pending_since, now)
 
     def tick(self, now: float, age_ms: float) -> list[Action]:
         """Send what is due. `age_ms`: how long ago the origin confirmed the store's version."""
         actions = self._drop_slow(now)
-        if now >= self.pending_since + COALESCE_DELAY:
+        if now >= self.pending_since + COALESCE_DELAY_MS:
             self.pending_since = math.inf
         changes_due = self.pending_since == math.inf
         actions += self._serve_snapshot_queue(now)
         for name, subscriber in self.subscribers.items():
             if subscriber.sent_at < math.inf:
                 continue
-            heartbeat_due = now - subscriber.last_message_at >= HEARTBEAT_INTERVAL
+            heartbeat_due = now - subscriber.last_message_at >= HEARTBEAT_INTERVAL_MS
             update_due = changes_due and subscriber.version < self.store.version
             if heartbeat_due or update_due:
                 actions += self._next_message(now, name, age_ms)
@@ -129,12 +129,12 @@
 
     def next_tick_in(self, now: float) -> float:
         """Return in how many ms the next tick is due."""
-        return min(HEARTBEAT_INTERVAL / 4, max(0.0, self.pending_since + COALESCE_DELAY - now))
+        return min(HEARTBEAT_INTERVAL_MS / 4, max(0.0, self.pending_since + COALESCE_DELAY_MS - now))
 
     def _drop_slow(self, now: float) -> list[Action]:
         actions: list[Action] = []
         for name, subscriber in list(self.subscribers.items()):
-            if now - subscriber.sent_at >= ACKNOWLEDGEMENT_TIMEOUT:
+            if now - subscriber.sent_at >= ACKNOWLEDGEMENT_TIMEOUT_MS:
                 self.remove(name)
                 actions.append(Drop(name, DropReason.SLOW))
         return actions
@@ -158,10 +158,10 @@
             return []
         update = self.store.update_since(subscriber.version)
         if update is None:
-            if now - subscriber.last_message_at < HEARTBEAT_INTERVAL:
+            if now - subscriber.last_message_at < HEARTBEAT_INTERVAL_MS:
                 return []
             return [self._send(now, name, Heartbeat(self.store.version, age_ms))]
-        if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL:
+        if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL_MS:
             return []  # a later tick sends it, with what changes until then
         if isinstance(update, Snapshot):
             if self.snapshots_in_flight >= MAX_SNAPSHOTS_IN_FLIGHT:
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -10,9 +10,9 @@
 
 SUBSCRIBE_CALL = "follow"  # kind of the call by which a subscriber joins; its body is an acknowledgement
 UPDATE_CALL = "news"  # kind of the call that carries an UpdateMessage; answered by an acknowledgement
-MAX_PART_BYTES = 40_000  # bytes of items in one call: the transport accepts 60,000 a call
-MAX_SNAPSHOT_ITEMS = 1_000_000  # more is a defect, or an attack on our memory
-ITEM_OVERHEAD = 8  # bytes, upper bound of what the encoding adds to an item
+MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes a call
+MAX_SNAPSHOT_ITEMS = 1_000_000  # bounds the memory that a faulty sender can make a receiver use
+MAX_ITEM_OVERHEAD_BYTES = 8  # that the encoding adds to an item
 
 
 class UpdateMessage(msgspec.Struct, array_like=True):
@@ -41,7 +41,9 @@
     if isinstance(message, Heartbeat):
         return [msgspec.msgpack.encode(UpdateMessage(version, age_ms))]
     if isinstance(message, Delta):
-        size = sum(len(key) + len(value or b"") + ITEM_OVERHEAD for key, value in message.changes.items())
+        size = sum(
+            len(key) + len(value or b"") + MAX_ITEM_OVERHEAD_BYTES for key, value in message.changes.items()
+        )
         if size > MAX_PART_BYTES:
             return []
         delta = UpdateMessage(version, age_ms, message.digest, message.base_version, items=message.changes)
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -13,19 +13,15 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-JOIN_TIMEOUT = 600.0  # ms for a relay to accept us: enough for the network, and a stopped one is left soon
-SILENCE_TIMEOUT = (
-    1_500.0  # ms without a message: more than two heartbeats, and well within the 4 s for a change
-)
-STALENESS_LIMIT = (
-    1_800.0  # ms since discovery answered the origin, which polls for 0.5 s and is left 1 s later
-)
-BACKOFF_MIN = 200.0  # ms after all relays were tried once
-BACKOFF_MAX = 2_000.0  # ms
-FAILBACK_DELAY = (
-    20_000.0,
-    60_000.0,
-)  # ms, range from which the return to the own zone is drawn: spread in time
+JOIN_TIMEOUT_MS = 600.0  # from the connect until the relay has accepted the subscription
+SILENCE_TIMEOUT_MS = 1_500.0  # without a message; more than two heartbeat intervals
+STALENESS_LIMIT_MS = 1_800.0  # since discovery last answered the origin
+# After all relays have failed once.
+MIN_BACKOFF_MS = 200.0
+MAX_BACKOFF_MS = 2_000.0
+# Random, so that the subscribers of a zone do not return to it all at once.
+MIN_FAILBACK_DELAY_MS = 20_000.0
+MAX_FAILBACK_DELAY_MS = 60_000.0
 
 
 class Join(NamedTuple):
@@ -80,7 +76,7 @@
         if self.current:
             return self._check_current(now)
         if self.joining:
-            if now - self.last_message_at >= JOIN_TIMEOUT:
+            if now - self.last_message_at >= JOIN_TIMEOUT_MS:
                 return self.on_lost(now, self.joining)
             return []
         if now >= self.retry_at:
@@ -97,7 +93,7 @@
         self.joined_at = now
         self.failback_at = math.inf
         if relay not in self.local_relays:
-            self.failback_at = now + self.rng.uniform(*FAILBACK_DELAY)
+            self.failback_at = now + self.rng.uniform(MIN_FAILBACK_DELAY_MS, MAX_FAILBACK_DELAY_MS)
 
     def on_message(self, now: float, relay: str) -> bool:
         """Note a message of a relay; whether it may be used: only those of the current one may."""
@@ -109,7 +105,7 @@
     def on_confirmed(self, now: float, age_ms: float) -> None:
         """Note that what we have is what discovery told the origin `age_ms` ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_ms)
-        if age_ms < STALENESS_LIMIT:
+        if age_ms < STALENESS_LIMIT_MS:
             self.attempts = 0
 
     def on_lost(self, now: float, relay: str) -> list[Action]:
@@ -127,12 +123,12 @@
 
     def is_fresh(self, now: float) -> bool:
         """Whether what we have may be relied on; if not, discovery has to be polled."""
-        return now - self.confirmed_at < STALENESS_LIMIT
+        return now - self.confirmed_at < STALENESS_LIMIT_MS
 
     def _check_current(self, now: float) -> list[Action]:
-        silent = now - self.last_message_at >= SILENCE_TIMEOUT
-        stale_since = max(self.joined_at, self.confirmed_at + STALENESS_LIMIT)
-        if silent or now - stale_since >= SILENCE_TIMEOUT:
+        silent = now - self.last_message_at >= SILENCE_TIMEOUT_MS
+        stale_since = max(self.joined_at, self.confirmed_at + STALENESS_LIMIT_MS)
+        if silent or now - stale_since >= SILENCE_TIMEOUT_MS:
             return self.on_lost(now, self.current)
         if now >= self.failback_at:
             previous = self.current
@@ -146,7 +142,7 @@
     def _back_off(self, now: float) -> None:
         """Wait before the relays are tried from the first one on: longer each round, half of it random."""
         rounds = self.attempts // len(self.relays)
-        backoff = min(BACKOFF_MIN * 2 ** (rounds - 1), BACKOFF_MAX)
+        backoff = min(MIN_BACKOFF_MS * 2 ** (rounds - 1), MAX_BACKOFF_MS)
         self.retry_at = now + backoff * self.rng.uniform(0.5, 1.0)
         self.index = 0
 
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -32,12 +32,10 @@
 )
 
 TASK = "origin"
-ORIGIN_POLL_HOLD = (
-    500  # ms that discovery may delay its answer: short, as the origin's silence has to show soon
-)
-MAX_PUBLISH_DURATION = 50.0  # ms; so much of the lease has to be left
-MIN_TICK_DELAY = 5.0  # ms
-UNKNOWN_AGE = 1e9  # ms: nothing has been received from discovery or an origin
+ORIGIN_POLL_HOLD_MS = 500  # short, so that an origin without discovery is noticed soon
+MAX_PUBLISH_DURATION_MS = 50.0  # so much of the lease has to be left
+MIN_TICK_DELAY_MS = 5.0
+UNKNOWN_AGE_MS = 1e9  # nothing has been received from discovery or an origin
 
 SENT_COUNTERS: dict[type, str] = {
     Heartbeat: "heartbeats_sent",
@@ -75,7 +73,7 @@
         self.assembler = messages.SnapshotAssembler()
         self.fencing_token = 0  # of the lease while this relay is the origin, else 0
         self.highest_fencing_token = 0  # of all origins that were received from
-        self.confirmed_at = -UNKNOWN_AGE  # when the store was last known to be discovery's list
+        self.confirmed_at = -UNKNOWN_AGE_MS  # when the store was last known to be discovery's list
         self.routes: dict[str, Route] = {}  # of the subscribers, by name
         self.discovery: Discovery | None = None
         self.timer: DelayedCall | None = None  # the next tick
@@ -92,7 +90,7 @@
 
     def age_ms(self) -> float:
         """Return how long ago the store was last known to be discovery's list."""
-        return min(UNKNOWN_AGE, self.lease_service.clock() - self.confirmed_at)
+        return min(UNKNOWN_AGE_MS, self.lease_service.clock() - self.confirmed_at)
 
     # Sending
 
@@ -143,7 +141,7 @@
     def _schedule_tick(self, now: float) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        delay = max(MIN_TICK_DELAY, self.fanout.next_tick_in(now))
+        delay = max(MIN_TICK_DELAY_MS, self.fanout.next_tick_in(now))
         self.timer = self.reactor.callLater(delay / 1000, self._tick)
 
     def _on_store_changed(self, now: float) -> None:
@@ -154,7 +152,7 @@
 
     def _on_subscribe(self, peer: str, body: bytes) -> bytes:
         """Accept a subscriber, which says which version it has."""
-        if self.age_ms() > UNKNOWN_AGE / 2:
+        if self.age_ms() > UNKNOWN_AGE_MS / 2:
             raise CallError("nothing to tell yet")
         if peer not in self.routes and len(self.fanout.subscribers) >= self.fanout.max_subscribers:
             self.counters["subscribers_dropped_full"] += 1
@@ -232,7 +230,7 @@
             self.discovery_address, seq, self.seed, self._ignore_endpoint_update, self.counters
         )
         self.discovery.watch = self
-        self.discovery.max_hold_ms = ORIGIN_POLL_HOLD
+        self.discovery.max_hold_ms = ORIGIN_POLL_HOLD_MS
         defer.ensureDeferred(self.discovery.follow())
 
     def _resign(self) -> None:
@@ -260,7 +258,7 @@
 
     def on_response(self, message: dict[str, Any], since: int | None) -> None:
         """Publish an answer of discovery, if the lease lasts long enough."""
-        if not self.lease_service.fencing_token(TASK, MAX_PUBLISH_DURATION):
+        if not self.lease_service.fencing_token(TASK, MAX_PUBLISH_DURATION_MS):
             return
         now = self.lease_service.clock()
         changes = endpoint_items.item_changes(self.store, message, self._discovery_host_port())
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -26,8 +26,8 @@
 from lotusroute.relay.relay_selector import Action, Leave, RelaySelector
 from lotusroute.relay.versioned_store import Delta, Update, UpdateOutcome, Version, VersionedStore
 
-TICK_INTERVAL = 0.1  # s
-INITIAL_WAIT = 0.8  # s that a new process waits for its first update before it polls discovery
+TICK_INTERVAL_S = 0.1
+FIRST_UPDATE_TIMEOUT_S = 0.8  # after the start, before discovery is polled instead
 
 
 class Subscription:
@@ -60,7 +60,7 @@
     def start(self) -> None:
         """Start to subscribe; calls itself again on every tick."""
         self._perform(self.selector.tick(self.clock()))
-        self.reactor.callLater(TICK_INTERVAL * self.rng.uniform(0.8, 1.2), self.start)
+        self.reactor.callLater(TICK_INTERVAL_S * self.rng.uniform(0.8, 1.2), self.start)
 
     # Connection to a relay
 
@@ -152,7 +152,7 @@
         """Return when this balancer has to poll discovery by itself, or the client is closed."""
         while not discovery.closed and not self.polling:
             now = self.clock()
-            starting = now < self.started_at + 1000 * INITIAL_WAIT
+            starting = now < self.started_at + 1000 * FIRST_UPDATE_TIMEOUT_S
             carried = self._carries_list_of(discovery)
             if not carried and not starting:
                 # After a reload the relays' list says nothing of the new discovery's. Checked on every
@@ -162,7 +162,7 @@
             if starting or self.selector.is_fresh(now):
                 if carried and discovery.seq is None:
                     self._apply_full_list(discovery)
-                await self._wait(TICK_INTERVAL)
+                await self._wait(TICK_INTERVAL_S)
                 continue
             await self._wait_to_poll(discovery)
         if self.polling:
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -17,8 +17,8 @@
 
 from lotusroute.errors import LotusrouteError
 
-HISTORY_LIMIT = 512  # versions from which a delta can be made; a subscriber further behind gets a snapshot
-TOMBSTONE_LIMIT = 4_096  # removed keys that deltas still carry; beyond it the history is cut
+HISTORY_LIMIT = 512  # versions; a subscriber that is further behind gets a snapshot
+TOMBSTONE_LIMIT = 4_096  # removed keys
 DIGEST_MASK = (1 << 64) - 1
 
 Changes = dict[str, bytes | None]  # new values by key; None: the key was removed
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -4,11 +4,11 @@
 from versioned_store_helpers import origin_store
 
 from lotusroute.relay.fanout import (
-    ACKNOWLEDGEMENT_TIMEOUT,
-    COALESCE_DELAY,
-    HEARTBEAT_INTERVAL,
+    ACKNOWLEDGEMENT_TIMEOUT_MS,
+    COALESCE_DELAY_MS,
+    HEARTBEAT_INTERVAL_MS,
     MAX_SNAPSHOTS_IN_FLIGHT,
-    MIN_UPDATE_INTERVAL,
+    MIN_UPDATE_INTERVAL_MS,
     Drop,
     FanOut,
     Heartbeat,
@@ -44,9 +44,9 @@
             sent[action.subscriber].append(action.message)
             if action.subscriber == "fast":
                 fanout.on_acknowledgement(now, "fast", action.message.version, 0.0)
-    assert 3 <= len(sent["fast"]) <= 1_000 / MIN_UPDATE_INTERVAL + 1
+    assert 3 <= len(sent["fast"]) <= 1_000 / MIN_UPDATE_INTERVAL_MS + 1
     assert sent["slow"] == []
-    late = fanout.on_acknowledgement(now + COALESCE_DELAY, "slow", Version(1, 3), 0.0)
+    late = fanout.on_acknowledgement(now + COALESCE_DELAY_MS, "slow", Version(1, 3), 0.0)
     assert len(late) == 1
     assert len(late[0].message.changes) == 51
 
@@ -58,7 +58,7 @@
     heartbeats = 0
     dropped = []
     now = 1.0
-    while now < 2 * ACKNOWLEDGEMENT_TIMEOUT:
+    while now < 2 * ACKNOWLEDGEMENT_TIMEOUT_MS:
         now += 100.0
         for action in fanout.tick(now, 0.0):
             if isinstance(action, Drop):
@@ -69,8 +69,8 @@
             heartbeats += 1
             fanout.on_acknowledgement(now, "healthy", origin.version, 0.0)
     assert [action for _, action in dropped] == [Drop("unresponsive", "slow")]
-    assert dropped[0][0] <= ACKNOWLEDGEMENT_TIMEOUT + 200.0
-    assert heartbeats >= 2 * ACKNOWLEDGEMENT_TIMEOUT / HEARTBEAT_INTERVAL - 2
+    assert dropped[0][0] <= ACKNOWLEDGEMENT_TIMEOUT_MS + 200.0
+    assert heartbeats >= 2 * ACKNOWLEDGEMENT_TIMEOUT_MS / HEARTBEAT_INTERVAL_MS - 2
     assert list(fanout.subscribers) == ["healthy"]
 
 
--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -69,6 +69,6 @@
 
 
 def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
-    monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT", 1e12)
+    monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT_MS", 1e12)
     with pytest.raises(InvariantViolationError):
         check_model()
--- a/tests/test_relay_selector.py
+++ b/tests/test_relay_selector.py
@@ -4,10 +4,10 @@
 from collections import Counter
 
 from lotusroute.relay.relay_selector import (
-    FAILBACK_DELAY,
-    JOIN_TIMEOUT,
-    SILENCE_TIMEOUT,
-    STALENESS_LIMIT,
+    JOIN_TIMEOUT_MS,
+    MIN_FAILBACK_DELAY_MS,
+    SILENCE_TIMEOUT_MS,
+    STALENESS_LIMIT_MS,
     Join,
     Leave,
     RelaySelector,
@@ -24,11 +24,11 @@
     assert selector.on_message(20.0, first)
     assert not selector.on_message(20.0, second)
     selector.on_confirmed(20.0, 100.0)
-    assert selector.is_fresh(20.0 + STALENESS_LIMIT - 101.0)
-    assert not selector.is_fresh(20.0 + STALENESS_LIMIT)
-    assert selector.tick(19.0 + SILENCE_TIMEOUT) == []
-    assert selector.tick(20.0 + SILENCE_TIMEOUT) == [Leave(first), Join(second)]
-    assert selector.tick(20.0 + SILENCE_TIMEOUT + JOIN_TIMEOUT) == [Leave(second), Join(third)]
+    assert selector.is_fresh(20.0 + STALENESS_LIMIT_MS - 101.0)
+    assert not selector.is_fresh(20.0 + STALENESS_LIMIT_MS)
+    assert selector.tick(19.0 + SILENCE_TIMEOUT_MS) == []
+    assert selector.tick(20.0 + SILENCE_TIMEOUT_MS) == [Leave(first), Join(second)]
+    assert selector.tick(20.0 + SILENCE_TIMEOUT_MS + JOIN_TIMEOUT_MS) == [Leave(second), Join(third)]
 
 
 def test_a_subscriber_in_another_zone_returns_to_its_own():
@@ -44,7 +44,7 @@
         selector.on_message(now, third)
         selector.on_confirmed(now, 100.0)
     assert actions == [Leave(third), Join(first)]
-    assert now > 5_000.0 + FAILBACK_DELAY[0]
+    assert now > 5_000.0 + MIN_FAILBACK_DELAY_MS
 
 
 def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_sends_heartbeats():
@@ -57,7 +57,7 @@
         selector.on_message(now, "a1")
         selector.on_confirmed(now, 50.0 + now)  # what it has grows stale
     assert actions == [Leave("a1"), Join("b1")]
-    assert now <= STALENESS_LIMIT + SILENCE_TIMEOUT + 200.0
+    assert now <= STALENESS_LIMIT_MS + SILENCE_TIMEOUT_MS + 200.0
 
 
 def test_attempts_are_paced_by_a_backoff_where_all_relays_are_unreachable():
