--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -172,7 +172,7 @@
         raise ConfigError(f"LB_RELAYS: {error}; install lotusroute[fleet]") from None
     relays = relays_config.load_relays_config(path)
     relay_subscription = subscription.Subscription(reactor, relays, session.config.name, counters)
-    session.update_source = relay_subscription
+    session.update_source = relay_subscription.update_source
     reactor.callWhenRunning(relay_subscription.start)
 
 
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -9,6 +9,7 @@
 from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
 from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
+from lotusroute.relay.endpoint_items import EndpointListUpdate
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
@@ -32,9 +33,9 @@
         self.messages = 0
         self.bytes = 0
 
-    def publish(self, answer: dict) -> None:
+    def publish(self, update: EndpointListUpdate) -> None:
         """Publish an answer of discovery."""
-        self.store.publish(1, endpoint_items.item_changes(self.store, answer, DISCOVERY_ADDRESS))
+        self.store.publish(1, endpoint_items.item_changes(self.store, update, DISCOVERY_ADDRESS))
 
     def join_all(self) -> None:
         """Let all subscribers join from nothing."""
@@ -70,11 +71,11 @@
     """
     script = RelayScript(size)
     endpoints = [entry(f"s-{index}") for index in range(ENDPOINTS)]
-    script.publish({"seq": 1, "whole": True, "hosts": endpoints})
+    script.publish(EndpointListUpdate(1, True, endpoints))
     script.join_all()
     for change in range(CHANGES):
         script.now += CHANGE_INTERVAL_MS
-        script.publish({"seq": 2 + change, "whole": False, "hosts": [entry("s-0", health="DRAINING")]})
+        script.publish(EndpointListUpdate(2 + change, False, [entry("s-0", health="DRAINING")]))
         script.fanout.on_store_changed(script.now)
         script.now += HEARTBEAT_INTERVAL_MS
         script.tick()
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -49,8 +49,8 @@
             self._record(name, update)
 
         discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, DRAIN_GRACE)
-        discovery.watch = subscribed
-        subscribed.discovery = discovery
+        discovery.watch = subscribed.update_source
+        subscribed.update_source.discovery = discovery
         self.subscriptions[name] = subscribed
         subscribed.start()
         defer.ensureDeferred(discovery.follow())
@@ -65,7 +65,8 @@
     def write_report(self) -> None:
         """Write what each one received and holds."""
         digests = {
-            name: f"{one.store.version} {one.store.digest}" for name, one in self.subscriptions.items()
+            name: f"{one.replica.store.version} {one.replica.store.digest}"
+            for name, one in self.subscriptions.items()
         }
         report = SubscriberReport(self.received, digests, dict(self.counters))
         report.write(pathlib.Path(self.settings.report_file))
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -8,13 +8,16 @@
 
 from lotusroute.address import parse_address
 from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_wrong_use
-from lotusroute.cli.peer_query import print_and_exit, query_peers
+from lotusroute.cli.peer_query import PeerStates, print_and_exit, query_peers
 from lotusroute.errors import InvalidValueError
-from lotusroute.fleet import config, lease_service
+from lotusroute.fleet.config import load_fleet_config
+from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.net import structured_log
 from lotusroute.net.reactor import reactor
+from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
+from lotusroute.relay.versioned_store import Version
 
-SHUTDOWN_DELAY = 0.1  # s for the release of a lease to be sent
+SHUTDOWN_DELAY_S = 0.1  # for the release of the lease to be sent
 
 
 @click.command()
@@ -32,32 +35,40 @@
     structured_log.LOGGER.setLevel("INFO")
     counters = structured_log.Counters()
     try:
-        fleet_config = config.load_fleet_config(file)
+        fleet_config = load_fleet_config(file)
         discovery_address = parse_address(discovery)
-        leases = lease_service.LeaseService(reactor, fleet_config, name, counters)
+        lease_service = LeaseService(reactor, fleet_config, name, counters)
     except InvalidValueError as error:
         exit_with_wrong_use(str(error))
-    server = RelayServer(leases, discovery_address, counters)
+    server = RelayServer(lease_service, discovery_address, counters)
 
-    def stop() -> None:
-        leases.stop()
-        reactor.callLater(SHUTDOWN_DELAY, reactor.stop)
-
-    def report_start_failure(reason: Failure) -> None:
-        click.echo(f"lotusroute: {file}: peers.{name}: {reason.value}", err=True)
+    def report_start_failure(failure: Failure) -> None:
+        click.echo(f"lotusroute: {file}: peers.{name}: {failure.value}", err=True)
         reactor.stop()
 
+    _install_signal_handlers(lease_service, counters)
+    reactor.callWhenRunning(lambda: server.start().addErrback(report_start_failure))
+    reactor.callWhenRunning(structured_log.log_event, "relay ready", name=name)
+    reactor.run(installSignalHandlers=False)
+    counters.print()
+
+
+def _install_signal_handlers(lease_service: LeaseService, counters: structured_log.Counters) -> None:
+    def stop() -> None:
+        lease_service.stop()
+        reactor.callLater(SHUTDOWN_DELAY_S, reactor.stop)
+
     handlers: dict[int, Callable[[], None]] = {
         signal.SIGTERM: stop,
         signal.SIGINT: stop,
         signal.SIGUSR1: counters.print,
     }
+
+    def handle(number: int, _frame: object) -> None:
+        reactor.callFromThread(handlers[number])
+
     for number in handlers:
-        signal.signal(number, lambda number, _: reactor.callFromThread(handlers[number]))
-    reactor.callWhenRunning(lambda: server.start().addErrback(report_start_failure))
-    reactor.callWhenRunning(structured_log.log_event, "relay ready", name=name)
-    reactor.run(installSignalHandlers=False)
-    counters.print()
+        signal.signal(number, handle)
 
 
 @click.command()
@@ -65,25 +76,28 @@
 @PEER_OPTION
 @JSON_OPTION
 def show(file: str, peers: tuple[str, ...], as_json: bool) -> None:
-    """Show which version of the endpoint list each relay has, and how many subscribers lack it.
+    """Show which version of the endpoint list each relay has, and how many subscribers lag behind it.
 
     Example: lotusroute relay show --fleet deploy/relays.toml
     """
     answers = query_peers(file, peers)
-    lines = [_version_line(name, state.get("news")) for name, state in answers.states.items()]
-    print_and_exit(answers, as_json, lines)
+    lines = [_status_line(name, decode_relay_status(state)) for name, state in answers.states.items()]
+    printed_states = {name: printed_process_status(state) for name, state in answers.states.items()}
+    print_and_exit(PeerStates(printed_states, answers.errors), as_json, lines)
 
 
-def _version_line(name: str, versions: dict | None) -> str:
-    if versions is None:
+def _status_line(name: str, status: RelayStatus | None) -> str:
+    if status is None:
         return f"{name}: no relay"
-    fence, number = versions["version"]
-    oldest_fence, oldest_number = versions["oldest"]
-    origin = f", origin under {versions['origin']}" if versions["origin"] else ""
+    version = Version(*status.version)
+    oldest_version = Version(*status.oldest_version)
+    origin = ""
+    if status.origin_fencing_token:
+        origin = f", origin under fencing token {status.origin_fencing_token}"
     return (
-        f"{name}: version {fence}.{number}, {versions['age_ms']} ms old, {versions['items']} items, "
-        f"{versions['subscribers']} subscribers, {versions['lack']} lack it, "
-        f"oldest {oldest_fence}.{oldest_number}{origin}"
+        f"{name}: version {version}, {status.age_ms} ms old, {status.items} items, "
+        f"{status.subscribers} subscribers, {status.lagging} lagging, "
+        f"{status.snapshot_queue} waiting for a snapshot, oldest version {oldest_version}{origin}"
     )
 
 
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -19,6 +19,7 @@
 from typing import NamedTuple
 
 from lotusroute.fault_injection.invariants import InvariantViolationError
+from lotusroute.relay.errors import DeposedError
 from lotusroute.relay.fanout import (
     ACKNOWLEDGEMENT_TIMEOUT_MS,
     COALESCE_DELAY_MS,
@@ -32,7 +33,6 @@
 from lotusroute.relay.versioned_store import (
     Changes,
     Delta,
-    PublishRejectedError,
     UpdateOutcome,
     Version,
     VersionedStore,
@@ -101,7 +101,7 @@
         store = self.stores[name]
         try:
             new_version = store.publish(self.origins[name], changes)
-        except PublishRejectedError:
+        except DeposedError:
             self.origins.pop(name)
             return
         if not new_version:
--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -14,22 +14,24 @@
 
 KEYS = {"name", "zone", "relays"}
 
+ZoneTables = dict[str, dict[str, object]]  # by zone, a table of unchecked addresses by relay
+
 
 class RelaysConfig(NamedTuple):
-    """The relays as one balancer sees them."""
+    """The relays, by name, grouped by whether they are in the balancer's own zone."""
 
-    fleet: str  # the name that peers of one fleet check when they connect
-    local: dict[str, Address]  # those of the balancer's zone
+    fleet: str  # name of the fleet, which processes compare when they connect
+    local: dict[str, Address]
     remote: dict[str, Address]
 
 
-def load_relays_config(path: str | os.PathLike) -> RelaysConfig:
-    """Read the file; raises ConfigError, which names the file, the key and the correction."""
+def load_relays_config(path: str | os.PathLike[str]) -> RelaysConfig:
+    """Read the file; raises `ConfigError`, which names the file, the key and the correction."""
     return load_toml_config("LB_RELAYS", path, parse_relays_config)
 
 
 def parse_relays_config(settings: dict[str, Any]) -> RelaysConfig:
-    """Validate the contents of the file; raises ConfigError.
+    """Validate the parsed file; raises `ConfigError`.
 
     >>> tables = {"a": {"r1": "127.0.0.1:1"}, "b": {"r2": "127.0.0.1:2"}}
     >>> parse_relays_config({"name": "f", "zone": "a", "relays": tables}).local
@@ -51,7 +53,7 @@
     return config
 
 
-def _zone_tables(zones: object) -> dict[str, dict[str, object]]:
+def _zone_tables(zones: object) -> ZoneTables:
     tables = zones if isinstance(zones, dict) else {}
     if not tables or not all(isinstance(table, dict) and table for table in tables.values()):
         raise ConfigError('relays: give a table for each zone, as [relays.a] with r1 = "HOST:PORT"')
--- a/lotusroute/relay/endpoint_items.py
+++ b/lotusroute/relay/endpoint_items.py
@@ -1,7 +1,8 @@
-"""Conversion between discovery's answers and the items of a versioned store: one item an endpoint.
+"""Conversion between endpoint lists and the items of a versioned store: one item for each endpoint.
 
-A further item says which discovery the endpoint list is from, and its version there. Entries are carried as
-they are: each balancer validates them as if discovery itself had answered.
+A further item holds the metadata of the list: the discovery service that it is from, and its version there.
+Endpoints are carried as discovery describes them: each balancer validates them as if discovery itself had
+answered.
 """
 
 import json
@@ -10,37 +11,59 @@
 from lotusroute.relay.versioned_store import Changes, VersionedStore
 
 LIST_METADATA_KEY = "#list"
+REMOVED_HEALTH = "DELETED"  # health of an endpoint that has left the list, in changes to a list
+
+DiscoveryMessage = dict[str, Any]  # a decoded answer of discovery, with its keys `seq`, `whole` and `hosts`
+EndpointEntry = dict[str, Any]  # an endpoint as discovery describes it
+
+
+class EndpointListUpdate(NamedTuple):
+    """An answer of discovery: the complete endpoint list, or the endpoints that have changed."""
+
+    seq: int | None  # discovery's version of the list
+    complete: bool
+    entries: list[EndpointEntry]
+
+    @classmethod
+    def from_message(cls, message: DiscoveryMessage) -> "EndpointListUpdate":
+        """Convert an answer of discovery.
+
+        >>> EndpointListUpdate.from_message({"seq": 4, "whole": True, "hosts": []})
+        EndpointListUpdate(seq=4, complete=True, entries=[])
+        """
+        return cls(message["seq"], message["whole"], message["hosts"])
+
+    def to_message(self) -> DiscoveryMessage:
+        """Convert to the form of an answer of discovery."""
+        return {"seq": self.seq, "whole": self.complete, "hosts": self.entries}
 
 
 class ListMetadata(NamedTuple):
     """Where an endpoint list is from."""
 
-    discovery_address: str  # "" where the store is empty
+    discovery_address: str  # HOST:PORT; empty if the store is empty
     seq: int | None  # discovery's version of the list
 
 
-def item_changes(store: VersionedStore, answer: dict[str, Any], discovery_address: str) -> Changes:
-    """Return what an answer of discovery, the full list or some entries of it, changes in the store.
+def item_changes(store: VersionedStore, update: EndpointListUpdate, discovery_address: str) -> Changes:
+    """Return the changes to the store's items that an update of the endpoint list makes.
 
     >>> store = VersionedStore()
-    >>> answer = {"seq": 4, "whole": True, "hosts": [{"host": "a"}, {"host": "b"}]}
-    >>> store.publish(1, item_changes(store, answer, "d"))
+    >>> update = EndpointListUpdate(4, True, [{"host": "a"}, {"host": "b"}])
+    >>> store.publish(1, item_changes(store, update, "d"))
     True
-    >>> sorted(item_changes(store, {"seq": 5, "whole": True, "hosts": [{"host": "b"}]}, "d"))
+    >>> sorted(item_changes(store, EndpointListUpdate(5, True, [{"host": "b"}]), "d"))
     ['#list', 'a', 'b']
     >>> list_metadata(store)
     ListMetadata(discovery_address='d', seq=4)
     """
     changes: Changes = {}
-    if answer["whole"]:
+    if update.complete:
         changes.update(dict.fromkeys(store.items))
-    for entry in answer["hosts"]:
-        name = str(entry["host"])
-        if entry.get("health") == "DELETED":
-            changes[name] = None
-        else:
-            changes[name] = json.dumps(entry, sort_keys=True).encode()
-    changes[LIST_METADATA_KEY] = json.dumps({"where": discovery_address, "seq": answer["seq"]}).encode()
+    for entry in update.entries:
+        removed = entry.get("health") == REMOVED_HEALTH
+        changes[str(entry["host"])] = None if removed else json.dumps(entry, sort_keys=True).encode()
+    changes[LIST_METADATA_KEY] = _encode_metadata(ListMetadata(discovery_address, update.seq))
     return changes
 
 
@@ -48,19 +71,28 @@
     """Return where the list in the store is from."""
     if LIST_METADATA_KEY not in store.items:
         return ListMetadata("", None)
-    metadata = json.loads(store.items[LIST_METADATA_KEY])
-    return ListMetadata(metadata["where"], metadata["seq"])
+    document = json.loads(store.items[LIST_METADATA_KEY])
+    return ListMetadata(document["where"], document["seq"])
 
 
-def discovery_answer(store: VersionedStore, changes: Changes | None) -> dict[str, Any]:
-    """Return the list in the store, or some changes to it, in the form of an answer of discovery.
+def complete_list(store: VersionedStore) -> EndpointListUpdate:
+    """Return the complete endpoint list in the store."""
+    entries = [json.loads(value) for name, value in store.items.items() if name != LIST_METADATA_KEY]
+    return EndpointListUpdate(list_metadata(store).seq, True, entries)
 
-    `changes`: what the last update changed; None for the full list.
-    """
-    items = store.items if changes is None else changes
-    hosts = []
-    for name, value in items.items():
-        if name == LIST_METADATA_KEY:
-            continue
-        hosts.append({"host": name, "health": "DELETED"} if value is None else json.loads(value))
-    return {"seq": list_metadata(store).seq, "whole": changes is None, "hosts": hosts}
+
+def list_changes(store: VersionedStore, changes: Changes) -> EndpointListUpdate:
+    """Return the endpoints that the last update of the store changed."""
+    entries = [_changed_entry(name, value) for name, value in changes.items() if name != LIST_METADATA_KEY]
+    return EndpointListUpdate(list_metadata(store).seq, False, entries)
+
+
+def _changed_entry(name: str, value: bytes | None) -> EndpointEntry:
+    if value is None:
+        return {"host": name, "health": REMOVED_HEALTH}
+    entry: EndpointEntry = json.loads(value)
+    return entry
+
+
+def _encode_metadata(metadata: ListMetadata) -> bytes:
+    return json.dumps({"where": metadata.discovery_address, "seq": metadata.seq}).encode()
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -1,10 +1,10 @@
-"""The subscribers of one process, and what each of them is sent next.
+"""The subscribers of one process, and the next message to each of them.
 
-Each subscriber has at most one message in flight, and is sent what it lacks from the version that it last
-acknowledged. Nothing is queued for a slow one: fifty changes in a second are a single delta to a subscriber
-that was busy meanwhile, and its slowness costs the others nothing.
+Each subscriber has at most one message in flight, and is sent the update from the version that it last
+acknowledged. Nothing is queued for a slow subscriber: all changes that were made while it was busy are sent
+as a single delta, and the other subscribers are not delayed.
 
-Pure: no I/O, no clock. Times are in milliseconds of the caller's clock.
+This module is pure: it does no I/O and reads no clock. Times are in milliseconds of the caller's clock.
 """
 
 import math
@@ -22,7 +22,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """Confirms that nothing has changed since a version, which the origin confirmed `age_ms` ago."""
+    """Says that nothing has changed since a version, which discovery confirmed `age_ms` ago."""
 
     version: Version
     age_ms: float
@@ -46,7 +46,7 @@
 
 
 class Drop(NamedTuple):
-    """Close a subscriber's subscription."""
+    """End a subscription."""
 
     subscriber: str
     reason: DropReason
@@ -57,28 +57,28 @@
 
 @dataclass(slots=True)
 class Subscriber:
-    """The state of one subscription."""
+    """The state of one subscriber."""
 
     version: Version  # last acknowledged
-    sent_at: float = math.inf  # of the message in flight; inf: there is none
-    snapshot_in_flight: bool = False  # whether that message is a snapshot
+    sent_at: float = math.inf  # of the message in flight; infinity if there is none
+    snapshot_in_flight: bool = False  # that message is a snapshot
     last_message_at: float = -math.inf
     last_update_at: float = -math.inf  # of the last message other than a heartbeat
 
 
 class FanOut:
-    """All subscribers of one process."""
+    """All subscribers of one process; decides which message is sent to whom."""
 
     def __init__(self, store: VersionedStore, max_subscribers: int) -> None:
         self.store = store
         self.max_subscribers = max_subscribers
         self.subscribers: dict[str, Subscriber] = {}
-        self.snapshot_queue: dict[str, None] = {}  # who waits for a snapshot, an ordered set
+        self.snapshot_queue: dict[str, None] = {}  # names of subscribers that wait for a snapshot, in order
         self.snapshots_in_flight = 0
-        self.pending_since = math.inf  # when the oldest change came that no tick has sent yet
+        self.pending_since = math.inf  # when the oldest change was made that is not sent yet
 
     def join(self, now: float, name: str, version: Version) -> list[Action]:
-        """Add a subscriber at a version, or restart its subscription; drop it where the table is full."""
+        """Add a subscriber at a version, or restart its subscription; drop it if there are too many."""
         if name not in self.subscribers and len(self.subscribers) >= self.max_subscribers:
             return [Drop(name, DropReason.FULL)]
         self.remove(name)
@@ -86,14 +86,14 @@
         return self._next_message(now, name, 0.0)
 
     def remove(self, name: str) -> None:
-        """Remove a subscriber, if it is one."""
+        """Remove a subscriber, if there is one of this name."""
         self.snapshot_queue.pop(name, None)
         subscriber = self.subscribers.pop(name, None)
         if subscriber is not None and subscriber.snapshot_in_flight:
             self.snapshots_in_flight -= 1
 
     def on_acknowledgement(self, now: float, name: str, version: Version, age_ms: float) -> list[Action]:
-        """Handle the acknowledgement of the message in flight: the subscriber is at this version now."""
+        """Handle the acknowledgement of the message in flight: the subscriber has this version now."""
         subscriber = self.subscribers.get(name)
         if subscriber is None:
             return []
@@ -108,11 +108,11 @@
         return actions
 
     def on_store_changed(self, now: float) -> None:
-        """Note that the store has changed; the first tick after COALESCE_DELAY_MS sends the change."""
+        """Note a change of the store; the first tick after COALESCE_DELAY_MS sends it."""
         self.pending_since = min(self.pending_since, now)
 
     def tick(self, now: float, age_ms: float) -> list[Action]:
-        """Send what is due. `age_ms`: how long ago the origin confirmed the store's version."""
+        """Send the messages that are due; discovery confirmed the store's version `age_ms` ago."""
         actions = self._drop_slow(now)
         if now >= self.pending_since + COALESCE_DELAY_MS:
             self.pending_since = math.inf
@@ -140,7 +140,7 @@
         return actions
 
     def _serve_snapshot_queue(self, now: float) -> list[Action]:
-        """Send snapshots to those who wait for one, as far as MAX_SNAPSHOTS_IN_FLIGHT allows."""
+        """Send queued snapshots, as far as MAX_SNAPSHOTS_IN_FLIGHT allows."""
         actions: list[Action] = []
         while self.snapshot_queue and self.snapshots_in_flight < MAX_SNAPSHOTS_IN_FLIGHT:
             name = next(iter(self.snapshot_queue))
@@ -149,9 +149,9 @@
         return actions
 
     def _next_message(self, now: float, name: str, age_ms: float) -> list[Action]:
-        """Send a subscriber the update that it lacks, else a heartbeat if that is due.
+        """Send a subscriber an update if it lags, or else a heartbeat if one is due.
 
-        Nothing is sent while it waits for a snapshot or has a message in flight.
+        Nothing is sent while the subscriber waits for a snapshot or has a message in flight.
         """
         subscriber = self.subscribers[name]
         if subscriber.sent_at < math.inf or name in self.snapshot_queue:
@@ -162,7 +162,7 @@
                 return []
             return [self._send(now, name, Heartbeat(self.store.version, age_ms))]
         if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL_MS:
-            return []  # a later tick sends it, with what changes until then
+            return []  # a later tick sends it, together with changes made until then
         if isinstance(update, Snapshot):
             if self.snapshots_in_flight >= MAX_SNAPSHOTS_IN_FLIGHT:
                 self.snapshot_queue[name] = None
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -1,6 +1,7 @@
-"""The wire format between relays and their subscribers: msgpack arrays, so the order of fields is the format.
+"""The wire format between relays and their subscribers.
 
-Decoding functions raise msgspec.MsgspecError for a body that does not follow the format.
+Messages are encoded as msgpack arrays: the order of the fields is the format. The decoding functions raise
+`msgspec.MsgspecError` for a body that does not follow it.
 """
 
 import msgspec
@@ -8,52 +9,64 @@
 from lotusroute.relay.fanout import Heartbeat, Message
 from lotusroute.relay.versioned_store import Delta, Snapshot, Update, Version, split_snapshot
 
-SUBSCRIBE_CALL = "follow"  # kind of the call by which a subscriber joins; its body is an acknowledgement
-UPDATE_CALL = "news"  # kind of the call that carries an UpdateMessage; answered by an acknowledgement
+# Kinds of calls. The body of the first and the responses to the second are encoded acknowledgements.
+SUBSCRIBE_CALL = "follow"
+UPDATE_CALL = "news"  # carries an UpdateMessage
 MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes a call
 MAX_SNAPSHOT_ITEMS = 1_000_000  # bounds the memory that a faulty sender can make a receiver use
 MAX_ITEM_OVERHEAD_BYTES = 8  # that the encoding adds to an item
 
 
+EncodedVersion = tuple[int, int]  # fencing token, sequence number
+
+
 class UpdateMessage(msgspec.Struct, array_like=True):
     """A heartbeat, a delta, or a part of a snapshot."""
 
-    version: tuple[int, int]
-    age_ms: float  # how long ago discovery confirmed to the origin what the sender has
+    version: EncodedVersion
+    age_ms: float  # since discovery confirmed the sender's list to the origin
     digest: int = 0
-    base_version: tuple[int, int] | None = None  # set in a delta only
+    base_version: EncodedVersion | None = None  # only in a delta
     part_index: int = 0
-    part_count: int = 0  # set in a part of a snapshot only
+    part_count: int = 0  # only in a part of a snapshot
     items: dict[str, bytes | None] = {}
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether this is neither a delta nor a part of a snapshot."""
+        """Return whether this is neither a delta nor a part of a snapshot."""
         return not self.part_count and self.base_version is None
 
 
 def encode_update(message: Message, age_ms: float) -> list[bytes]:
     """Return the bodies of the calls that carry a message, in order.
 
-    Empty where a delta is too large for one call: a snapshot has to be sent in its place.
+    The result is empty if a delta is too large for one call: the caller has to send a snapshot instead.
     """
-    version = message.version
-    if isinstance(message, Heartbeat):
-        return [msgspec.msgpack.encode(UpdateMessage(version, age_ms))]
-    if isinstance(message, Delta):
-        size = sum(
-            len(key) + len(value or b"") + MAX_ITEM_OVERHEAD_BYTES for key, value in message.changes.items()
-        )
-        if size > MAX_PART_BYTES:
-            return []
-        delta = UpdateMessage(version, age_ms, message.digest, message.base_version, items=message.changes)
-        return [msgspec.msgpack.encode(delta)]
-    return [
-        msgspec.msgpack.encode(
-            UpdateMessage(version, age_ms, message.digest, None, part.index, part.count, part.items)
+    match message:
+        case Heartbeat(version):
+            return [msgspec.msgpack.encode(UpdateMessage(version, age_ms))]
+        case Delta():
+            return _encode_delta(message, age_ms)
+        case Snapshot():
+            return _encode_snapshot(message, age_ms)
+
+
+def _encode_delta(delta: Delta, age_ms: float) -> list[bytes]:
+    sizes = (len(key) + len(value or b"") + MAX_ITEM_OVERHEAD_BYTES for key, value in delta.changes.items())
+    if sum(sizes) > MAX_PART_BYTES:
+        return []
+    message = UpdateMessage(delta.version, age_ms, delta.digest, delta.base_version, items=delta.changes)
+    return [msgspec.msgpack.encode(message)]
+
+
+def _encode_snapshot(snapshot: Snapshot, age_ms: float) -> list[bytes]:
+    bodies = []
+    for part in split_snapshot(snapshot, MAX_PART_BYTES):
+        message = UpdateMessage(
+            snapshot.version, age_ms, snapshot.digest, None, part.index, part.count, part.items
         )
-        for part in split_snapshot(message, MAX_PART_BYTES)
-    ]
+        bodies.append(msgspec.msgpack.encode(message))
+    return bodies
 
 
 def decode_update(body: bytes) -> UpdateMessage:
@@ -62,17 +75,17 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of a snapshot together, one snapshot at a time."""
+    """Assembles a snapshot from its parts, one snapshot at a time."""
 
     def __init__(self) -> None:
-        self.version: tuple[int, int] | None = None  # of the snapshot that is incomplete; None: there is none
-        self.items: dict[str, bytes] = {}  # at most MAX_SNAPSHOT_ITEMS and one part
+        self.version: EncodedVersion | None = None  # of the incomplete snapshot, if there is one
+        self.items: dict[str, bytes] = {}  # bounded by MAX_SNAPSHOT_ITEMS and the items of one part
         self.next_index = 0
 
     def add(self, message: UpdateMessage) -> Update | None:
-        """Return the update that is complete with this message; a delta is complete by itself.
+        """Return the update that is complete with this message; a delta is always complete.
 
-        None where more parts are to come, or where this part does not follow the last one.
+        Returns None if parts are still missing, or if this part does not follow the previous one.
         """
         if message.base_version is not None:
             base_version = Version(*message.base_version)
@@ -102,10 +115,10 @@
 
 
 def encode_acknowledgement(version: Version) -> bytes:
-    """Encode the version that a subscriber has."""
+    """Encode an acknowledgement, which is the version that a subscriber has."""
     return msgspec.msgpack.encode(version)
 
 
 def decode_acknowledgement(body: bytes) -> Version:
-    """Decode the version that a subscriber has."""
+    """Decode an acknowledgement."""
     return Version(*msgspec.msgpack.decode(body, type=tuple[int, int]))
--- /dev/null
+++ b/lotusroute/relay/origin.py
@@ -0,0 +1,103 @@
+"""The origin: the relay that polls discovery and publishes the answers under the lease `origin`."""
+
+import math
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet import defer
+
+from lotusroute.address import Address
+from lotusroute.net.discovery import Discovery
+from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.structured_log import log_event
+from lotusroute.relay import endpoint_items
+from lotusroute.relay.context import RelayContext
+from lotusroute.relay.errors import DeposedError
+
+ORIGIN_TASK = "origin"  # the leased task
+POLL_HOLD_MS = 500  # short, so that an origin without discovery is noticed soon
+MAX_PUBLISH_DURATION_MS = 50.0  # so much of the lease has to be left
+
+
+class Origin:
+    """The origin's work on one relay: an `UpdateSource` of its discovery client while it holds the lease."""
+
+    def __init__(
+        self,
+        context: RelayContext,
+        discovery_address: Address,
+        seed: int,
+        on_store_changed: Callable[[], None],
+    ) -> None:
+        """`seed` is that of the discovery client's random backoff."""
+        self.context = context
+        self.discovery_address = discovery_address
+        self.seed = seed
+        self.on_store_changed = on_store_changed
+        self.fencing_token = 0  # of the lease; 0 while this relay is not the origin
+        self.discovery: DiscoveryClient | None = None
+        self._client: Discovery | None = None
+
+    def start(self, fencing_token: int) -> None:
+        """Poll discovery from the list version that this relay has."""
+        self.fencing_token = fencing_token
+        client = Discovery(
+            self.discovery_address,
+            self._known_seq(),
+            self.seed,
+            self._ignore_endpoint_update,
+            self.context.counters,
+        )
+        client.watch = self
+        client.max_hold_ms = POLL_HOLD_MS
+        self.discovery = self._client = client
+        defer.ensureDeferred(client.follow())
+
+    def stop(self) -> None:
+        """Stop to poll discovery."""
+        self.fencing_token = 0
+        if self._client is not None:
+            self._client.close()
+        self.discovery = self._client = None
+
+    def _known_seq(self) -> int | None:
+        """Return the version of the list in the store; None if the list is of another discovery service."""
+        metadata = endpoint_items.list_metadata(self.context.replica.store)
+        return metadata.seq if metadata.discovery_address == str(self.discovery_address) else None
+
+    def _ignore_endpoint_update(self, update: object) -> None:
+        """Do nothing: `on_response` publishes the answers of discovery."""
+
+    # UpdateSource
+
+    async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
+        """Return at once: the origin always polls."""
+
+    def age(self) -> float:
+        """Return infinity: the origin receives the list only from discovery."""
+        return math.inf
+
+    def on_response(self, message: dict[str, Any], since: int | None) -> None:
+        """Publish an answer of discovery, if enough of the lease is left."""
+        if not self.context.lease_service.fencing_token(ORIGIN_TASK, MAX_PUBLISH_DURATION_MS):
+            return
+        received_at = self.context.now()
+        store = self.context.replica.store
+        update = endpoint_items.EndpointListUpdate.from_message(message)
+        changes = endpoint_items.item_changes(store, update, str(self.discovery_address))
+        try:
+            published = store.publish(self.fencing_token, changes)
+        except DeposedError as error:
+            self.context.counters["updates_fenced"] += 1
+            log_event("publish rejected", reason=str(error))
+            return
+        self.context.replica.confirm(received_at, age_ms=0.0)
+        if published:
+            self.context.counters["updates_published"] += 1
+            self.on_store_changed()
+
+    def on_failure(self) -> None:
+        """Do nothing: the age that subscribers are sent grows."""
+
+    def wake(self) -> None:
+        """Do nothing: `wait_until_poll_due` never waits."""
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -1,11 +1,11 @@
-"""Which relay a process subscribes to, and when it changes to another.
+"""The choice of the relay that a process subscribes to.
 
-A relay is left when it is silent, when it does not accept the subscription in time, and when what it has
-grows stale: it is cut off from the origin then, and another one may not be. Relays of the own zone are tried
-first.
+Relays of the own zone are tried first. A relay is left when it is silent, when it does not accept the
+subscription in time, and when its list grows stale: it may have lost its connection to the origin while
+another relay has not.
 
-Pure: no I/O, no clock, no randomness but the given `random.Random`. Times are in milliseconds of the caller's
-clock. Whether discovery is polled meanwhile is up to the caller.
+This module is pure: it does no I/O, reads no clock, and takes its randomness from the given `random.Random`.
+Times are in milliseconds of the caller's clock. The caller decides whether to poll discovery meanwhile.
 """
 
 import math
@@ -19,6 +19,7 @@
 # After all relays have failed once.
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
+MIN_BACKOFF_FRACTION = 0.5  # the rest of a backoff is random
 # Random, so that the subscribers of a zone do not return to it all at once.
 MIN_FAILBACK_DELAY_MS = 20_000.0
 MAX_FAILBACK_DELAY_MS = 60_000.0
@@ -31,7 +32,7 @@
 
 
 class Leave(NamedTuple):
-    """Disconnect from a relay; nothing more from it is accepted."""
+    """Disconnect from a relay and accept no more messages from it."""
 
     relay: str
 
@@ -40,9 +41,10 @@
 
 
 def preference_order(name: str, local: list[str], remote: list[str]) -> list[str]:
-    """Return the relays in the order in which a process tries them: those of its zone, then the others.
+    """Return the relays in the order in which a process tries them, those of its own zone first.
 
-    Both are in rendezvous hash order, so that the subscribers of a failed relay spread over all others.
+    Within each group they are in rendezvous hash order, which spreads the subscribers of a failed relay over
+    all others.
 
     >>> preference_order("n1", ["a", "b"], ["c"])[-1], sorted(preference_order("n1", ["a", "b"], ["c"]))
     ('c', ['a', 'b', 'c'])
@@ -61,18 +63,18 @@
         self.relays = preference_order(name, local, remote)
         self.local_relays = frozenset(local)
         self.rng = rng
-        self.index = 0  # in `relays`, of the one that is being joined or is subscribed to
-        self.joining = ""  # the relay that has not accepted us yet
-        self.current = ""  # the relay that has
-        self.attempts = 0  # relays that failed in a row
-        self.retry_at = -math.inf  # end of the backoff after all relays failed
+        self.index = 0  # in `relays`, of the current relay or the one being joined
+        self.joining = ""  # the relay that has been asked for a subscription, if any
+        self.current = ""  # the relay that has accepted the subscription, if any
+        self.failures_in_row = 0
+        self.retry_at = -math.inf  # end of the backoff after all relays have failed
         self.joined_at = -math.inf
-        self.failback_at = math.inf  # when to return to the own zone; inf: we are in it, or in none
-        self.last_message_at = -math.inf  # of `current`, or when `joining` was asked
-        self.confirmed_at = -math.inf  # when what we have was last known to be the origin's
+        self.failback_at = math.inf  # when to return to the own zone; infinity if there is no need to
+        self.last_message_at = -math.inf  # of the current relay, or when `joining` was asked
+        self.confirmed_at = -math.inf  # when discovery last confirmed the list, as far as is known
 
     def tick(self, now: float) -> list[Action]:
-        """Check all timeouts."""
+        """Check the timeouts and return the actions that are due."""
         if self.current:
             return self._check_current(now)
         if self.joining:
@@ -96,33 +98,33 @@
             self.failback_at = now + self.rng.uniform(MIN_FAILBACK_DELAY_MS, MAX_FAILBACK_DELAY_MS)
 
     def on_message(self, now: float, relay: str) -> bool:
-        """Note a message of a relay; whether it may be used: only those of the current one may."""
+        """Note a message of a relay; return whether to use it, which holds for the current relay only."""
         if relay != self.current:
             return False
         self.last_message_at = now
         return True
 
     def on_confirmed(self, now: float, age_ms: float) -> None:
-        """Note that what we have is what discovery told the origin `age_ms` ago."""
+        """Note that discovery confirmed the list to the origin `age_ms` ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_ms)
         if age_ms < STALENESS_LIMIT_MS:
-            self.attempts = 0
+            self.failures_in_row = 0
 
     def on_lost(self, now: float, relay: str) -> list[Action]:
-        """Change to the next relay: this one has disconnected, timed out or rejected us."""
+        """Change to the next relay: this one disconnected, timed out or rejected the subscription."""
         if relay not in (self.current, self.joining):
             return []
         self.current = ""
         self.joining = ""
         self.index = (self.index + 1) % len(self.relays)
-        self.attempts += 1
-        if self.attempts % len(self.relays) == 0:
+        self.failures_in_row += 1
+        if self.failures_in_row % len(self.relays) == 0:
             self._back_off(now)
             return [Leave(relay)]
         return [Leave(relay), self._join(now)]
 
     def is_fresh(self, now: float) -> bool:
-        """Whether what we have may be relied on; if not, discovery has to be polled."""
+        """Return whether the list is current enough to be used without polling discovery."""
         return now - self.confirmed_at < STALENESS_LIMIT_MS
 
     def _check_current(self, now: float) -> list[Action]:
@@ -135,15 +137,15 @@
             self.failback_at = math.inf
             self.current = ""
             self.index = 0
-            self.attempts = 0
+            self.failures_in_row = 0
             return [Leave(previous), self._join(now)]
         return []
 
     def _back_off(self, now: float) -> None:
-        """Wait before the relays are tried from the first one on: longer each round, half of it random."""
-        rounds = self.attempts // len(self.relays)
+        """Start the backoff before the relays are tried again, which doubles each round."""
+        rounds = self.failures_in_row // len(self.relays)
         backoff = min(MIN_BACKOFF_MS * 2 ** (rounds - 1), MAX_BACKOFF_MS)
-        self.retry_at = now + backoff * self.rng.uniform(0.5, 1.0)
+        self.retry_at = now + backoff * self.rng.uniform(MIN_BACKOFF_FRACTION, 1.0)
         self.index = 0
 
     def _join(self, now: float) -> Join:
--- /dev/null
+++ b/lotusroute/relay/replica.py
@@ -0,0 +1,71 @@
+"""A process's replica of the endpoint list, updated by the messages of another process.
+
+Times are in milliseconds of the caller's clock.
+"""
+
+from collections import Counter
+from typing import NamedTuple
+
+from lotusroute.relay import messages
+from lotusroute.relay.versioned_store import Update, UpdateOutcome, Version, VersionedStore
+
+UNKNOWN_AGE_MS = 1e9  # nothing has been received from discovery or an origin
+
+
+class ReceivedUpdate(NamedTuple):
+    """An update that has been received completely, and whether it was applied."""
+
+    update: Update
+    outcome: UpdateOutcome
+
+
+class Replica:
+    """The store of one process and the snapshot that is being received."""
+
+    def __init__(self, counters: "Counter[str]") -> None:
+        self.store = VersionedStore()
+        self.counters = counters
+        self._assembler = messages.SnapshotAssembler()
+
+    def receive(self, message: messages.UpdateMessage) -> ReceivedUpdate | None:
+        """Apply the update that is complete with this message.
+
+        Returns None for a heartbeat, and for a part of a snapshot that other parts are to follow.
+        """
+        if message.is_heartbeat:
+            return None
+        update = self._assembler.add(message)
+        if update is None:
+            return None
+        outcome = self.store.apply(update)
+        self.counters[f"updates_{outcome}"] += 1
+        return ReceivedUpdate(update, outcome)
+
+    def acknowledge(self, received: ReceivedUpdate | None) -> bytes:
+        """Return the encoded acknowledgement of a message, which names the version of the replica.
+
+        After a corrupt update it names the empty version, which requests a snapshot.
+        """
+        if received is not None and received.outcome == UpdateOutcome.CORRUPT:
+            return messages.encode_acknowledgement(Version())
+        return messages.encode_acknowledgement(self.store.version)
+
+
+class RelayReplica(Replica):
+    """The replica of a relay, which reports its age to subscribers."""
+
+    def __init__(self, counters: "Counter[str]") -> None:
+        super().__init__(counters)
+        self.confirmed_at = -UNKNOWN_AGE_MS  # when discovery last confirmed the list, as far as is known
+
+    def confirm(self, now: float, age_ms: float) -> None:
+        """Note that discovery confirmed the list `age_ms` ago."""
+        self.confirmed_at = max(self.confirmed_at, now - age_ms)
+
+    def age_ms(self, now: float) -> float:
+        """Return how long ago discovery confirmed the list; at most UNKNOWN_AGE_MS."""
+        return min(UNKNOWN_AGE_MS, now - self.confirmed_at)
+
+    def has_list(self, now: float) -> bool:
+        """Return whether the replica has received a list."""
+        return self.age_ms(now) <= UNKNOWN_AGE_MS / 2
--- /dev/null
+++ b/lotusroute/relay/update_source.py
@@ -0,0 +1,112 @@
+"""The `UpdateSource` of a balancer that subscribes to a relay: it decides when discovery is polled instead.
+
+The balancer polls discovery once its list has grown stale, and until a relay has a fresh list again. Times
+are in milliseconds, spans of the reactor in seconds.
+"""
+
+import math
+import random
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet import defer
+from twisted.internet.base import ReactorBase
+
+from lotusroute.net.discovery import MIN_REJECTION_BACKOFF, QUEUE_TIMEOUT
+from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
+from lotusroute.relay.relay_selector import RelaySelector
+
+CHECK_INTERVAL_S = 0.1
+FIRST_UPDATE_TIMEOUT_S = 0.8  # after the start, before discovery is polled instead
+
+
+class RelayUpdateSource:
+    """Has the discovery client wait while the list of a relay is fresh."""
+
+    def __init__(
+        self,
+        reactor: ReactorBase,
+        clock: Callable[[], float],
+        rng: random.Random,
+        counters: "Counter[str]",
+        selector: RelaySelector,
+        forwarder: DiscoveryForwarder,
+    ) -> None:
+        self.reactor = reactor
+        self.clock = clock
+        self.rng = rng
+        self.counters = counters
+        self.selector = selector
+        self.forwarder = forwarder
+        self.discovery: DiscoveryClient | None = None  # the current client; a reload replaces it
+        self.started_at = clock()
+        self.polling = False  # the list is stale, and discovery is polled
+        self._pending_wait: defer.Deferred[None] | None = None
+
+    def on_list_confirmed(self, now: float) -> None:
+        """End the polling of discovery if the list is fresh again."""
+        if self.selector.is_fresh(now):
+            self.polling = False
+
+    async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
+        """Return when this balancer has to poll discovery, or the client is closed."""
+        while not discovery.closed and not self.polling:
+            now = self.clock()
+            starting = now < self.started_at + 1000 * FIRST_UPDATE_TIMEOUT_S
+            has_list = self.forwarder.has_list_of(discovery)
+            if not has_list and not starting:
+                # After a reload, the relays may have the list of another discovery service. The reload may
+                # happen during a wait, so this is checked in every iteration.
+                self.counters["relay_fallback_requests"] += 1
+                return
+            if starting or self.selector.is_fresh(now):
+                if has_list and discovery.seq is None:
+                    self.forwarder.forward_complete_list(discovery)
+                await self._wait(CHECK_INTERVAL_S)
+                continue
+            await self._wait_before_polling(discovery)
+        if self.polling:
+            self.counters["relay_fallback_requests"] += 1
+
+    async def _wait_before_polling(self, discovery: DiscoveryClient) -> None:
+        """Wait for a random time, so that balancers that lost their relay together do not poll together.
+
+        The wait leaves enough of the time in which a change has to be in force for the poll itself.
+        """
+        max_delay = max(0.0, min(MIN_REJECTION_BACKOFF, discovery.remaining() - QUEUE_TIMEOUT))
+        await self._wait(max_delay * self.rng.random())
+        if not self.selector.is_fresh(self.clock()):
+            self.polling = True
+            self.counters["relay_stale"] += 1
+
+    def _wait(self, seconds: float) -> "defer.Deferred[None]":
+        """Return a Deferred that fires after so many seconds, or when woken."""
+        self._pending_wait = defer.Deferred()
+        timer = self.reactor.callLater(seconds, self.wake)
+
+        def cancel_timer(_: object) -> None:
+            if timer.active():
+                timer.cancel()
+
+        return self._pending_wait.addBoth(cancel_timer)
+
+    def wake(self) -> None:
+        """Make a pending `wait_until_poll_due` check again whether to poll."""
+        pending_wait = self._pending_wait
+        self._pending_wait = None
+        if pending_wait is not None:
+            pending_wait.callback(None)
+
+    def age(self) -> float:
+        """Return the maximum age of the list in s; infinity if it is of another discovery service."""
+        if self.discovery is None or not self.forwarder.has_list_of(self.discovery):
+            return math.inf
+        return (self.clock() - self.selector.confirmed_at) / 1000
+
+    def on_response(self, message: dict[str, Any], since: int | None) -> None:
+        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
+
+    def on_failure(self) -> None:
+        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -1,11 +1,12 @@
 """A versioned key-value store that is replicated from one origin by snapshots and deltas.
 
-A version is (fencing token, sequence number). The fencing token is that of the lease under which an origin
-published it: it never decreases, and no two origins share one (docs/leases.md). Sequence numbers increase by
-one, within a fencing token and from one to the next. The digest over all items that comes with each update
-proves that applying it gave the origin's items; an update is applied as a whole or not at all.
+A version consists of a fencing token and a sequence number. The fencing token is that of the lease under
+which an origin published the version: it never decreases, and no two origins share one (docs/leases.md).
+Sequence numbers increase by one, also from one fencing token to the next. Each update carries a digest over
+all items, which shows whether applying the update results in the origin's items. An update is applied
+completely or not at all.
 
-Pure: no I/O, no clock.
+This module is pure: it does no I/O and reads no clock.
 """
 
 from collections import deque
@@ -15,31 +16,38 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from lotusroute.errors import LotusrouteError
+from lotusroute.relay.errors import DeposedError
 
 HISTORY_LIMIT = 512  # versions; a subscriber that is further behind gets a snapshot
 TOMBSTONE_LIMIT = 4_096  # removed keys
 DIGEST_MASK = (1 << 64) - 1
 
-Changes = dict[str, bytes | None]  # new values by key; None: the key was removed
+Changes = dict[str, bytes | None]  # new values by key; None if the key was removed
 
 
 class UpdateOutcome(StrEnum):
-    """What became of an update; the values are part of the names of counters."""
+    """The result of applying an update; the values are part of the names of counters."""
 
     APPLIED = "applied"
-    DUPLICATE = "duplicate"  # the version that the store has already
-    STALE = "stale"  # an older version
+    DUPLICATE = "duplicate"  # the store has this version already
+    STALE = "stale"  # the store has a later version
     GAP = "gap"  # a delta from another version than the store's
     CORRUPT = "corrupt"  # the digest does not match
 
 
 class Version(NamedTuple):
-    """Identifies the contents of a store; (0, 0) is the empty store."""
+    """Identifies the contents of a store; (0, 0) is the empty store.
+
+    >>> str(Version(7, 31))
+    '7.31'
+    """
 
     fencing_token: int = 0
     sequence_number: int = 0
 
+    def __str__(self) -> str:
+        return f"{self.fencing_token}.{self.sequence_number}"
+
 
 class Snapshot(NamedTuple):
     """All items at a version."""
@@ -70,12 +78,8 @@
     items: Changes
 
 
-class PublishRejectedError(LotusrouteError):
-    """An origin may not publish: the store has a version under a higher fencing token."""
-
-
 def item_hash(key: str, value: bytes) -> int:
-    """Return what an item adds to the digest, modulo 2^64; addition makes the order of items irrelevant.
+    """Return an item's summand in the digest, modulo 2^64; the order of items does not matter.
 
     >>> item_hash("a", b"1") == item_hash("a", b"1") != item_hash("a", b"2")
     True
@@ -90,19 +94,20 @@
     def __init__(self) -> None:
         self.version = Version()
         self.digest = 0
-        self.items: dict[str, bytes] = {}  # as many as the origin publishes
+        self.items: dict[str, bytes] = {}
         self.item_versions: dict[str, Version] = {}  # the version in which each item last changed
-        self.tombstones: dict[str, Version] = {}  # removed keys, the oldest first; TOMBSTONE_LIMIT at most
-        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # versions this store had, the newest last
+        self.tombstones: dict[str, Version] = {}  # when each key was removed, oldest first
+        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # newest last
 
     def publish(self, fencing_token: int, changes: Changes) -> bool:
-        """Make a new version of the changes that differ from the items; whether there is a new version.
+        """Make a new version of the changes that differ from the items; return whether there is one.
 
-        For the origin only. A new fencing token makes a version even without a change: its holder confirms
-        that the items are current. Raises PublishRejectedError under a lower fencing token than the store's.
+        Only the origin may call this. A new fencing token makes a version even without a change, because its
+        holder confirms that the items are current. Raises `DeposedError` if the store has a version under a
+        higher fencing token.
         """
         if fencing_token < self.version.fencing_token:
-            raise PublishRejectedError(f"fence {fencing_token} after {self.version.fencing_token}")
+            raise DeposedError(fencing_token, self.version.fencing_token)
         effective = {key: value for key, value in changes.items() if self.items.get(key) != value}
         if not effective and fencing_token == self.version.fencing_token:
             return False
@@ -111,7 +116,7 @@
         return True
 
     def apply(self, update: Update) -> UpdateOutcome:
-        """Apply an update from the origin, or say why not; an update is never applied in part."""
+        """Apply an update from the origin and return the outcome; any but APPLIED changes nothing."""
         if update.version == self.version:
             return UpdateOutcome.DUPLICATE
         if update.version < self.version:
@@ -125,14 +130,14 @@
         if self.digest_after(changes) != update.digest:
             return UpdateOutcome.CORRUPT
         if isinstance(update, Snapshot):
-            # The versions in between are unknown here, so no delta can be made from before this one.
+            # The versions in between are unknown, so no delta can be made from an earlier version.
             self.history.clear()
             self.tombstones.clear()
         self._commit(update.version, changes, update.digest)
         return UpdateOutcome.APPLIED
 
     def update_since(self, version: Version) -> Update | None:
-        """Return what a subscriber at a version lacks; None where it lacks nothing, or is ahead."""
+        """Return the update from a version to the current one; None if the version is current or later."""
         if version >= self.version:
             return None
         if version not in self.history:
@@ -148,7 +153,7 @@
         return Snapshot(self.version, self.digest, dict(self.items))
 
     def digest_after(self, changes: Changes) -> int:
-        """Return the digest that the store would have after these changes."""
+        """Return the digest of the items as they would be after these changes."""
         digest = self.digest
         for key, value in changes.items():
             old = self.items.get(key)
@@ -180,7 +185,7 @@
         self.history.append(version)
 
     def _trim_tombstones(self) -> None:
-        """Forget the oldest removals, and the versions from which a delta would need them."""
+        """Drop the oldest tombstones, and the versions from which a delta would need them."""
         while len(self.tombstones) > TOMBSTONE_LIMIT:
             removed = self.tombstones.pop(next(iter(self.tombstones)))
             while self.history and self.history[0] < removed:
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -94,7 +94,7 @@
         name = next(iter(self.processes))
         command = _relay_command("show", "--fleet", self._fleet_file(name), "--json")
         done = subprocess.run(command, capture_output=True, timeout=30, check=False)
-        return {name: state["news"] for name, state in json.loads(done.stdout)["balancers"].items()}
+        return {name: state["updates"] for name, state in json.loads(done.stdout)["balancers"].items()}
 
     def subscriber_count(self):
         """How many subscribers all relays have together; the other relays are subscribers of the origin."""
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -16,6 +16,7 @@
 )
 from twisted.internet import task
 
+from lotusroute.address import Address
 from lotusroute.leases.messages import RequestLease
 from lotusroute.relay import config as relays_config
 from lotusroute.relay import messages, subscription
@@ -34,9 +35,7 @@
     HEADER + b'\x01\x03\x81\xa3s-2\xc4\x1d{"host": "s-2", "share": 0.5}',
     HEADER + b'\x02\x03\x81\xa5#list\xc4\x24{"where": "10.0.0.9:8500", "seq": 4}',
 ]
-COMPLETE_SNAPSHOT = (
-    HEADER + b"\x00\x01\x83" + b"".join(service[len(HEADER) + 3 :] for service in SNAPSHOT_PARTS)
-)
+COMPLETE_SNAPSHOT = HEADER + b"\x00\x01\x83" + b"".join(part[len(HEADER) + 3 :] for part in SNAPSHOT_PARTS)
 DELTA = (
     b"\x97\x92\x03\x02\xcb\x40\x6f\x40\0\0\0\0\0\xcf\x2b\xd9\x8f\x55\x10\x66\x2e\x89\x92\x03\x01\x00\x00\x82"
     b'\xa3s-2\xc0\xa5#list\xc4\x24{"where": "10.0.0.9:8500", "seq": 5}'
@@ -48,31 +47,32 @@
 def _relay(state):
     """A relay that is the origin with fencing token 3 and has published 250 ms ago."""
     service = lease_service_at_fixed_clock("a", state)
-    relay = RelayServer(service, ("10.0.0.9", 8500), Counter())
-    relay.fencing_token, service.fencing_token = 3, lambda *_: 3
-    relay.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
+    relay = RelayServer(service, Address("10.0.0.9", 8500), Counter())
+    relay.origin.fencing_token, service.fencing_token = 3, lambda *_: 3
+    relay.origin.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
     service.clock = lambda: NOW + 250.0
     return relay
 
 
 def test_a_relay_sends_these_bytes_and_a_balancer_reads_them(tmp_path):
     relay = _relay(tmp_path)
-    service, transport = relay.lease_service, relay.lease_service.transport
-    assert relay.store.items == ITEMS
+    service, transport = relay.context.lease_service, relay.context.lease_service.transport
+    assert relay.context.replica.store.items == ITEMS
     assert service.handle_call("n1", "follow", b"\x92\x00\x00") == b""
     service.reactor.advance(0)
     assert transport.take_calls() == [("back", "n1", "news", COMPLETE_SNAPSHOT)]
     transport.answers[-1].callback(b"\x92\x03\x01")
-    assert relay.fanout.subscribers["n1"].version == (3, 1)
+    assert relay.sender.fanout.subscribers["n1"].version == (3, 1)
     service.clock = lambda: NOW
-    relay.on_response({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
+    relay.origin.on_response({"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}, 4)
     service.clock = lambda: NOW + 250.0
-    relay.perform(relay.fanout.tick(service.clock() + 1000.0, relay.age_ms()))
+    relay.sender.perform(relay.sender.fanout.tick(service.clock() + 1000.0, relay.context.age_ms()))
     assert transport.take_calls() == [("back", "n1", "news", DELTA)]
 
-    relays = relays_config.RelaysConfig("f", {"r1": ("10.0.0.1", 1)}, {})
+    relays = relays_config.RelaysConfig("f", {"r1": Address("10.0.0.1", 1)}, {})
     balancer = subscription.Subscription(task.Clock(), relays, "n1", Counter())
-    balancer.transport, balancer.discovery = RecordingTransport(), RecordingDiscovery()
+    balancer.transport, discovery = RecordingTransport(), RecordingDiscovery()
+    balancer.update_source.discovery = discovery
     balancer.selector.joining = "r1"
     balancer.on_connected("r1")
     assert balancer.transport.take_calls() == [("call", "r1", "follow", b"\x92\x00\x00")]
@@ -80,7 +80,7 @@
     acknowledged = [balancer.handle_call("r1", "news", body) for body in (*SNAPSHOT_PARTS, DELTA, HEARTBEAT)]
     assert acknowledged == 2 * [b"\x92\x00\x00"] + [b"\x92\x03\x01"] + 2 * [b"\x92\x03\x02"]
     removal = {"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}
-    assert balancer.discovery.taken == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (removal, 4)]
+    assert discovery.taken == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (removal, 4)]
 
 
 def test_updates_are_encoded_and_decoded_as_these_bytes(monkeypatch):
@@ -95,29 +95,18 @@
     for bodies, update in ((SNAPSHOT_PARTS, snapshot), ([COMPLETE_SNAPSHOT], snapshot), ([DELTA], delta)):
         assembler = messages.SnapshotAssembler()
         assert [assembler.add(messages.decode_update(body)) for body in bodies][-1] == update
-    heartbeat = messages.decode_update(HEARTBEAT)
-    assert (
-        heartbeat.version,
-        heartbeat.age_ms,
-        heartbeat.base_version,
-        heartbeat.part_count,
-        heartbeat.items,
-    ) == (
-        (3, 2),
-        250.0,
-        None,
-        0,
-        {},
+    assert messages.decode_update(HEARTBEAT) == messages.UpdateMessage(
+        version=(3, 2), age_ms=250.0, digest=0, base_version=None, part_index=0, part_count=0, items={}
     )
     assert messages.encode_acknowledgement(Version(3, 2)) == b"\x92\x03\x02"
     assert messages.decode_acknowledgement(b"\x92\x03\x02") == (3, 2)
 
 
 def test_the_status_has_these_keys(tmp_path):
-    relay = _relay(tmp_path)
-    relay.lease_service.handle_event(RequestLease("watch"))
-    relay.lease_service.handle_call("b", "propose", PROPOSE_B)
-    shown = json.loads(relay.lease_service.handle_call("-", "show", b""))
+    service = _relay(tmp_path).context.lease_service
+    service.handle_event(RequestLease("watch"))
+    service.handle_call("b", "propose", PROPOSE_B)
+    shown = json.loads(service.handle_call("-", "show", b""))
     assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
     assert " ".join(shown["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
     grant = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -25,7 +25,7 @@
     assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
     states = deployment.relays.status().values()
     assert len({(tuple(state["version"]), state["digest"]) for state in states}) == 1
-    assert not any(state["lack"] for state in states)
+    assert not any(state["lagging"] for state in states)
 
 
 @pytest.mark.parametrize("victim", ["relay", "origin"])
--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -4,9 +4,9 @@
 from versioned_store_helpers import origin_store
 
 from lotusroute.relay import versioned_store
+from lotusroute.relay.errors import DeposedError
 from lotusroute.relay.versioned_store import (
     Delta,
-    PublishRejectedError,
     Snapshot,
     UpdateOutcome,
     Version,
@@ -80,7 +80,7 @@
     assert replica.items == successor.items
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.STALE
     assert deposed.apply(successor.update_since(deposed.version)) == UpdateOutcome.APPLIED
-    with pytest.raises(PublishRejectedError):
+    with pytest.raises(DeposedError):
         deposed.publish(3, {"a": b"still"})
 
 
