--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -2,14 +2,16 @@
 
     python -m lotusroute.fault_injection.relay_model_checker --walks 2000 --seed 1
 
-The model runs the program's own stores and fan-outs, without a clock or a socket. Messages are delayed, lost,
-duplicated, reordered and corrupted; processes crash. One relay after the other is the origin or, for a while,
-several: a deposed one goes on publishing until it receives the later fencing token. Two subscribers change
-between relays. The invariants are checked after each step:
-
-- no process goes back to an older version;
-- no process has items that no origin published under its version;
-- once faults end, all processes get the items of the last origin.
+The model runs the stores and fan-outs of the program, without a clock or a socket. Messages are delayed,
+lost, duplicated, reordered and corrupted, and processes crash. The relays become the origin in turns; several
+may consider themselves the origin at a time, as a deposed one continues to publish until it receives the
+later fencing token. Two subscribers change between relays. These invariants are checked after each step:
+
+- No process goes back to an older version.
+- The items of each process are those that an origin published under its version.
+- Once faults end, all processes receive the items of the last origin.
+
+Times are in milliseconds of the model's clock.
 """
 
 import argparse
@@ -41,14 +43,23 @@
 RELAYS = ("r1", "r2", "r3")
 SUBSCRIBERS = ("s1", "s2")
 KEYS = tuple("abcd")
+CHANGED_KEYS = 2  # of one change
+VALUES = 3  # distinct values of an item
+CORRUPT_VALUE = b"corrupt"
+LAST_VALUE = b"last"  # published once faults have ended
 MAX_SUBSCRIBERS = 8  # of each relay
 MAX_IN_FLIGHT = 12  # messages; one of them is lost when there are more
 STEPS = 120  # of a walk
-RECOVERY_TICKS = 400  # without faults, within which all have to converge
+RECOVERY_TICKS = 400  # without faults, within which all processes have to converge
+
+# How often each of these steps is drawn for one draw of each fault.
+DELIVER_WEIGHT = 8
+TICK_WEIGHT = 4
+CHANGE_WEIGHT = 2
 
 
 class Envelope(NamedTuple):
-    """A message in flight; a version is the acknowledgement of an update."""
+    """A message in flight: an update, or the acknowledged version."""
 
     source: str
     destination: str
@@ -62,14 +73,14 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.fencing_token = 0  # of the last lease that was granted
-        self.origins: dict[str, int] = {}  # relays that consider themselves the origin: their fencing tokens
-        self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # that each relay has received
+        self.origins: dict[str, int] = {}  # fencing tokens of the relays that consider themselves the origin
+        self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # received by each relay
         self.stores = {name: VersionedStore() for name in RELAYS + SUBSCRIBERS}
         self.fanouts = {name: FanOut(self.stores[name], MAX_SUBSCRIBERS) for name in RELAYS}
-        self.subscriptions: dict[str, str] = {}  # subscriber: relay
+        self.subscriptions: dict[str, str] = {}  # relay by subscriber
         self.in_flight: list[Envelope] = []
         self.published: dict[Version, dict[str, bytes]] = {Version(): {}}
-        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # that each process has had
+        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # of each process
         self.outcomes: Counter[str] = Counter()
 
     # Steps
@@ -84,12 +95,13 @@
             self.duplicate_message,
             self.corrupt_message,
         ]
-        usual = [self.deliver] * 8 + [self.tick] * 4 + [self.change_items] * 2
+        usual = DELIVER_WEIGHT * [self.deliver] + TICK_WEIGHT * [self.tick]
+        usual += CHANGE_WEIGHT * [self.change_items]
         self.rng.choice(usual + faults)()
         self.check_invariants()
 
     def change_origin(self) -> None:
-        """Grant the lease to another relay; the old origin may not know yet."""
+        """Grant the lease to a relay; the previous origin does not notice yet."""
         self.fencing_token += 1
         name = self.rng.choice(RELAYS)
         self.origins[name] = self.fencing_token
@@ -97,7 +109,7 @@
         self.publish(name, {})
 
     def publish(self, name: str, changes: Changes) -> None:
-        """Publish as an origin; one that has received a later fencing token ceases to be it."""
+        """Publish as an origin, or stop being one after a later fencing token has been received."""
         store = self.stores[name]
         try:
             new_version = store.publish(self.origins[name], changes)
@@ -108,19 +120,19 @@
             return
         self.fanouts[name].on_store_changed(self.now)
         if self.published.get(store.version, store.items) != store.items:
-            raise InvariantViolationError(f"{store.version} published twice, with other items")
+            raise InvariantViolationError(f"{store.version} published twice with different items")
         self.published[store.version] = dict(store.items)
 
     def change_items(self) -> None:
-        """Let an origin publish two items that change, are added or are removed."""
+        """Have an origin publish changes, additions or removals of random items."""
         if not self.origins:
             return
         name = self.rng.choice(sorted(self.origins))
-        values = {key: self.rng.choice((None, b"%d" % self.rng.randrange(3))) for key in KEYS}
-        self.publish(name, dict(self.rng.sample(sorted(values.items()), 2)))
+        values = {key: self.rng.choice((None, b"%d" % self.rng.randrange(VALUES))) for key in KEYS}
+        self.publish(name, dict(self.rng.sample(sorted(values.items()), CHANGED_KEYS)))
 
     def subscribe(self) -> None:
-        """Let a subscriber join a relay, which may be another one than before."""
+        """Have a subscriber join a relay, in place of its current one if it has one."""
         name = self.rng.choice(SUBSCRIBERS)
         relay = self.rng.choice(RELAYS)
         if name in self.subscriptions:
@@ -128,12 +140,12 @@
         self.join(name, relay)
 
     def join(self, name: str, relay: str) -> None:
-        """Subscribe a process to a relay, from the version that it has."""
+        """Subscribe a process to a relay, from the process's current version."""
         self.subscriptions[name] = relay
         self.send(relay, self.fanouts[relay].join(self.now, name, self.stores[name].version))
 
     def crash(self) -> None:
-        """Restart a process with an empty store; the messages to it are lost."""
+        """Restart a process with an empty store; messages to it are lost."""
         name = self.rng.choice(RELAYS + SUBSCRIBERS)
         self.stores[name] = VersionedStore()
         self.highest_versions[name] = Version()
@@ -142,14 +154,16 @@
             self.origins.pop(name, None)
             self.highest_fencing_tokens[name] = 0
             self.fanouts[name] = FanOut(self.stores[name], MAX_SUBSCRIBERS)
-            self.subscriptions = {who: relay for who, relay in self.subscriptions.items() if relay != name}
+            self.subscriptions = {
+                subscriber: relay for subscriber, relay in self.subscriptions.items() if relay != name
+            }
         else:
             self.subscriptions.pop(name, None)
             for fanout in self.fanouts.values():
                 fanout.remove(name)
 
     def tick(self) -> None:
-        """Let a random time pass."""
+        """Advance the clock by a random time and have all relays send what is due."""
         self.now += self.rng.choice(
             (COALESCE_DELAY_MS, HEARTBEAT_INTERVAL_MS, ACKNOWLEDGEMENT_TIMEOUT_MS / 2)
         )
@@ -159,28 +173,28 @@
             self.send(name, fanout.tick(self.now, 0.0))
 
     def join_other_relays(self, origin: str) -> None:
-        """Make all relays subscribers of an origin."""
+        """Subscribe all other relays to an origin."""
         fanout = self.fanouts[origin]
         for peer in RELAYS:
             if peer != origin and peer not in fanout.subscribers:
                 self.send(origin, fanout.join(self.now, peer, self.stores[origin].version))
 
     def lose_message(self) -> None:
-        """Lose a message; its sender gets no answer."""
+        """Lose a random message."""
         if self.in_flight:
             self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
     def duplicate_message(self) -> None:
-        """Deliver a message a second time, later."""
+        """Add a copy of a random message, which is delivered separately."""
         if self.in_flight:
             self.in_flight.append(self.rng.choice(self.in_flight))
 
     def corrupt_message(self) -> None:
-        """Change a value in the first delta in flight."""
+        """Change a value in the first delta that is in flight."""
         for index, envelope in enumerate(self.in_flight):
             delta = envelope.payload
             if isinstance(delta, Delta) and delta.changes:
-                corrupt = delta._replace(changes={**delta.changes, "a": b"spoilt"})
+                corrupt = delta._replace(changes={**delta.changes, KEYS[0]: CORRUPT_VALUE})
                 self.in_flight[index] = envelope._replace(payload=corrupt)
                 return
 
@@ -198,7 +212,7 @@
             self.in_flight.append(Envelope(destination, source, acknowledged))
 
     def accepts(self, source: str, destination: str, fencing_token: int) -> bool:
-        """Whether a process accepts an update; a relay notes the origin's fencing token."""
+        """Return whether a process accepts an update; a relay notes the fencing token of the origin."""
         if destination in SUBSCRIBERS:
             return self.subscriptions.get(destination) == source
         deposed = fencing_token < self.highest_fencing_tokens[destination]
@@ -208,7 +222,7 @@
         return True
 
     def apply(self, name: str, message: Message) -> Version:
-        """Apply a message at a process; returns the version that it acknowledges."""
+        """Apply a message at a process and return the version that the process acknowledges."""
         store = self.stores[name]
         if isinstance(message, Heartbeat):
             return store.version
@@ -222,7 +236,7 @@
         return store.version
 
     def send(self, source: str, actions: list[Action]) -> None:
-        """Put the messages of a fan-out in flight."""
+        """Put the messages that a fan-out sends in flight."""
         for action in actions:
             if isinstance(action, Send):
                 if len(self.in_flight) >= MAX_IN_FLIGHT:
@@ -232,7 +246,7 @@
     # Invariants
 
     def check_invariants(self) -> None:
-        """Raise where a process went back, or has items that nobody published."""
+        """Raise `InvariantViolationError` if an invariant does not hold in the current state."""
         for name, store in self.stores.items():
             highest = self.highest_versions[name]
             if store.version < highest:
@@ -241,14 +255,14 @@
             published = self.published.get(store.version)
             if published != store.items:
                 raise InvariantViolationError(
-                    f"{name} holds {store.items} as {store.version}, published was {published}"
+                    f"{name} has {store.items} as version {store.version}, published was {published}"
                 )
 
     def recover(self) -> None:
-        """End all faults; raises unless all processes get the items of the last origin."""
+        """End all faults; raises `InvariantViolationError` if some process does not converge."""
         self.change_origin()
         origin = max(self.origins, key=self.origins.__getitem__)
-        self.publish(origin, {"a": b"last"})
+        self.publish(origin, {KEYS[0]: LAST_VALUE})
         for name in SUBSCRIBERS:
             self.subscriptions.pop(name, None)
         for name in SUBSCRIBERS:
@@ -265,11 +279,11 @@
                     self.join(name, relay)
             if self.has_converged(self.stores[origin]):
                 return
-        lagging = {name: store.version for name, store in self.stores.items()}
-        raise InvariantViolationError(f"not all have {self.stores[origin].version} of {origin}: {lagging}")
+        versions = {name: str(store.version) for name, store in self.stores.items()}
+        raise InvariantViolationError(f"not all have {self.stores[origin].version} of {origin}: {versions}")
 
     def has_converged(self, expected: VersionedStore) -> bool:
-        """Whether all processes have this store's version and items."""
+        """Return whether all processes have this store's version and items."""
         return all(
             store.version == expected.version and store.items == expected.items
             for store in self.stores.values()
@@ -277,7 +291,10 @@
 
 
 def walk(seed: int, steps: int = STEPS) -> Counter[str]:
-    """Take random steps, then recover; returns the outcomes of updates, raises InvariantViolationError."""
+    """Take random steps, then recover, and return how often each outcome of an update occurred.
+
+    Raises `InvariantViolationError`.
+    """
     model = Model(seed)
     for _ in range(steps):
         model.step()
@@ -286,7 +303,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the walks; returns the exit code: 0 where all invariants held, else 1."""
+    """Run the walks and return the exit code: 0 if all invariants held, else 1."""
     name = "python -m lotusroute.fault_injection.relay_model_checker"
     parser = argparse.ArgumentParser(prog=name, description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--walks", type=int, default=1_000)
@@ -299,7 +316,7 @@
         except InvariantViolationError as error:
             print(f"seed {seed}: {error}")
             return 1
-    print(f"{options.walks} walks, no breach; {dict(outcomes)}")
+    print(f"{options.walks} walks, no violation; {dict(outcomes)}")
     return 0
 
 
