--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -33,7 +33,7 @@
     join_current(fanout, "slow")
     sent = {"fast": [], "slow": []}
     now = 1_000.0
-    for action in fanout.tick(now, 0.0):  # heartbeats, of which the slow one's is not acknowledged
+    for action in fanout.tick(now, 0.0):  # heartbeats; "slow" does not acknowledge its own
         if action.subscriber == "fast":
             fanout.on_acknowledgement(now, "fast", origin.version, 0.0)
     for number in range(50):
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -32,7 +32,7 @@
         load_relays_config(tmp_path / "gone.toml")
 
 
-def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_scale_runs():
+def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_capacity_runs():
     program = (
         "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'capacity' in m "
         "or m in ('msgspec', 'numpy', 'click')])"
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -15,12 +15,12 @@
 
 
 def test_a_change_is_in_force_by_the_relays_and_only_the_origin_polls_discovery(deployment):
-    time.sleep(1.0)  # a window without changes, in which polls are counted
+    time.sleep(1.0)  # a window without changes
     polls = deployment.poll_count()
     changed_at = deployment.drain(1)
     assert deployment.wait_until_drained(1, changed_at) < 1.5
     time.sleep(2.0)
-    # The origin polls for 0.5 s, again and again: nobody else does.
+    # Only the origin polls, and its polls are held for 0.5 s.
     elapsed = time.monotonic() - changed_at
     assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
     states = deployment.relays.status().values()
@@ -39,7 +39,7 @@
     assert deployment.wait_until_drained(1, changed_at) < 4.0
     if fault == signal.SIGSTOP:
         relays.send_signal(name, signal.SIGCONT)
-        # What it had in hand is older than what all have now: nobody applies it.
+        # The updates that it sends now are older than what all other processes have: none applies them.
         changed_at = deployment.drain(2)
         assert deployment.wait_until_drained(2, changed_at) < 4.0
     for balancer in deployment.balancers:
--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -71,7 +71,7 @@
     deposed = origin_store(fencing_token=3)
     successor = VersionedStore()
     successor.apply(deposed.update_since(Version()))
-    successor.publish(4, {})  # it has the lease now
+    successor.publish(4, {})  # has acquired the lease
     deposed.publish(3, {"a": b"too late"})
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.APPLIED
     update = successor.update_since(replica.version)
