--- /dev/null
+++ b/lotusroute/process_control/readiness.py
@@ -0,0 +1,32 @@
+"""Waits until a balancer answers health checks."""
+
+import contextlib
+import socket
+import time
+
+from lotusroute.process_control.errors import NotReadyError
+from lotusroute.process_control.free_ports import LOOPBACK
+
+CHECK_INTERVAL_S = 0.02
+CHECK_TIMEOUT_S = 1.0  # of each step of one health check
+
+
+def wait_until_ready(port: int, timeout: float, check_timeout: float = CHECK_TIMEOUT_S) -> None:
+    """Wait until the balancer at a port of loopback answers a health check; raises NotReadyError."""
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        if _answers_health_check(port, check_timeout):
+            return
+        time.sleep(CHECK_INTERVAL_S)
+    raise NotReadyError(port, timeout)
+
+
+def _answers_health_check(port: int, check_timeout: float) -> bool:
+    with (
+        contextlib.suppress(OSError),
+        socket.create_connection((LOOPBACK, port), check_timeout) as connection,
+        connection.makefile("rb") as answers,
+    ):
+        connection.sendall(b"PING\r\n")
+        return answers.readline() == b"PONG\r\n"
+    return False
--- /dev/null
+++ b/tests/test_process_control.py
@@ -0,0 +1,170 @@
+"""Tests of the package that starts processes of the program: logs, ports, readiness, configuration files."""
+
+import io
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import threading
+import tomllib
+
+import pytest
+
+from lotusroute.address import Address
+from lotusroute.fleet.config import load_fleet_config
+from lotusroute.process_control import config_files
+from lotusroute.process_control.errors import LogTimeoutError, NotReadyError
+from lotusroute.process_control.free_ports import PortAllocator, system_assigned_port
+from lotusroute.process_control.log_follower import WaitableList, follow_lines
+from lotusroute.process_control.logged_process import LoggedProcess
+from lotusroute.process_control.process_start import ProcessOptions, module_command, start_process
+from lotusroute.process_control.readiness import wait_until_ready
+
+COUNTING_SCRIPT = """
+import signal, sys
+def log_counters(*_):
+    print("event=counters calls=3 share=0.5", file=sys.stderr, flush=True)
+signal.signal(signal.SIGUSR1, log_counters)
+print("event=ready", file=sys.stderr, flush=True)
+while True:
+    signal.pause()
+"""
+
+
+def script_command(script):
+    return [sys.executable, "-c", script]
+
+
+# Start
+
+
+def test_a_process_gets_its_options(tmp_path, monkeypatch):
+    monkeypatch.setenv("WALL_CLOCK_JUMPS_OF_THIS_TEST", "7")
+    script = "import os; print(os.getcwd(), os.environ['WALL_CLOCK_JUMPS_OF_THIS_TEST'], os.environ['ADDED'])"
+    options = ProcessOptions(
+        environment={"ADDED": "yes"},
+        working_folder=tmp_path,
+        initialize=lambda: os.umask(0o077),
+        stdout=subprocess.PIPE,
+    )
+    output, _ = start_process(script_command(script), options).communicate(timeout=20)
+    assert output == f"{tmp_path} 7 yes\n"
+
+
+def test_a_module_runs_with_the_interpreter_of_this_process():
+    assert module_command("lotusroute", "leases") == [sys.executable, "-m", "lotusroute", "leases"]
+
+
+# Logs
+
+
+def test_lines_of_a_stream_are_followed_to_its_end():
+    lines = WaitableList()
+    follow_lines(io.StringIO("a\nb\n"), lines.append).join(5.0)
+    assert lines.copy() == ["a\n", "b\n"] and len(lines) == 2
+
+
+def test_a_thread_waits_for_an_item_that_another_one_appends():
+    items = WaitableList()
+    threading.Timer(0.05, items.append, [3]).start()
+    assert items.wait_for(sum, 5.0) == 3
+    assert items.wait_for(lambda found: len(found) > 1, 0.01) is None
+
+
+def test_the_counters_of_a_process_are_read_from_its_log():
+    with LoggedProcess(script_command(COUNTING_SCRIPT)) as process:
+        process.wait_for_line("event=ready")
+        assert process.counters() == {"calls": 3}
+        assert process.is_running()
+    assert process.process.returncode == -signal.SIGKILL
+
+
+def test_a_wait_for_a_line_ends_with_the_process_and_shows_its_log():
+    process = LoggedProcess(script_command("import sys; sys.exit('no configuration')"))
+    with pytest.raises(LogTimeoutError, match="'ready' not seen within 20 s; the last lines:\nno config"):
+        process.wait_for_line("ready")
+    process.stop()
+    assert process.process.returncode == 1
+
+
+def test_a_wait_for_a_line_ends_after_its_timeout():
+    with LoggedProcess(script_command(COUNTING_SCRIPT)) as process, pytest.raises(LogTimeoutError):
+        process.wait_for_line("no such line", timeout=0.1)
+
+
+# Ports and readiness
+
+
+def test_a_port_is_not_allocated_twice_nor_while_somebody_listens_on_it():
+    first, second, third = (system_assigned_port() for _ in range(3))
+    allocator = PortAllocator([first, second, third])
+    with socket.create_server(("127.0.0.1", third)):
+        assert {allocator.allocate(), allocator.allocate()} == {first, second}
+
+
+def test_a_balancer_is_ready_once_it_answers_a_health_check():
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+
+        def answer():
+            connection, _ = listener.accept()
+            with connection:
+                assert connection.recv(16) == b"PING\r\n"
+                connection.sendall(b"PONG\r\n")
+
+        threading.Thread(target=answer, daemon=True).start()
+        wait_until_ready(listener.getsockname()[1], timeout=5.0)
+
+
+def test_a_balancer_that_does_not_answer_is_not_ready():
+    port = system_assigned_port()
+    with pytest.raises(NotReadyError, match=f"port {port}: "):
+        wait_until_ready(port, timeout=0.1)
+
+
+# Configuration files
+
+
+def test_a_balancer_configuration_has_only_the_keys_that_are_set(tmp_path):
+    config = config_files.BalancerConfig(
+        name="n1", listen=Address("127.0.0.1", 1), discovery=Address("127.0.0.1", 2), settings={}
+    )
+    file = tmp_path / "config.json"
+    assert config.write(file) == str(file)
+    assert json.loads(file.read_text()) == {
+        "name": "n1",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "settings": {},
+        "known": {"seq": 0, "hosts": []},
+    }
+
+
+def test_a_fleet_configuration_is_loaded_as_it_was_written(tmp_path):
+    names = ["a", "b", "c"]
+    config = config_files.FleetConfig(
+        name="f",
+        acceptors=names,
+        tasks=["watch"],
+        peers={name: Address("127.0.0.1", 9000 + index) for index, name in enumerate(names)},
+        state_folder=tmp_path,
+        lease_ms=1_500.0,
+    )
+    file = tmp_path / "fleet.toml"
+    loaded = load_fleet_config(config.write(file))
+    assert loaded.name == "f" and loaded.peers["c"] == Address("127.0.0.1", 9002)
+    document = tomllib.loads(file.read_text())
+    assert document["state"] == str(tmp_path) and document["lease_ms"] == 1_500.0
+    assert "guests" not in document
+
+
+def test_a_relays_configuration_names_the_relays_of_each_zone(tmp_path):
+    file = tmp_path / "relays.toml"
+    config = config_files.RelaysConfig(name="f", zone="a", relays={"a": {"r1": Address("127.0.0.1", 9000)}})
+    config.write(file)
+    assert tomllib.loads(file.read_text()) == {
+        "name": "f",
+        "zone": "a",
+        "relays": {"a": {"r1": "127.0.0.1:9000"}},
+    }
