--- /dev/null
+++ b/tests/balancer_process.py
@@ -0,0 +1,144 @@
+"""A balancer in a process of its own, with its fake discovery and connections of its clients."""
+
+import json
+import os
+import pathlib
+import resource
+import signal
+import socket
+import subprocess
+import tempfile
+from collections.abc import Iterable
+from typing import Any, Self, cast
+
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
+from waiting import TIMEOUT_S, wait_until
+
+from lotusroute.address import Address
+from lotusroute.process_control.config_files import BalancerConfig, JsonObject, JsonValue
+from lotusroute.process_control.errors import NotReadyError
+from lotusroute.process_control.free_ports import ALLOCATED_PORTS, LOOPBACK, PortAllocator
+from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
+from lotusroute.process_control.readiness import wait_until_ready
+
+SETTINGS: dict[str, Any] = {
+    "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
+    "limits": {"max_connects": 4, "connect_timeout": 250, "retry_after": True, "max_retry_after": 1000},
+    "siblings": 1,
+    "me": 0,
+}
+WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
+# Each worker of pytest has ports of its own: a process that takes seconds to start finds its port free.
+PORTS = PortAllocator(ALLOCATED_PORTS[WORKER::WORKER_COUNT])
+
+
+def free_port() -> int:
+    """Return a port for a program that is still to start."""
+    return PORTS.allocate()
+
+
+class ClientConnection(socket.SocketIO):
+    """A client's connection as an unbuffered file."""
+
+    conn: socket.socket
+
+
+class Balancer:
+    """The program in a process of its own, with its discovery and its clients.
+
+    The process starts at once; as a context manager it waits until the balancer is ready, and kills it at the
+    end.
+    """
+
+    def __init__(
+        self,
+        *servers: FakeServer,
+        settings: JsonObject = SETTINGS,
+        sockets: int = 1024,
+        memory: int = 1024,
+        available: bool = True,
+        env: Iterable[tuple[str, str]] = (),
+        known: int = 0,
+        **discovery_state: object,
+    ) -> None:
+        """`known` is the version of the cached list; `discovery_state` sets attributes of the discovery."""
+        self.discovery = FakeDiscovery(*servers, available=available)
+        vars(self.discovery).update(discovery_state)
+        self.flow_count = 0
+        self.port = free_port()
+        self.config = BalancerConfig(
+            name="n1",
+            listen=Address(LOOPBACK, self.port),
+            discovery=Address(LOOPBACK, self.discovery.server_port),
+            settings=settings,
+            seed="5eed",
+            limits={"sockets": sockets, "memory_mb": memory},
+            cached_list={"seq": known, "hosts": [server.entry() for server in servers]},
+        ).document()
+        self.folder = tempfile.TemporaryDirectory()
+        self.config_file = pathlib.Path(self.folder.name, "config.json")
+        self.config_file.write_text(json.dumps(self.config))
+        options = ProcessOptions(
+            environment={"LB_CONFIG": str(self.config_file), **dict(env)},
+            initialize=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
+            stderr=subprocess.PIPE,
+        )
+        self.process = start_process(module_command(PROGRAM), options)
+
+    def __enter__(self) -> Self:
+        try:
+            wait_until_ready(self.port, TIMEOUT_S, check_timeout=TIMEOUT_S)
+        except NotReadyError as error:
+            raise AssertionError(f"{error}: {self.terminate()}") from error
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self.terminate()
+        self.discovery.shutdown()
+
+    def connect_and_send(self, line: bytes) -> ClientConnection:
+        """Connect and send a first line."""
+        file = self.connect()
+        file.conn.sendall(line + b"\r\n")
+        return file
+
+    def connect(self) -> ClientConnection:
+        """Connect and send nothing."""
+        conn = socket.create_connection((LOOPBACK, self.port), timeout=TIMEOUT_S)
+        file = cast(ClientConnection, conn.makefile("rwb", buffering=0))
+        file.conn = conn
+        return file
+
+    def open_flow(
+        self, key: str = "k", wait: int = 1800, id: str | None = None, **parameters: object
+    ) -> ClientConnection:
+        """Request a flow that is to be answered within `wait` ms."""
+        self.flow_count += 1
+        flow_id = id or f"id{self.flow_count}"
+        pairs = {"c": "live", "d": wait, **parameters}
+        text = ",".join(f"{name}={value}" for name, value in pairs.items())
+        return self.connect_and_send(f"OPEN {flow_id} {key} {text}".encode())
+
+    def reload(self, text: str | None = None, **changes: JsonValue) -> None:
+        """Replace the configuration file and have the program read it."""
+        self.config.update(changes)
+        self.config_file.write_text(json.dumps(self.config) if text is None else text)
+        self.process.send_signal(signal.SIGHUP)
+
+    def suspend(self) -> None:
+        """Stop the process, and return once it has stopped."""
+        self.process.send_signal(signal.SIGSTOP)
+        stat = pathlib.Path(f"/proc/{self.process.pid}/stat")
+        wait_until(lambda: stat.read_text().rsplit(")", 1)[1].split()[0] == "T")
+
+    def resume(self) -> None:
+        """Let a suspended process continue."""
+        self.process.send_signal(signal.SIGCONT)
+
+    def terminate(self, number: int = signal.SIGKILL) -> str:
+        """Send the signal if the program runs, wait for its exit and return its log."""
+        if self.process.poll() is None:
+            self.process.send_signal(number)
+        return self.process.communicate(timeout=TIMEOUT_S)[1]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
 """Fixtures that several test modules share."""
 
 import pytest
-from harness import Balancer, FakeServer
+from balancer_process import Balancer
+from fake_servers import FakeServer
 from wall_clock import SteppableWallClock
 
 collect_ignore = ["wall_clock_shim"]  # for the processes that tests start, not for pytest's own
--- /dev/null
+++ b/tests/fake_servers.py
@@ -0,0 +1,99 @@
+"""Fake servers on loopback sockets, each with threads of its own."""
+
+import contextlib
+import socket
+import struct
+import threading
+
+from waiting import wait_until
+
+from lotusroute.process_control.config_files import JsonValue, endpoint_entry
+
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: closing a socket sends a reset
+
+
+class FakeServer:
+    """A server on a free port.
+
+    It sends `reply`, if there is one, for a first line, and later lines back unchanged. Tests set its
+    attributes while it runs.
+    """
+
+    def __init__(self, name: str, reply: bytes | None = b"UP r1\r\n") -> None:
+        self.name = name
+        self.reply = reply
+        self.lines: list[bytes] = []  # received; an empty one for each end of a connection
+        self.connections: list[socket.socket] = []
+        self.unresponsive = False  # sends no more lines back
+        self.resets_connections = False  # ends connections with a reset
+        self.socket = socket.create_server(("127.0.0.1", 0))
+        self.port: int = self.socket.getsockname()[1]
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        while True:
+            try:
+                conn, _ = self.socket.accept()
+            except OSError:
+                return
+            self.connections.append(conn)
+            threading.Thread(target=self._serve, args=(conn,), daemon=True).start()
+
+    def _serve(self, conn: socket.socket) -> None:
+        with contextlib.suppress(OSError):
+            self.serve_connection(conn)
+
+    def serve_connection(self, conn: socket.socket) -> None:
+        """Serve one connection to its end; tests replace this method."""
+        with contextlib.suppress(ConnectionResetError), conn.makefile("rb") as lines:
+            for line in lines:
+                self.lines.append(line)
+                self._reply_to(conn, line)
+        self.lines.append(b"")
+        if self.resets_connections:
+            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        else:
+            conn.sendall(b"BYE\r\n")
+        conn.close()
+
+    def _reply_to(self, conn: socket.socket, line: bytes) -> None:
+        if line.startswith(b"OPEN"):
+            if self.reply:
+                conn.sendall(self.reply)
+        elif not self.unresponsive:
+            conn.sendall(line)
+
+    def stop_accepting(self) -> None:
+        """Refuse connections from now on."""
+        self.socket.shutdown(socket.SHUT_RDWR)
+        self.socket.close()
+
+    def entry(self, health: str = "SERVING") -> dict[str, JsonValue]:
+        """Return the server's entry in the endpoint list."""
+        return endpoint_entry(self.name, self.port, health)
+
+
+class SlowAcceptServer(FakeServer):
+    """A server to which no connection is established until `start_accepting`.
+
+    Its queue of connections is full, so that the system lets later ones wait and tries again after a second.
+    """
+
+    def _accept(self) -> None:
+        self.socket.listen(0)
+        self.queue_filler = socket.create_connection(self.socket.getsockname())
+        self.accepting = threading.Event()
+        self.accepting.wait()
+        super()._accept()
+
+    def start_accepting(self) -> None:
+        """Accept the connections that wait, and all later ones."""
+        self.accepting.set()
+
+    def wait_for_connections(self, count: int = 1) -> bool:
+        """Wait until so many connections are established, beside the one that fills the queue."""
+        return wait_until(lambda: len(self.connections) > count)
+
+    def open_lines(self) -> list[bytes]:
+        """Return the first lines of flows that it received."""
+        return [line for line in self.lines if line.startswith(b"OPEN")]
--- /dev/null
+++ b/tests/fake_transport.py
@@ -0,0 +1,23 @@
+"""A fake of Twisted's TCP transport."""
+
+from twisted.internet.testing import StringTransport
+
+
+class FakeTransport(StringTransport):
+    """A transport whose socket takes `accepted` bytes in one write, and all bytes where that is None."""
+
+    dataBuffer = b""
+    _tempDataBuffer = ()
+
+    def __init__(self, accepted: int | None = None) -> None:
+        super().__init__()
+        self.accepted = accepted
+
+    def writeSomeData(self, data: bytes) -> int:
+        """Write as much as the socket takes; returns the number of bytes."""
+        taken = data[: self.accepted]
+        self.write(taken)
+        return len(taken)
+
+    def setTcpNoDelay(self, enabled: bool) -> None:
+        """Do nothing: there is no socket."""
--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -4,7 +4,9 @@
 import socket
 import struct
 
-from harness import SETTINGS, FakeHost, FakeServer
+from balancer_process import SETTINGS
+from director_host import FakeHost
+from fake_servers import FakeServer
 
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -9,6 +9,9 @@
 import time
 
 import pytest
+from balancer_process import Balancer
+from fake_servers import FakeServer, SlowAcceptServer
+from fake_transport import FakeTransport
 from flow_helpers import (
     EFFECTS,
     KEY_OF_FIRST_SERVER,
@@ -17,8 +20,8 @@
     flow_settings,
     reset_connection,
 )
-from harness import DEADLINE, Balancer, FakeServer, FakeTransport, SlowAcceptServer, wait_until
 from twisted.internet.task import Clock
+from waiting import TIMEOUT_S, wait_until
 
 from lotusroute.net.listener import DownstreamFactory
 
@@ -245,4 +248,4 @@
         wait_until(lambda: descriptor_count(balancer) < descriptors_before)
 
 
-assert DEADLINE > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
--- a/tests/test_clock_monitor.py
+++ b/tests/test_clock_monitor.py
@@ -3,7 +3,9 @@
 import re
 
 import pytest
-from harness import Balancer, FakeServer, wait_until
+from balancer_process import Balancer
+from fake_servers import FakeServer
+from waiting import wait_until
 
 from lotusroute.net.clock_monitor import ClockMonitor
 from lotusroute.net.structured_log import Counters
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -5,7 +5,10 @@
 import time
 
 import pytest
-from harness import SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
+from waiting import wait_until
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.net import config, structured_log
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,7 +1,7 @@
 """The director's events: endpoint lists, subscription and existing connections."""
 
 import pytest
-from harness import KEYS, SERVICE_CONFIG, FakeHost, actions_of
+from director_host import KEYS, SERVICE_CONFIG, FakeHost, actions_of
 
 from lotusroute.routing import events, slow_start
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,10 @@
 import time
 
 import pytest
-from harness import DEADLINE, SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
+from waiting import TIMEOUT_S, wait_until
 
 CHANGE_DEADLINE = 6.0  # s after which a change counts as received
 QUEUE_TIMEOUT = 2.0  # s that polls are queued
@@ -153,7 +156,7 @@
 
     def connect(self):
         index = len(self.connections)
-        conn = socket.create_connection(("127.0.0.1", self.port), timeout=DEADLINE)
+        conn = socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S)
         conn.sendall(self.data.replace(b"%d", b"%d" % index))
         self.connections.append(conn)
         if index > self.max_open:
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -5,7 +5,9 @@
 import time
 
 import pytest
-from harness import DEADLINE, SETTINGS, Balancer, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_servers import FakeServer
+from waiting import TIMEOUT_S, wait_until
 
 from lotusroute.net.line_protocol import LineProtocol
 
@@ -115,7 +117,7 @@
 
 
 def test_sixty_megabytes_without_a_line_are_rejected_and_neither_read_nor_buffered(shared_balancer):
-    conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=DEADLINE)
+    conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=TIMEOUT_S)
     conn.settimeout(0.1)
     sent, start = 0, time.monotonic()
     with pytest.raises(OSError):  # the socket's buffer is full, or our end is closed
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -4,8 +4,10 @@
 import time
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_servers import FakeServer
 from twisted.internet import defer
+from waiting import wait_until
 
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery, DiscoveryFailed, PollStage
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -5,7 +5,9 @@
 from unittest.mock import Mock, call
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_servers import FakeServer
+from waiting import wait_until
 
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.config import load_config
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,8 @@
 from collections import Counter
 
 import pytest
-from harness import FakeDiscovery, FakeServer
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
 from twisted.internet import task
 from twisted.internet.testing import StringTransport
 
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -8,6 +8,9 @@
 import time
 
 import pytest
+from balancer_process import Balancer
+from director_host import FakeHost
+from fake_servers import FakeServer, SlowAcceptServer
 from flow_helpers import (
     EFFECTS,
     KEY_OF_FIRST_SERVER,
@@ -16,7 +19,7 @@
     is_connecting_to,
     resetting_server,
 )
-from harness import DEADLINE, Balancer, FakeHost, FakeServer, SlowAcceptServer, wait_until
+from waiting import TIMEOUT_S, wait_until
 
 from lotusroute.routing import events
 
@@ -155,4 +158,4 @@
     ]
 
 
-assert DEADLINE > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -4,8 +4,10 @@
 import time
 
 import pytest
+from balancer_process import Balancer
+from fake_servers import FakeServer, SlowAcceptServer
 from flow_helpers import KEY_OF_FIRST_SERVER, flow_settings, resetting_server
-from harness import Balancer, FakeServer, SlowAcceptServer, wait_until
+from waiting import wait_until
 
 
 @pytest.mark.parametrize(
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -4,7 +4,8 @@
 import os
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer
+from balancer_process import SETTINGS, Balancer
+from fake_servers import FakeServer
 
 from lotusroute import migrate
 from lotusroute.errors import ConfigError
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from harness import KEYS, FakeHost, actions_of
+from director_host import KEYS, FakeHost, actions_of
 
 from lotusroute.routing import events
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,8 +9,10 @@
 
 import msgspec
 import pytest
-from harness import FakeDiscovery, FakeServer, wait_until
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
 from relay_harness import RELAYS, running_deployment
+from waiting import wait_until
 
 from lotusroute.cli import root_group
 from lotusroute.errors import ConfigError
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from harness import FakeHost, actions_of
+from director_host import FakeHost, actions_of
 
 from lotusroute.routing import events
 from lotusroute.routing.events import RejectReason
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -3,7 +3,7 @@
 import random
 from collections import Counter
 
-from harness import KEYS, FakeHost
+from director_host import KEYS, FakeHost
 
 from lotusroute.routing import events, segments
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,7 +9,9 @@
 from collections import Counter
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, wait_until
+from balancer_process import SETTINGS, Balancer
+from fake_servers import FakeServer
+from waiting import wait_until
 
 from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator
 from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD
--- a/tests/test_spilling.py
+++ b/tests/test_spilling.py
@@ -1,6 +1,6 @@
 """Spilling: where a flow goes when its assigned server cannot take it."""
 
-from harness import FakeHost
+from director_host import FakeHost
 
 from lotusroute.routing import events
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,10 @@
 import time
 
 import pytest
-from harness import KEYS, SETTINGS, Balancer, FakeHost, FakeServer, actions_of, wait_until
+from balancer_process import SETTINGS, Balancer
+from director_host import KEYS, FakeHost, actions_of
+from fake_servers import FakeServer
+from waiting import wait_until
 
 from lotusroute.routing import events, start_times
 from lotusroute.routing.start_times import StartTimes
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -8,7 +8,8 @@
 import time
 
 import pytest
-from harness import SETTINGS, Balancer, FakeServer, free_port
+from balancer_process import SETTINGS, Balancer, free_port
+from fake_servers import FakeServer
 
 PROCESSES = 10  # started at once
 CPU_SHARE = 0.1  # of a core, for each
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -6,7 +6,10 @@
 import time
 
 import pytest
-from harness import Balancer, FakeServer, FakeTransport, wait_until
+from balancer_process import Balancer
+from fake_servers import FakeServer
+from fake_transport import FakeTransport
+from waiting import wait_until
 
 from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -5,7 +5,8 @@
 import time
 
 import pytest
-from harness import Balancer, FakeServer
+from balancer_process import Balancer
+from fake_servers import FakeServer
 
 HOUR = 3_600.0
 STEPS = [-HOUR, -20.0, -3.0, 3.0, HOUR]  # s; incident-1 had 3 and -20
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from harness import KEYS, FakeHost, actions_of
+from director_host import KEYS, FakeHost, actions_of
 
 from lotusroute.routing import events, slow_start
 
