--- /dev/null
+++ b/lotusroute/fault_injection/fault_injector.py
@@ -0,0 +1,133 @@
+"""Injects random faults into a fleet of processes and its network."""
+
+import random
+import time
+
+from lotusroute.fault_injection.log_records import LEASE_ACQUIRED, FaultKind
+from lotusroute.fault_injection.network_proxy import Link
+from lotusroute.fault_injection.processes import ProcessFleet
+
+WEIGHTS = {
+    FaultKind.KILL: 3,
+    FaultKind.TERMINATE: 2,
+    FaultKind.PAUSE: 3,
+    FaultKind.PARTITION: 3,
+    FaultKind.BLOCK: 3,
+    FaultKind.RESET: 2,
+    FaultKind.DELAY: 1,
+    FaultKind.THROTTLE: 1,
+    FaultKind.KILL_ACCEPTORS: 1,
+}
+HOLDER_FRACTION = 0.5  # of the faults hit the last holder of the lease
+STAYS_DOWN_FRACTION = 0.3  # of the ended processes start again only when all faults are healed
+TEMPORARY_PARTITION_FRACTION = 0.7  # of the partitions are healed at once, the others with all faults
+RESTART_DELAYS_S = (0.0, 0.05)
+PAUSES_S = (0.1, 0.6, 1.5, 3.0)
+PARTITIONS_S = (0.2, 1.0, 2.5)
+LINK_DELAYS_S = (0.05, 0.3, 0.8)
+LINK_RATES = (20.0, 200.0)  # bytes a second
+
+
+class FaultInjector:
+    """Injects random faults into a fleet; each method that injects one returns its description."""
+
+    def __init__(self, fleet: ProcessFleet, rng: random.Random) -> None:
+        self.fleet = fleet
+        self.rng = rng
+        self.down: set[str] = set()  # processes that were ended and not started again
+
+    def inject(self) -> str:
+        """Inject one fault that the fleet can tolerate in its present state."""
+        kind = self.rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+        process = self._choose_process()
+        peer = self.rng.choice([name for name in self.fleet.names if name != process])
+        match kind:
+            case FaultKind.KILL | FaultKind.TERMINATE:
+                return self._end_process(kind, process)
+            case FaultKind.KILL_ACCEPTORS:
+                return self._kill_acceptors()
+            case FaultKind.PAUSE:
+                return self._pause(process)
+            case FaultKind.PARTITION:
+                return self._partition()
+            case _:
+                return self._disturb_link(kind, Link(process, peer))
+
+    def heal(self) -> None:
+        """Start all processes that are down and remove all network faults."""
+        for process in sorted(self.down):
+            self.fleet.start(process)
+        self.fleet.proxy.delays.clear()
+        self.fleet.proxy.rates.clear()
+        self.fleet.proxy.unblock()
+        self.fleet.record_fault(FaultKind.HEAL)
+
+    def _running(self) -> list[str]:
+        return sorted(set(self.fleet.names) - self.down)
+
+    def _choose_process(self) -> str:
+        """Choose the last holder of the lease, as most can go wrong there, or any running process."""
+        running = self._running()
+        holders = [
+            record.process
+            for record in self.fleet.records
+            if record.event == LEASE_ACQUIRED and record.process in running
+        ]
+        if holders and self.rng.random() < HOLDER_FRACTION:
+            return holders[-1]
+        return self.rng.choice(running)
+
+    def _end_process(self, kind: FaultKind, process: str) -> str:
+        """End a process; start it again at once most of the time, and always if it is the last one."""
+        several_running = len(self._running()) > 1
+        if kind == FaultKind.KILL:
+            self.fleet.kill(process)
+        else:
+            self.fleet.terminate(process)
+        if several_running and self.rng.random() < STAYS_DOWN_FRACTION:
+            self.down.add(process)
+        else:
+            time.sleep(self.rng.choice(RESTART_DELAYS_S))
+            self.fleet.start(process)
+        return f"{kind} {process}"
+
+    def _kill_acceptors(self) -> str:
+        """Kill all acceptors that run, and start each at once."""
+        running = self._running()
+        for acceptor in self.fleet.acceptors:
+            if acceptor in running:
+                self.fleet.kill(acceptor)
+                self.fleet.start(acceptor)
+        return FaultKind.KILL_ACCEPTORS
+
+    def _pause(self, process: str) -> str:
+        duration_s = self.rng.choice(PAUSES_S)
+        with self.fleet.paused(process):
+            time.sleep(duration_s)
+        return f"{FaultKind.PAUSE} {process} {duration_s}"
+
+    def _partition(self) -> str:
+        """Partition the fleet in two, most of the time only for a while."""
+        names = self.fleet.names
+        minority = self.rng.sample(names, self.rng.randint(1, len(names) // 2))
+        joined_names = ",".join(minority)
+        self.fleet.record_fault(FaultKind.PARTITION, of=joined_names)
+        self.fleet.proxy.partition(minority, [name for name in names if name not in minority])
+        if self.rng.random() < TEMPORARY_PARTITION_FRACTION:
+            time.sleep(self.rng.choice(PARTITIONS_S))
+            self.fleet.proxy.unblock()
+        return f"{FaultKind.PARTITION} {joined_names}"
+
+    def _disturb_link(self, kind: FaultKind, link: Link) -> str:
+        proxy = self.fleet.proxy
+        self.fleet.record_fault(kind, of=link.sender, to=link.receiver)
+        match kind:
+            case FaultKind.BLOCK:
+                proxy.block(link)
+            case FaultKind.RESET:
+                proxy.reset(link.sender, link.receiver)
+            case FaultKind.DELAY:
+                proxy.delays[link] = self.rng.choice(LINK_DELAYS_S)
+            case FaultKind.THROTTLE:
+                proxy.rates[link] = self.rng.choice(LINK_RATES)
+        return f"{kind} {link.sender} {link.receiver}"
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from lotusroute.errors import LotusrouteError
-from lotusroute.fault_injection.processes import INJECTOR, LogRecord
+from lotusroute.fault_injection.log_records import INJECTOR, FaultKind, LogRecord
 
 MAX_READ_DELAY = 0.25  # s from writing a record to reading it on a busy machine; 0.02 was measured
 CONTEXT_RECORDS = 20  # records shown with a violation
@@ -47,7 +47,7 @@
     ['t at 2.000 s: b holds under 4 beside a under 3']
     >>> find_violations([first, record(1.9, "a", "lease lost"), second])
     []
-    >>> paused = record(1.9, "injector", "stop", of="a")
+    >>> paused = record(1.9, "injector", "pause", of="a")
     >>> len(find_violations([first, paused, second])), len(find_violations([second, first]))
     (0, 2)
     """
@@ -80,13 +80,13 @@
 
     def _apply_fault(self, fault: LogRecord) -> None:
         process = fault.fields.get("of", "")
-        if fault.event == "kill":
+        if fault.event == FaultKind.KILL:
             self.paused.discard(process)
             for tokens in self.holders.values():
                 tokens.pop(process, None)
-        elif fault.event == "stop":
+        elif fault.event == FaultKind.PAUSE:
             self.paused.add(process)
-        elif fault.event == "continue":
+        elif fault.event == FaultKind.RESUME:
             self.paused.discard(process)
 
     def _check_acquired(self, index: int, task: str) -> None:
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -1,31 +1,37 @@
 """Starts balancers of the real program on loopback, injects faults into them and collects their logs.
 
-Records of all processes and of the injected faults stand in one list, by one clock. Only processes that were
-started here are signalled, and all of them are killed at the end.
+The records of all processes and of the injected faults are in one list, ordered by the clock of this process.
+Only processes that were started here are signalled, and all of them are killed at the end.
 """
 
 import contextlib
-import json
-import os
 import pathlib
-import re
 import signal
-import socket
 import subprocess
-import sys
 import tempfile
 import threading
 import time
 from collections.abc import Callable, Iterator, Mapping
-from typing import NamedTuple, TypeVar
-
-from lotusroute.fault_injection.network_proxy import NetworkProxy
-
-TIMEOUT = 15.0  # s for anything that is waited for: a start takes half a second on a free core
-INJECTOR = "injector"  # the process name of the records of injected faults
-FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
-RECORDS_SHOWN = 20  # in the message of a timeout
-SETTINGS = {
+from typing import NamedTuple, Self, TypeVar
+
+from lotusroute.address import Address
+from lotusroute.fault_injection.log_records import (
+    INJECTOR,
+    LEASE_ACQUIRED,
+    FaultKind,
+    LogRecord,
+    parse_log_line,
+)
+from lotusroute.fault_injection.network_proxy import Link, NetworkProxy
+from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject
+from lotusroute.process_control.errors import LogTimeoutError
+from lotusroute.process_control.free_ports import LOOPBACK, system_assigned_port
+from lotusroute.process_control.log_follower import WaitableList, follow_lines
+from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
+
+TIMEOUT_S = 15.0  # for a log record, and for the end of a process
+TASKS = ("watch",)
+SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
 }
@@ -33,19 +39,11 @@
 Result = TypeVar("Result")
 
 
-class LogRecord(NamedTuple):
-    """One line of a process's log, or one injected fault."""
-
-    time: float  # s of time.monotonic(), when it was read
-    process: str
-    event: str
-    fields: dict[str, str]
+class RunningProcess(NamedTuple):
+    """A balancer that runs."""
 
-
-def free_port() -> int:
-    """Return a port of loopback on which nobody listens at the moment."""
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        return listener.getsockname()[1]
+    process: subprocess.Popen[str]
+    log_reader: threading.Thread
 
 
 class ProcessFleet:
@@ -58,29 +56,28 @@
         self,
         count: int,
         acceptor_count: int = 3,
-        tasks: tuple[str, ...] = ("watch",),
         lease_ms: float = 3_000.0,
         discovery_port: int = 0,
         log_level: str = "INFO",
         environments: Mapping[str, Mapping[str, str]] | None = None,
     ) -> None:
-        """`environments` has further variables of single balancers, by name."""
+        """`environments` has further variables of single balancers, by name.
+
+        Without a `discovery_port`, the balancers poll a port on which nobody listens.
+        """
         self.names = [f"n{number + 1}" for number in range(count)]
         self.acceptors = self.names[:acceptor_count]
-        self.tasks = tasks
         self.lease_ms = lease_ms
-        self.discovery_port = discovery_port or free_port()  # without a port given, nobody answers there
+        self.discovery_port = discovery_port or system_assigned_port()
         self.log_level = log_level
         self.environments = environments or {}
-        self.records: list[LogRecord] = []  # in the order of reading; bounded by a scenario's duration
-        self._records_changed = threading.Condition()
+        self._records: WaitableList[LogRecord] = WaitableList()
         self._folder = tempfile.TemporaryDirectory(prefix="lotusroute-fault-injection-")
-        self._ports = {name: free_port() for name in self.names}
-        self._processes: dict[str, subprocess.Popen[str]] = {}  # the running ones
-        self._log_readers: dict[str, threading.Thread] = {}  # of the running ones
+        self._ports = {name: system_assigned_port() for name in self.names}
+        self._running: dict[str, RunningProcess] = {}
         self.proxy = NetworkProxy(self.names, self._ports)
 
-    def __enter__(self) -> "ProcessFleet":
+    def __enter__(self) -> Self:
         with contextlib.ExitStack() as stack:
             stack.callback(self.close)
             for name in self.names:
@@ -93,131 +90,110 @@
 
     def close(self) -> None:
         """Kill all balancers and remove their files."""
-        for name in list(self._processes):
+        for name in list(self._running):
             self.kill(name)
         self.proxy.close()
         self._folder.cleanup()
 
     def start(self, name: str) -> None:
-        """Start a balancer; the files of an earlier process of that name are still there."""
-        home = pathlib.Path(self._folder.name, name)
-        home.mkdir(exist_ok=True)
-        config_file = home / "config.json"
-        config_file.write_text(json.dumps(self._config(name)))
-        pathlib.Path(self.fleet_file(name)).write_text(self._fleet_config(name, home))
+        """Start a balancer, which finds the state of an earlier process of that name."""
+        state_folder = pathlib.Path(self._folder.name, name)
+        state_folder.mkdir(exist_ok=True)
         environment = {
-            **os.environ,
-            "LB_CONFIG": str(config_file),
-            "LB_FLEET": self.fleet_file(name),
+            "LB_CONFIG": self._config(name).write(state_folder / "config.json"),
+            "LB_FLEET": self._fleet_config(name, state_folder).write(pathlib.Path(self.fleet_file(name))),
             "LB_LOG": self.log_level,
             **self.environments.get(name, {}),
         }
-        process = subprocess.Popen(
-            [sys.executable, "-m", "lotusroute"], stderr=subprocess.PIPE, text=True, env=environment
+        options = ProcessOptions(environment=environment, stderr=subprocess.PIPE)
+        process = start_process(module_command(PROGRAM), options)
+        assert process.stderr is not None
+        log_reader = follow_lines(
+            process.stderr, lambda line: self._records.append(parse_log_line(name, line))
         )
-        reader = threading.Thread(target=self._read_log, args=(name, process), daemon=True)
-        self._processes[name] = process
-        self._log_readers[name] = reader
-        reader.start()
+        self._running[name] = RunningProcess(process, log_reader)
 
     def fleet_file(self, name: str) -> str:
         """Return the path of a balancer's fleet configuration, for commands that query the fleet."""
         return str(pathlib.Path(self._folder.name, name, "fleet.toml"))
 
-    def _config(self, name: str) -> dict:
-        return {
-            "name": name,
-            "listen": f"127.0.0.1:{free_port()}",
-            "discovery": f"127.0.0.1:{self.discovery_port}",
-            "seed": name,
-            "settings": SETTINGS,
-            "known": {"seq": 0, "hosts": []},
-        }
-
-    def _fleet_config(self, name: str, home: pathlib.Path) -> str:
-        lines = [
-            'name = "fault-injection"',
-            f'state = "{home}"',
-            f"lease_ms = {self.lease_ms}",
-            f"keepers = {json.dumps(self.acceptors)}",
-            f"tasks = {json.dumps(self.tasks)}",
-            "[peers]",
-        ]
-        for peer in self.names:
-            port = self._ports[peer] if peer == name else self.proxy.address(peer, name)
-            lines.append(f'{peer} = "127.0.0.1:{port}"')
-        return "\n".join(lines) + "\n"
-
-    def _read_log(self, name: str, process: subprocess.Popen[str]) -> None:
-        assert process.stderr is not None
-        with contextlib.suppress(ValueError):  # the pipe was closed
-            for line in process.stderr:
-                fields = {key: value.strip('"') for key, value in FIELD.findall(line)}
-                self._append(LogRecord(time.monotonic(), name, fields.get("event", line.strip()), fields))
+    def _config(self, name: str) -> BalancerConfig:
+        return BalancerConfig(
+            name=name,
+            listen=Address(LOOPBACK, system_assigned_port()),
+            discovery=Address(LOOPBACK, self.discovery_port),
+            settings=SETTINGS,
+            seed=name,
+        )
 
-    def _append(self, record: LogRecord) -> None:
-        with self._records_changed:
-            self.records.append(record)
-            self._records_changed.notify_all()
+    def _fleet_config(self, name: str, state_folder: pathlib.Path) -> FleetConfig:
+        ports = {peer: self.proxy.port(Link(name, peer)) for peer in self.names if peer != name}
+        ports[name] = self._ports[name]
+        return FleetConfig(
+            name="fault-injection",
+            acceptors=self.acceptors,
+            tasks=TASKS,
+            peers={peer: Address(LOOPBACK, ports[peer]) for peer in self.names},
+            state_folder=state_folder,
+            lease_ms=self.lease_ms,
+        )
 
     # Faults
 
-    def record_fault(self, event: str, **fields: str) -> None:
+    def record_fault(self, kind: FaultKind, **fields: str) -> None:
         """Append a fault to the records."""
-        self._append(LogRecord(time.monotonic(), INJECTOR, event, fields))
+        self._records.append(LogRecord(time.monotonic(), INJECTOR, kind, fields))
 
     def kill(self, name: str) -> None:
         """End a balancer by SIGKILL."""
         self._end(name, signal.SIGKILL)
-        self.record_fault("kill", of=name)
+        self.record_fault(FaultKind.KILL, of=name)
 
     def terminate(self, name: str) -> int:
         """Shut a balancer down gracefully by SIGTERM; returns its exit code."""
-        code = self._end(name, signal.SIGTERM)
-        self.record_fault("end", of=name)
-        return code
+        exit_code = self._end(name, signal.SIGTERM)
+        self.record_fault(FaultKind.TERMINATE, of=name)
+        return exit_code
 
     def _end(self, name: str, number: signal.Signals) -> int:
-        process = self._processes.pop(name)
+        process, log_reader = self._running.pop(name)
         process.send_signal(number)
-        code = process.wait(TIMEOUT)
-        # All that it logged has to be read before the fault is recorded: the invariants go by this order.
-        self._log_readers.pop(name).join(TIMEOUT)
-        return code
+        exit_code = process.wait(TIMEOUT_S)
+        # The invariants go by the order of the records: the whole log has to be read before the fault is
+        # recorded.
+        log_reader.join(TIMEOUT_S)
+        return exit_code
 
     @contextlib.contextmanager
     def paused(self, name: str) -> Iterator[None]:
         """Pause a balancer by SIGSTOP and let it continue at the end."""
-        process = self._processes[name]
+        process = self._running[name].process
         process.send_signal(signal.SIGSTOP)
-        self.record_fault("stop", of=name)
+        self.record_fault(FaultKind.PAUSE, of=name)
         try:
             yield
         finally:
-            self.record_fault("continue", of=name)
+            self.record_fault(FaultKind.RESUME, of=name)
             process.send_signal(signal.SIGCONT)
 
     # Observations
 
-    def copy_records(self) -> list[LogRecord]:
-        """Return the records up to now."""
-        with self._records_changed:
-            return list(self.records)
+    @property
+    def records(self) -> list[LogRecord]:
+        """The records up to now, in the order in which they were read."""
+        return self._records.copy()
 
-    def wait_for(self, condition: Callable[[list[LogRecord]], Result], timeout: float = TIMEOUT) -> Result:
+    def wait_for(
+        self, condition: Callable[[list[LogRecord]], Result | None], timeout: float = TIMEOUT_S
+    ) -> Result:
         """Wait until `condition` of the records returns something true, and return that.
 
-        Raises AssertionError, with the last records, after `timeout` seconds.
+        Raises LogTimeoutError, with the last records, after `timeout` seconds.
         """
-        deadline = time.monotonic() + timeout
-        with self._records_changed:
-            while not (result := condition(self.records)):
-                remaining = deadline - time.monotonic()
-                if remaining <= 0:
-                    tail = "\n".join(map(str, self.records[-RECORDS_SHOWN:]))
-                    raise AssertionError(f"not so within {timeout:g} s; the last lines:\n{tail}")
-                self._records_changed.wait(remaining)
-            return result
+        result = self._records.wait_for(condition, timeout)
+        if result is None:
+            raise LogTimeoutError("the awaited records", timeout, self.records)
+        return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
         """Wait for a lease that is acquired after a time, by one of these processes if any are given."""
@@ -225,10 +201,8 @@
         def find(records: list[LogRecord]) -> LogRecord | None:
             for record in records:
                 matches = not among or record.process in among
-                if matches and record.event == "lease acquired" and record.time > after:
+                if matches and record.event == LEASE_ACQUIRED and record.time > after:
                     return record
             return None
 
-        record = self.wait_for(find)
-        assert record is not None  # wait_for returns true results only
-        return record
+        return self.wait_for(find)
--- a/tests/test_network_proxy.py
+++ b/tests/test_network_proxy.py
@@ -7,10 +7,12 @@
 
 import pytest
 
-from lotusroute.fault_injection.network_proxy import NetworkProxy
+from lotusroute.fault_injection.network_proxy import Link, NetworkProxy
 
-TIMEOUT = 5.0  # s
-NOT_FORWARDED = 0.2  # s without data that count as blocked
+TIMEOUT_S = 5.0
+BLOCKED_TIMEOUT_S = 0.2  # without data, after which a link counts as blocked
+A_TO_B = Link("a", "b")
+B_TO_A = Link("b", "a")
 
 
 def _echo(listener):
@@ -39,51 +41,54 @@
 @pytest.fixture
 def connection(proxy):
     """A connection from a to b whose echo works."""
-    with socket.create_connection(("127.0.0.1", proxy.address("b", "a")), TIMEOUT) as connection:
+    with socket.create_connection(("127.0.0.1", proxy.port(A_TO_B)), TIMEOUT_S) as connection:
         exchange(connection, b"first")
         yield connection
 
 
 def exchange(connection, data):
     """Send data, wait for its echo, and return the seconds that took."""
-    started_at = time.monotonic()
+    sent_at = time.monotonic()
     connection.sendall(data)
     received = b""
     while len(received) < len(data):
         received += connection.recv(1024)
     assert received == data
-    return time.monotonic() - started_at
+    return time.monotonic() - sent_at
 
 
-@pytest.mark.parametrize("link", [("a", "b"), ("b", "a")])
+@pytest.mark.parametrize("link", [A_TO_B, B_TO_A])
 def test_what_is_sent_on_a_blocked_link_arrives_once_it_is_unblocked(proxy, connection, link):
     proxy.block(link)
     connection.sendall(b"late")
-    connection.settimeout(NOT_FORWARDED)
+    connection.settimeout(BLOCKED_TIMEOUT_S)
     with pytest.raises(TimeoutError):
         connection.recv(1024)
-    connection.settimeout(TIMEOUT)
+    connection.settimeout(TIMEOUT_S)
     proxy.unblock(link)
     assert connection.recv(1024) == b"late"
 
 
 def test_partition_blocks_both_directions_and_unblock_frees_all(proxy):
     proxy.partition(["a"], ["b"])
-    assert proxy.blocked == {("a", "b"), ("b", "a")}
+    assert proxy.blocked == {A_TO_B, B_TO_A}
     proxy.unblock()
     assert proxy.blocked == set()
 
 
 def test_a_connection_made_while_its_link_is_blocked_is_forwarded_later(proxy):
-    proxy.block(("a", "b"))
-    with socket.create_connection(("127.0.0.1", proxy.address("b", "a")), TIMEOUT) as connection:
-        proxy.unblock(("a", "b"))
+    proxy.block(A_TO_B)
+    with socket.create_connection(("127.0.0.1", proxy.port(A_TO_B)), TIMEOUT_S) as connection:
+        proxy.unblock(A_TO_B)
         exchange(connection, b"hello")
 
 
-@pytest.mark.parametrize("pair", [("a", "b"), ("b", "a"), ()])
-def test_reset_ends_the_connections_between_two_processes(proxy, connection, pair):
-    proxy.reset(*pair)
+@pytest.mark.parametrize("link", [A_TO_B, B_TO_A, None])
+def test_reset_ends_the_connections_between_two_processes_or_all(proxy, connection, link):
+    if link is None:
+        proxy.reset_all()
+    else:
+        proxy.reset(*link)
     with pytest.raises(ConnectionResetError):
         connection.recv(1024)
 
@@ -94,7 +99,7 @@
 
 
 def test_reset_after_a_number_of_bytes_forwards_these_and_resets_once(proxy, connection):
-    proxy.reset_after["b", "a"] = 3
+    proxy.reset_after[B_TO_A] = 3
     connection.sendall(b"abcdef")
     received = b""
     with pytest.raises(ConnectionResetError):
@@ -105,18 +110,18 @@
 
 
 def test_delay_holds_back_each_read(proxy, connection):
-    proxy.delays["a", "b"] = 0.2
+    proxy.delays[A_TO_B] = 0.2
     assert exchange(connection, b"slow") >= 0.2
 
 
 def test_rate_throttles_a_link(proxy, connection):
-    proxy.rates["a", "b"] = 50.0
+    proxy.rates[A_TO_B] = 50.0
     assert exchange(connection, b"0123456789") >= 10 / 50.0 - 0.05
 
 
 def test_a_connection_that_waits_for_a_blocked_link_can_be_reset(proxy, connection):
-    proxy.block(("a", "b"))
+    proxy.block(A_TO_B)
     connection.sendall(b"never")
-    proxy.reset()
+    proxy.reset_all()
     with pytest.raises(ConnectionResetError):
         connection.recv(1024)
