--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -3,30 +3,54 @@
 import json
 import sys
 import time
+from collections.abc import Sequence
+from typing import NotRequired, TypedDict
 
 import click
 
-from lotusroute.cli.options import JSON_OPTION, ExitCode
+from lotusroute.cli.options import JSON_OPTION, ExitCode, hidden_alias
 from lotusroute.fault_injection.random_scenarios import ScenarioOutcome, run_scenario
 
 
+class RecoveryTimes(TypedDict):
+    """Seconds from the last fault of a scenario until a process held the lease; empty if none ever did."""
+
+    p50: NotRequired[float]
+    worst: NotRequired[float]
+
+
+class Summary(TypedDict):
+    """The outcomes of all scenarios, as `--json` prints them."""
+
+    scenarios: int
+    violations: list[int]  # seeds of the scenarios that failed
+    holder_changes: int
+    recovered_s: RecoveryTimes
+
+
 @click.command()
 @click.option("--seconds", type=click.FloatRange(1.0), default=60.0, help="duration; the last scenario ends")
 @click.option("--seed", type=int, default=1, help="of the first scenario; each further one adds 1")
 @click.option("--processes", type=click.IntRange(3, 25), default=3, help="balancers of each scenario")
-@click.option("--keepers", type=click.Choice(["3", "5", "7"]), default="3", help="of them, lease acceptors")
+@click.option("--acceptors", type=click.Choice(["3", "5", "7"]), default="3", help="of them, lease acceptors")
+@click.option("--keepers", type=click.Choice(["3", "5", "7"]), hidden=True, help="older name of --acceptors")
 @JSON_OPTION
-def hunt(seconds: float, seed: int, processes: int, keepers: str, as_json: bool) -> None:
+def run(
+    seconds: float, seed: int, processes: int, acceptors: str, keepers: str | None, as_json: bool
+) -> None:
     """Run random scenarios with processes and check invariants; exit 1 where one is violated.
 
-    Example: lotusroute fault-injection hunt --seconds 60 --processes 5 --keepers 5 --seed 1
+    Example: lotusroute fault-injection run --seconds 60 --processes 5 --acceptors 5 --seed 1
     """
-    if int(keepers) > processes:
-        raise click.UsageError(f"--keepers {keepers}: more than the {processes} processes; give fewer")
+    acceptor_count = int(keepers or acceptors)
+    if acceptor_count > processes:
+        raise click.UsageError(
+            f"--acceptors {acceptor_count}: more than the {processes} processes; give fewer"
+        )
     deadline = time.monotonic() + seconds
     outcomes: list[ScenarioOutcome] = []
     while time.monotonic() < deadline:
-        outcome = run_scenario(seed + len(outcomes), processes, int(keepers))
+        outcome = run_scenario(seed + len(outcomes), processes, acceptor_count)
         outcomes.append(outcome)
         _print_progress(outcome)
     summary = _summarize(outcomes)
@@ -34,34 +58,41 @@
         click.echo(json.dumps(summary))
     else:
         click.echo(
-            f"{len(outcomes)} scenarios, breached: {summary['breached'] or 'none'}, "
-            f"{summary['hand_overs']} hand-overs, held again {summary['recovered_s']}"
+            f"{len(outcomes)} scenarios, violations: {summary['violations'] or 'none'}, "
+            f"{summary['holder_changes']} holder changes, recovery {_format_recovery(summary['recovered_s'])}"
         )
-    sys.exit(ExitCode.FAILED if summary["breached"] else ExitCode.OK)
+    sys.exit(ExitCode.FAILED if summary["violations"] else ExitCode.OK)
 
 
 def _print_progress(outcome: ScenarioOutcome) -> None:
-    verdict = "BREACH" if outcome.failed else "kept"
+    verdict = "failed" if outcome.failed else "passed"
+    recovery = f"{outcome.recovery_time:.2f} s" if outcome.recovery_time >= 0 else "never"
     click.echo(
-        f"seed {outcome.seed}: {verdict}, {outcome.holder_changes} hand-overs, held again "
-        f"{outcome.recovery_time:.2f} s after: {'; '.join(outcome.faults)}",
+        f"seed {outcome.seed}: {verdict}, {outcome.holder_changes} holder changes, recovery {recovery} "
+        f"after: {'; '.join(outcome.faults)}",
         err=True,
     )
     for violation in outcome.violations:
         click.echo(str(violation), err=True)
 
 
-def _summarize(outcomes: list[ScenarioOutcome]) -> dict:
+def _summarize(outcomes: Sequence[ScenarioOutcome]) -> Summary:
     recovery_times = sorted(outcome.recovery_time for outcome in outcomes if outcome.recovery_time >= 0)
-    recovery = {}
+    recovery: RecoveryTimes = {}
     if recovery_times:
         recovery = {"p50": recovery_times[len(recovery_times) // 2], "worst": recovery_times[-1]}
     return {
         "scenarios": len(outcomes),
-        "breached": [outcome.seed for outcome in outcomes if outcome.failed],
-        "hand_overs": sum(outcome.holder_changes for outcome in outcomes),
+        "violations": [outcome.seed for outcome in outcomes if outcome.failed],
+        "holder_changes": sum(outcome.holder_changes for outcome in outcomes),
         "recovered_s": recovery,
     }
 
 
-COMMANDS = {"hunt": hunt}
+def _format_recovery(recovery: RecoveryTimes) -> str:
+    if not recovery:
+        return "never"
+    return f"{recovery['p50']:.2f} s (median), {recovery['worst']:.2f} s (worst)"
+
+
+COMMANDS = {"run": run, "hunt": hidden_alias(run)}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,7 +21,9 @@
     ("scale", "target"): ("capacity", "target"),
     ("capacity", "herd"): ("capacity", "reconnect-storm"),
     ("capacity", "news"): ("capacity", "propagation"),
-    ("rig", "hunt"): ("fault-injection", "hunt"),
+    ("rig", "hunt"): ("fault-injection", "run"),
+    ("rig", "run"): ("fault-injection", "run"),
+    ("fault-injection", "hunt"): ("fault-injection", "run"),
 }
 
 
@@ -61,7 +63,7 @@
 
 @pytest.mark.parametrize(
     "group, commands",
-    [("fault-injection", ["hunt"]), ("fleet", ["show"]), ("leases", ["show"]), ("relay", ["run", "show"])],
+    [("fault-injection", ["run"]), ("fleet", ["show"]), ("leases", ["show"]), ("relay", ["run", "show"])],
 )
 def test_group_help_lists_its_commands(invoke, group, commands):
     result = invoke(group, "--help")
@@ -94,21 +96,27 @@
     assert figures["balancers"] == 6_200 and round(figures["balancers_a_zone"]) == 326
 
 
-@pytest.mark.parametrize("group", ["fault-injection", "rig"])
-def test_hunt_rejects_more_acceptors_than_processes(invoke, group):
-    result = invoke(group, "hunt", "--processes", "3", "--keepers", "5")
+@pytest.mark.parametrize("option", ["--acceptors", "--keepers"])
+@pytest.mark.parametrize("command", [("fault-injection", "run"), ("rig", "hunt")], ids=" ".join)
+def test_a_fault_injection_run_rejects_more_acceptors_than_processes(invoke, command, option):
+    result = invoke(*command, "--processes", "3", option, "5")
     assert result.exit_code == 2
-    assert "--keepers 5: more than the 3 processes; give fewer" in result.stderr
+    assert "--acceptors 5: more than the 3 processes; give fewer" in result.stderr
 
 
-def test_hunt_prints_its_summary_as_json():
+def test_the_help_of_a_fault_injection_run_lists_no_older_option(invoke):
+    result = invoke("fault-injection", "run", "--help")
+    assert "--acceptors" in result.stdout and "--keepers" not in result.stdout
+
+
+def test_a_fault_injection_run_prints_its_summary_as_json():
     call = [sys.executable, "-m", "lotusroute", "rig", "hunt", "--seconds", "1", "--json"]
     result = subprocess.run(call, capture_output=True, text=True, timeout=60, check=False)
     assert result.returncode == 0, result.stderr
     summary = json.loads(result.stdout)
-    assert list(summary) == ["scenarios", "breached", "hand_overs", "recovered_s"]
-    assert summary["scenarios"] >= 1 and summary["breached"] == []
-    assert "seed 1: kept, " in result.stderr
+    assert list(summary) == ["scenarios", "violations", "holder_changes", "recovered_s"]
+    assert summary["scenarios"] >= 1 and summary["violations"] == []
+    assert "seed 1: passed, " in result.stderr
 
 
 @pytest.mark.parametrize("arguments", [("no-such-group",), ("capacity", "no-such-command")])
