--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -5,6 +5,7 @@
 """
 
 import contextlib
+import dataclasses
 import pathlib
 import time
 from collections.abc import Callable, Iterable
@@ -14,14 +15,15 @@
 from lotusroute.capacity.deployment import (
     address,
     allocate_port,
+    fleet_config,
     run_discovery,
     run_folder,
     start_balancer,
-    write_fleet_file,
 )
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import HollowBalancerSettings
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
+from lotusroute.process_control.logged_process import TIMEOUT_S
 
 SETTLE_SECONDS = 4.0  # after the last start, before anything is measured
 MAX_REAL_BALANCERS = 5
@@ -63,13 +65,12 @@
     def _start_balancer(self, folder: pathlib.Path, name: str) -> MeasuredProcess:
         state = folder / name
         state.mkdir()
-        file = write_fleet_file(
-            folder / f"{name}.toml", self._ports, self.acceptors, "watch", state=str(state)
-        )
+        config = dataclasses.replace(fleet_config(self._ports, self.acceptors, "watch"), state_folder=state)
+        file = config.write(folder / f"{name}.toml")
         return start_balancer(folder, name, allocate_port(), self._discovery_port, {"LB_FLEET": file})
 
     def _wait_for_lease_holder(self) -> str:
-        deadline = time.monotonic() + processes.LOG_TIMEOUT
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() <= deadline:
             for name, balancer in self.balancers.items():
                 if any("lease acquired" in line for line in balancer.lines):
@@ -79,7 +80,7 @@
 
     def _start_hollow(self, folder: pathlib.Path) -> Iterable[MeasuredProcess]:
         # Hollow balancers compete for another lease: the holder of this one has a process of its own.
-        file = write_fleet_file(folder / "hollow.toml", self._ports, self.acceptors, "check")
+        file = fleet_config(self._ports, self.acceptors, "check").write(folder / "hollow.toml")
         for start in range(MAX_REAL_BALANCERS, len(self.names), HOLLOW_PER_PROCESS):
             names = self.names[start : start + HOLLOW_PER_PROCESS]
             settings = HollowBalancerSettings(names, address(self._discovery_port), file)
--- a/lotusroute/capacity/member_settings.py
+++ b/lotusroute/capacity/member_settings.py
@@ -6,7 +6,7 @@
 from typing import Self
 
 from lotusroute.address import Address
-from lotusroute.capacity.processes import write_json
+from lotusroute.process_control.config_files import write_json
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -4,6 +4,7 @@
 """
 
 import contextlib
+import dataclasses
 import pathlib
 import signal
 import time
@@ -15,14 +16,15 @@
 from lotusroute.capacity.deployment import (
     address,
     allocate_port,
+    fleet_config,
     run_folder,
     start_balancer,
-    write_fleet_file,
     write_relays_file,
 )
 from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
-from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage, log_field
+from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 from lotusroute.capacity.stubs import CHANGED_HOST
+from lotusroute.process_control.log_fields import log_field
 
 HOLLOW_PER_PROCESS = 160
 LARGE_ACCEPTOR_GROUP = 5  # relays that are acceptors of the lease, where there are so many
@@ -116,15 +118,13 @@
         for name in names:
             state = folder / name
             state.mkdir()
-            file = write_fleet_file(
-                folder / f"{name}.toml",
-                self._relay_ports,
-                acceptors,
-                "origin",
-                state=str(state),
+            config = dataclasses.replace(
+                fleet_config(self._relay_ports, acceptors, "origin"),
+                state_folder=state,
                 lease_ms=LEASE_MS,
-                guests=MAX_SUBSCRIBERS,
+                max_subscribers=MAX_SUBSCRIBERS,
             )
+            file = config.write(folder / f"{name}.toml")
             options = ["--fleet", file, "--name", name, "--discovery", address(self._discovery_port)]
             process = MeasuredProcess("lotusroute", ["relay", "run", *options])
             self.relays[name] = stack.enter_context(process)
