--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -9,12 +9,14 @@
 import sys
 import threading
 import tomllib
+import urllib.request
 
 import pytest
 
 from lotusroute.address import Address
 from lotusroute.fleet.config import load_fleet_config
 from lotusroute.process_control import config_files
+from lotusroute.process_control.discovery_server import DiscoveryServer
 from lotusroute.process_control.errors import LogTimeoutError, NotReadyError
 from lotusroute.process_control.free_ports import PortAllocator, system_assigned_port
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
@@ -123,6 +125,34 @@
         wait_until_ready(port, timeout=0.1)
 
 
+# Discovery
+
+
+def poll(server, query):
+    with urllib.request.urlopen(f"http://{server.address}/api/targets{query}", timeout=5.0) as response:
+        return json.load(response)
+
+
+@pytest.fixture
+def discovery_server():
+    server = DiscoveryServer([config_files.endpoint_entry("s-1", 9)])
+    yield server
+    server.shutdown()
+
+
+def test_a_poll_without_a_version_gets_the_complete_list(discovery_server):
+    listed = poll(discovery_server, "")
+    assert listed["seq"] == 1 and listed["whole"] is True
+    assert [entry["host"] for entry in listed["hosts"]] == ["s-1"]
+
+
+def test_a_long_poll_gets_a_change_or_an_empty_list_once_its_time_is_over(discovery_server):
+    assert poll(discovery_server, "?from=1&hold_ms=50") == {"seq": 1, "whole": False, "hosts": []}
+    changed = [config_files.endpoint_entry("s-2", 9)]
+    threading.Timer(0.1, discovery_server.publish, [changed]).start()
+    assert poll(discovery_server, "?from=1&hold_ms=4000") == {"seq": 2, "whole": False, "hosts": changed}
+
+
 # Configuration files
 
 
