--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,6 +1,6 @@
 """Server selection: spilling, reconnecting clients, servers outside the preference order."""
 
-from harness import FakeHost
+from director_host import FakeHost
 
 from lotusroute.routing import events
 
