--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -1,13 +1,16 @@
-"""The migration command, and the program started with the file that it wrote."""
+"""The command that upgrades a configuration file, and the program with the file that it wrote."""
 
 import json
 import os
+import subprocess
+import sys
 
 import pytest
 from harness import SETTINGS, Balancer, FakeServer
 
 from lotusroute import config_upgrade
 from lotusroute.errors import ConfigError
+from lotusroute.json_paths import set_path
 from lotusroute.net import config
 
 OLD_SETTINGS = {
@@ -26,7 +29,7 @@
 
 @pytest.fixture
 def old(tmp_path):
-    """An operator's file of the old shape."""
+    """Return a configuration file of the old kind of deployment."""
     hosts = [{"host": "s-1", "dial": "127.0.0.1:9", "health": "SERVING", "site": "caxias"}]
     document = {
         "name": "n1",
@@ -43,7 +46,7 @@
 
 
 def run_upgrade(old, *more, new="new.json"):
-    """Run the command on a file; the target is beside it."""
+    """Upgrade a file to another one in its folder; return the exit code."""
     return config_upgrade.main([str(old), str(old.with_name(new)), "--location", "hall-a", *more])
 
 
@@ -66,7 +69,7 @@
     assert "  settings.siblings\n" in output
 
 
-def test_keys_that_are_not_carried_or_must_be_given_anew_are_reported(old, capsys):
+def test_keys_that_are_not_carried_over_or_must_be_set_again_are_reported(old, capsys):
     assert run_upgrade(old, "--set", "settings.siblings=40") == 0
     output = capsys.readouterr().out
     assert all(f"  settings.{key} " in output for key in NOT_CARRIED)
@@ -97,16 +100,23 @@
     assert old.read_bytes() == before and old.with_name("new.json").stat().st_mode & 0o777 == 0o640
 
 
-def test_migrating_a_file_of_the_new_shape_changes_nothing(old, capsys):
-    assert run_upgrade(old, "--keep-known") == 0
+def test_upgrading_an_upgraded_file_changes_nothing(old, capsys):
+    assert run_upgrade(old, "--keep-cached-list") == 0
     capsys.readouterr()
     assert run_upgrade(old.with_name("new.json"), new="again.json") == 0
     output = capsys.readouterr().out
-    assert "not carried" not in output and "give anew" not in output
+    assert "not carried" not in output and "set again" not in output
     assert old.with_name("again.json").read_bytes() == old.with_name("new.json").read_bytes()
     assert json.loads(old.with_name("new.json").read_text())["known"]["hosts"][0]["site"] == "hall-a"
 
 
+def test_the_older_names_of_the_command_and_of_an_option_are_accepted(old):
+    files = [str(old), str(old.with_name("new.json"))]
+    command = [sys.executable, "-m", "lotusroute.migrate", *files, "--location", "hall-a", "--keep-known"]
+    assert subprocess.run(command, capture_output=True, timeout=30, check=False).returncode == 0
+    assert len(json.loads(old.with_name("new.json").read_text())["known"]["hosts"]) == 1
+
+
 def test_an_existing_file_is_overwritten_only_with_force(old, capsys):
     target = old.with_name("new.json")
     target.write_text("mine")
@@ -158,7 +168,7 @@
 )
 def test_an_invalid_setting_is_named_at_the_start_too(old, path, value):
     document = config.read_json_object(old)
-    config_upgrade.set_path(document, path, value)
+    set_path(document, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
     with pytest.raises(ConfigError, match=rf"^settings[:.].*{named}"):
         config.parse_config(document, {})
