--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -37,7 +37,7 @@
     "X": events.ConnectionResult.CANCELLED,
     "N": events.ConnectionResult.UNSENT,
 }
-# Bits of a new flow's flags; plain integers, since every flow is parsed with them and an IntFlag is slow.
+# Bits of a new flow's flags. Every flow is parsed with them, for which an IntFlag is too slow.
 RETRY_FLAG = 2
 MID_FLOW_FLAG = 8
 RECONNECTING_FLAG = 16
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -18,9 +18,9 @@
 from lotusroute.routing.state import FleetSetupTimes, RoutingState
 from lotusroute.routing.statistics import DecayingCount
 
-REBALANCE_TICKS = 5  # between rebalancings; one where servers send no latency reports
-RECONNECT_PERIOD_MS = 5_000.0  # after servers have left the list, in which their clients reconnect
-SUBSCRIBE_BACKOFF_MS = 500.0  # doubles with each rejected poll, up to half of the poll interval
+REBALANCE_TICKS = 5  # between rebalancings; 1 if there are no latency reports
+RECONNECT_PERIOD_MS = 5_000.0  # after servers have left the endpoint list
+SUBSCRIBE_BACKOFF_MS = 500.0  # doubles, up to half of the poll interval
 TICK = "tick"  # mark of the timer
 
 
--- a/lotusroute/routing/failure_detection.py
+++ b/lotusroute/routing/failure_detection.py
@@ -7,12 +7,12 @@
 from lotusroute.routing.state import RoutingState
 
 # A score of 0 to 1. A failure moves it towards 1 by its weight; a success multiplies it by SUCCESS_FACTOR.
-EJECTION_SCORE = 0.45  # reached by two consecutive failures, or one unreachable server
+EJECTION_SCORE = 0.45  # two consecutive failures, or one unreachable server
 UNREACHABLE_WEIGHT = 0.6
 FAILURE_WEIGHT = 0.3
-RESET_WEIGHT = 0.15  # of an established connection: a server may shed load, so one reset says little
+RESET_WEIGHT = 0.15  # of an established connection; overloaded servers reset some
 SUCCESS_FACTOR = 0.5
-ISOLATED_TIMEOUT_SCORE = 0.05  # a timeout below it is isolated: three successes after a failure
+ISOLATED_TIMEOUT_SCORE = 0.05  # below it a timeout is isolated
 EJECTION_TIME_MS = 4_000.0  # at least; up to half more at random
 
 
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -12,10 +12,10 @@
 from lotusroute.routing.slow_start import admitted_fraction, capacity_fraction, warming_up
 from lotusroute.routing.state import RoutingState
 
-MIGRATION_INTERVAL_MS = 2_000.0  # per server: latency reports show the effect of a migration only later
-MIGRATION_FRACTION = 0.15  # of this balancer's flows, times the server's latency over the threshold
-UNREPORTED_MIGRATION_FRACTION = 0.34  # of the flows, where servers send no latency reports
-DEFAULT_MIGRATION_RATE = 0.2  # fraction per tick of the flows whose default server is another
+MIGRATION_INTERVAL_MS = 2_000.0  # per server; reports show the effect of a migration only later
+MIGRATION_FRACTION = 0.15  # of own flows, times latency over its threshold
+UNREPORTED_MIGRATION_FRACTION = 0.34  # of own flows, if there are no latency reports
+DEFAULT_MIGRATION_RATE = 0.2  # fraction per tick
 
 
 def migrate(state: RoutingState) -> None:
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -15,7 +15,7 @@
 
 OVERLOAD_LATENCY_FACTOR = 3.0  # latency of an overloaded server over that of a slow one
 LATENCY_REPORT_TTL_MS = 8_000.0
-RECOVERED_DEPRIORITIZED_MS = 20_000.0  # the connections that overloaded a server stay for a while
+RECOVERED_DEPRIORITIZED_MS = 20_000.0  # from a latency report below the threshold
 
 SETUP_TIME_CONSTANT_MS = 200.0  # of means of set-up times
 RECENT_SETUPS_WEIGHT = 2.0  # set-ups in the mean of the last few
@@ -27,12 +27,12 @@
 
 SLOW_SAMPLE_TTL_MS = 2_500.0
 SLOW_SETUP_RATIO = 2.5  # slow set-up time over the expected one
-FLEET_SETUP_FRACTION = 0.5  # of the fleet's mean: the least expected set-up time
-REFERENCE_RANK_DIVISOR = 8  # the reference is the server at an eighth of the order by set-up time
-SORT_INTERVAL_PER_SERVER_MS = 1.0  # bounds the cost of that order
-SIGNIFICANT_DEVIATIONS = 2.0
+FLEET_SETUP_FRACTION = 0.5  # of the fleet's mean; the least expected set-up time
+REFERENCE_RANK_DIVISOR = 8  # the reference is at an eighth of the order by set-up time
+SORT_INTERVAL_PER_SERVER_MS = 1.0  # of that order; bounds its cost
+SIGNIFICANT_DEVIATIONS = 2.0  # standard errors
 SIGNIFICANT_DELAY_FRACTION = 1 / 24  # of the shortest set-up target
-STALL_WINDOW_MS = 100.0  # a stall of the balancer delays all attempts begun within it: one sample
+STALL_WINDOW_MS = 100.0  # attempts that began within it are one sample
 
 
 def slow_latency(state: RoutingState) -> float:
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -5,11 +5,11 @@
 from lotusroute.routing.server_selection import select_server
 from lotusroute.routing.state import RoutingState
 
-ATTEMPT_TIMEOUT_TARGETS = 2.0  # set-up targets
-ATTEMPT_DEADLINE_FRACTION = 0.8  # of the time left, where servers send no latency reports
+ATTEMPT_TIMEOUT_TARGETS = 2.0  # multiple of the set-up target
+ATTEMPT_DEADLINE_FRACTION = 0.8  # of the time left, if there are no latency reports
 MAX_FAILURE_RATIO = 0.5  # failed attempts per established connection
 FAILURE_ALLOWANCE = 4.0  # failed attempts that are not counted
-MAX_RESET_RATIO = 0.25  # failed attempts and resets per remaining connection, for reconnecting clients
+MAX_RESET_RATIO = 0.25  # failed attempts and resets per remaining connection
 RESET_ALLOWANCE = 1.0  # failed attempts and resets that are not counted
 RETRY_AFTER_MS = 1_000.0  # about a tick, after which there are new reports
 
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -14,8 +14,8 @@
 from lotusroute.routing.state import RoutingState
 
 SEGMENT_BITS = 10
-MAX_LOAD_RATIO = 1.4  # load of one server over the mean, from which a segment gets another replica
-PRIOR_FLOWS = 5  # added to this balancer's flows, so that a few flows do not look like a large group
+MAX_LOAD_RATIO = 1.4  # load of one server over the mean; above it another replica
+PRIOR_FLOWS = 5  # added to own flows; a few flows do not show a large group
 RECENT_FLOWS = 64  # kept, with their segments and replicas
 PRIOR_RECENT_FLOWS = 20  # flows of the usual mix of groups, added to the recent ones
 REBALANCE_RATIO = 0.8  # usage of the idlest server over that of the busiest
@@ -23,7 +23,7 @@
 NEW_SERVER_PERIOD_MS = 10_000.0  # in which the low usage of a new server says nothing
 SPILL_DEPTH = 4  # servers of its preference order that a segment may use
 MAX_REPLICAS = 2 * SPILL_DEPTH  # also the length of a preference order
-RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; the first servers of an order are likely below it
+RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; most first servers are below it
 HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # an odd number, from SplitMix64
 HASH_MASK = (1 << 64) - 1
 
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -10,14 +10,14 @@
 
 TICK_INTERVAL_MS = 1_000.0  # servers report their latency as often
 SLOT_ROUND_MS = 3_000.0  # in which each balancer has one slot
-GROUP_LOAD_FACTOR = 2.0  # load of a large group on one server, over the mean load of a server
-MIN_CAPACITY_FRACTION = 0.05  # least assumed capacity of a server that starts, of its full capacity
-PRIOR_FLOWS_PER_TICK = 1.0  # added to rates, so that a few flows do not look like a connection storm
-RATE_GAIN = 0.1  # weight of the last tick in arrival rates and connection counts
+GROUP_LOAD_FACTOR = 2.0  # load of a large group over the mean load of a server
+MIN_CAPACITY_FRACTION = 0.05  # of the full capacity, when a server starts
+PRIOR_FLOWS_PER_TICK = 1.0  # added to rates; a few flows are no storm
+RATE_GAIN = 0.1  # weight of the last tick in rates and counts
 RECOVERY_TIME_MS = 12_000.0
-RECOVERY_RATE = 0.5  # fraction of the server's part of first arrivals, when a recovery begins
+RECOVERY_RATE = 0.5  # fraction of its part of first arrivals, at first
 RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that rate
-RECOVERY_SLOT_FACTOR = 4.0  # flows per round up to which slots are used in place of a rate
+RECOVERY_SLOT_FACTOR = 4.0  # flows per round; slots are used up to this rate
 SETUPS_TO_RECOVER = 8  # timely set-ups that end a recovery early
 
 
