--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,23 +1,22 @@
 """Slow start: what all balancers together send to new servers, by runs of `benchmarks/slow_start.py`."""
 
-import importlib.util
+import importlib
 import pathlib
 import sys
 
 import pytest
 
-FILE = pathlib.Path(__file__).parents[1] / "benchmarks" / "slow_start.py"
+BENCHMARKS = pathlib.Path(__file__).parents[1] / "benchmarks"
 
 
 @pytest.fixture(scope="module")
 def slow_start():
     """Import the benchmark, which belongs to no package."""
-    spec = importlib.util.spec_from_file_location("slow_start", FILE)
-    module = importlib.util.module_from_spec(spec)
-    sys.modules["slow_start"] = module  # needed by dataclass
-    spec.loader.exec_module(module)
-    yield module
-    del sys.modules["slow_start"]
+    with pytest.MonkeyPatch.context() as patch:
+        patch.syspath_prepend(BENCHMARKS)
+        yield importlib.import_module("slow_start")
+    for name in ("slow_start", "slow_start_simulation"):
+        del sys.modules[name]
 
 
 @pytest.mark.parametrize(
