--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -3,7 +3,7 @@
 import json
 import sys
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple, NoReturn
+from typing import NamedTuple, NoReturn
 
 import click
 from twisted.internet import defer
@@ -21,7 +21,7 @@
     """What was queried, by the peer's name."""
 
     statuses: dict[str, ProcessStatus]
-    states: dict[str, dict[str, Any]]  # the same as JSON objects, with the sections of further services
+    states: dict[str, dict[str, object]]  # the same as JSON objects, with the sections of further services
     errors: dict[str, str]  # of peers without a usable answer
 
 
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -31,7 +31,7 @@
 STEP_MS = 500.0  # of real time; a lease ends after six steps
 TASK = "task"
 MAX_IN_FLIGHT = 16  # messages; the oldest is lost if there are more
-DRIFT_FRACTION = 0.2  # far more than real clocks have, so that it makes a difference of whole steps
+DRIFT_FRACTION = 0.2  # far more than real clocks have, so that it amounts to whole steps
 
 
 class LowerBoundRng(random.Random):
--- a/lotusroute/fleet/__init__.py
+++ b/lotusroute/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""The connections between balancers and the services on them; enabled by the file that LB_FLEET names."""
+"""The connections between the processes of a fleet, and leases and shared discovery on top of them.
+
+It is enabled by the file that LB_FLEET names.
+"""
--- a/lotusroute/fleet/errors.py
+++ b/lotusroute/fleet/errors.py
@@ -13,11 +13,11 @@
     """A call to a peer failed; the message is the reason, or the text with which the peer rejected it."""
 
 
-# Calls that got no response
+# Calls without a response
 
 
 class PeerUnreachableError(CallError):
-    """There is no connection to the peer, or it was lost during the call."""
+    """There is no connection to the peer, or the connection ended during the call."""
 
     def __init__(self, peer: str) -> None:
         super().__init__(f"no connection to '{peer}'")
@@ -52,7 +52,7 @@
         self.max_size = max_size
 
 
-# Calls that were rejected
+# Calls that the peer rejects
 
 
 class UnidentifiedPeerError(CallError):
--- a/lotusroute/fleet/outbound_connections.py
+++ b/lotusroute/fleet/outbound_connections.py
@@ -86,7 +86,7 @@
         if name != peer or not connection.is_open or not wanted:
             self._on_connect_failed(peer, connection)
             return
-        connection.greeted = True
+        connection.identified = True
         del self.connecting[peer]
         self.established[peer] = connection
         self.process.counters["peer_connects"] += 1
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -31,7 +31,7 @@
 MAX_BODY_BYTES = 60_000  # of one call or response: AMP carries 65,535
 MAX_CALLS_IN_FLIGHT = 64  # to one peer; further calls fail at once instead of queueing
 MAX_BYTES_IN_FLIGHT = 262_144  # to one peer: the memory that a stalled peer can occupy
-CALL_TIMEOUT_S = 1.0  # longer than a lease request's timeout, because endpoint lists take longer
+CALL_TIMEOUT_S = 1.0  # endpoint lists take longer than lease requests, which have a timeout of their own
 MAX_CONSECUTIVE_TIMEOUTS = 3  # after which the connection is closed
 HELLO_TIMEOUT_S = 2.0  # for a new connection to identify itself
 MAX_DESCRIPTION_LENGTH = 200  # characters of an error that go to the caller
@@ -101,7 +101,7 @@
         self.manager = manager
         self._process = manager.process
         self.peer = peer
-        self.greeted = False  # Hello has been exchanged
+        self.identified = False  # whether Hello has been exchanged
         self.calls_in_flight = 0
         self.bytes_in_flight = 0
         self.consecutive_timeouts = 0
@@ -185,25 +185,25 @@
 
     @Hello.responder
     def hello(self, fleet: str, form: int, name: str) -> dict[str, str]:
-        """Handle the Hello of an inbound connection."""
+        """Handle the Hello of an inbound connection; `form` is the peer's protocol version."""
         config = self._process.config
         same_protocol = (fleet, form) == (config.name, PROTOCOL_VERSION)
         known = name in config.peers or name == OBSERVER or self.manager.admits_subscriber(name)
-        if self.greeted or self.peer or not same_protocol or not known:
+        if self.identified or self.peer or not same_protocol or not known:
             fleet, name = fleet[:MAX_LOGGED_NAME_LENGTH], name[:MAX_LOGGED_NAME_LENGTH]
             reason = f"fleet {fleet} version {form} name {name}"
             self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
             return {"name": self._process.name}
         self._cancel_hello_timer()
         self.peer = name
-        self.greeted = True
+        self.identified = True
         self.manager.peer_identified(self)
         return {"name": self._process.name}
 
     @Call.responder
     def called(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
         """Handle a call of the peer."""
-        if not self.greeted:
+        if not self.identified:
             self._process.reactor.callLater(0, self._reject_unknown_peer, "call before Hello")
             raise CallError(UNIDENTIFIED_PEER_DESCRIPTION)
         self._process.counters["peer_calls_received"] += 1
--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -6,7 +6,6 @@
 
 import math
 from collections.abc import Mapping
-from typing import Any
 
 import msgspec
 
@@ -118,7 +117,7 @@
     return msgspec.json.decode(body, type=ProcessStatus)
 
 
-def status_document(body: bytes) -> dict[str, Any]:
+def status_document(body: bytes) -> dict[str, object]:
     """Return an encoded status as a JSON object under the names of this module, for programs that read it.
 
     Further sections keep the form in which they were sent. Raises `msgspec.MsgspecError` if it is malformed.
@@ -129,18 +128,22 @@
     {'name': 'a', 'fleet': 'f', 'leases': {}, 'grants': {}, 'is_acceptor': True, 'acceptor_silent_ms': 0,
      'connections': {'outbound': ['b'], 'inbound': []}, 'more': 1}
     """
-    sections = msgspec.json.decode(body, type=dict[str, Any])
+    sections = msgspec.json.decode(body, type=dict[str, object])
     for key in ProcessStatus.__struct_encode_fields__:
         sections.pop(key, None)
-    return {**_fields_of(decode_status(body)), **sections}
+    return {**_struct_document(decode_status(body)), **sections}
 
 
-def _fields_of(value: Any) -> Any:  # noqa: ANN401  any JSON value
-    """Return a Struct as a dictionary of its fields, and so on for the values in it."""
+def _struct_document(struct: msgspec.Struct) -> dict[str, object]:
+    """Return the fields of a Struct by name; unlike `msgspec.to_builtins`, it does not rename them."""
+    return {name: _document(value) for name, value in msgspec.structs.asdict(struct).items()}
+
+
+def _document(value: object) -> object:
     match value:
         case msgspec.Struct():
-            return {name: _fields_of(field) for name, field in msgspec.structs.asdict(value).items()}
+            return _struct_document(value)
         case dict():
-            return {key: _fields_of(item) for key, item in value.items()}
+            return {key: _document(item) for key, item in value.items()}
         case _:
             return value
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -24,7 +24,7 @@
 # A balancer polls itself after this time without a message; it leaves time for a drain's limit of 2 s.
 HOLDER_TIMEOUT_MS = 1_500.0
 MAX_ANSWER_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # of discovery's last answer, for heartbeats to be sent
-MAX_SEND_DURATION_MS = 50.0  # so much of the lease must be left to send
+MAX_SEND_DURATION_MS = 50.0  # the part of a lease that must be left when an update is sent
 NEVER_MS = -1e12  # a time before any other
 NO_SEQ = -1
 
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -20,7 +20,7 @@
 )
 
 MAX_WAITERS = 8  # proposers notified of a release; the others retry by their timers
-MAX_TASKS = 256  # more tasks mean a defect or a malicious peer, for the program has only a few
+MAX_TASKS = 256  # the program has only a few; more mean a defect or a malicious peer
 BALLOT_BLOCK = 1_024  # ballots persisted with one write
 BALLOT_LIMIT = 2**62  # higher ballots are rejected, so that fencing tokens can always grow
 
@@ -180,9 +180,10 @@
         self.persisted_below = max(self.persisted_below, below)
 
     def _evict_expired(self, now: float) -> bool:
-        """Remove the task that expired first, if any has expired; return whether one was removed.
+        """Remove the task whose lease expired first, and return whether that was possible.
 
-        The floor prevents its ballots from being promised again.
+        The lease must have expired at least a lease duration ago. The floor prevents the ballots of the task
+        from being promised again.
         """
         task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
         if state.expires_at + self.terms.lease_duration > now:
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -39,6 +39,15 @@
     TASK_LIMIT = "full"  # it already has the maximum number of tasks
 
 
+class LossReason(StrEnum):
+    """Why a proposer does not hold a lease any longer; the value is logged and part of a counter's name."""
+
+    RELEASED = "released"  # on request of the process
+    EXPIRED = "expired"
+    STALLED = "stalled"
+    TENURE_ENDED = "tenure ended"  # another proposer requested the task
+
+
 class LeaseTerms(NamedTuple):
     """The parameters that all processes of a fleet must have in common; durations in ms."""
 
@@ -198,7 +207,7 @@
     """This process does not hold the lease on the task any longer."""
 
     task: str
-    reason: str
+    reason: LossReason
 
 
 LeaseAction = SendRequest | LeaseAcquired | LeaseLost
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -21,6 +21,7 @@
     LeaseReleased,
     LeaseRequest,
     LeaseTerms,
+    LossReason,
     Prepare,
     Propose,
     RejectReason,
@@ -30,6 +31,7 @@
     ReplyReceived,
     RequestLease,
     SendRequest,
+    Tick,
 )
 
 MAX_TASKS = 64  # tasks of one proposer; their names come from the program
@@ -93,19 +95,17 @@
         self.last_event_at = now
         match event:
             case RequestLease(task):
-                if task in self.states or len(self.states) < MAX_TASKS:
-                    self.states[task] = self.states.get(task, ProposerState())._replace(requested=True)
-                    self._check_deadlines(task, now)
+                self._on_request(task, now)
             case ReleaseLease(task):
                 if task in self.states:
-                    self._give_up_lease(task, now, "released")
+                    self._give_up_lease(task, now, LossReason.RELEASED)
                     del self.states[task]
             case ReplyReceived(acceptor, reply):
                 if reply.task in self.states and acceptor in self.terms.acceptors:
                     self._on_reply(acceptor, reply, now)
             case LeaseReleased(task):
                 self._on_released(task, now)
-            case _:
+            case Tick():
                 for task in list(self.states):
                     self._check_deadlines(task, now)
         return self.actions
@@ -155,13 +155,13 @@
         """Give up all leases after a stall, so that a process that is not stalled can acquire them."""
         if self.last_event_at > NEVER_MS and now - self.last_event_at > self.terms.stall_threshold:
             for task in self.states:
-                self._give_up_lease(task, now, "stalled", self.terms.lease_duration)
+                self._give_up_lease(task, now, LossReason.STALLED, self.terms.lease_duration)
 
     def _check_deadlines(self, task: str, now: float) -> None:
         """Handle what is due at this time: expiry, the timeout of a phase, renewal, the next attempt."""
         state = self.states[task]
         if state.has_lease and not state.holds(now):
-            state = self._give_up_lease(task, now, "expired")
+            state = self._give_up_lease(task, now, LossReason.EXPIRED)
         if state.phase != Phase.IDLE and now >= state.phase_started_at + self.terms.request_timeout:
             state = self._abandon_phase(task, state, now)
         if state.phase == Phase.IDLE and state.holds(now):
@@ -197,6 +197,12 @@
     def _broadcast(self, request: LeaseRequest) -> None:
         self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
 
+    def _on_request(self, task: str, now: float) -> None:
+        """Request a lease from now on; a task beyond MAX_TASKS is ignored."""
+        if task in self.states or len(self.states) < MAX_TASKS:
+            self.states[task] = self.states.get(task, ProposerState())._replace(requested=True)
+            self._check_deadlines(task, now)
+
     def _on_released(self, task: str, now: float) -> None:
         """Retry soon, at a random time because other waiting proposers were notified as well."""
         state = self.states.get(task)
@@ -241,7 +247,7 @@
             self.actions.append(LeaseAcquired(task, state.ballot))
         elif state.contended and now - state.acquired_at >= self.terms.max_tenure:
             self.states[task] = state
-            state = self._give_up_lease(task, now, "tenure ended", self.terms.lease_duration)
+            state = self._give_up_lease(task, now, LossReason.TENURE_ENDED, self.terms.lease_duration)
         return state
 
     def _abandon_phase(
@@ -257,7 +263,9 @@
         retry_at = now + remaining + self.rng.uniform(MIN_RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS)
         return state._replace(phase=Phase.IDLE, retry_at=retry_at)
 
-    def _give_up_lease(self, task: str, now: float, reason: str, cooldown: float = 0.0) -> ProposerState:
+    def _give_up_lease(
+        self, task: str, now: float, reason: LossReason, cooldown: float = 0.0
+    ) -> ProposerState:
         """Give up a task, and do not request it again before `cooldown` ms have passed."""
         state = self.states[task]
         if state.has_lease:
--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -1,4 +1,4 @@
-"""Fakes and fixed values that the tests of golden bytes share."""
+"""Test doubles and fixed values that the tests of golden bytes share."""
 
 import random
 from collections import Counter
@@ -10,7 +10,7 @@
 from lotusroute.leases.acceptor import Acceptor
 from lotusroute.leases.proposer import Proposer
 
-NOW = 10_000.0
+NOW = 10_000.0  # ms
 PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
 FLEET = {"name": "f", "keepers": ["a", "b", "c"], "peers": PEERS}
 # A proposal of b: task, ballot, proposer, round, duration of 3000 ms.
@@ -18,7 +18,7 @@
 
 
 class RecordingTransport:
-    """Records calls as (way, peer, kind, body) and leaves the answers to the test."""
+    """Records calls as (direction, peer, kind, body); the test supplies the answers."""
 
     def __init__(self):
         self.calls, self.answers, self.outbound, self.inbound = [], [], {}, {}
@@ -37,7 +37,7 @@
 
 
 def lease_service_at_fixed_clock(name, state):
-    """A lease service whose clock stands at NOW.
+    """Return a lease service whose clock shows NOW.
 
     Its acceptor, if it has one, grants leases and may promise ballots up to 4095.
     """
@@ -53,12 +53,15 @@
 
 
 def exchange(connection, transport, data):
+    """Pass received data to a connection and return what it sends."""
     transport.clear()
     connection.dataReceived(data)
     return transport.value()
 
 
 class RecordingDiscovery:
+    """A discovery client that records the updates of other processes."""
+
     base, seq, closed = "http://10.0.0.9:8500/api/targets", 12, False
 
     def __init__(self):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,7 +12,7 @@
 
 
 def show_leases(fleet):
-    """Return what `leases show` prints of each balancer."""
+    """Return what `leases show --json` prints about each balancer."""
     fleet_file = fleet.fleet_file("n1")
     result = run_program("-m", "lotusroute", "leases", "show", "--fleet", fleet_file, "--json")
     assert result.returncode == 0, result.stderr
@@ -25,24 +25,24 @@
         terminated_at = time.monotonic()
         assert fleet.terminate(first.process) == 0
         second = fleet.wait_for_holder(first.time)
-        # Waiting proposers are notified of a release: measured from the log of the release, for a busy
-        # machine may deliver the signal late. Nobody waits for the lease to expire.
+        # Waiting proposers are notified of a release, and do not wait until the lease expires. The time is
+        # measured from the log of the release, because a busy machine may deliver the signal late.
         released = first_record(fleet.records, "lease lost", first.process)
         assert second.process != first.process
         assert second.time - released.time < 0.5
         assert second.time - terminated_at < 1.0
 
         fleet.start(first.process)
-        # The restarted acceptor is silent for a lease; after the next kill it is needed for a majority.
+        # The restarted acceptor is silent for a lease duration, and after the next kill a majority needs it.
         fleet.wait_for(lambda records: first_record(records, "acceptor serving", first.process, second.time))
         killed_at = time.monotonic()
         fleet.kill(second.process)
         third = fleet.wait_for_holder(killed_at)
         assert third.process != second.process
-        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # the lease, and one attempt
+        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease, and one attempt
 
         with fleet.paused(third.process):
-            # One of three acceptors is dead and one is paused: nobody holds the lease until one is back.
+            # One of three acceptors is dead and one is paused, so nobody can hold the lease until one serves.
             fleet.start(second.process)
             fourth = fleet.wait_for_holder(third.time, among=other_processes(fleet, third.process))
         fleet.wait_for(lambda records: first_record(records, "lease lost", third.process))
--- a/tests/test_golden_bytes_files.py
+++ b/tests/test_golden_bytes_files.py
@@ -1,7 +1,7 @@
 """Golden bytes of the operators' files, written literally.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+They must not change when types or modules are renamed, because a new build reads the files of an older one.
+Expected values use no name of the project.
 """
 
 import json
@@ -25,14 +25,15 @@
  "limits": {"max_connects": 4, "connect_timeout": 300, "retry_after": true, "max_retry_after": 900},
  "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "idempotency_key",
   "group": "zone", "window": 60000}, {"name": "a", "effect": "read_like"}, {"name": "b"}]}}"""
-VIP = (2, 3, True, True, False, 40.0, False, 5000.0, 4, 900.0, 0.5, 700.0, 1.5)
+# The fields of a service configuration after its service types.
+SERVICE_CONFIG_TAIL = (2, 3, True, True, False, 40.0, False, 5000.0, 4, 900.0, 0.5, 700.0, 1.5)
 
 
 def test_the_operators_files_are_read_to_these_values(tmp_path):
     file = tmp_path / "file"
     file.write_text(FLEET_FILE)
-    name, state, peers, tasks, terms, guests = config.load_fleet_config(file)
-    assert (name, state, guests) == ("example", "/var/lib/x", 400)
+    name, state_dir, peers, tasks, terms, max_subscribers = config.load_fleet_config(file)
+    assert (name, state_dir, max_subscribers) == ("example", "/var/lib/x", 400)
     assert peers == {f"n{at}": (f"10.0.0.{at}", 9700) for at in (1, 2, 3)}
     assert tasks == ("watch", "cold", "check", "origin")
     assert terms == (("n1", "n2", "n3"), 1500.0, 0.01, 50.0, 400.0, 90000.0, 1000.0)
@@ -60,7 +61,15 @@
         {"t1"},
         cached_list,
     )
-    assert config_read == (*process_fields, (types, *VIP), 300.0, 3000.0, 600.0, True, "DEBUG")
+    assert config_read == (
+        *process_fields,
+        (types, *SERVICE_CONFIG_TAIL),
+        300.0,
+        3000.0,
+        600.0,
+        True,
+        "DEBUG",
+    )
     environ = {"LB_FLEET": "x", "LB_RELAYS": "y", "LB_LISTEN": "h:1", "LB_DISCOVERY": "h:2"}
     assert (net_config.fleet_config_path(environ), net_config.relays_config_path(environ)) == ("x", "y")
     config_read = net_config.load_config({**environ, "LB_CONFIG": str(file)})
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -1,7 +1,7 @@
 """Golden bytes of the connections between peers, of leases and of shared discovery, written literally.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+They must not change when types or modules are renamed, because processes of two builds exchange these bytes
+and a new build reads the files of an older one. Expected bytes use no name of the project.
 """
 
 import random
@@ -89,10 +89,11 @@
 
 ZERO_MS = b"\xcb" + bytes(8)  # 0.0
 MS_3000 = b"\xcb\x40\xa7\x70\0\0\0\0\0"
-FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"  # prepare or release: task, number, asker, round
+FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"  # prepare or release: task, ballot, proposer, round
 FROM_C, PROPOSE_C = (body.replace(b"b#", b"c#") for body in (FROM_B, PROPOSE_B))
 TOO_LONG = b"\x95" + FROM_B[1:] + b"\xcb\x40\xc1\x94\0\0\0\0\0"  # 9000 ms
-REPLY = b"\x99\xa5watch\xcd\x08\x01"  # what follows: step, round, yes, why, seen, left, wanted
+# A reply up to its ballot; kind, round, accepted, reason, highest ballot, remaining, contended follow.
+REPLY = b"\x99\xa5watch\xcd\x08\x01"
 GRANTED = b"\x03\xc3\xa0\xcd\x08\x01" + ZERO_MS + b"\xc2"
 
 
@@ -144,7 +145,7 @@
     service.acceptor_host.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
     assert service.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO_MS + b"\xc2"
     service.acceptor_host.acceptor = Acceptor(service.config.terms, NOW - 1000.0, 7)
-    silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
+    silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms remaining
     assert service.handle_call("b", "release", FROM_B) == REPLY + silent
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,7 @@
-"""Leases: proposer and acceptor by themselves, and the model checker with deliberately broken variants."""
+"""Leases: proposer and acceptor with simulated time and network, and the model checker.
+
+The model checker is also run on variants of the protocol that are broken on purpose, which it has to detect.
+"""
 
 import random
 
@@ -44,7 +47,7 @@
 
 
 class Cluster:
-    """Acceptors and proposers with one clock, and a network that loses the messages of `broken_links`."""
+    """Acceptors and proposers with one clock, and a network that loses the messages on `broken_links`."""
 
     def __init__(self, *proposers, terms=TERMS):
         self.now = 0.0
@@ -84,7 +87,7 @@
         self.broken_links = {(proposer, acceptor) for acceptor in self.acceptors}
 
     def advance(self, ms, *names):
-        """Advance the time in steps, with ticks for the named proposers or all; the others are stalled."""
+        """Advance the time in steps, with ticks for the named proposers, or all; the others are stalled."""
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 100.0)
@@ -107,7 +110,7 @@
     assert cluster.holders() == ["a"]
     assert len(cluster.lease_changes) == 1
     cluster.handle("a", ReleaseLease("t"))
-    cluster.advance(200.0)  # acceptors notify it; without that it would retry after a lease duration
+    cluster.advance(200.0)  # the acceptors notify it; otherwise it would retry after a lease duration
     fencing_token = cluster.fencing_token("b")
     assert cluster.holders() == ["b"]
     assert cluster.lease_changes[-1] == ("b", LeaseAcquired("t", fencing_token))
@@ -146,8 +149,8 @@
 
 
 def test_a_proposer_that_waits_longer_than_the_stall_threshold_is_not_taken_for_stalled():
-    # Found with three processes: woken after a wait of 1.1 s, a proposer took its idleness for a stall,
-    # backed off for a lease duration, and so on forever.
+    # A proposer that considers itself stalled when it wakes up backs off for a lease duration, and would wait
+    # for longer than the threshold again.
     cluster = Cluster("a", "b")
     cluster.request("a", "b")
     cluster.cut_off("a")
@@ -189,7 +192,7 @@
         BALLOT_BLOCK,
         None,
     )
-    # The ballot may have been promised before the restart.
+    # This ballot may have been promised before the restart.
     reply = restarted.handle(3_200.0, Prepare("t", 5, "b", 2)).reply
     assert reply.reason == RejectReason.BALLOT_TOO_LOW
 
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -10,7 +10,7 @@
 
 
 class SharedDiscoveryFleet:
-    """A fleet that polls a discovery service with one server."""
+    """A fleet with a discovery service that lists one server."""
 
     def __init__(self, fleet, service, server):
         self.fleet = fleet
@@ -18,13 +18,13 @@
         self.server = server
 
     def change_health(self, health):
-        """Change the server's health in discovery; returns when."""
+        """Change the server's health in discovery; returns the time of the change."""
         self.service.entries = [self.server.entry(health)]
         self.service.seq += 1
         return time.monotonic()
 
     def propagation_delay(self, processes, state, changed_at):
-        """Wait until all the processes log the server's state; returns the s until the last one did."""
+        """Wait until all the processes log the server's state; returns the seconds until the last one did."""
 
         def last_update(records):
             updates = [
@@ -49,7 +49,7 @@
         )
 
     def count_polls(self, duration):
-        """Return how many polls of discovery begin during some seconds."""
+        """Return how many polls of discovery begin within a duration in seconds."""
         before = len(self.service.polls)
         time.sleep(duration)
         return len(self.service.polls) - before
@@ -69,12 +69,12 @@
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
     shared.wait_until_shared(others)
-    time.sleep(4.2)  # the polls that the others had begun end
-    assert shared.count_polls(3.0) <= 2  # one process with long polls of 2 s; three would make more
+    time.sleep(4.2)  # until the polls that the others have begun end
+    assert shared.count_polls(3.0) <= 2  # one process makes long polls of 2 s; three processes make more
     assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
 
     fleet.kill(holder.process)
-    # Nobody holds the lease for two seconds.
+    # Nobody holds the lease for its duration of two seconds.
     assert shared.propagation_delay(others, "ready", shared.change_health("SERVING")) < 2.0
 
     second = fleet.wait_for_holder(holder.time, among=others)
