--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -131,7 +131,7 @@
         known_drift: float = DRIFT_FRACTION,
     ) -> None:
         """`known_drift` is the drift that the lease terms allow for."""
-        names = tuple(f"k{index}" for index in range(acceptors))
+        names = tuple(f"acceptor{index}" for index in range(acceptors))
         # The defaults, except for durations that would only add steps.
         self.terms = LeaseTerms(
             names, drift=known_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
@@ -142,7 +142,7 @@
             now=0,
             acceptors=tuple(AcceptorSnapshot((), -1.0, 0) for _ in names),
             proposers=tuple(
-                ProposerSnapshot(f"a{index}.0", ProposerState(requested=True), 0.0, 0)
+                ProposerSnapshot(f"proposer{index}.0", ProposerState(requested=True), 0.0, 0)
                 for index in range(proposers)
             ),
             in_flight=(),
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -50,25 +50,78 @@
     notify: tuple[str, ...] = ()  # waiting proposers to notify that the lease was released
 
 
-class AppliedRequest(NamedTuple):
-    """The result of a request about one task."""
+class Acceptor:
+    """The acceptor of one process, for all tasks."""
 
-    state: AcceptorState
-    reply: Reply
+    def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
+        """Start with the persisted ballot: no ballot up to `ballot_floor` is promised again.
 
+        The promises and grants of an earlier run are lost. New ballots start above the floor. The acceptor
+        serves only after the longest lease that it may have granted has expired by this same clock.
+        """
+        self.terms = terms
+        self.serving_from = now + terms.lease_duration + terms.margin
+        self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
+        self.persisted_below = ballot_floor  # ballots below this one may be promised
+        self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
 
-def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
-    """Build the reply that accepts a request."""
-    identity = (request.task, request.ballot, request.kind, request.round)
-    return Reply(*identity, accepted=True, highest_ballot=highest_ballot, contended=contended)
+    def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
+        """Handle one request.
 
+        A ballot that must be persisted first is rejected; the proposer retries after that.
+        """
+        rejection = self._reject_inadmissible(now, request)
+        if rejection is not None:
+            return rejection
+        floor = self.ballot_floor
+        before = self.states.get(request.task)
+        if before is None:
+            if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
+                return AcceptorDecision(reject(request, RejectReason.TASK_LIMIT, highest_ballot=floor))
+            before = AcceptorState(promised=self.ballot_floor)
+        after, reply = apply_request(before, now, request, self.terms)
+        self.states[request.task] = after
+        released = before.waiters and not after.waiters
+        return AcceptorDecision(reply, notify=before.waiters if released else ())
 
-def reject(
-    request: LeaseRequest, reason: RejectReason, *, highest_ballot: int, remaining: float = 0.0
-) -> Reply:
-    """Build the reply that rejects a request."""
-    identity = (request.task, request.ballot, request.kind, request.round)
-    return Reply(*identity, accepted=False, reason=reason, highest_ballot=highest_ballot, remaining=remaining)
+    def ballots_persisted(self, below: int) -> None:
+        """Record that `PersistBallots(below)` has been carried out."""
+        self.persisted_below = max(self.persisted_below, below)
+
+    def _reject_inadmissible(self, now: float, request: LeaseRequest) -> AcceptorDecision | None:
+        """Return the rejection of a request that must not be applied to any task; None for all others."""
+        floor = self.ballot_floor
+        if now < self.serving_from:
+            remaining = self.serving_from - now
+            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
+            return AcceptorDecision(reply)
+        if not 0 < request.ballot < BALLOT_LIMIT:
+            return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
+        if request.ballot >= self.persisted_below:
+            # After a crash, a promise that was not persisted could be given a second time.
+            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
+            return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
+        return None
+
+    def _evict_expired(self, now: float) -> bool:
+        """Remove the task whose lease expired first, and return whether that was possible.
+
+        The lease must have expired at least a lease duration ago. The floor prevents the ballots of the task
+        from being promised again.
+        """
+        task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
+        if state.expires_at + self.terms.lease_duration > now:
+            return False
+        self.ballot_floor = max(self.ballot_floor, state.promised)
+        del self.states[task]
+        return True
+
+
+class AppliedRequest(NamedTuple):
+    """The result of a request about one task."""
+
+    state: AcceptorState
+    reply: Reply
 
 
 def apply_request(
@@ -134,60 +187,15 @@
     return AppliedRequest(state, reply)
 
 
-class Acceptor:
-    """The acceptor of one process, for all tasks."""
-
-    def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
-        """Start with the persisted ballot: no ballot up to `ballot_floor` is promised again.
-
-        The promises and grants of an earlier run are lost. New ballots start above the floor. The acceptor
-        serves only after the longest lease that it may have granted has expired by this same clock.
-        """
-        self.terms = terms
-        self.serving_from = now + terms.lease_duration + terms.margin
-        self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
-        self.persisted_below = ballot_floor  # ballots below this one may be promised
-        self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
-
-    def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
-        """Handle one request.
-
-        A ballot that must be persisted first is rejected; the proposer retries after that.
-        """
-        floor = self.ballot_floor
-        if now < self.serving_from:
-            remaining = self.serving_from - now
-            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor, remaining=remaining)
-            return AcceptorDecision(reply)
-        if not 0 < request.ballot < BALLOT_LIMIT:
-            return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
-        if request.ballot >= self.persisted_below:
-            # After a crash, a promise that was not persisted could be given a second time.
-            reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
-            return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
-        before = self.states.get(request.task)
-        if before is None:
-            if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
-                return AcceptorDecision(reject(request, RejectReason.TASK_LIMIT, highest_ballot=floor))
-            before = AcceptorState(promised=self.ballot_floor)
-        after, reply = apply_request(before, now, request, self.terms)
-        self.states[request.task] = after
-        released = before.waiters and not after.waiters
-        return AcceptorDecision(reply, notify=before.waiters if released else ())
-
-    def ballots_persisted(self, below: int) -> None:
-        """Record that `PersistBallots(below)` has been carried out."""
-        self.persisted_below = max(self.persisted_below, below)
+def accept(request: LeaseRequest, *, highest_ballot: int, contended: bool = False) -> Reply:
+    """Build the reply that accepts a request."""
+    identity = (request.task, request.ballot, request.kind, request.round)
+    return Reply(*identity, accepted=True, highest_ballot=highest_ballot, contended=contended)
 
-    def _evict_expired(self, now: float) -> bool:
-        """Remove the task whose lease expired first, and return whether that was possible.
 
-        The lease must have expired at least a lease duration ago. The floor prevents the ballots of the task
-        from being promised again.
-        """
-        task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
-        if state.expires_at + self.terms.lease_duration > now:
-            return False
-        self.ballot_floor = max(self.ballot_floor, state.promised)
-        del self.states[task]
-        return True
+def reject(
+    request: LeaseRequest, reason: RejectReason, *, highest_ballot: int, remaining: float = 0.0
+) -> Reply:
+    """Build the reply that rejects a request."""
+    identity = (request.task, request.ballot, request.kind, request.round)
+    return Reply(*identity, accepted=False, reason=reason, highest_ballot=highest_ballot, remaining=remaining)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -30,7 +30,7 @@
 )
 from lotusroute.leases.proposer import Proposer
 
-TERMS = LeaseTerms(("k1", "k2", "k3"))
+TERMS = LeaseTerms(("acceptor1", "acceptor2", "acceptor3"))
 LONG_AGO = -10_000.0  # ms; an acceptor started then is serving at 0
 
 
@@ -162,7 +162,7 @@
 
 def test_random_backoff_resolves_a_split_vote():
     cluster = Cluster("a", "b")
-    cluster.broken_links = {("a", "k3"), ("b", "k1")}
+    cluster.broken_links = {("a", "acceptor3"), ("b", "acceptor1")}
     cluster.request("a", "b")
     cluster.broken_links = set()
     cluster.advance(5_000.0)
@@ -260,9 +260,9 @@
 def fencing_token_after_a_late_reply():
     """Renew with one acceptor while a reply of another to the first proposal arrives late.
 
-    All three acceptors accept the proposal at 0 ms, but the reply of k3 arrives only after the renewal at
-    1,500 ms, which k1 alone accepts. Returns the fencing token at 3,500 ms, when two leases of three have
-    expired.
+    All three acceptors accept the proposal at 0 ms, but the reply of acceptor3 arrives only after the renewal
+    at 1,500 ms, which acceptor1 alone accepts. Returns the fencing token at 3,500 ms, when the leases of two
+    acceptors have expired.
     """
     proposer = Proposer("a", TERMS, random.Random(1))
     acceptors = {name: serving_acceptor() for name in TERMS.acceptors}
@@ -271,14 +271,14 @@
         return ReplyReceived(name, acceptors[name].handle(now, request).reply)
 
     prepare = proposer.handle(0.0, RequestLease("t"))[0].request
-    proposer.handle(0.0, reply_of(0.0, "k1", prepare))
-    propose = proposer.handle(0.0, reply_of(0.0, "k2", prepare))[0].request
-    late = reply_of(0.0, "k3", propose)
-    proposer.handle(0.0, reply_of(0.0, "k1", propose))
-    proposer.handle(0.0, reply_of(0.0, "k2", propose))
+    proposer.handle(0.0, reply_of(0.0, "acceptor1", prepare))
+    propose = proposer.handle(0.0, reply_of(0.0, "acceptor2", prepare))[0].request
+    late = reply_of(0.0, "acceptor3", propose)
+    proposer.handle(0.0, reply_of(0.0, "acceptor1", propose))
+    proposer.handle(0.0, reply_of(0.0, "acceptor2", propose))
     proposer.handle(900.0, Tick())
     renewal = proposer.handle(1_500.0, Tick())[0].request
-    proposer.handle(1_500.0, reply_of(1_500.0, "k1", renewal))
+    proposer.handle(1_500.0, reply_of(1_500.0, "acceptor1", renewal))
     proposer.handle(1_500.0, late)
     return proposer.fencing_token("t", 3_500.0)
 
