--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -27,8 +27,9 @@
 
     def __str__(self) -> str:
         lines = [f"{self.task} at {self.time:.3f} s: {self.description}"]
-        for record in self.context:
-            lines.append(f"  {record.time:.3f} {record.process} {record.event} {record.fields}")
+        lines.extend(
+            f"  {record.time:.3f} {record.process} {record.event} {record.fields}" for record in self.context
+        )
         return "\n".join(lines)
 
 
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -21,7 +21,7 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.errors import CallError
+from lotusroute.fleet.errors import CallError, UnidentifiedPeerError
 from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
 from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.shared_discovery import SharedDiscovery
@@ -71,6 +71,13 @@
     assert not transport.disconnecting
 
 
+def test_an_unidentified_caller_recognizes_this_answer():
+    connection, transport = _connection("b")
+    rejected = connection.call("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
+    exchange(connection, transport, UNKNOWN_PEER.replace(b"\x012", b"\x011"))
+    assert type(rejected.result) is UnidentifiedPeerError
+
+
 def test_a_connection_answers_these_boxes():
     received, answers = [], iter([b"\0back", defer.fail(CallError("low"))])
 
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -43,7 +43,7 @@
         )
         self.peers = PeerTransport(process, PeerHandlers(handle_call=lambda peer, kind, body: body))
         self.connection = PeerConnection(self.peers)
-        self.failures = []  # types of the errors of the calls that failed
+        self.failures = []  # the errors of the calls that failed
         self.transport = StringTransport()
         self.transport.setTcpNoDelay = lambda enabled: None
         self.transport.setTcpKeepAlive = lambda enabled: None
@@ -62,7 +62,7 @@
 
     def call(self, body):
         call = self.connection.call("k", body)
-        call.addErrback(lambda failure: self.failures.append(failure.type))
+        call.addErrback(lambda failure: self.failures.append(failure.value))
 
 
 @pytest.fixture
@@ -130,10 +130,12 @@
 def test_calls_in_flight_to_a_stalled_peer_are_bounded_and_time_out(identified):
     for _ in range(70):
         identified.call(b"x" * 100)
-    assert identified.failures == [CallLimitError] * 6
+    assert [type(error) for error in identified.failures] == [CallLimitError] * 6
+    assert str(identified.failures[0]) == "64 calls, 6400 bytes to 'b' are in flight"
     assert identified.counters["peer_calls_over_limit"] == 6
     identified.clock.advance(1.1)
-    assert identified.failures.count(CallTimeoutError) == 64
+    assert [type(error) for error in identified.failures[6:]] == [CallTimeoutError] * 64
+    assert str(identified.failures[-1]) == "no response from 'b' within 1 s"
     assert identified.aborted
     assert identified.connection.calls_in_flight == 64  # a call that timed out still occupies the peer
 
@@ -141,7 +143,8 @@
 def test_bytes_in_flight_and_the_size_of_a_call_are_bounded(identified):
     for _ in range(5):
         identified.call(b"x" * 59_000)
-    assert identified.failures[-1] is CallLimitError
+    assert isinstance(identified.failures[-1], CallLimitError)
     assert identified.connection.bytes_in_flight <= 262_144
     identified.call(b"x" * 60_001)
-    assert identified.failures[-1] is BodyTooLargeError
+    assert isinstance(identified.failures[-1], BodyTooLargeError)
+    assert str(identified.failures[-1]) == "a body of 60001 bytes is larger than 60000"
