--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -89,16 +89,15 @@
         if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             return
         if answer["hosts"] or answer["whole"]:
-            self._broadcast(
-                SharedUpdate(
-                    self.fencing_token,
-                    self.discovery.base,
-                    answer["seq"],
-                    NO_SEQ if since is None else since,
-                    answer["whole"],
-                    answer["hosts"],
-                )
+            update = SharedUpdate(
+                fencing_token=self.fencing_token,
+                discovery_url=self.discovery.base,
+                seq=answer["seq"],
+                since=NO_SEQ if since is None else since,
+                complete=answer["whole"],
+                entries=answer["hosts"],
             )
+            self._broadcast(update)
 
     def on_failure(self) -> None:
         """Stop the heartbeats until discovery's next answer, so that the others poll themselves."""
