--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -1,7 +1,7 @@
 """Golden bytes of the connections between peers, of leases and of shared discovery, written literally.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+They must not change when types or modules are renamed, because processes of two builds exchange these bytes
+and a new build reads the files of an older one. Expected bytes use no name of the project.
 """
 
 import random
@@ -21,7 +21,7 @@
 
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet import acceptor_storage, config
-from lotusroute.fleet.errors import CallError
+from lotusroute.fleet.errors import CallError, UnidentifiedPeerError
 from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
 from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.shared_discovery import SharedDiscovery
@@ -71,6 +71,13 @@
     assert not transport.disconnecting
 
 
+def test_an_unidentified_caller_recognizes_this_answer():
+    connection, transport = _connection("b")
+    rejected = connection.call("prepare", b"\x01\xff").addErrback(lambda reason: reason.value)
+    exchange(connection, transport, UNKNOWN_PEER.replace(b"\x012", b"\x011"))
+    assert type(rejected.result) is UnidentifiedPeerError
+
+
 def test_a_connection_answers_these_boxes():
     received, answers = [], iter([b"\0back", defer.fail(CallError("low"))])
 
@@ -89,10 +96,11 @@
 
 ZERO_MS = b"\xcb" + bytes(8)  # 0.0
 MS_3000 = b"\xcb\x40\xa7\x70\0\0\0\0\0"
-FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"  # prepare or release: task, number, asker, round
+FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"  # prepare or release: task, ballot, proposer, round
 FROM_C, PROPOSE_C = (body.replace(b"b#", b"c#") for body in (FROM_B, PROPOSE_B))
 TOO_LONG = b"\x95" + FROM_B[1:] + b"\xcb\x40\xc1\x94\0\0\0\0\0"  # 9000 ms
-REPLY = b"\x99\xa5watch\xcd\x08\x01"  # what follows: step, round, yes, why, seen, left, wanted
+# A reply up to its ballot; kind, round, accepted, reason, highest ballot, remaining, contended follow.
+REPLY = b"\x99\xa5watch\xcd\x08\x01"
 GRANTED = b"\x03\xc3\xa0\xcd\x08\x01" + ZERO_MS + b"\xc2"
 
 
@@ -144,7 +152,7 @@
     service.acceptor_host.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
     assert service.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO_MS + b"\xc2"
     service.acceptor_host.acceptor = Acceptor(service.config.terms, NOW - 1000.0, 7)
-    silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms more
+    silent = b"\xa7release\x03\xc2\xa6silent\x07\xcb\x40\xa0\x04\0\0\0\0\0\xc2"  # 2050 ms remaining
     assert service.handle_call("b", "release", FROM_B) == REPLY + silent
 
 
