--- a/benchmarks/slow_start_simulation.py
+++ b/benchmarks/slow_start_simulation.py
@@ -245,7 +245,7 @@
         self.connects[new] = []
         changes = (
             events.Server(old, state=events.EndpointState.DRAINING),
-            events.Server(new, started=self.now),
+            events.Server(new, started_at=self.now),
         )
         for director in range(len(self.directors)):
             self.decide(director, events.EndpointList(events.ListScope.CHANGES, changes))
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -141,9 +141,9 @@
     ) -> None:
         """Log, in one line for a whole list, starts that differ: a wrong clock of ours concerns them all."""
         corrections = {
-            after.id: after.started - before.started
+            after.id: after.started_at - before.started_at
             for before, after in zip(reported, bounded, strict=True)
-            if abs(after.started - before.started) >= MIN_LOGGED_CORRECTION
+            if abs(after.started_at - before.started_at) >= MIN_LOGGED_CORRECTION
         }
         if corrections:
             self._counters["start_times_bounded"] += len(corrections)
@@ -186,6 +186,6 @@
             scope=event.scope,
             server=server.id,
             state=server.state,
-            at=server.started,
+            at=server.started_at,
             cell=server.cell,
         )
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -116,8 +116,8 @@
             if endpoint.state == events.EndpointState.REMOVED:
                 return
             server = self._add_server(endpoint)
-        elif endpoint.started != server.started_at:
-            server.restart(endpoint.started, state.now)
+        elif endpoint.started_at != server.started_at:
+            server.restart(endpoint.started_at, state.now)
         server.update(endpoint)
         # Squared, since a heavy connection or a group's work takes a smaller part of a large server.
         server.size = endpoint.size**2 if state.config.trusts_weights and endpoint.size > 0 else 1.0
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -100,7 +100,7 @@
     cell: int = 0  # servers of one cell share their idempotency keys
     state: EndpointState = EndpointState.READY
     size: float = 1.0  # its weight
-    started: float = 0.0  # when it last started; 0: unknown or long ago
+    started_at: float = 0.0  # when it last started; 0: unknown or long ago
 
 
 class EndpointList(NamedTuple):
@@ -183,10 +183,10 @@
 class RejectReason(StrEnum):
     """Why a flow gets no further attempt."""
 
-    ATTEMPTS_EXHAUSTED = "no attempt left"
+    ATTEMPTS_EXHAUSTED = "attempts exhausted"
     DEADLINE_PASSED = "deadline passed"
-    THROTTLED = "most connects fail"
-    NO_FIT_SERVER = "no fit server"
+    THROTTLED = "throttled"
+    NO_SERVER_AVAILABLE = "no server available"
 
 
 class Reject(NamedTuple):
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -22,7 +22,7 @@
         return RejectReason.DEADLINE_PASSED
     if _throttles(state, flow.request):
         return RejectReason.THROTTLED
-    return select_server(state, flow) or RejectReason.NO_FIT_SERVER
+    return select_server(state, flow) or RejectReason.NO_SERVER_AVAILABLE
 
 
 def _throttles(state: RoutingState, request: FlowRequest) -> bool:
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -21,7 +21,7 @@
 
 class _KnownStart(NamedTuple):
     reported: float
-    started: float
+    started_at: float
 
 
 class StartTimes:
@@ -40,14 +40,16 @@
         `previous_list_at` is the last time at which the previous list was known to be current; None for the
         first list. A server that is removed or has no start time is returned unchanged.
         """
-        if server.state == events.EndpointState.REMOVED or not server.started:
+        if server.state == events.EndpointState.REMOVED or not server.started_at:
             return server
         known = self._known.get(server.id)
-        if known is None or known.reported != server.started:
-            started = self._bound_start(server.started, now, previous_list_at)
-            known = _KnownStart(server.started, started)
+        if known is None or known.reported != server.started_at:
+            started = self._bound_start(server.started_at, now, previous_list_at)
+            known = _KnownStart(server.started_at, started)
             self._remember(server.id, known)
-        return server if known.started == server.started else server._replace(started=known.started)
+        return (
+            server if known.started_at == server.started_at else server._replace(started_at=known.started_at)
+        )
 
     def _bound_start(self, reported: float, now: float, previous_list_at: float | None) -> float:
         if previous_list_at is None:
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -108,7 +108,7 @@
 
     def add_server(self, endpoint: events.Server, server_hash: int) -> ServerRecord:
         """Add a record for a new server; its location and state are not copied yet."""
-        server = ServerRecord(endpoint.id, server_hash, endpoint.started, self.now)
+        server = ServerRecord(endpoint.id, server_hash, endpoint.started_at, self.now)
         self.servers[endpoint.id] = server
         return server
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -13,14 +13,14 @@
 
 
 def test_without_servers_a_flow_is_rejected_at_once():
-    assert FakeHost(0).request() == events.Reject(1, 1000.0, events.RejectReason.NO_FIT_SERVER)
+    assert FakeHost(0).request() == events.Reject(1, 1000.0, events.RejectReason.NO_SERVER_AVAILABLE)
 
 
 def test_a_restarted_server_warms_up_again_and_is_not_ejected_any_more():
     host = FakeHost()
     ejected = host.request().server
     host.end(events.Connect(1, ejected), events.ConnectionResult.UNREACHABLE)
-    host.update_endpoints(events.Server(ejected, started=1.0))
+    host.update_endpoints(events.Server(ejected, started_at=1.0))
     restarted = host.director.state.servers[ejected]
     assert restarted.failures.ejected_until == 0.0
     assert slow_start.warming_up(host.director.state, restarted)
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -151,7 +151,7 @@
     kind = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
     host = FakeHost(config=events.ServiceConfig({"live": kind}, max_attempts=4))
     assert host.end(host.request(), events.ConnectionResult.RESET) == [
-        events.Abort(1, events.RejectReason.NO_FIT_SERVER)
+        events.Abort(1, events.RejectReason.NO_SERVER_AVAILABLE)
     ]
 
 
--- a/tests/test_golden_bytes_simulator.py
+++ b/tests/test_golden_bytes_simulator.py
@@ -15,7 +15,7 @@
     [
         (events.Connect(7, "s:80", 80.0), "pass_on 7 s:80 80.000"),
         (events.Reject(7, 2.5, events.RejectReason.THROTTLED), "not_now 7 2.500"),
-        (events.Abort(7, events.RejectReason.NO_FIT_SERVER), "abort 7"),
+        (events.Abort(7, events.RejectReason.NO_SERVER_AVAILABLE), "abort 7"),
         (events.Migrate(7), "relocate 7"),
         (events.SetTimer(1.5, "m"), "remind 1.500 m"),
         (events.Subscribe(), "listen 1"),
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -27,7 +27,7 @@
     groups = [f"g{index}" for index in range(10)]
     for host in fleet:
         connects = {host.establish(f"k{index}", group=group).id: group for index, group in enumerate(groups)}
-        host.update_endpoints(events.Server("new", started=host.now + 1.0))
+        host.update_endpoints(events.Server("new", started_at=host.now + 1.0))
     groups_of_new = {group for group in groups if fleet[0].default_server(group) == "new"}
     assert 1 <= len(groups_of_new) <= 5
     early, late = (
@@ -48,7 +48,7 @@
             key = next(key for key in KEYS if host.default_server(key) == "s1")
             host.update_endpoints(events.Server("s1", state=events.EndpointState.DRAINING))
             host.establish(key)
-            host.update_endpoints(events.Server("s1", started=host.now + 1.0))
+            host.update_endpoints(events.Server("s1", started_at=host.now + 1.0))
             recent = host.director.state.recent_arrivals
             recent.value, recent.updated_at = 1.0 + storm_size, 1_000.0
         migrations[storm_size] = sum(len(actions_of(events.Migrate, host.advance(4_000.0))) for host in fleet)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -45,7 +45,9 @@
 def test_a_non_idempotent_flow_is_retried_only_if_it_never_ran():
     host = FakeHost(service_types=service_types(events.Effect.NON_IDEMPOTENT))
     second = actions_of(events.Connect, host.end(host.request(), events.ConnectionResult.FULL))[0]
-    assert host.end(second, events.ConnectionResult.TIMEOUT) == [events.Abort(1, RejectReason.NO_FIT_SERVER)]
+    assert host.end(second, events.ConnectionResult.TIMEOUT) == [
+        events.Abort(1, RejectReason.NO_SERVER_AVAILABLE)
+    ]
 
 
 def test_a_flow_with_an_idempotency_key_is_retried_only_in_its_scope_and_window():
@@ -55,14 +57,14 @@
         second = actions_of(events.Connect, host.end(first, events.ConnectionResult.RESET))[0]
         assert int(second.server[1:]) % 2 == int(first.server[1:]) % 2
         assert host.end(second, events.ConnectionResult.RESET)[-1] == events.Abort(
-            1, RejectReason.NO_FIT_SERVER
+            1, RejectReason.NO_SERVER_AVAILABLE
         )
     host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY))
     first = host.request()
     host.director.state.flows[1].request = host.director.state.flows[1].request._replace(deadline=9000.0)
     host.now = 5000.0
     assert host.end(first, events.ConnectionResult.RESET) == [
-        events.Reject(1, 1000.0, RejectReason.NO_FIT_SERVER)
+        events.Reject(1, 1000.0, RejectReason.NO_SERVER_AVAILABLE)
     ]
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -28,8 +28,8 @@
     name="s1",
     state=events.EndpointState.READY,
 ):
-    server = events.Server(name, state=state, started=reported)
-    return starts.bound(server, now, previous_list_at).started
+    server = events.Server(name, state=state, started_at=reported)
+    return starts.bound(server, now, previous_list_at).started_at
 
 
 @pytest.mark.parametrize("age", [0.0, 500.0, 7_900.0])
@@ -81,7 +81,7 @@
     """Return how many of 40 flows a director with a wrong clock sends to a server that has just started."""
     host, starts = FakeHost(1), StartTimes(LISTING_DELAY_MS)
     host.now = NOW_MS + clock_error
-    reported = events.Server("new", started=NOW_MS)
+    reported = events.Server("new", started_at=NOW_MS)
     host.update_endpoints(starts.bound(reported, host.now, host.now - 2_000.0))
     actions = [host.request(key) for key in KEYS[:40]]
     return sum(connect.server == "new" for connect in actions_of(events.Connect, actions))
@@ -96,7 +96,7 @@
     host, starts = FakeHost(1), StartTimes(LISTING_DELAY_MS)
     host.now = NOW_MS
     host.update_endpoints(
-        starts.bound(events.Server("new", started=NOW_MS + HOUR_MS), NOW_MS, NOW_MS - 2_000.0)
+        starts.bound(events.Server("new", started_at=NOW_MS + HOUR_MS), NOW_MS, NOW_MS - 2_000.0)
     )
     host.advance(21_000.0)  # Slow start takes 20 s.
     assert sum(host.request(key).server == "new" for key in KEYS[:40]) >= 10
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -31,7 +31,7 @@
             host.establish("warm")
             host.advance(500.0)
         host.now = 20_000.0
-        host.update_endpoints(events.Server("s9", started=20_000.0))
+        host.update_endpoints(events.Server("s9", started_at=20_000.0))
         for index in range(400):
             host.now += 10.0
             sent[host.request(KEYS[index % 200], reconnecting=True).server] += 1
@@ -45,7 +45,7 @@
     # Incident i781c5a: most servers of the fleet warm up, and slots of many balancers are far apart.
     host = FakeHost(3, instance_count=377, instance_index=300)
     host.now = 1000.0
-    host.update_endpoints(*(events.Server(f"c{index}", started=1000.0) for index in range(5)))
+    host.update_endpoints(*(events.Server(f"c{index}", started_at=1000.0) for index in range(5)))
     answers = [host.request(key, reconnecting=index % 2 > 0) for index, key in enumerate(KEYS)]
     assert len(actions_of(events.Connect, answers)) == len(KEYS)
     sent = 0
@@ -54,7 +54,7 @@
         for index in range(20):
             host.establish(f"key-{index}")
             host.advance(1000.0)
-        host.update_endpoints(events.Server("cold", started=host.now))
+        host.update_endpoints(events.Server("cold", started_at=host.now))
         host.now += 3000.0
         sent += host.request(f"key-{instance}").server == "cold"
     assert 2 <= sent <= 19
@@ -65,7 +65,7 @@
     host = FakeHost(6, reports_latency=True)
     host.establish()
     host.advance(20_000.0)
-    host.update_endpoints(events.Server("cold", started=host.now))
+    host.update_endpoints(events.Server("cold", started_at=host.now))
     host.now += 19_000.0
     for index in range(6):
         host.decide(events.LatencyReport(f"s{index}", 500.0))
@@ -99,7 +99,7 @@
         )
         state = host.director.state
         state.first_arrivals.mean = state.arrivals.mean = 0.35
-        host.update_endpoints(events.Server("cold", size=size, started=host.now))
+        host.update_endpoints(events.Server("cold", size=size, started_at=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default_server(key) == "cold")
         sent += host.request(key, reconnecting=reconnecting).server == "cold"
@@ -117,7 +117,7 @@
     host = FakeHost(48, instance_count=200, instance_index=0)
     for key in [key for key in KEYS if host.default_server(key) != "cold"][:5]:
         host.establish(key)
-    host.update_endpoints(events.Server("cold", started=1.0))
+    host.update_endpoints(events.Server("cold", started_at=1.0))
     state = host.director.state
     new_server = state.servers["cold"]
     recent = state.recent_replicas
@@ -153,7 +153,7 @@
         for instance, host in enumerate(hosts):
             host.now = 40_000.0 + 100.0 * step
             if not step:
-                host.update_endpoints(events.Server("cold", started=38_000.0))
+                host.update_endpoints(events.Server("cold", started_at=38_000.0))
             if (step + instance) % 5 == 0:
                 sent += host.establish(f"key-{instance}-{step}").server == "cold"
     # A warm server holds 200 x 4 / 48 flows; by the settings this one may get 3 times 14 to 33% of that.
@@ -167,7 +167,7 @@
     clients, spilling, retries and migrations to the default server.
     """
     rng, hosts, connects = random.Random(seed), [], 0
-    new_server = events.Server("cold", started=38_000.0)
+    new_server = events.Server("cold", started_at=38_000.0)
     probe = FakeHost(59, groups_share_work=True)
     probe.update_endpoints(new_server)
     large_group = next(key for key in map(str, range(seed, 10_000)) if probe.default_server(key) == "cold")
