--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -147,8 +147,9 @@
         flow = segments.register(state, event.request)
         server = state.servers.get(event.server)
         flow.restore_connection(server)
-        is_ready = server is not None and server.state == events.EndpointState.READY
-        if server is not None and is_ready and state.config.groups_share_work:
+        if server is None or server.state != events.EndpointState.READY:
+            return
+        if state.config.groups_share_work:
             # New clients of the group share the work that the server already does for it.
             state.overrides[flow.segment, flow.replica] = server
 
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -44,12 +44,12 @@
             return server
         known = self._known.get(server.id)
         if known is None or known.reported != server.started_at:
-            started = self._bound_start(server.started_at, now, previous_list_at)
-            known = _KnownStart(server.started_at, started)
+            started_at = self._bound_start(server.started_at, now, previous_list_at)
+            known = _KnownStart(server.started_at, started_at)
             self._remember(server.id, known)
-        return (
-            server if known.started_at == server.started_at else server._replace(started_at=known.started_at)
-        )
+        if known.started_at == server.started_at:
+            return server
+        return server._replace(started_at=known.started_at)
 
     def _bound_start(self, reported: float, now: float, previous_list_at: float | None) -> float:
         if previous_list_at is None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -68,6 +68,13 @@
     ]
 
 
+def test_a_flow_whose_idempotency_key_no_server_recognizes_is_not_retried():
+    scope = events.DedupScope.NONE
+    host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY, scope))
+    actions = host.end(host.request(), events.ConnectionResult.RESET)
+    assert actions == [events.Abort(1, RejectReason.NO_SERVER_AVAILABLE)]
+
+
 def test_connects_are_throttled_while_most_fail_on_all_servers():
     # A store that all servers share cannot recover while every flow is retried.
     host, connects = FakeHost(60, slow_start_duration=0.0), 0
--- /dev/null
+++ b/tests/test_service_config.py
@@ -0,0 +1,49 @@
+"""The settings of a service: closed sets, errors with their fields and paths."""
+
+import pytest
+
+from lotusroute.errors import ConfigError, MalformedNumberError, UnknownNameError
+from lotusroute.routing.events import DedupScope
+from lotusroute.service_config import look_up, parse_number, parse_service_config
+
+ONE_TYPE = {"service_types.count": "1", "service_types.0.name": "live"}
+
+
+@pytest.mark.parametrize(
+    "text, scope",
+    [("all", DedupScope.ALL), ("zone", DedupScope.ZONE), ("cell", DedupScope.CELL), ("x", DedupScope.NONE)],
+)
+def test_the_servers_that_recognize_an_idempotency_key_are_a_closed_set(text, scope):
+    service_config = parse_service_config({**ONE_TYPE, "service_types.0.group": text})
+    assert service_config.service_types["live"].dedup_scope is scope
+
+
+@pytest.mark.parametrize("text", ["", "ten", "nan", "inf"])
+def test_a_text_that_is_not_a_number_is_an_error_with_the_text(text):
+    with pytest.raises(MalformedNumberError, match=f"'{text}' is not a number") as raised:
+        parse_number(text)
+    assert raised.value.text == text
+
+
+def test_an_unknown_key_of_a_table_is_an_error_with_its_kind_and_name():
+    with pytest.raises(UnknownNameError, match="unknown roster '9'") as raised:
+        look_up({1: "a"}, 9, "roster")
+    assert (raised.value.kind, raised.value.name) == ("roster", 9)
+
+
+@pytest.mark.parametrize(
+    "path, value, message",
+    [
+        (
+            "service_types.0.effect",
+            "x",
+            "unknown value 'x'; it is one of read_like, idempotency_key, non_idem",
+        ),
+        ("limits.retry_after", "yes", "unknown value 'yes'; it is one of true, false"),
+        ("limits.max_connects", "many", "'many' is not a number"),
+        ("limits.max_connects", "0", "0 is not between 1 and inf"),
+    ],
+)
+def test_an_invalid_setting_is_a_config_error_that_begins_with_its_path(path, value, message):
+    with pytest.raises(ConfigError, match=f"^{path}: {message}"):
+        parse_service_config({**ONE_TYPE, path: value})
