--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -13,8 +13,8 @@
 from lotusroute.routing.state import RoutingState
 
 MIGRATION_INTERVAL_MS = 2_000.0  # per server; reports show the effect of a migration only later
-MIGRATION_FRACTION = 0.15  # of own flows, times latency over its threshold
-UNREPORTED_MIGRATION_FRACTION = 0.34  # of own flows, if there are no latency reports
+LATENCY_MIGRATION_FRACTION = 0.15  # of own flows, times latency over its threshold
+FIXED_MIGRATION_FRACTION = 0.34  # of own flows, if there are no latency reports
 DEFAULT_MIGRATION_RATE = 0.2  # fraction per tick
 
 
@@ -68,10 +68,10 @@
     """Return the fraction of a server's flows to migrate; a small count needs a larger fraction."""
     fraction = 1 / (1 + flow_count)
     if state.lacks_latency_reports:
-        return max(UNREPORTED_MIGRATION_FRACTION, fraction)
+        return max(FIXED_MIGRATION_FRACTION, fraction)
     # Not more than the latency calls for: many balancers may have a single flow there each.
-    by_latency = MIGRATION_FRACTION * server.reported_latency / overload_latency(state)
-    return max(MIGRATION_FRACTION, min(fraction, by_latency))
+    by_latency = LATENCY_MIGRATION_FRACTION * server.reported_latency / overload_latency(state)
+    return max(LATENCY_MIGRATION_FRACTION, min(fraction, by_latency))
 
 
 def _migrate_to_defaults(state: RoutingState) -> None:
