--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -1,6 +1,6 @@
 """Admission control: whether a new flow is accepted, and the answer where it is not.
 
-Owns the balancer's capacity and whether it still accepts flows. All times are milliseconds.
+Owns the balancer's capacity and whether it still accepts flows. Times are milliseconds.
 """
 
 from enum import Enum, auto
@@ -11,13 +11,15 @@
 from lotusroute.net.line_protocol import BUSY
 from lotusroute.net.open_request import OpenRequest
 
-RESERVED_SOCKETS_DIVISOR = 8  # one in so many descriptors is kept from flows: our own, and new connections'
+# Descriptors that flows do not get, but the process itself and connections without a flow.
+RESERVED_SOCKETS_DIVISOR = 8
 MIN_RESERVED_SOCKETS = 64
 SOCKETS_PER_FLOW = 2
-BASE_MEMORY_MB = 32  # the program by itself: 24 measured, and the interpreter's growth
-MEMORY_PER_FLOW_MB = 1 / 16  # both sides' read and unwritten data, and the flow's objects
-MAX_BACKLOG = 4096  # queued events beyond which new flows are rejected: some 100 ms of work
-EXISTING_ACCEPT_WINDOW = 60_000.0  # ms from the start in which existing connections return; later are forged
+BASE_MEMORY_MB = 32  # of the process without flows
+MEMORY_PER_FLOW_MB = 1 / 16  # for the data buffered on both sides and the flow's objects
+MAX_BACKLOG = 4096  # queued events
+# After the start of the process, in which existing connections return; later claims to be one are forged.
+EXISTING_ACCEPT_WINDOW_MS = 60_000.0
 
 
 class AdmissionResult(Enum):
@@ -30,7 +32,7 @@
 
 
 def busy_line(retry_after: float, max_retry_after: float) -> bytes:
-    """Return a rejection with its Retry-After in ms, without one where the settings allow none.
+    """Return a rejection with its Retry-After, or without one where the settings allow none.
 
     >>> busy_line(250.4, 1000.0), busy_line(250.4, 0.0)
     (b'BUSY 250', b'BUSY')
@@ -40,7 +42,7 @@
 
 
 class AdmissionControl:
-    """Accepts flows while they are usable, there is capacity and the balancer is not shutting down."""
+    """Accepts usable requests while there is capacity and the balancer is not shutting down."""
 
     def __init__(self, config: BalancerConfig, loop: EventLoop, table: FlowTable) -> None:
         self._config = config
@@ -52,7 +54,7 @@
         self.resize(config)
 
     def resize(self, config: BalancerConfig) -> None:
-        """Set the capacity by the descriptors and the memory of a configuration."""
+        """Derive the capacity from the descriptors and the memory of a configuration."""
         reserved = max(MIN_RESERVED_SOCKETS, config.sockets // RESERVED_SOCKETS_DIVISOR)
         by_sockets = (config.sockets - reserved) // SOCKETS_PER_FLOW
         by_memory = int((config.memory_mb - BASE_MEMORY_MB) / MEMORY_PER_FLOW_MB)
@@ -63,10 +65,10 @@
         self._closed = True
 
     def evaluate(self, request: OpenRequest) -> AdmissionResult:
-        """Decide on a client's request. Existing connections take no capacity that they did not have."""
+        """Decide on a client's request; existing connections are accepted beyond the capacity."""
         if not self._usable(request):
             return AdmissionResult.MALFORMED
-        if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW:
+        if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW_MS:
             return AdmissionResult.MALFORMED
         if self._closed:
             return AdmissionResult.SHUTTING_DOWN
@@ -78,8 +80,8 @@
     def _usable(self, request: OpenRequest) -> bool:
         """Return whether a server could use the request.
 
-        The id of an open flow, sent by another client, made servers answer ERR to healthy flows of the same
-        id, and the servers were ejected for it.
+        An id that is in use is not usable: a server would answer ERR to the healthy flow of the same id, and
+        the answer would count as the server's failure.
         """
         tenants = self._config.tenants
         if request.service_type not in self._config.service.service_types:
--- a/lotusroute/net/clock_monitor.py
+++ b/lotusroute/net/clock_monitor.py
@@ -13,8 +13,9 @@
 from lotusroute.monotonic_clock import monotonic_ms
 from lotusroute.net.structured_log import Counters, log_event
 
-MIN_STEP = 100.0  # ms of change of the wall clock that is reported; slewing changes it by less between looks
-MAX_TIMER_DELAY = 1_000.0  # ms of delay from which the periodic timer is reported as late
+# A change of the offset between the clocks that counts as a step; slewing changes it by less.
+MIN_STEP_MS = 100.0
+MAX_TIMER_DELAY_MS = 1_000.0
 
 
 class ClockMonitor:
@@ -45,11 +46,11 @@
         offset = self._wall() - now
         step = offset - self._offset
         self._offset = offset
-        if abs(step) >= MIN_STEP:
+        if abs(step) >= MIN_STEP_MS:
             self._counters["wall_clock_steps"] += 1
-            log_event("wall clock stepped", logging.WARNING, by=step)
+            log_event("wall clock stepped", logging.WARNING, step_ms=step)
         delay = now - self._due_at
-        if delay >= MAX_TIMER_DELAY:
+        if delay >= MAX_TIMER_DELAY_MS:
             self._due_at = math.inf
             self._counters["late_timers"] += 1
-            log_event("timers late", logging.WARNING, by=delay)
+            log_event("timers late", logging.WARNING, late_ms=delay)
--- a/lotusroute/net/connection_monitor.py
+++ b/lotusroute/net/connection_monitor.py
@@ -1,26 +1,27 @@
 """The periodic check of open connections: slow servers, unresponsive servers and idle clients.
 
-Owns the reply delays measured since the last check and the set of servers reported as slow. All times are
+Owns the reply delays measured since the last check and the set of servers reported as slow. Times are
 milliseconds.
 """
 
 import logging
-from collections.abc import Set
+from collections.abc import Callable, Set
 from statistics import median
 from typing import NamedTuple
 
-from lotusroute.net.event_loop import EventLoop
+from lotusroute.net.balancer_context import BalancerContext
 from lotusroute.net.flow import ActiveFlow
-from lotusroute.net.flow_manager import FlowManager
-from lotusroute.net.flow_table import FlowTable
+from lotusroute.net.flow_endings import FlowEndings
 from lotusroute.net.reasons import MigrationReason
-from lotusroute.net.structured_log import LOGGER, Counters, log_event
-from lotusroute.net.upstream import ReplyTimed
+from lotusroute.net.structured_log import LOGGER, log_event
+from lotusroute.net.upstream_events import ReplyTimed
 from lotusroute.routing import events
 
-CHECK_INTERVAL = 1_000.0  # ms; servers are judged slow by the second
-UNRESPONSIVE_TIMEOUT = 2_500.0  # ms without a line though one waits: servers reply at once, clients bear 7 s
-IDLE_CLIENT_TIMEOUT = 60_000.0  # ms without a line from a client that sent some, usually one every 2 s
+CHECK_INTERVAL_MS = 1_000.0
+# A server with an unanswered line is unresponsive after this silence.
+UNRESPONSIVE_TIMEOUT_MS = 2_500.0
+# A client that has sent lines before is idle after this time without one.
+IDLE_CLIENT_TIMEOUT_MS = 60_000.0
 
 
 class PeriodicCheck(NamedTuple):
@@ -32,25 +33,25 @@
 
     def __init__(
         self,
-        counters: Counters,
-        loop: EventLoop,
-        flows: FlowManager,
-        table: FlowTable,
+        context: BalancerContext,
+        endings: FlowEndings,
+        decide: Callable[[events.Event], None],
         slow_latency_threshold: float,
     ) -> None:
-        self._counters = counters
-        self._loop = loop
-        self._flows = flows
-        self._table = table
-        # ms of delay from which the Director takes a server as slow
+        """`slow_latency_threshold` is the delay from which the Director takes a server as slow."""
+        self._counters = context.counters
+        self._loop = context.loop
+        self._flow_table = context.flow_table
+        self._endings = endings
+        self._decide = decide
         self._slow_latency_threshold = slow_latency_threshold
         self._reply_delays: dict[str, list[float]] = {}  # by server, since the last check
         self._slow_servers: set[str] = set()  # reported as slow, and not yet as recovered
 
     def start(self) -> None:
         """Schedule the next check."""
-        self._loop.call_later(CHECK_INTERVAL, PeriodicCheck())
-        self._loop.clock_monitor.expect_timer(CHECK_INTERVAL)
+        self._loop.call_later(CHECK_INTERVAL_MS, PeriodicCheck())
+        self._loop.clock_monitor.expect_timer(CHECK_INTERVAL_MS)
 
     def reply_timed(self, event: ReplyTimed) -> None:
         """Record how long a server took to reply to a client's line."""
@@ -64,33 +65,34 @@
         """Report slow servers, then migrate clients that are idle or whose server is unresponsive."""
         self.start()
         now = self._loop.clock()
-        self._table.expire_closed_ids(now)
+        self._flow_table.expire_closed_ids(now)
         unresponsive: list[ActiveFlow] = []
         idle: list[ActiveFlow] = []
-        for flow in self._table:
+        for flow in self._flow_table:
             if not flow.established or flow.upstream is None:
                 continue
-            waited = flow.upstream.oldest_wait(now)
-            if waited >= self._slow_latency_threshold:
-                self._reply_delays.setdefault(flow.upstream.server, []).append(waited)
-            if flow.upstream.server_silence(now) >= UNRESPONSIVE_TIMEOUT:
+            connection = flow.upstream.connection
+            pending_time = connection.oldest_pending_time(now)
+            if pending_time >= self._slow_latency_threshold:
+                self._reply_delays.setdefault(flow.upstream.server, []).append(pending_time)
+            if connection.server_silence(now) >= UNRESPONSIVE_TIMEOUT_MS:
                 unresponsive.append(flow)
-            elif flow.upstream.client_idle_time(now) >= IDLE_CLIENT_TIMEOUT:
+            elif connection.client_idle_time(now) >= IDLE_CLIENT_TIMEOUT_MS:
                 idle.append(flow)
         if LOGGER.isEnabledFor(logging.DEBUG):
             log_event(
                 "connections checked",
                 logging.DEBUG,
-                flows=len(self._table),
+                flows=len(self._flow_table),
                 unresponsive=len(unresponsive),
                 idle=len(idle),
             )
         self._report_latencies()
         for flow in idle:
-            self._flows.migrate(flow.number, MigrationReason.IDLE_CLIENT)
+            self._endings.migrate(flow.number, MigrationReason.IDLE_CLIENT)
         for flow in unresponsive:
-            # A machine that has vanished sends nothing, and TCP does not notice.
-            self._flows.disconnect_unresponsive(flow, now)
+            # TCP does not notice that a machine has vanished.
+            self._endings.disconnect_unresponsive(flow, now)
 
     def _report_latencies(self) -> None:
         """Report slow servers to the Director: at each check while they are slow, and once after."""
@@ -103,6 +105,6 @@
             else:
                 continue
             self._counters["latency_reports"] += 1
-            log_event("server slow", logging.DEBUG, server=server, delay=delay, of=len(delays))
-            self._flows.decide(events.LatencyReport(server, delay))
+            log_event("server slow", logging.DEBUG, server=server, delay_ms=delay, samples=len(delays))
+            self._decide(events.LatencyReport(server, delay))
         self._reply_delays = {}
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -17,11 +17,11 @@
 from lotusroute.net.line_protocol import BUSY, ERR, LINE_END, MAX_LINE_LENGTH, MOVE, PING, PONG, LineProtocol
 from lotusroute.net.open_request import OpenRequest, parse_open_request
 from lotusroute.net.structured_log import log_event
-from lotusroute.net.upstream import UpstreamAttempt
+from lotusroute.net.upstream_attempt import UpstreamAttempt
 
-FIRST_LINE_TIMEOUT = 2.0  # s from connecting to a complete first line; a close is due within 3 s
+FIRST_LINE_TIMEOUT_S = 2.0  # from connecting to a complete first line; the protocol allows 3 s
 MAX_HEALTH_CHECKS = 16  # PINGs on one connection: the balancer in front sends one, an endless row costs CPU
-LINGER_TIMEOUT = 1.0  # s for the client to close after our last line; the protocol wants ends within 1 s
+LINGER_TIMEOUT_S = 1.0  # for the client to close after its last line, by the protocol
 MAX_DISCARDED = 16_384  # bytes read and discarded after our last line; then reading stops
 
 
@@ -89,7 +89,7 @@
         super().connectionMade()
         # Not restarted before the first line is complete: a client that sends byte by byte must not keep a
         # descriptor.
-        self.setTimeout(FIRST_LINE_TIMEOUT)
+        self.setTimeout(FIRST_LINE_TIMEOUT_S)
         self.factory.admit(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -211,7 +211,7 @@
         self.answered = True
         self.send_line(receipt)
         self.upstream = attempt
-        attempt.attach_downstream(self)
+        attempt.connection.attach_downstream(self)
         self.resume_lines()
         if self.read_closed:
             attempt.downstream_half_closed(self.clearLineBuffer())
@@ -229,7 +229,7 @@
         self.factory.mark_lingering(self)
         # What a client sends now is read and discarded: with unread data, our close would become a reset
         # that overtakes the last line.
-        self.setTimeout(LINGER_TIMEOUT)
+        self.setTimeout(LINGER_TIMEOUT_S)
         if self.read_closed:
             self.transport.loseConnection()
         else:
@@ -263,7 +263,7 @@
                 return
             self.transport.writeSomeData(BUSY + LINE_END)
         elif self.has_unsent_data():
-            # Its last line, perhaps a MOVE, is not written yet; it lingers for `LINGER_TIMEOUT` at most.
+            # Its last line, perhaps a MOVE, is not written yet; it lingers for `LINGER_TIMEOUT_S` at most.
             return
         self.factory.counters["idle_connections_evicted"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -1,17 +1,16 @@
 """The servers of the endpoint list as far as connections need them: addresses and drain deadlines.
 
-Owns both; routing decisions have their own view of the list. All times are milliseconds of Unix time.
+Owns both; routing decisions have their own view of the list. Times are milliseconds of Unix time.
 """
 
 from collections.abc import Callable
 
 from lotusroute.address import Address
 from lotusroute.net.endpoint_list import EndpointUpdate
-from lotusroute.routing import events
+from lotusroute.routing.events import EndpointState, ListScope
 
-DRAIN_MIGRATION_SPREAD = (
-    1_000.0  # ms over which a draining server's clients migrate: it leaves within seconds
-)
+# Over which a draining server's clients are migrated; the server stops within seconds.
+DRAIN_MIGRATION_SPREAD_MS = 1_000.0
 
 
 class EndpointRegistry:
@@ -24,15 +23,15 @@
 
     def update(self, update: EndpointUpdate, now: float) -> None:
         """Apply a list or changes to it."""
-        if update.scope != events.ListScope.CHANGES:
+        if update.scope != ListScope.CHANGES:
             self.addresses.clear()
         for server in update.servers:
-            if server.state == events.EndpointState.REMOVED:
+            if server.state == EndpointState.REMOVED:
                 self.addresses.pop(server.id, None)
-            if server.state != events.EndpointState.DRAINING:
+            if server.state != EndpointState.DRAINING:
                 self.drain_deadlines.pop(server.id, None)
             elif server.id not in self.drain_deadlines:
-                self.drain_deadlines[server.id] = now + DRAIN_MIGRATION_SPREAD
+                self.drain_deadlines[server.id] = now + DRAIN_MIGRATION_SPREAD_MS
                 self._on_drain_started()
         self.addresses.update(update.addresses)
         for server_id in self.drain_deadlines.keys() - self.addresses.keys():
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -3,12 +3,12 @@
 Sockets and timers put typed events into the queue. A single consumer takes them out in order and calls the
 handler registered for each event's type, so no two handlers ever run at once and none needs a lock.
 
-Owns the queue, the clock and the handler table. All times are milliseconds.
+Owns the queue, the clock and the handler table. Times are milliseconds.
 """
 
 from collections import deque
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, TypeAlias
 
 from twisted.internet.base import DelayedCall
 
@@ -18,6 +18,10 @@
 from lotusroute.net.reactor import reactor
 from lotusroute.net.structured_log import Counters, log_exception
 
+# A handler takes one type of events or commands; the table that it stands in says which.
+Handler: TypeAlias = Callable[[Any], None]
+Handlers: TypeAlias = Mapping[type, Handler]
+
 
 class EventLoop:
     """Queue, clock and timers of a balancer; an exception in one handler does not affect other events."""
@@ -30,23 +34,24 @@
         self.epoch = wall_clock.unix_ms() - monotonic_ms()
         self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
         self._run_scheduled = False
-        self._handlers: dict[type, Callable[[Any], None]] = {}
-        self.on_failure: Callable[[object, int], None] | None = None  # gets the event and its flow's number
+        self._handlers: dict[type, Handler] = {}
+        # Called with a failed event and the number of its flow.
+        self.on_failure: Callable[[object, int], None] | None = None
 
     @property
     def backlog(self) -> int:
-        """Number of events that wait in the queue."""
+        """Number of events in the queue."""
         return len(self._queue)
 
     def clock(self) -> float:
-        """Milliseconds of Unix time, never going back."""
+        """Return the Unix time; it never goes back."""
         return self.epoch + monotonic_ms()
 
     def at_monotonic(self, seconds: float) -> float:
-        """Return the time on this clock of a reading of `time.monotonic`."""
+        """Return the time on this clock of a reading of `time.monotonic`, which is in seconds."""
         return self.epoch + seconds * MS_PER_SECOND
 
-    def register(self, handlers: Mapping[type, Callable[[Any], None]]) -> None:
+    def register(self, handlers: Handlers) -> None:
         """Add handlers, by the type of the events that they take."""
         self._handlers.update(handlers)
 
@@ -58,7 +63,7 @@
             reactor.callLater(0, self.run_pending)
 
     def call_later(self, delay: float, event: object) -> DelayedCall:
-        """Queue an event after `delay` ms."""
+        """Queue an event after a delay."""
         return reactor.callLater(max(0.0, delay) / MS_PER_SECOND, self.enqueue, event)
 
     def run_pending(self) -> None:
@@ -69,7 +74,7 @@
             try:
                 self._handlers[type(event)](event)
             except Exception:
-                # Any exception: a failure over one event must not take the others with it.
+                # Any exception: a failure over one event must not affect the others.
                 self.report_failure(event, getattr(event, "flow_id", 0))
         self._run_scheduled = False
 
@@ -100,5 +105,5 @@
             self._loop.call_later(self._delay, self._event)
 
     def acknowledge(self) -> None:
-        """Note that the event has arrived: the timer may be scheduled again."""
+        """Note that the event was handled: the timer may be scheduled again."""
         self._pending = False
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -1,25 +1,22 @@
-"""Re-establishing connections that stood before this process started.
+"""Re-establishing connections that were open before this process started.
 
 Such a connection returns to the server that it was connected to, without a routing decision, and is retried
-with a growing backoff until it is lost. Owns the rule only; the flows belong to the flow manager, which hands
-in how an attempt is started and how a flow is answered. All times are milliseconds of Unix time.
+with a growing backoff until it is given up. Times are milliseconds of Unix time.
 """
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from lotusroute.net.config import BalancerConfig
-from lotusroute.net.endpoints import EndpointRegistry
-from lotusroute.net.event_loop import EventLoop
+from lotusroute.net.balancer_context import BalancerContext
 from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.line_protocol import ERR
 from lotusroute.net.reasons import AnswerReason
-from lotusroute.net.structured_log import Counters
-from lotusroute.routing import events
+from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Effect
 
-EXISTING_RETRY_BACKOFF = 1_000.0  # ms, times the attempts so far
-EXISTING_ATTEMPT_TIMEOUT = 8_000.0  # ms for its server to take it back; the start is the busiest time of all
-EXISTING_MAX_WAIT = 35_000.0  # ms from its request until it is given up; it counts as lost after 40 s
+# The protocol counts an existing connection as lost 40 s after its client's request.
+EXISTING_TIMEOUT_MS = 35_000.0
+EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0  # servers are busiest just after a balancer's start
+EXISTING_RETRY_BACKOFF_MS = 1_000.0  # times the attempts so far
 
 
 class RetryExisting(NamedTuple):
@@ -33,17 +30,16 @@
 
     def __init__(
         self,
-        config: BalancerConfig,
-        counters: Counters,
-        loop: EventLoop,
-        endpoints: EndpointRegistry,
+        context: BalancerContext,
         start_attempt: Callable[[ActiveFlow, str, float], None],
-        answer: Callable[[ActiveFlow, bytes, str], None],
+        answer: Callable[[ActiveFlow, bytes, AnswerReason], None],
     ) -> None:
-        self._config = config
-        self._counters = counters
-        self._loop = loop
-        self._endpoints = endpoints
+        """`start_attempt` takes a flow, a server and a deadline; `answer` sends a flow's final answer."""
+        self._counters = context.counters
+        self._loop = context.loop
+        self._flow_table = context.flow_table
+        self._endpoints = context.endpoints
+        self._max_attempts = context.config.service.max_attempts
         self._start_attempt = start_attempt
         self._answer = answer
 
@@ -52,24 +48,31 @@
         server = flow.request.existing_server
         if server is not None and self._endpoints.has_address(server):
             flow.attempts += 1
-            deadline = min(flow.deadline, self._loop.clock() + EXISTING_ATTEMPT_TIMEOUT)
+            deadline = min(flow.deadline, self._loop.clock() + EXISTING_ATTEMPT_TIMEOUT_MS)
             self._start_attempt(flow, server, deadline)
         else:
             self._retry_later(flow)
 
-    def attempt_failed(self, flow: ActiveFlow, result: str) -> None:
+    def retry(self, event: RetryExisting) -> None:
+        """Connect again after the backoff."""
+        flow = self._flow_table.get(event.flow_id)
+        if flow is not None and not flow.established:
+            self.reconnect(flow)
+
+    def attempt_failed(self, flow: ActiveFlow, result: ConnectionResult) -> None:
         """Retry after a failed attempt if the flow has not run, or may run again."""
-        if result in events.NEVER_RAN or flow.service_type.effect == events.Effect.IDEMPOTENT:
+        if result in NEVER_RAN or flow.service_type.effect == Effect.IDEMPOTENT:
             self._retry_later(flow)
         else:
             self._give_up(flow)
 
     def _retry_later(self, flow: ActiveFlow) -> None:
-        exhausted = flow.attempts >= self._config.service.max_attempts
-        if exhausted or self._loop.clock() + EXISTING_RETRY_BACKOFF >= flow.deadline:
+        exhausted = flow.attempts >= self._max_attempts
+        if exhausted or self._loop.clock() + EXISTING_RETRY_BACKOFF_MS >= flow.deadline:
             self._give_up(flow)
         else:
-            self._loop.call_later(EXISTING_RETRY_BACKOFF * max(1, flow.attempts), RetryExisting(flow.number))
+            backoff = EXISTING_RETRY_BACKOFF_MS * max(1, flow.attempts)
+            self._loop.call_later(backoff, RetryExisting(flow.number))
 
     def _give_up(self, flow: ActiveFlow) -> None:
         self._counters["existing_connections_lost"] += 1
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -1,8 +1,8 @@
 """One flow in flight: its client, its current connection attempt and what earlier attempts may have done.
 
 A flow lives from a client's first line to its final answer or to the end of its connection. Every way for a
-flow to end asks here what the client may be told and whether its line may still be sent, so that two ends
-that coincide agree. All times are milliseconds of Unix time.
+flow to end asks here what may be answered and whether the client's line may still be sent, so that two ends
+that coincide agree. Times are milliseconds of Unix time.
 """
 
 import logging
@@ -11,13 +11,14 @@
 from twisted.internet.base import DelayedCall
 
 from lotusroute.net.downstream import DownstreamConnection
+from lotusroute.net.errors import NoUpstreamError
 from lotusroute.net.line_protocol import ERR
 from lotusroute.net.open_request import OpenRequest
 from lotusroute.net.structured_log import LOGGER, log_event
-from lotusroute.net.upstream import UpstreamAttempt
+from lotusroute.net.upstream_attempt import UpstreamAttempt
 from lotusroute.routing import events
 
-MIN_SEND_GRACE = 50.0  # ms by which the protocol extends every time limit, also a drain's grace of 0
+MIN_SEND_GRACE_MS = 50.0  # the protocol extends every time limit by this
 
 
 @dataclass(slots=True, eq=False)
@@ -27,22 +28,22 @@
     number: int
     request: OpenRequest
     service_type: events.ServiceType
-    deadline: float  # by which its client has to be answered
+    deadline: float  # by which the client has to be answered
     downstream: DownstreamConnection
-    upstream: UpstreamAttempt | None = None  # the attempt in flight or its connection; one at a time
-    timer: DelayedCall | None = None  # of the attempt, or of the grace after its client has left
+    upstream: UpstreamAttempt | None = None  # the attempt in flight, or the established one
+    timer: DelayedCall | None = None  # of the attempt, or of the grace after the client has left
     established: bool = False
-    client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is there
+    client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is connected
     attempts: int = 0  # attempts to re-establish an existing connection
     attempt_started_at: float = 0.0
     attempt_deadline: float = 0.0
     may_have_run_since: float | None = None  # start of the first attempt that may have run on a server
 
-    def record_attempt_result(self, result: str) -> None:
-        """Note how an attempt ended.
+    def record_attempt_result(self, result: events.ConnectionResult) -> None:
+        """Record how an attempt ended.
 
-        That the flow may have run stays true whatever becomes of the next attempt: a shutdown that looked at
-        the attempt in flight alone told clients that a retry is harmless when it was not.
+        A flow that may have run stays one whatever becomes of later attempts: the final answer depends on
+        all attempts, not on the one in flight.
         """
         if result not in events.NEVER_RAN and self.may_have_run_since is None:
             self.may_have_run_since = self.attempt_started_at
@@ -53,11 +54,12 @@
         return busy if self.service_type.safe_to_retry(may_have_run) else ERR
 
     def may_send(self, now: float, grace: float) -> bool:
-        """Return whether the client's line may be sent on the connection that has just come up.
+        """Return whether the client's line may be sent on the connection that was just opened.
 
-        Not when the client has left, the attempt's time or the deduplication window is over, or so long has
-        passed that a drain may have been announced just after the attempt started and not been read yet by
-        a balancer that was stalled. `grace` is the ms that a draining server accepts lines after the news.
+        It may not when the client has left, or when the attempt's time or the deduplication window is over.
+        Nor may it when so much time has passed since the start of the attempt that a drain may have been
+        announced meanwhile, which a balancer that was stalled has not read yet. `grace` is for how long a
+        draining server accepts lines after the announcement.
         """
         if now >= self.attempt_deadline or self.downstream.has_disconnected():
             return False
@@ -71,10 +73,10 @@
             and now >= ran_at + service_type.dedup_window
         ):
             return False
-        return now < self.attempt_started_at + max(grace, MIN_SEND_GRACE)
+        return now < self.attempt_started_at + max(grace, MIN_SEND_GRACE_MS)
 
     def routing_request(self) -> events.FlowRequest:
-        """Return what the Director is told of the flow."""
+        """Return the event with which the flow asks the Director for a server."""
         request = self.request
         return events.FlowRequest(
             self.number,
@@ -87,10 +89,10 @@
         )
 
     @property
-    def connection(self) -> UpstreamAttempt:
-        """The connection of an established flow."""
+    def established_upstream(self) -> UpstreamAttempt:
+        """The attempt that established the flow; raises NoUpstreamError if there is none."""
         if self.upstream is None:
-            raise RuntimeError(f"flow {self.number} has no connection")
+            raise NoUpstreamError(self.number)
         return self.upstream
 
     def cancel_timer(self) -> None:
@@ -100,7 +102,7 @@
         self.timer = None
 
     def abort_attempt(self) -> None:
-        """Cancel the timer and close the attempt or the connection, if there is one."""
+        """Cancel the timer and close the attempt or its connection, if there is one."""
         self.cancel_timer()
         if self.upstream is not None:
             self.upstream.abort()
--- /dev/null
+++ b/lotusroute/net/flow_endings.py
@@ -0,0 +1,106 @@
+"""Ends of flows that do not come from their server: the client leaves, or this balancer ends them.
+
+Times are milliseconds of Unix time.
+"""
+
+from typing import NamedTuple
+
+from lotusroute.net.balancer_context import BalancerContext
+from lotusroute.net.downstream import DownstreamClosed
+from lotusroute.net.final_answers import FinalAnswers
+from lotusroute.net.flow import ActiveFlow
+from lotusroute.net.flow_attempts import FlowAttempts
+from lotusroute.net.line_protocol import ERR
+from lotusroute.net.reasons import AnswerReason, EndReason, MigrationReason
+from lotusroute.net.request_admission import SHUTDOWN_RETRY_AFTER_MS
+from lotusroute.net.upstream_events import AttemptStage
+from lotusroute.routing import events
+
+SERVER_CLOSE_GRACE_MS = 2_000.0  # for a server to close a connection whose client has left
+
+
+class CloseGraceExpired(NamedTuple):
+    """A server has had its time to close a connection whose client has left."""
+
+    flow_id: int
+
+
+class FlowEndings:
+    """Ends flows for reasons on this balancer's side or the client's."""
+
+    def __init__(self, context: BalancerContext, attempts: FlowAttempts, answers: FinalAnswers) -> None:
+        self._counters = context.counters
+        self._loop = context.loop
+        self._flow_table = context.flow_table
+        self._attempts = attempts
+        self._answers = answers
+
+    def client_disconnected(self, event: DownstreamClosed) -> None:
+        """Withdraw a flow that waits; give the server of an established one time to close."""
+        flow = self._flow_table.get(event.flow_id)
+        if flow is None:
+            return
+        if not flow.established:
+            self._attempts.withdraw(flow)
+        elif not flow.client_left_at:
+            # A server that has vanished never closes.
+            flow.client_left_at = self._loop.clock()
+            flow.timer = self._loop.call_later(SERVER_CLOSE_GRACE_MS, CloseGraceExpired(flow.number))
+
+    def close_grace_expired(self, event: CloseGraceExpired) -> None:
+        """Close a connection whose client has left and whose server does not close it."""
+        flow = self._flow_table.get(event.flow_id)
+        if flow is not None:
+            upstream = flow.established_upstream
+            upstream.abort()
+            flow.downstream.half_close()
+            self._attempts.connection_ended(
+                flow, upstream, events.ConnectionResult.CANCELLED, EndReason.CLOSE_GRACE_EXPIRED
+            )
+
+    def migrate(self, flow_number: int, reason: MigrationReason) -> None:
+        """Ask the client of an established flow to reconnect, and close its connection."""
+        flow = self._flow_table.get(flow_number)
+        if flow is not None and flow.established and not flow.client_left_at:
+            upstream = flow.established_upstream
+            self._counters["migrated"] += 1
+            flow.log_step("client migrated", server=upstream.server, reason=reason)
+            flow.downstream.send_migrate()
+            upstream.close_after_migration()
+            self._attempts.connection_ended(
+                flow, upstream, events.ConnectionResult.CANCELLED, EndReason.MIGRATED
+            )
+
+    def disconnect_unresponsive(self, flow: ActiveFlow, now: float) -> None:
+        """Ask the client of an unresponsive server to reconnect."""
+        self._counters["unresponsive_connections"] += 1
+        upstream = flow.established_upstream
+        silence = upstream.connection.server_silence(now)
+        flow.log_step("server unresponsive", server=upstream.server, silence_ms=silence)
+        upstream.abort()
+        flow.downstream.send_migrate()
+        self._attempts.connection_ended(flow, upstream, events.ConnectionResult.RESET, EndReason.UNRESPONSIVE)
+
+    def reject_unfinished(self) -> None:
+        """Give all flows that are not established their final answer: the shutdown waits no longer."""
+        for flow in list(self._flow_table):
+            attempt = flow.upstream
+            if flow.established or (attempt is not None and attempt.stage == AttemptStage.ESTABLISHED):
+                continue  # established, or its receipt is queued
+            if attempt is not None:
+                flow.record_attempt_result(attempt.abort())
+            answer = flow.final_rejection(self._answers.busy_line(SHUTDOWN_RETRY_AFTER_MS))
+            self._answers.answer(flow, answer, AnswerReason.SHUTDOWN)
+
+    def fail(self, flow_number: int) -> None:
+        """End a flow whose handling raised an exception, so that its client is not left waiting."""
+        flow = self._flow_table.get(flow_number)
+        if flow is None:
+            return
+        self._flow_table.remove(flow)
+        flow.abort_attempt()
+        if flow.established:
+            flow.downstream.send_migrate()
+        else:
+            flow.downstream.send_final_answer(ERR)
+        self._loop.enqueue(events.ClientDisconnected(flow_number))
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -1,7 +1,7 @@
 """The flows in flight, by number, and the client ids that are in use.
 
-Owns both. An id stays in use for a while after its flow has ended, because servers keep it as long as any
-client of theirs may. All times are milliseconds.
+Owns both. An id stays in use for a while after its flow has ended, because servers may still have it in use.
+Times are milliseconds.
 """
 
 from collections import deque
@@ -12,8 +12,8 @@
 from lotusroute.net.open_request import OpenRequest
 from lotusroute.routing.events import ServiceType
 
-CLOSED_FLOW_ID_TTL = 60_000.0  # ms; servers hold an id open as long as any client
-MAX_CLOSED_FLOW_IDS = 20_000  # some 3 MB
+CLOSED_FLOW_ID_TTL_MS = 60_000.0  # for as long servers may have the id in use
+MAX_CLOSED_FLOW_IDS = 20_000
 
 
 class FlowTable:
@@ -23,9 +23,9 @@
         self._clock = clock
         self._flows: dict[int, ActiveFlow] = {}
         self._ids: set[str] = set()  # of flows in flight and of those in `_closed`
-        self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids; oldest first
+        self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids, the oldest first
         self._last_number = 0
-        # The dict's own method: this is called for every event, and a wrapper would cost a call each.
+        # The dict's own method, without the cost of a wrapper: it is called for every event.
         self.get: Callable[[int], ActiveFlow | None] = self._flows.get
 
     def __len__(self) -> int:
@@ -52,21 +52,21 @@
         return flow
 
     def remove(self, flow: ActiveFlow) -> None:
-        """Take out a flow that is answered or whose connection is over."""
+        """Remove a flow that is answered or whose connection has ended."""
         del self._flows[flow.number]
         self._closed.append((self._clock(), flow.request.id))
 
     def established(self) -> list[ActiveFlow]:
-        """Return the flows whose connection stands and whose client is there."""
+        """Return the established flows whose client is still connected."""
         return [flow for flow in self if flow.established and not flow.client_left_at]
 
     def knows_id(self, flow_id: str) -> bool:
-        """Return whether the id belongs to a flow in flight or to one that ended lately."""
+        """Return whether the id belongs to a flow in flight or to one that ended recently."""
         return flow_id in self._ids
 
     def expire_closed_ids(self, now: float) -> None:
         """Forget ids of flows that ended long ago, and the oldest beyond the limit."""
         closed = self._closed
-        while closed and (closed[0][0] < now - CLOSED_FLOW_ID_TTL or len(closed) > MAX_CLOSED_FLOW_IDS):
+        while closed and (closed[0][0] < now - CLOSED_FLOW_ID_TTL_MS or len(closed) > MAX_CLOSED_FLOW_IDS):
             _, flow_id = closed.popleft()
             self._ids.discard(flow_id)
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -5,6 +5,7 @@
 holds the words of the protocol and its limits, in bytes. It knows neither clients nor servers.
 """
 
+import re
 from typing import Any
 
 from twisted.internet.interfaces import IHalfCloseableProtocol
@@ -32,6 +33,7 @@
 ERR = b"ERR"
 LOAD = b"LOAD"
 LINE_END = b"\r\n"
+RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")  # a server's receipt as a complete line
 
 
 def command_of(line: memoryview) -> bytes:
--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -1,7 +1,7 @@
 """The first line of a client: `OPEN <id> <key> <name>=<value>,...`.
 
-Parses it into an `OpenRequest` and writes it anew for a server with the time that is left. Times are in ms.
-A line that does not follow the protocol raises `ProtocolError`; it must not reach a server.
+Parses it into an `OpenRequest` and rewrites it for a server with the time that is left. Times are
+milliseconds. A line that does not follow the protocol raises `ProtocolError`; it must not reach a server.
 """
 
 import re
@@ -11,7 +11,7 @@
 
 OPEN_LINE = re.compile(rb"OPEN ([0-9A-Za-z][0-9A-Za-z_.:-]{0,63}) ([!-~]{1,256}) ([!-~]+)\r\n")
 PARAMETER = re.compile(rb"([A-Za-z][0-9A-Za-z_]{0,31})=([!-+\--~]*)")
-# Less than three hours; connections that were open before the balancer started send 4294967.
+# Below three hours; connections that were open before the balancer started send 4294967.
 TIMEOUT_VALUE = re.compile(rb"[0-9]{1,7}(\.[0-9]{1,9})?")
 NO_KEY = b"-"
 
@@ -33,14 +33,14 @@
     tenant: str | None
     group: str | None
     key: str | None
-    wait: float  # ms in which the client has to be answered
+    timeout: float  # within which the client has to be answered
     reconnecting: bool
-    existing_server: str | None  # that the connection stood at before this balancer started
+    existing_server: str | None  # to which the client was connected before this balancer started
     line: tuple[bytes, bytes]  # the line before and after the value of its timeout
 
-    def rewritten(self, wait: float) -> bytes:
-        """Return the line for a server that has `wait` ms to answer."""
-        return b"%b%d%b" % (self.line[0], max(1, int(wait)), self.line[1])
+    def rewritten(self, timeout: float) -> bytes:
+        """Return the line for a server that has `timeout` to answer."""
+        return b"%b%d%b" % (self.line[0], max(1, int(timeout)), self.line[1])
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
@@ -53,8 +53,8 @@
     if match is None:
         raise ProtocolError("not OPEN, id, key and a list")
     parameters, timeout_start, timeout_end = _parse_parameters(match[3], match.start(3))
-    wait = float(parameters.get(TIMEOUT, 0))
-    if wait <= 0 or not parameters.get(SERVICE_TYPE):
+    timeout = float(parameters.get(TIMEOUT, 0))
+    if timeout <= 0 or not parameters.get(SERVICE_TYPE):
         raise ProtocolError("no c, or no time in d")
     return OpenRequest(
         id=match[1].decode(),
@@ -62,7 +62,7 @@
         tenant=parameters.get(TENANT),
         group=parameters.get(GROUP),
         key=None if match[2] == NO_KEY else match[2].decode(),
-        wait=wait,
+        timeout=timeout,
         reconnecting=TRUE in (parameters.get(RECONNECTING), parameters.get(RECONNECTING_ALIAS)),
         existing_server=parameters.get(EXISTING_SERVER),
         line=(line[:timeout_start], line[timeout_end:]),
--- a/lotusroute/net/reasons.py
+++ b/lotusroute/net/reasons.py
@@ -1,4 +1,4 @@
-"""Why connections end, clients are migrated and flows are answered without a server: the `why` of log lines.
+"""Why connections end, clients are migrated and flows are answered: the `reason` of log lines.
 
 The routing decisions give their own reasons for an answer, `lotusroute.routing.events.RejectReason`.
 """
@@ -7,11 +7,11 @@
 
 
 class EndReason(StrEnum):
-    """What ended an attempt, or the connection that came of it."""
+    """What ended an attempt, or the connection that it established."""
 
     CONNECT_FAILED = "connect failed"
-    NOT_SENT = "not sent"  # the line might not be sent any more when the connection was up
-    ANSWERED = "server answered"  # with something else than a receipt
+    NOT_SENT = "not sent"  # when connected, the line was not to be sent any more
+    ANSWERED = "server answered"  # with another line than a receipt
     SERVER_CLOSED = "server closed"
     CONNECTION_LOST = "connection lost"  # reset, or broken in another way
     LINE_TOO_LONG = "line too long"
@@ -20,7 +20,7 @@
     SERVER_DRAINS = "server drains"
     UNRESPONSIVE = "server unresponsive"
     MIGRATED = "client migrated"
-    CLOSE_GRACE_EXPIRED = "close grace expired"  # the client had left, the server did not close
+    CLOSE_GRACE_EXPIRED = "close grace expired"  # the server does not close though the client has left
 
 
 class MigrationReason(StrEnum):
--- /dev/null
+++ b/lotusroute/net/request_admission.py
@@ -0,0 +1,83 @@
+"""Admission of clients' requests: each becomes a flow, or is answered at once.
+
+`AdmissionControl` decides which. Times are milliseconds of Unix time.
+"""
+
+from collections.abc import Callable
+
+from lotusroute.net.admission import AdmissionControl, AdmissionResult
+from lotusroute.net.balancer_context import BalancerContext
+from lotusroute.net.downstream import DownstreamConnection, RequestReceived
+from lotusroute.net.existing_connections import EXISTING_TIMEOUT_MS, ExistingConnections
+from lotusroute.net.final_answers import FinalAnswers
+from lotusroute.routing import events
+
+# How long before a flow's deadline it is answered, so that the answer is in time on a busy core too.
+DEADLINE_MARGIN_MS = 40.0
+MAX_DEADLINE_MARGIN_FRACTION = 0.25  # of the client's timeout, so that a short one leaves time to serve
+CAPACITY_RETRY_AFTER_MS = 1_000.0
+SHUTDOWN_RETRY_AFTER_MS = 400.0  # after it, the front sends clients to other balancers only
+
+
+class RequestAdmission:
+    """Takes the first lines of clients."""
+
+    def __init__(
+        self,
+        context: BalancerContext,
+        admission: AdmissionControl,
+        answers: FinalAnswers,
+        existing: ExistingConnections,
+        decide: Callable[[events.Event], None],
+    ) -> None:
+        self._counters = context.counters
+        self._flow_table = context.flow_table
+        self._service_types = context.config.service.service_types
+        self._admission = admission
+        self._answers = answers
+        self._existing = existing
+        self._decide = decide
+
+    def request_received(self, event: RequestReceived) -> None:
+        """Admit a new flow or an existing connection, or answer it at once."""
+        downstream = event.connection
+        if downstream.disconnected or downstream.has_disconnected():
+            # No attempt is started: each would take a place in a server's queue for nothing.
+            self._counters["client_disconnects"] += 1
+            return
+        match self._admission.evaluate(event.request):
+            case AdmissionResult.ACCEPTED:
+                self._admit(event)
+            case AdmissionResult.MALFORMED:
+                downstream.reject_malformed()
+            case AdmissionResult.SHUTTING_DOWN:
+                self._shed(downstream, SHUTDOWN_RETRY_AFTER_MS)
+            case AdmissionResult.AT_CAPACITY:
+                self._shed(downstream, CAPACITY_RETRY_AFTER_MS)
+
+    def _admit(self, event: RequestReceived) -> None:
+        request = event.request
+        margin = min(DEADLINE_MARGIN_MS, MAX_DEADLINE_MARGIN_FRACTION * request.timeout)
+        flow = self._flow_table.add(
+            request,
+            self._service_types[request.service_type],
+            event.received_at + request.timeout - margin,
+            event.connection,
+        )
+        event.connection.flow_id = flow.number
+        flow.log_step(
+            "flow requested",
+            service_type=request.service_type,
+            group=request.group,
+            reconnecting=request.reconnecting,
+            existing_server=request.existing_server,
+        )
+        if request.existing_server:
+            flow.deadline = min(flow.deadline, event.received_at + EXISTING_TIMEOUT_MS)
+            self._existing.reconnect(flow)
+        else:
+            self._decide(flow.routing_request())
+
+    def _shed(self, downstream: DownstreamConnection, retry_after: float) -> None:
+        self._counters["load_shed"] += 1
+        downstream.send_final_answer(self._answers.busy_line(retry_after))
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -1,28 +1,28 @@
 """The balancer's own graceful shutdown.
 
-New flows are rejected, flows in flight are finished, all clients are migrated to other balancers, and the
+New flows are rejected, flows in flight are finished and all clients are migrated to other balancers. The
 process ends when every last line is written, before the platform kills it. Owns when the shutdown started and
-whom to tell of its end. All times are milliseconds.
+the callback for its end. Times are milliseconds.
 """
 
 from collections.abc import Callable
 
 from lotusroute.net.admission import AdmissionControl
-from lotusroute.net.config import BalancerConfig
-from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator
-from lotusroute.net.event_loop import CoalescedTimer, EventLoop
-from lotusroute.net.flow_manager import FlowManager
-from lotusroute.net.flow_table import FlowTable
+from lotusroute.net.balancer_context import BalancerContext
+from lotusroute.net.draining import MIGRATION_INTERVAL_MS, BatchMigrator
+from lotusroute.net.flow_endings import FlowEndings
 from lotusroute.net.reasons import MigrationReason
 from lotusroute.net.structured_log import log_event
 
-# All in ms; those "after the start" count from the order to stop.
-MIGRATION_START = 450.0  # after the start: until then the front sends new clients here, migrated ones too
-MIGRATION_SPREAD = 1_300.0  # over which clients are migrated then, so that other balancers see no storm
-MIN_DURATION = 900.0  # new clients come for 400 after the start, and later still on a busy core
-MAX_CONNECT_TIMEOUT = 3_000.0  # the longest connect timeout that is waited for before the kill
-ANSWER_MARGIN = 350.0  # of the 700 beyond that timeout, after which no flow may be left unanswered
-FLUSH_TIME = 200.0  # between the last answer and the end, in which it is written and read
+# Until then the front still sends new clients here, and with them those that were migrated.
+MIGRATION_START_MS = 450.0
+MIGRATION_SPREAD_MS = 1_300.0  # over which all clients are migrated, so that no connection storm arises
+# The front sends new clients for 400 ms after the start, and they may be read later on a busy core.
+MIN_DURATION_MS = 900.0
+MAX_CONNECT_TIMEOUT_MS = 3_000.0  # the platform waits for no longer connect timeout before it kills
+# The platform kills 700 ms after the connect timeout; half of that is left for the last steps.
+ANSWER_MARGIN_MS = 350.0
+FLUSH_TIME_MS = 200.0  # between the last answer and the end, for writing and reading it
 
 
 def _ignore_end() -> None:
@@ -34,25 +34,24 @@
 
     def __init__(
         self,
-        config: BalancerConfig,
-        loop: EventLoop,
-        flows: FlowManager,
-        table: FlowTable,
+        context: BalancerContext,
+        endings: FlowEndings,
         admission: AdmissionControl,
         migrator: BatchMigrator,
-        drain_timer: CoalescedTimer,
         has_pending_answers: Callable[[], bool],
     ) -> None:
-        self._loop = loop
-        self._flows = flows
-        self._table = table
+        """`has_pending_answers` returns whether clients without a flow still wait for a line."""
+        self._loop = context.loop
+        self._flow_table = context.flow_table
+        self._drain_timer = context.drain_timer
+        self._endings = endings
         self._admission = admission
         self._migrator = migrator
-        self._drain_timer = drain_timer
-        self._has_pending_answers = has_pending_answers  # whether clients without a flow are owed an answer
-        self._answer_limit = min(config.longest_connect_timeout, MAX_CONNECT_TIMEOUT) + ANSWER_MARGIN
+        self._has_pending_answers = has_pending_answers
+        connect_timeout = min(context.config.longest_connect_timeout, MAX_CONNECT_TIMEOUT_MS)
+        self._answer_limit = connect_timeout + ANSWER_MARGIN_MS  # after the start
         self._started_at = 0.0
-        self._last_busy = 0.0  # ms after the start when there were flows last
+        self._last_busy = 0.0  # how long after the start there last were flows
         self._on_stopped: Callable[[], None] = _ignore_end
 
     @property
@@ -61,27 +60,28 @@
         return bool(self._started_at)
 
     def start(self, on_stopped: Callable[[], None]) -> None:
-        """Begin, unless begun already; `on_stopped` is called when all clients are gone."""
+        """Begin, unless begun already; `on_stopped` is called when no client is left."""
         if self.in_progress:
             return
         self._started_at = self._loop.clock()
         self._on_stopped = on_stopped
         self._admission.close()
-        log_event("shutdown started", flows=len(self._table))
+        log_event("shutdown started", flows=len(self._flow_table))
         self._drain_timer.schedule()
 
     def step(self, now: float) -> None:
         """Migrate the next batch, reject what is late, and end or schedule the next step."""
         elapsed = now - self._started_at
-        established = self._table.established()
-        if elapsed >= MIGRATION_START:
-            # Where all connect timeouts are short the kill comes before the spread is over.
-            migration_end = min(MIGRATION_START + MIGRATION_SPREAD, self._answer_limit - ANSWER_MARGIN)
+        established = self._flow_table.established()
+        if elapsed >= MIGRATION_START_MS:
+            # Where all connect timeouts are short the platform kills before the spread is over.
+            spread_end = MIGRATION_START_MS + MIGRATION_SPREAD_MS
+            migration_end = min(spread_end, self._answer_limit - ANSWER_MARGIN_MS)
             self._migrator.migrate_batch(established, migration_end - elapsed, MigrationReason.SHUTDOWN)
         if elapsed >= self._answer_limit:
-            self._flows.reject_unfinished()
-        if established or self._table:
-            # Ending in the step that migrated the last clients cut them off: their MOVE was never written.
+            self._endings.reject_unfinished()
+        if established or self._flow_table:
+            # Flows that this step has ended count too: their last lines are still to be written.
             self._last_busy = elapsed
         if self._finished(elapsed):
             self._on_stopped()
@@ -91,12 +91,12 @@
     def _finished(self, elapsed: float) -> bool:
         """Return whether the time is over, or all is done.
 
-        By counts, not by time alone: clients that came while this process was stalled are still to be read
+        Time alone does not decide: clients that connected while this process was stalled are still to be read
         and answered.
         """
-        end = self._answer_limit + FLUSH_TIME
-        if elapsed < min(end, max(MIN_DURATION, self._last_busy + FLUSH_TIME)):
+        end = self._answer_limit + FLUSH_TIME_MS
+        if elapsed < min(end, max(MIN_DURATION_MS, self._last_busy + FLUSH_TIME_MS)):
             return False
-        if elapsed >= end + MIGRATION_INTERVAL:
+        if elapsed >= end + MIGRATION_INTERVAL_MS:
             return True
         return not (self._has_pending_answers() or self._loop.backlog)
--- /dev/null
+++ b/lotusroute/net/upstream_attempt.py
@@ -0,0 +1,147 @@
+"""One attempt of one flow to connect to one server.
+
+How an attempt, or the connection that it established, ended is reported as a `ConnectionResult` in an
+`AttemptEnded`, never as an exception. An attempt chooses no server, retries nothing and does not answer
+clients by itself. Times are milliseconds.
+"""
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from twisted.internet import error
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import ClientFactory
+from twisted.internet.tcp import Connector
+from twisted.python.failure import Failure
+
+from lotusroute.address import Address
+from lotusroute.net.reactor import reactor
+from lotusroute.net.reasons import EndReason
+from lotusroute.net.upstream_connection import UpstreamConnection
+from lotusroute.net.upstream_events import AttemptEnded, AttemptStage
+from lotusroute.routing.events import ConnectionResult
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptContext:
+    """What all attempts of a balancer use."""
+
+    enqueue: Callable[[object], None]  # takes events of `upstream_events`
+    clock: Callable[[], float]
+    counters: Counter[str]
+
+
+def _always_may_send() -> bool:
+    return True
+
+
+class UpstreamAttempt(ClientFactory):
+    """One attempt, and the connection that it establishes."""
+
+    noisy = False
+
+    def __init__(
+        self,
+        flow_id: int,
+        server: str,
+        line: bytes,
+        context: AttemptContext,
+        may_send: Callable[[], bool] = _always_may_send,
+    ) -> None:
+        """`may_send` is called once, when connected, and returns whether `line` may still be sent."""
+        self.flow_id = flow_id
+        self.server = server
+        self.line = line  # the part of the client's first line that is still to be written
+        self.may_send = may_send
+        self.enqueue = context.enqueue
+        self.clock = context.clock
+        self.counters = context.counters
+        self.stage = AttemptStage.CONNECTING
+        self.final_stage = AttemptStage.CONNECTING  # the stage before it was over
+        # Set when connected; a receipt of this attempt proves that it is set.
+        self.connection: UpstreamConnection = None  # type: ignore[assignment]
+        self.connector: Connector | None = None
+        # Whether the flow's deadline shortened the connect timeout: a timeout then says little of the server.
+        self.timeout_shortened = False
+
+    def connect(self, address: Address, timeout_shortened: bool) -> None:
+        """Start to connect.
+
+        The caller keeps the timeout, so that a suspension of this process does not count as the server's.
+        """
+        self.timeout_shortened = timeout_shortened
+        host, port = address
+        # Twisted takes None for no timeout of its own, but declares a float.
+        self.connector = reactor.connectTCP(host, port, self, timeout=None)  # type: ignore[arg-type]
+
+    def buildProtocol(self, addr: IAddress) -> UpstreamConnection:
+        """Return the protocol of the new connection."""
+        self.connection = UpstreamConnection(self)
+        return self.connection
+
+    def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
+        """Report that the attempt could not connect."""
+        # Without a free descriptor the failure is ours, not the server's.
+        local_failure = reason.check(error.ConnectBindError, error.UserError)
+        result = ConnectionResult.UNSENT if local_failure else ConnectionResult.UNREACHABLE
+        self.report_end(result, EndReason.CONNECT_FAILED)
+
+    def result_if_broken(self) -> ConnectionResult:
+        """Return the result if the connection breaks now: after the last byte the request may have run."""
+        if self.stage >= AttemptStage.WRITTEN:
+            return ConnectionResult.RESET
+        return ConnectionResult.UNREACHABLE
+
+    def report_end(self, result: ConnectionResult, reason: EndReason) -> None:
+        """Report the end, once."""
+        if self.stage != AttemptStage.OVER:
+            self._mark_over()
+            self.enqueue(AttemptEnded(self.flow_id, self, result, reason))
+
+    def _mark_over(self) -> None:
+        """Record the final stage; nothing is reported any more."""
+        if self.stage != AttemptStage.OVER:
+            self.final_stage = self.stage
+            self.stage = AttemptStage.OVER
+
+    def abort(self) -> ConnectionResult:
+        """Close at once and return the result; nothing is reported any more."""
+        result = self._result_of_abort()
+        self._mark_over()
+        if self.connection is not None and self.connection.transport is not None:
+            self.connection.downstream = None
+            self.connection.transport.unregisterProducer()
+            self.connection.transport.abortConnection()
+        elif self.connector is not None and self.connector.state == "connecting":
+            self.connector.stopConnecting()
+        return result
+
+    def _result_of_abort(self) -> ConnectionResult:
+        if self.stage >= AttemptStage.WRITTEN:
+            return ConnectionResult.TIMEOUT
+        if self.timeout_shortened:
+            return ConnectionResult.UNSENT
+        return ConnectionResult.UNREACHABLE
+
+    def downstream_half_closed(self, rest: bytes) -> None:
+        """Write `rest` and stop sending, as the client has done; no later end is the server's fault."""
+        self._mark_downstream_left()
+        self.connection.transport.write(rest)
+        self.connection.half_close()
+
+    def downstream_lost(self) -> None:
+        """Reset the connection, as the client's broke; the server is not at fault."""
+        self._mark_downstream_left()
+        self.connection.transport.abortConnection()
+
+    def _mark_downstream_left(self) -> None:
+        self.connection.result_if_closed = ConnectionResult.CANCELLED
+        self.connection.downstream_left = True
+
+    def close_after_migration(self) -> None:
+        """Close because the client was asked to reconnect; nothing is reported any more."""
+        self._mark_over()
+        self.connection.downstream = None
+        self.connection.transport.unregisterProducer()
+        self.connection.transport.loseConnection()
--- /dev/null
+++ b/lotusroute/net/upstream_connection.py
@@ -0,0 +1,181 @@
+"""The TCP connection of one attempt: it writes the first line, reads the server's answer and forwards lines.
+
+What happens is reported to the `UpstreamAttempt` or queued as an event. Times are milliseconds.
+"""
+
+from collections import deque
+from typing import TYPE_CHECKING
+
+from lotusroute.errors import InvalidValueError
+from lotusroute.net.line_protocol import BUSY, BYE, LOAD, MOVE, RECEIPT, LineProtocol, command_of
+from lotusroute.net.reasons import EndReason
+from lotusroute.net.upstream_events import AttemptStage, LoadReported, ReceiptReceived, ReplyTimed
+from lotusroute.routing.events import ConnectionResult
+from lotusroute.service_config import parse_number
+
+if TYPE_CHECKING:
+    from lotusroute.net.upstream_attempt import UpstreamAttempt
+
+MAX_TIMED_LINES = 64  # unanswered lines of one client whose replies are timed
+# Results of the answers that reject a flow; any other answer is an error.
+RESULTS_OF_ANSWERS = {BUSY: ConnectionResult.FULL, MOVE: ConnectionResult.CANCELLED}
+
+
+class UpstreamConnection(LineProtocol):
+    """The connection of one attempt."""
+
+    def __init__(self, attempt: "UpstreamAttempt") -> None:
+        self.attempt = attempt
+        self.downstream: LineProtocol | None = None  # where lines are forwarded to, once established
+        self.downstream_left = False  # the client has stopped sending, or its connection broke
+        self.result_if_closed = ConnectionResult.RESET  # how the connection ends if it is closed now
+        # When the client's unanswered lines were sent, the oldest first; each reply takes one.
+        self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_LINES)
+        self.last_reply_time = 0.0  # when the server's last line was read; 0: never
+        self.last_request_time = 0.0  # when the client's last line was read; 0: never
+
+    def connectionMade(self) -> None:
+        """Write the first line, if it may still be sent."""
+        super().connectionMade()
+        attempt = self.attempt
+        if not attempt.may_send():
+            attempt.report_end(ConnectionResult.UNSENT, EndReason.NOT_SENT)
+            self.transport.abortConnection()
+            return
+        attempt.line = self.write_now(attempt.line)
+        if attempt.line:
+            self.transport.registerProducer(_FirstLineProducer(self), streaming=False)
+        else:
+            attempt.stage = AttemptStage.WRITTEN
+
+    def lineReceived(self, line: memoryview) -> None:
+        """Forward a line of the server, after noting what it says of the connection."""
+        if self.downstream is None:
+            self._receive_answer(line)
+            return
+        self.last_reply_time = now = self.attempt.clock()
+        command = command_of(line)
+        if command == LOAD:
+            self._report_load(line)
+        elif command == BYE:
+            self.result_if_closed = ConnectionResult.OK
+        elif command == MOVE:
+            self.result_if_closed = ConnectionResult.CANCELLED
+        elif self.sent_times:
+            self.attempt.enqueue(ReplyTimed(self.attempt.server, now - self.sent_times.popleft()))
+        self.downstream.send_line(line)
+
+    def _receive_answer(self, line: memoryview) -> None:
+        """Take the server's first line: a receipt, or anything else to reject the flow."""
+        attempt = self.attempt
+        if RECEIPT.fullmatch(line) and attempt.stage == AttemptStage.WRITTEN:
+            # Lines that arrive with the receipt are buffered until the client's connection is attached.
+            self.buffering = True
+            attempt.stage = AttemptStage.ESTABLISHED
+            self.result_if_closed = ConnectionResult.RESET
+            attempt.enqueue(ReceiptReceived(attempt.flow_id, attempt, line))
+        else:
+            # An UP without a receipt, or before our line was complete, is no answer to this request.
+            result = RESULTS_OF_ANSWERS.get(command_of(line), ConnectionResult.ERROR)
+            attempt.report_end(result, EndReason.ANSWERED)
+            self.transport.abortConnection()
+
+    def _report_load(self, line: memoryview) -> None:
+        try:
+            load = parse_number(str(line[len(LOAD) :], "ascii").strip())
+        except (InvalidValueError, UnicodeDecodeError):
+            self.attempt.counters["malformed_load_reports"] += 1
+            return
+        self.attempt.enqueue(LoadReported(self.attempt.flow_id, load))
+
+    def attach_downstream(self, downstream: LineProtocol) -> None:
+        """Forward lines to and from a client's connection from now on."""
+        self.downstream = downstream
+        self.last_reply_time = self.attempt.clock()
+        # Without keep-alive, a client that only receives and then vanishes would never be noticed.
+        downstream.transport.setTcpKeepAlive(True)
+        # Backpressure both ways: neither side is read while the other has unsent data.
+        downstream.transport.registerProducer(self.transport, streaming=True)
+        self.transport.registerProducer(downstream.transport, streaming=True)
+        self.resume_lines()
+        if self.read_closed:
+            self.peer_half_closed()
+
+    def forward(self, line: memoryview) -> None:
+        """Send a client's line to the server."""
+        now = self.attempt.clock()
+        self.last_request_time = now
+        self.sent_times.append(now)
+        self.send_line(line)
+
+    def peer_half_closed(self) -> None:
+        """Handle that the server has stopped sending."""
+        if self.downstream is not None:
+            # A line without its ending is forwarded as it is: nothing more will arrive.
+            self.downstream.transport.write(self.clearLineBuffer())
+            self.downstream.half_close()
+            self.attempt.report_end(self.result_if_closed, self._reason_if_closed(EndReason.SERVER_CLOSED))
+        elif self.attempt.stage < AttemptStage.ESTABLISHED:
+            self.attempt.report_end(self.attempt.result_if_broken(), EndReason.SERVER_CLOSED)
+            self.transport.abortConnection()
+
+    def connection_lost(self) -> None:
+        """Handle that the connection is closed or broken."""
+        if self.downstream is None:
+            self.attempt.report_end(self.attempt.result_if_broken(), EndReason.CONNECTION_LOST)
+            return
+        if not self.read_closed:
+            self.downstream.transport.abortConnection()
+        self.attempt.report_end(self.result_if_closed, self._reason_if_closed(EndReason.CONNECTION_LOST))
+
+    def _reason_if_closed(self, reason: EndReason) -> EndReason:
+        """Return `reason`, or that the client left first."""
+        return EndReason.CLIENT_LEFT if self.downstream_left else reason
+
+    def lineLengthExceeded(self, line: bytes) -> None:
+        """Close over a line that is too long."""
+        result = ConnectionResult.ERROR if self.downstream is None else ConnectionResult.RESET
+        self.attempt.report_end(result, EndReason.LINE_TOO_LONG)
+        self.transport.abortConnection()
+
+    def oldest_pending_time(self, now: float) -> float:
+        """Return for how long the client's oldest unanswered line has waited."""
+        return now - self.sent_times[0] if self.sent_times else 0.0
+
+    def client_idle_time(self, now: float) -> float:
+        """Return for how long a client that has sent lines before has sent none.
+
+        0 for a client that has never sent any: it only receives, and is not idle.
+        """
+        return now - self.last_request_time if self.last_request_time else 0.0
+
+    def server_silence(self, now: float) -> float:
+        """Return for how long the server has sent nothing though a line waits for its reply."""
+        if not self.sent_times:
+            return 0.0
+        return now - max(self.sent_times[0], self.last_reply_time)
+
+
+class _FirstLineProducer:
+    """Pull producer for the part of the first line that the socket did not take at once.
+
+    It learns from the transport when the last byte is written.
+    """
+
+    def __init__(self, connection: UpstreamConnection) -> None:
+        self.connection = connection
+
+    def resumeProducing(self) -> None:
+        """Write the rest; at the next call it has been written."""
+        attempt = self.connection.attempt
+        transport = self.connection.transport
+        if attempt.stage == AttemptStage.CONNECTING:
+            attempt.stage = AttemptStage.WRITING
+            transport.write(attempt.line)
+            return
+        if attempt.stage == AttemptStage.WRITING:
+            attempt.stage = AttemptStage.WRITTEN
+        transport.unregisterProducer()
+
+    def stopProducing(self) -> None:
+        """Do nothing: the transport is closed, which `connection_lost` reports."""
--- /dev/null
+++ b/lotusroute/net/upstream_events.py
@@ -0,0 +1,56 @@
+"""Events of connections to servers, and the stages of an attempt. Times are milliseconds."""
+
+from enum import IntEnum
+from typing import TYPE_CHECKING, NamedTuple
+
+from lotusroute.net.reasons import EndReason
+from lotusroute.routing.events import ConnectionResult
+
+if TYPE_CHECKING:
+    from lotusroute.net.upstream_attempt import UpstreamAttempt
+
+
+class AttemptStage(IntEnum):
+    """How far an attempt has come; the names in lower case are in the log."""
+
+    CONNECTING = 0
+    WRITING = 1  # of the first line
+    WRITTEN = 2  # the server may have run the request
+    ESTABLISHED = 3  # the server's receipt was read
+    OVER = 4
+
+    @property
+    def log_name(self) -> str:
+        """The stage as it is logged."""
+        return self.name.lower()
+
+
+class ReceiptReceived(NamedTuple):
+    """A server has accepted a flow."""
+
+    flow_id: int
+    attempt: "UpstreamAttempt"
+    receipt: memoryview  # the line to forward to the client
+
+
+class AttemptEnded(NamedTuple):
+    """An attempt, or the connection that it established, has ended."""
+
+    flow_id: int
+    attempt: "UpstreamAttempt"
+    result: ConnectionResult
+    reason: EndReason
+
+
+class LoadReported(NamedTuple):
+    """A server has reported the load of a connection."""
+
+    flow_id: int
+    load: float  # work per second
+
+
+class ReplyTimed(NamedTuple):
+    """A server has replied to a client's line."""
+
+    server: str
+    delay: float
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,15 +6,15 @@
 import pytest
 
 from lotusroute.net.admission import (
-    EXISTING_ACCEPT_WINDOW,
+    EXISTING_ACCEPT_WINDOW_MS,
     MAX_BACKLOG,
     AdmissionControl,
     AdmissionResult,
 )
 from lotusroute.net.downstream import parse_open_request
 from lotusroute.net.endpoint_list import EndpointUpdate
-from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD, EndpointRegistry
-from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL, MAX_CLOSED_FLOW_IDS, FlowTable
+from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD_MS, EndpointRegistry
+from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL_MS, MAX_CLOSED_FLOW_IDS, FlowTable
 from lotusroute.routing import events
 
 LIVE = events.ServiceType(300.0)
@@ -98,7 +98,7 @@
 
 
 def test_existing_connections_are_malformed_when_the_time_after_the_start_is_over(admission, loop):
-    loop.now = EXISTING_ACCEPT_WINDOW
+    loop.now = EXISTING_ACCEPT_WINDOW_MS
     assert admission.evaluate(request(at="s1")) is AdmissionResult.ACCEPTED
     loop.now += 1.0
     assert admission.evaluate(request(at="s1")) is AdmissionResult.MALFORMED
@@ -113,9 +113,9 @@
 def test_the_id_of_a_closed_flow_is_known_until_its_time_is_over(table, loop):
     (flow,) = fill(table, 1)
     table.remove(flow)
-    table.expire_closed_ids(CLOSED_FLOW_ID_TTL)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS)
     assert table.knows_id("other0") and not len(table)
-    table.expire_closed_ids(CLOSED_FLOW_ID_TTL + 1.0)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS + 1.0)
     assert not table.knows_id("other0")
 
 
@@ -150,7 +150,7 @@
             ),
             now,
         )
-    assert on_drain_started.call_count == 1 and registry.drain_deadlines == {"s1": DRAIN_MIGRATION_SPREAD}
+    assert on_drain_started.call_count == 1 and registry.drain_deadlines == {"s1": DRAIN_MIGRATION_SPREAD_MS}
     assert registry.has_address("s1") and not registry.accepts_new_flows("s1")
     assert registry.accepts_new_flows("s2")
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -126,6 +126,6 @@
         core.loop.epoch += delay
         connection = FakeConnection()
         request = parse_open_request(f"OPEN id{delay:.0f} k c=live,d=4294967,at=s9\r\n".encode())
-        core.flow_manager.request_received(RequestReceived(connection, request, core.clock()))
+        core.flow_manager.requests.request_received(RequestReceived(connection, request, core.clock()))
         assert len(core.flow_table) == flows
     assert connection.answer == b"ERR"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,8 +11,8 @@
 import pytest
 from harness import SETTINGS, Balancer, FakeServer, wait_until
 
-from lotusroute.net.draining import MIGRATION_INTERVAL, BatchMigrator
-from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD
+from lotusroute.net.draining import MIGRATION_INTERVAL_MS, BatchMigrator
+from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD_MS
 from lotusroute.net.reasons import MigrationReason
 
 
@@ -40,14 +40,13 @@
 
 def test_balancers_with_one_client_each_spread_their_migrations_though_all_get_the_list_at_once():
     # In a run 18 servers drained, 200 balancers had one or two clients of each, and all migrated in one step.
-    migrated, steps = Counter(), int(DRAIN_MIGRATION_SPREAD / MIGRATION_INTERVAL)
+    migrated, steps = Counter(), int(DRAIN_MIGRATION_SPREAD_MS / MIGRATION_INTERVAL_MS)
     for seed in range(200):
         established = [types.SimpleNamespace(number=1)]
-        flows = types.SimpleNamespace(migrate=lambda *_, established=established: established.clear())
-        migrator = BatchMigrator(flows, random.Random(seed))
+        migrator = BatchMigrator(lambda *_, established=established: established.clear(), random.Random(seed))
         for step in range(steps):
             before = len(established)
-            time_left = DRAIN_MIGRATION_SPREAD - step * MIGRATION_INTERVAL
+            time_left = DRAIN_MIGRATION_SPREAD_MS - step * MIGRATION_INTERVAL_MS
             migrator.migrate_batch(established, time_left, MigrationReason.SERVER_DRAINS)
             migrated[step] += before - len(established)
     assert sum(migrated.values()) == 200 and max(migrated.values()) <= 3 * 200 / steps
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,7 +8,9 @@
 import pytest
 from harness import Balancer, FakeServer, FakeTransport, wait_until
 
-from lotusroute.net.upstream import AttemptStage, UpstreamAttempt, UpstreamConnection
+from lotusroute.net.upstream_attempt import AttemptContext, UpstreamAttempt
+from lotusroute.net.upstream_connection import UpstreamConnection
+from lotusroute.net.upstream_events import AttemptStage
 
 
 def test_a_full_and_a_dead_server_are_retried_elsewhere_with_one_attempt_at_a_time():
@@ -124,17 +126,17 @@
 
 def new_attempt(line, clock=lambda: 0.0):
     """An attempt that reports nothing."""
-    return UpstreamAttempt(1, "s1", line, None, clock, None)
+    return UpstreamAttempt(1, "s1", line, AttemptContext(None, clock, None))
 
 
 def test_only_a_client_that_has_sent_lines_counts_as_idle():
     # Established connections that only receive were migrated each minute.
     attempt = new_attempt(b"", clock=lambda: 5_000.0)
     attempt.connection = UpstreamConnection(attempt)
-    assert attempt.client_idle_time(90_000.0) == 0.0
+    assert attempt.connection.client_idle_time(90_000.0) == 0.0
     attempt.connection.transport = FakeTransport(0)
     attempt.connection.forward(memoryview(b"M 1\r\n"))
-    assert attempt.client_idle_time(90_000.0) == 85_000.0
+    assert attempt.connection.client_idle_time(90_000.0) == 85_000.0
 
 
 FIRST_LINE = b"OPEN 1 k c=live,d=900\r\n"
