--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -8,7 +8,7 @@
 import os
 import re
 from collections.abc import Callable, Mapping
-from typing import NamedTuple, TypeVar
+from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from lotusroute.address import Address, parse_address
 from lotusroute.errors import ConfigError, InvalidValueError
@@ -17,34 +17,35 @@
 
 Value = TypeVar("Value")
 Parsed = TypeVar("Parsed")
+JsonObject: TypeAlias = dict[str, Any]  # not checked yet
 
-DEFAULT_SOCKETS = 1024.0  # descriptors: what a process usually may hold
-DEFAULT_MEMORY_MB = 1024.0  # more than all descriptors can fill
-DEFAULT_CONNECT_TIMEOUT = 250.0  # ms: a distant location and one lost packet
-DEFAULT_DRAIN_GRACE = 500.0  # ms: the least that any deployment has asked for
-DEFAULT_DEADLINE = 3_000.0  # ms, of a service type that has none
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 1024.0  # more than the default number of descriptors can fill
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # enough for a distant location and one lost packet
+DEFAULT_DRAIN_GRACE_MS = 500.0
+DEFAULT_FLOW_TIMEOUT_MS = 3_000.0  # of a service type whose `deadline` is not set
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
 
 # What a reload does with a field: it is applied, it only matters at the start, or else it needs a restart.
 APPLIED_ON_RELOAD = frozenset({"discovery", "sockets", "memory_mb"})
 USED_AT_START_ONLY = frozenset({"seed", "cached_list"})
-# The name of each field in the log's `needs_restart=`, which operators read: it outlives a renamed field.
-LOGGED_NAMES = {
+# The key of the file, or the variable, that sets each field. Operators read them in the log.
+CONFIGURATION_KEYS = {
     "name": "name",
     "listen": "listen",
     "discovery": "discovery",
     "seed": "seed",
-    "sockets": "sockets",
-    "memory_mb": "memory_mb",
-    "tenants": "tenants",
+    "sockets": "limits.sockets",
+    "memory_mb": "limits.memory_mb",
+    "tenants": "settings.tenants",
     "cached_list": "known",
-    "service": "vip",
-    "connect_timeout": "come_up",
-    "longest_connect_timeout": "longest",
-    "drain_grace": "grace",
-    "discovery_is_local_agent": "pushed",
-    "log_level": "log_level",
+    "service": "settings",
+    "connect_timeout": "settings.limits.connect_timeout",
+    "longest_connect_timeout": "settings.service_types",
+    "drain_grace": "settings.rules.stop_sending_within",
+    "discovery_is_local_agent": "settings.discovery",
+    "log_level": "LB_LOG",
 }
 
 
@@ -58,21 +59,20 @@
     sockets: int  # the limit of open descriptors
     memory_mb: float
     tenants: frozenset[str]  # those whose flows are accepted; empty accepts all
-    cached_list: dict  # the endpoint list of an earlier run, in discovery's form
+    cached_list: JsonObject  # the endpoint list of an earlier run, in discovery's format
     service: ServiceConfig
     connect_timeout: float  # ms, of one connection to a server
-    longest_connect_timeout: float  # ms, the longest deadline of any service type
-    drain_grace: float  # ms from the notice of a drain until nothing may be sent to that server
-    discovery_is_local_agent: bool  # an agent on this machine holds the endpoint list
+    longest_connect_timeout: float  # ms, within which a flow of any service type has to be established
+    drain_grace: float  # ms from the announcement of a drain until nothing may be sent to that server
+    discovery_is_local_agent: bool  # an agent on this machine has the endpoint list
     log_level: str
 
 
 def load_config(environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
     """Read the file that LB_CONFIG names and the environment.
 
-    The environment has precedence at the start. On a reload the file has: the environment is still that of
-    the start, and following its discovery address after the file named another left a balancer with an
-    endpoint list that nothing updates.
+    The environment has precedence at the start. On a reload the file has it, because the environment of a
+    process is still that of its start and may name an address of discovery that serves no more.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -94,7 +94,7 @@
     return environ.get("LB_RELAYS", "")
 
 
-def read_json_object(path: str | os.PathLike) -> dict:
+def read_json_object(path: str | os.PathLike[str]) -> JsonObject:
     """Read a file that holds a JSON object; its contents are not checked."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -106,7 +106,7 @@
     return document
 
 
-def parse_config(document: dict, environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
+def parse_config(document: JsonObject, environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
     """Check a file's contents together with the environment."""
     settings = _parse_section(document, "settings")
     flat_settings = dict(flatten(settings))
@@ -128,10 +128,10 @@
         tenants=_parse_tenants(flat_settings),
         cached_list=cached_list,
         service=service,
-        connect_timeout=_parse_setting(flat_settings, "limits.connect_timeout", DEFAULT_CONNECT_TIMEOUT),
-        longest_connect_timeout=_parse_longest_deadline(settings, flat_settings),
+        connect_timeout=_parse_setting(flat_settings, "limits.connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS),
+        longest_connect_timeout=_parse_longest_timeout(settings, flat_settings),
         drain_grace=_parse_setting(
-            flat_settings, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE, zero_allowed=True
+            flat_settings, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE_MS, zero_allowed=True
         ),
         discovery_is_local_agent=flat_settings.get("discovery") == "push",
         log_level=log_level,
@@ -139,20 +139,20 @@
 
 
 def settings_needing_restart(old: BalancerConfig, new: BalancerConfig) -> list[str]:
-    """Return the logged names of the fields that have changed and that a running balancer cannot apply."""
+    """Return the keys of what has changed and a running balancer cannot apply."""
     changed = [field for field in BalancerConfig._fields if getattr(old, field) != getattr(new, field)]
     without_restart = APPLIED_ON_RELOAD | USED_AT_START_ONLY
-    return [LOGGED_NAMES[field] for field in changed if field not in without_restart]
+    return [CONFIGURATION_KEYS[field] for field in changed if field not in without_restart]
 
 
-def _parse_section(document: dict, key: str) -> dict:
+def _parse_section(document: JsonObject, key: str) -> JsonObject:
     section = document.get(key) or {}
     if not isinstance(section, dict):
         raise ConfigError(f"{key}: not a JSON object")
     return section
 
 
-def _parse_service(settings: dict, flat_settings: Mapping[str, str]) -> ServiceConfig:
+def _parse_service(settings: JsonObject, flat_settings: Mapping[str, str]) -> ServiceConfig:
     service = _parse_keyed("settings", parse_service_config, flat_settings)
     service_types = settings.get("service_types")
     if not (service.service_types and isinstance(service_types, list)):
@@ -163,7 +163,7 @@
     return service._replace(reports_latency=False)
 
 
-def _parse_cached_list(document: dict) -> dict:
+def _parse_cached_list(document: JsonObject) -> JsonObject:
     cached_list = document.get("known") or {"seq": 0, "hosts": []}
     if not (isinstance(cached_list, dict) and isinstance(cached_list.get("hosts"), list)):
         raise ConfigError("known: not a server list")
@@ -181,12 +181,12 @@
     return frozenset(name for path, name in flat_settings.items() if TENANT_NAME_PATH.fullmatch(path))
 
 
-def _parse_longest_deadline(settings: dict, flat_settings: Mapping[str, str]) -> float:
+def _parse_longest_timeout(settings: JsonObject, flat_settings: Mapping[str, str]) -> float:
     paths = [f"service_types.{index}.deadline" for index in range(len(settings["service_types"]))]
-    return max(_parse_setting(flat_settings, path, DEFAULT_DEADLINE) for path in paths)
+    return max(_parse_setting(flat_settings, path, DEFAULT_FLOW_TIMEOUT_MS) for path in paths)
 
 
-def _parse_text(key: str, document: dict, environ: Mapping[str, str], reloading: bool) -> str:
+def _parse_text(key: str, document: JsonObject, environ: Mapping[str, str], reloading: bool) -> str:
     """Read a text of the file that an environment variable may override."""
     variable = f"LB_{key.upper()}"
     from_environment = environ.get(variable)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The balancer's own configuration: what of it is logged by name."""
+"""The balancer's own configuration: the keys that a reload logs for what needs a restart."""
 
 import pytest
 
@@ -6,30 +6,38 @@
 
 SETTINGS = {"service_types": [{"name": "live"}]}
 DOCUMENT = {"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
-LOGGED_NAMES = (
-    "name listen discovery seed sockets memory_mb tenants known vip come_up longest grace pushed log_level"
+KEYS = (
+    "name listen discovery seed limits.sockets limits.memory_mb settings.tenants known settings "
+    "settings.limits.connect_timeout settings.service_types settings.rules.stop_sending_within "
+    "settings.discovery LB_LOG"
 )
 
 
-def test_each_field_keeps_the_name_by_which_operators_know_it_in_the_log():
-    assert " ".join(config.LOGGED_NAMES[field] for field in config.BalancerConfig._fields) == LOGGED_NAMES
-    assert len(config.LOGGED_NAMES) == len(config.BalancerConfig._fields)
+def test_each_field_is_logged_under_the_key_that_sets_it():
+    assert " ".join(config.CONFIGURATION_KEYS[field] for field in config.BalancerConfig._fields) == KEYS
+    assert len(config.CONFIGURATION_KEYS) == len(config.BalancerConfig._fields)
 
 
 @pytest.mark.parametrize(
-    "changes, logged",
+    "changes, keys",
     [
         ({}, []),
         ({"name": "n2", "listen": "127.0.0.1:3"}, ["name", "listen"]),
         ({"discovery": "127.0.0.1:4", "limits": {"sockets": 2, "memory_mb": 3}}, []),
         ({"seed": "5eed", "known": {"seq": 9, "hosts": []}}, []),
-        ({"settings": {**SETTINGS, "tenants": [{"name": "t"}], "siblings": 2}}, ["tenants", "vip"]),
-        ({"settings": {**SETTINGS, "limits": {"connect_timeout": 90}}}, ["come_up"]),
-        ({"settings": {"service_types": [{"name": "live", "deadline": 900}]}}, ["longest"]),
-        ({"settings": {**SETTINGS, "rules": {"stop_sending_within": 90}}}, ["grace"]),
-        ({"settings": {**SETTINGS, "discovery": "push"}}, ["pushed"]),
+        (
+            {"settings": {**SETTINGS, "tenants": [{"name": "t"}], "siblings": 2}},
+            ["settings.tenants", "settings"],
+        ),
+        ({"settings": {**SETTINGS, "limits": {"connect_timeout": 90}}}, ["settings.limits.connect_timeout"]),
+        ({"settings": {"service_types": [{"name": "live", "deadline": 900}]}}, ["settings.service_types"]),
+        (
+            {"settings": {**SETTINGS, "rules": {"stop_sending_within": 90}}},
+            ["settings.rules.stop_sending_within"],
+        ),
+        ({"settings": {**SETTINGS, "discovery": "push"}}, ["settings.discovery"]),
     ],
 )
-def test_a_reload_logs_these_names_for_what_a_running_balancer_cannot_apply(changes, logged):
+def test_a_reload_logs_the_keys_of_what_a_running_balancer_cannot_apply(changes, keys):
     old, new = config.parse_config(DOCUMENT, {}), config.parse_config({**DOCUMENT, **changes}, {})
-    assert config.settings_needing_restart(old, new) == logged
+    assert config.settings_needing_restart(old, new) == keys
