--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -1,15 +1,15 @@
-"""Starts one balancer: loads the configuration, opens the sockets, handles signals and stops in order.
+"""Runs one balancer: loads the configuration, opens the sockets, handles signals and shuts down.
 
 SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the configuration, SIGUSR1 prints the counters. The
-exit code is 0 after a graceful shutdown and 2 where the start fails. With arguments it is a command of
+exit code is 0 after a graceful shutdown and 2 if the start fails. With arguments it is a command of
 `lotusroute.cli`.
 """
 
 import signal
 import sys
 
-# Signals that come while the rest is still being imported are handled once the reactor runs: by default they
-# ended the program. The configuration is read after this, so that no change of it is missed.
+# The default action of these signals ends the program. Those that arrive during the imports are handled when
+# the reactor runs. The configuration is read after this, so that no change of it is missed.
 EARLY_SIGNALS: list[int] = []
 
 
@@ -25,7 +25,7 @@
 
 monotonic_reactor.install()
 
-# Nothing may import Twisted's reactor before ours is installed, and the signals come first.
+# The signals and the reactor have to be installed before the other modules are imported.
 # ruff: noqa: E402, I001
 import gc
 import logging
@@ -48,19 +48,22 @@
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
 
-# Objects, and younger generations' collections, between collections: one every few hundred flows.
+# Allocated objects between collections of the first generation, then collections of each generation between
+# those of the next.
 GC_THRESHOLDS = (5_000, 20, 20)
-FIRST_LIST_TIMEOUT = 1.0  # s that the listener waits at most for discovery's first answer
-LISTEN_BACKLOG = 1024  # connections that may wait to be accepted when all clients of a peer reconnect at once
-EXIT_BAD_START = 2
+FIRST_RESPONSE_TIMEOUT_S = 1.0  # for which the listener waits for discovery's first response
+LISTEN_BACKLOG = 1024  # room for all clients of a failed peer, which reconnect at once
+EXIT_START_FAILED = 2
 
 
 class Balancer(NamedTuple):
-    """The parts of a running balancer that its signals reach."""
+    """The parts of a running balancer that signals act on."""
 
     listener: Listener
     session: DiscoverySession
-    shut_down: Callable[[Callable[[], None]], None]  # drains all flows, then calls its argument
+    shut_down: Callable[
+        [Callable[[], None]], None
+    ]  # finishes and migrates all flows, then calls its argument
 
 
 def main() -> int:
@@ -68,14 +71,15 @@
     if len(sys.argv) > 1:
         from lotusroute.cli import root_group
 
-        return root_group(prog_name="lotusroute")
+        exit_code: int = root_group(prog_name="lotusroute")
+        return exit_code
     counters = structured_log.Counters()
     try:
         balancer = build_balancer(counters)
         fleet = start_optional_parts(balancer.session, counters)
     except InvalidValueError as error:
         print(f"lotusroute: {error}", file=sys.stderr)
-        return EXIT_BAD_START
+        return EXIT_START_FAILED
     tune_garbage_collection()
     install_signal_handlers(balancer, fleet, counters)
     reactor.run(installSignalHandlers=False)
@@ -84,7 +88,7 @@
 
 
 def build_balancer(counters: structured_log.Counters) -> Balancer:
-    """Load the configuration and open the listener; raises InvalidValueError where either fails."""
+    """Load the configuration and open the listener; raises InvalidValueError if either fails."""
     balancer_config = config.load_config(os.environ)
     cached_list = parse_cached_list(balancer_config)
     structured_log.configure_logging(balancer_config.log_level)
@@ -106,8 +110,7 @@
 
 def open_listener(address: Address, downstream: DownstreamFactory) -> Listener:
     """Listen for clients; raises ConfigError where the address cannot be used."""
-    host, port = address
-    listener = Listener(port, downstream, LISTEN_BACKLOG, host, reactor)
+    listener = Listener(address.port, downstream, LISTEN_BACKLOG, address.host, reactor)
     try:
         listener.startListening()
     except twisted_error.CannotListenError as error:
@@ -116,20 +119,20 @@
 
 
 def follow_discovery(session: DiscoverySession, listener: Listener) -> None:
-    """Follow discovery once the reactor runs; clients are accepted from its first answer or a timeout on.
+    """Follow discovery when the reactor runs; accept clients after its first response or a timeout.
 
-    The cached list may be old, while discovery's changes count as known from our first moment: without the
-    wait, first flows went to servers that had drained long ago.
+    The cached list may be old, and changes that discovery had before the start of this process count as
+    received: the first flows must not go to servers that have drained.
     """
     listener.stopReading()
-    reactor.callLater(FIRST_LIST_TIMEOUT, listener.startReading)
+    reactor.callLater(FIRST_RESPONSE_TIMEOUT_S, listener.startReading)
     reactor.callWhenRunning(session.follow, listener.startReading)
 
 
 def start_optional_parts(
     session: DiscoverySession, counters: structured_log.Counters
 ) -> "LeaseService | None":
-    """Start the fleet or the relay client where it is configured; else nothing of them is imported."""
+    """Start the fleet or the relay subscription if it is configured; otherwise import nothing of them."""
     fleet_path = config.fleet_config_path(os.environ)
     if fleet_path:
         return start_fleet(fleet_path, session, counters)
@@ -153,7 +156,7 @@
         session.update_source = shared_discovery.SharedDiscovery(fleet)
 
     def log_listen_failure(reason: Failure) -> None:
-        # Without its peers this balancer serves as it does without the file.
+        # A balancer without its peers serves as one without the file does.
         structured_log.log_event("fleet listen failed", logging.WARNING, reason=str(reason.value))
 
     def start() -> None:
@@ -164,7 +167,7 @@
 
 
 def start_relay_subscription(path: str, session: DiscoverySession, counters: structured_log.Counters) -> None:
-    """Take discovery's updates from a relay that the file names."""
+    """Subscribe to endpoint updates at a relay that the file names."""
     try:
         from lotusroute.relay import config as relays_config
         from lotusroute.relay import subscription
@@ -177,7 +180,7 @@
 
 
 def tune_garbage_collection() -> None:
-    """Exempt the objects of the start from collection, and collect seldom: a full collection stalls us."""
+    """Exempt the objects of the start from garbage collection, and collect rarely: it stalls the process."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
@@ -185,12 +188,11 @@
 def install_signal_handlers(
     balancer: Balancer, fleet: "LeaseService | None", counters: structured_log.Counters
 ) -> None:
-    """Handle signals in the reactor, first those that came before it ran."""
+    """Handle signals in the reactor, first those that arrived before it ran."""
     stop = partial(shut_down, balancer, fleet)
     handlers: dict[int, Callable[[], None]] = {
         signal.SIGTERM: stop,
         signal.SIGINT: stop,
-        # By default SIGHUP ended the program and every client, when only discovery's address had changed.
         signal.SIGHUP: balancer.session.reload,
         signal.SIGUSR1: counters.print,
     }
@@ -205,7 +207,7 @@
 
 
 def shut_down(balancer: Balancer, fleet: "LeaseService | None") -> None:
-    """Release the fleet's leases, drain all flows and stop the reactor."""
+    """Release the fleet's leases, finish and migrate all flows and stop the reactor."""
     balancer.listener.startReading()
     if fleet is not None:
         fleet.stop()
--- a/lotusroute/net/__init__.py
+++ b/lotusroute/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets: clients before it, servers behind it, discovery beside it."""
+"""The balancer process: its sockets to clients, servers and discovery, and the life of each flow."""
--- a/lotusroute/net/clock_monitor.py
+++ b/lotusroute/net/clock_monitor.py
@@ -1,7 +1,7 @@
-"""Watches the machine's two clocks and the timers, and reports what makes them untrustworthy.
+"""Watches the machine's two clocks and the timers, and reports steps and delays.
 
 The wall clock may be stepped at any time; the monotonic clock is never. Nothing is decided here: steps of the
-wall clock and late timers are logged and counted, for whoever reads the logs of an incident. All times are
+wall clock and late timers are logged and counted, for whoever reads the logs of an incident. Times are
 milliseconds.
 """
 
@@ -21,7 +21,7 @@
 class ClockMonitor:
     """Compares the clocks, and a periodic timer with the time at which it was due.
 
-    `observe` is called for every batch of events, so that late timers show in the log before they fire.
+    `observe` is called for every batch of events, so that late timers appear in the log before they fire.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         self._due_at = math.inf  # of the periodic timer; infinity once its delay is reported
 
     def expect_timer(self, delay: float) -> None:
-        """Note that the periodic timer was set to fire in `delay` ms."""
+        """Record that the periodic timer was set to fire after a delay."""
         self._due_at = self._monotonic() + delay
 
     def observe(self) -> None:
-        """Log and count a step of the wall clock since the last look, and a periodic timer that is late."""
+        """Log and count a step of the wall clock since the last call, and a periodic timer that is late."""
         now = self._monotonic()
         offset = self._wall() - now
         step = offset - self._offset
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -1,8 +1,10 @@
-"""Downstream connections: those that clients, or the load balancer in front of us, open to this balancer.
+"""Downstream connections: those that clients, or the front, open to this balancer.
 
-A `DownstreamConnection` reads the client's first line, reports it as `RequestReceived`, writes the one final
-answer or, once the flow is established, forwards lines to the server's connection. It chooses no server, and
-once a flow is reported its answer is left to whoever took the report.
+A `DownstreamConnection` reads the client's first line and reports it as `RequestReceived`. It writes the one
+final answer or, when the flow is established, forwards lines to the server's connection. It chooses no
+server, and the handler of a reported request decides on the answer.
+
+Twisted's timeouts are in seconds, all other times in milliseconds.
 """
 
 import logging
@@ -20,9 +22,9 @@
 from lotusroute.net.upstream_attempt import UpstreamAttempt
 
 FIRST_LINE_TIMEOUT_S = 2.0  # from connecting to a complete first line; the protocol allows 3 s
-MAX_HEALTH_CHECKS = 16  # PINGs on one connection: the balancer in front sends one, an endless row costs CPU
+MAX_HEALTH_CHECKS = 16  # on one connection; the front sends one
 LINGER_TIMEOUT_S = 1.0  # for the client to close after its last line, by the protocol
-MAX_DISCARDED = 16_384  # bytes read and discarded after our last line; then reading stops
+MAX_DISCARDED_BYTES = 16_384  # read and discarded after our last line; then reading stops
 
 
 class RequestReceived(NamedTuple):
@@ -30,11 +32,11 @@
 
     connection: "DownstreamConnection"
     request: OpenRequest
-    received_at: float  # ms of the event loop's clock
+    received_at: float  # by the event loop's clock
 
     @property
     def flow_id(self) -> int:
-        """The flow's id, or 0 while it has none."""
+        """The flow's number, or 0 before it is admitted."""
         return self.connection.flow_id
 
 
@@ -47,32 +49,32 @@
 class ConnectionManager(Protocol):
     """What a connection needs from the factory that accepted it."""
 
-    enqueue: Callable[[object], None]  # takes the messages of this module
-    clock: Callable[[], float]  # ms
-    ready: Callable[[], bool]  # whether flows can be taken: the answer to a health check
-    counters: Counter
+    enqueue: Callable[[object], None]  # takes the events of this module
+    clock: Callable[[], float]
+    ready: Callable[[], bool]  # returns whether flows can be served: the answer to a health check
+    counters: Counter[str]
 
     def admit(self, connection: "DownstreamConnection") -> None:
-        """Take a new connection, or reject it."""
+        """Admit a new connection, or reject it."""
 
     def mark_active(self, connection: "DownstreamConnection") -> None:
-        """The connection has requested a flow."""
+        """Record that the connection has requested a flow."""
 
     def mark_lingering(self, connection: "DownstreamConnection") -> None:
-        """The connection was sent its last line."""
+        """Record that the connection was sent its last line."""
 
     def is_idle(self, connection: "DownstreamConnection") -> bool:
-        """Whether the connection has no flow."""
+        """Return whether the connection has no flow."""
 
     def discard(self, connection: "DownstreamConnection") -> None:
-        """The connection is closed."""
+        """Forget a connection that is closed."""
 
 
 class DownstreamConnection(LineProtocol):
-    """One connection from a client or from the load balancer in front of us."""
+    """One connection from a client or from the front."""
 
-    factory: ConnectionManager  # type: ignore[assignment]  # Twisted has any factory here, or none
-    # Of a client that should wait for its answer: what it sends early hides that it disconnects.
+    factory: ConnectionManager  # type: ignore[assignment]  # Twisted declares any factory, or none
+    # The protocol has clients wait for their answer; unread data would hide that a client disconnects.
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
@@ -85,10 +87,9 @@
         self.reads = 0
 
     def connectionMade(self) -> None:
-        """Start the time for the first line."""
+        """Start the timeout of the first line."""
         super().connectionMade()
-        # Not restarted before the first line is complete: a client that sends byte by byte must not keep a
-        # descriptor.
+        # Data does not restart it: a client that sends byte by byte must not keep its descriptor.
         self.setTimeout(FIRST_LINE_TIMEOUT_S)
         self.factory.admit(self)
 
@@ -96,15 +97,15 @@
         """Read lines, or discard what comes after the final answer."""
         self.reads += 1
         if self.upstream is None and self.answered:
-            # Buffered, it grew to 60 MB, copied with each read.
+            # A buffer would grow without limit.
             self.discarded_bytes += len(data)
-            if self.discarded_bytes > MAX_DISCARDED:
+            if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.transport.pauseProducing()
             return
         super().dataReceived(data)
 
     def lineReceived(self, line: memoryview) -> None:
-        """Forward a line of an established flow; else take the first line."""
+        """Forward a line of an established flow; otherwise handle it as a first line."""
         if self.upstream is not None:
             self.upstream.connection.forward(line)
         elif self.answered:
@@ -122,7 +123,7 @@
         except ProtocolError:
             self.reject_malformed()
             return
-        # Lines that the client sends before its answer are buffered until the server's connection is up.
+        # Lines that the client sends before its answer are buffered until the flow is established.
         self.buffering = True
         self.setTimeout(None)
         self.factory.mark_active(self)
@@ -135,21 +136,21 @@
         self.send_final_answer(ERR)
 
     def buffer_overflowed(self) -> None:
-        """Reject a client that sends on without waiting for its answer, against the protocol.
+        """Reject a client that sends without waiting for its answer, against the protocol.
 
-        Without reading further its disconnect would not be seen and its flow forwarded; reading on would
-        fill the memory.
+        If reading stopped, its disconnect would go unnoticed and its flow would be forwarded; if reading went
+        on, the buffer would fill the memory.
         """
         if self.answered:
             super().buffer_overflowed()
             return
         self.factory.counters["early_data_overflows"] += 1
-        self.disconnected = True  # for the receiver of the request, who may not have taken it yet
+        self.disconnected = True  # for the handler of the request, which may still be queued
         self.reject_malformed()
         self._report_closed()
 
     def read_pending(self) -> bool:
-        """Read what the socket holds now, up to the buffer's limit; whether the client may still be there."""
+        """Read what the socket holds, up to a limit; return whether the client may still be connected."""
         reads = -1
         while self.transport.connected and not self.read_closed and not self.answered and reads != self.reads:
             reads = self.reads
@@ -158,20 +159,20 @@
         return not (self.read_closed or self.disconnected)
 
     def has_disconnected(self) -> bool:
-        """Whether a client that waits for its answer has disconnected.
+        """Return whether a client that waits for its answer has disconnected.
 
-        Looks into the socket: a close that arrived while the process was suspended, or together with the
+        Reads the socket first: a close that arrived while the process was suspended, or together with the
         event being handled, has not been read yet.
         """
         if self.read_pending():
             return False
         if not self.answered:
-            # One that was rejected over what was just read lingers, so that no reset overtakes its answer.
+            # A client rejected over what was just read lingers, so that no reset overtakes its answer.
             self._handle_disconnect()
         return True
 
     def _has_requested_flow(self) -> bool:
-        """Whether the first line is in, read or still in the socket: the process may have been suspended."""
+        """Return whether the first line has arrived; after a suspension it may still be in the socket."""
         self.read_pending()
         return not self.factory.is_idle(self)
 
@@ -186,7 +187,7 @@
             self.factory.enqueue(DownstreamClosed(self.flow_id))
 
     def has_pending_answer(self) -> bool:
-        """Whether a request has begun to arrive and is not answered, or the last line is not yet written."""
+        """Return whether a request, or a part of one, is unanswered or the last line is not written yet."""
         return self.has_unsent_data() or (not self.answered and self.has_buffered_data())
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -198,7 +199,7 @@
             self.reject_malformed()
 
     def send_final_answer(self, answer: bytes) -> None:
-        """Write the one answer of a flow that is not established, then close."""
+        """Write the one answer of a flow that is not established, and close."""
         if self.answered:
             return
         self.answered = True
@@ -207,7 +208,7 @@
         self.half_close()
 
     def attach_upstream(self, attempt: UpstreamAttempt, receipt: memoryview) -> None:
-        """Forward the server's receipt and, from now on, all lines."""
+        """Forward the server's receipt and from now on all lines."""
         self.answered = True
         self.send_line(receipt)
         self.upstream = attempt
@@ -217,7 +218,7 @@
             attempt.downstream_half_closed(self.clearLineBuffer())
 
     def send_migrate(self) -> None:
-        """Tell the client to connect anew, after the last complete line, and close."""
+        """Ask the client to reconnect, after the last complete line, and close."""
         self.upstream = None
         self.write_all(MOVE + LINE_END)
         self.half_close()
@@ -227,8 +228,8 @@
         super().half_close()
         self.clearLineBuffer()
         self.factory.mark_lingering(self)
-        # What a client sends now is read and discarded: with unread data, our close would become a reset
-        # that overtakes the last line.
+        # What a client sends now is read and discarded: with unread data, our close would become a reset,
+        # which overtakes the last line.
         self.setTimeout(LINGER_TIMEOUT_S)
         if self.read_closed:
             self.transport.loseConnection()
@@ -236,7 +237,7 @@
             self.transport.resumeProducing()
 
     def peer_half_closed(self) -> None:
-        """The client has stopped sending."""
+        """Handle that the client has stopped sending."""
         if self.upstream is not None:
             self.upstream.downstream_half_closed(self.clearLineBuffer())
             self._report_closed()
@@ -257,19 +258,19 @@
         self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Free the descriptor now: an iteration later a connection storm has taken those others need."""
+        """Close at once, to free the descriptor within this iteration of the reactor."""
         if not self.answered:
             if self._has_requested_flow():
                 return
             self.transport.writeSomeData(BUSY + LINE_END)
         elif self.has_unsent_data():
-            # Its last line, perhaps a MOVE, is not written yet; it lingers for `LINGER_TIMEOUT_S` at most.
+            # The last line, perhaps a MOVE, is not written yet; the connection lingers only briefly.
             return
         self.factory.counters["idle_connections_evicted"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
 
     def connection_lost(self) -> None:
-        """The connection is closed or broken."""
+        """Handle that the connection is closed or broken."""
         self.disconnected = True
         self.factory.discard(self)
         if self.upstream is not None and not self.read_closed:
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -2,7 +2,7 @@
 
 `LineProtocol` cuts what a socket delivers into lines that end in CRLF and passes each on as a slice
 (`memoryview`) of the buffer that it was read into: no complete line is copied on its way in. The module also
-holds the words of the protocol and its limits, in bytes. It knows neither clients nor servers.
+holds the commands of the protocol and its limits, in bytes. It knows neither clients nor servers.
 """
 
 import re
@@ -17,11 +17,11 @@
 
 from lotusroute.net.structured_log import log_exception
 
-MAX_LINE_LENGTH = 4096  # bytes of a line with its ending, by the protocol
-# Bytes read at once, and that may wait to be written: with Twisted's 64 KiB each way, a balancer at its limit
-# of connections took 90 MB.
-SOCKET_BUFFER_SIZE = 8_192
-MAX_COMMAND_LENGTH = 12  # bytes of a line in which its command is looked for; the longest has 4
+MAX_LINE_LENGTH = 4096  # with the line ending, by the protocol
+# Read at once, and the most that may wait to be written. With Twisted's 64 KiB, a balancer at its limit of
+# connections would exceed its memory.
+SOCKET_BUFFER_BYTES = 8_192
+MAX_COMMAND_LENGTH = 12  # the start of a line in which its command is looked for
 
 PING = b"PING"
 PONG = b"PONG"
@@ -47,11 +47,11 @@
 
 @implementer(IHalfCloseableProtocol)
 class LineProtocol(LineReceiver, TimeoutMixin):
-    """A `LineReceiver` whose `lineReceived` gets slices with their line ending, ready to be forwarded."""
+    """A `LineReceiver` whose `lineReceived` takes slices with their line ending, ready to be forwarded."""
 
-    transport: Any  # a TCP connection; Twisted declares it without what TCP adds to a transport
+    transport: Any  # a TCP connection; Twisted declares an interface without the methods of TCP
     MAX_LENGTH = MAX_LINE_LENGTH
-    MAX_BUFFERED = MAX_LINE_LENGTH  # bytes that may arrive while lines are buffered
+    MAX_BUFFERED = MAX_LINE_LENGTH  # the most that may arrive while lines are buffered
     buffering = False  # lines are buffered, not passed on, while this is set; the socket is still read
     read_closed = False  # the other end has stopped sending
     write_closed = False  # this end has stopped sending
@@ -59,10 +59,10 @@
     def connectionMade(self) -> None:
         """Set the socket's options."""
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = SOCKET_BUFFER_SIZE
+        self.transport.bufferSize = SOCKET_BUFFER_BYTES
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on the complete lines in `data`; the rest is copied, as it has to outlive its buffer."""
+        """Pass on the complete lines in `data`; the rest is copied, because it has to outlive its buffer."""
         if self._busyReceiving:
             self._buffer += data
             return
@@ -82,7 +82,7 @@
                 start = end
                 self.lineReceived(line)
         except Exception:
-            # Whatever a line triggered ends its own connection, not the balancer.
+            # An exception ends the connection whose line triggered it, not the balancer.
             log_exception("connection failed", kind=type(self).__name__)
             self.transport.abortConnection()
             return
@@ -94,7 +94,7 @@
             self._check_buffer_limit()
 
     def _check_buffer_limit(self) -> None:
-        """Report lines that are buffered beyond their limit, or a line that is too long."""
+        """Call the handler for lines buffered beyond their limit, or for a line that is too long."""
         if self.buffering or self.paused:
             if len(self._buffer) > self.MAX_BUFFERED:
                 self.buffer_overflowed()
@@ -102,30 +102,30 @@
             self.lineLengthExceeded(self._buffer)
 
     def has_buffered_data(self) -> bool:
-        """Whether something was received that has not been passed on: lines, or a part of one."""
+        """Return whether something was received that has not been passed on: lines, or a part of one."""
         return bool(self._buffer)
 
     def buffer_overflowed(self) -> None:
-        """More than `MAX_BUFFERED` bytes are buffered: stop reading until `resume_lines`."""
+        """Stop reading until `resume_lines`, because more than `MAX_BUFFERED` bytes are buffered."""
         self.transport.pauseProducing()
 
     def has_unsent_data(self) -> bool:
-        """Whether data waits in the transport to be written."""
-        # Twisted has no public way to ask this: data of `write` waits in `_tempDataBuffer` until the next
+        """Return whether data waits in the transport to be written."""
+        # Twisted has no public attribute for this: `write` puts data into `_tempDataBuffer`, and the next
         # attempt to write moves it to `dataBuffer`. This is the only place that reads either of them.
         return bool(self.transport.dataBuffer or self.transport._tempDataBuffer)
 
     def write_now(self, data: bytes) -> bytes:
         """Write at once what the socket takes and return the rest.
 
-        Nothing is written while the transport has unsent data. Leaving each small write to the reactor took
-        one more iteration and two calls of epoll: a third of the latency of a line.
+        Nothing is written while the transport has unsent data. Leaving small writes to the reactor would take
+        one more iteration and two calls of epoll for each.
         """
         transport = self.transport
         if not transport.connected or self.has_unsent_data():
             return data
         sent = transport.writeSomeData(data)
-        # A broken connection is an exception here; writing the rest lets the transport find out by itself.
+        # For a broken connection `sent` is an exception; writing the rest lets the transport find out itself.
         return data[sent:] if isinstance(sent, int) else data
 
     def write_all(self, data: bytes) -> None:
@@ -136,8 +136,8 @@
     def send_line(self, line: memoryview) -> None:
         """Write a slice.
 
-        Twisted's transports take only `bytes` and keep them until they are written, so this is where a line
-        is copied, unless it is all that its buffer holds, which is nearly always so.
+        Twisted's transports take only `bytes` and keep them until they are written. So the line is copied
+        here, unless it is all that its buffer holds, which is the usual case.
         """
         buffer: bytes = line.obj  # type: ignore[assignment]  # what `dataReceived` got
         self.write_all(buffer if len(line) == len(buffer) else bytes(line))
@@ -150,35 +150,35 @@
         self.dataReceived(b"")
 
     def readConnectionLost(self) -> None:
-        """Twisted: the other end has stopped sending."""
+        """Handle that the other end has stopped sending."""
         self.read_closed = True
         self.peer_half_closed()
         if self.write_closed:
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Twisted: our own half is closed."""
+        """Handle that our own half is closed."""
         if self.read_closed:
             self.transport.loseConnection()
 
     def half_close(self) -> None:
-        """Stop sending once all is written; the connection closes when the other end has stopped too."""
+        """Stop sending when all is written; the connection closes when the other end has stopped too."""
         if not self.write_closed and self.transport is not None and self.transport.connected:
             self.write_closed = True
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection is closed or broken."""
+        """Cancel the timeout and report that the connection is closed or broken."""
         self.setTimeout(None)
         self.connection_lost()
 
     def timeoutConnection(self) -> None:
-        """`TimeoutMixin`: the time set by `setTimeout` is over."""
+        """Close when the time set by `setTimeout` has passed."""
         self.transport.abortConnection()
 
     def peer_half_closed(self) -> None:
-        """Called when the other end has stopped sending."""
+        """Handle that the other end has stopped sending."""
 
     def connection_lost(self) -> None:
-        """Called once when the connection is closed or broken."""
+        """Handle, once, that the connection is closed or broken."""
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -1,8 +1,8 @@
 """Accepting downstream connections within the limit of file descriptors.
 
-`DownstreamFactory` counts the descriptors of all downstream connections, two for one with a flow (the
-client's and the server's). Beyond the limit it evicts idle connections, the oldest first, and sheds new ones
-that still find no descriptor. `Listener` is the listening socket.
+`DownstreamFactory` counts the descriptors of all downstream connections: two for one with a flow (the
+client's and the server's), one for any other. Beyond the limit it evicts idle connections, the oldest first,
+and sheds new ones if that does not suffice. `Listener` is the listening socket.
 """
 
 from collections import Counter
@@ -15,15 +15,14 @@
 from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import BUSY
 
-# Connections accepted in one iteration of the reactor, so that a connection storm shares the CPU with others.
-ACCEPTS_PER_ITERATION = 16
-# Descriptors kept for discovery, the log and the reactor: one in 16, 32 at least.
+ACCEPTS_PER_ITERATION = 16  # of the reactor, which serves all other sockets in between
+# A fraction of the descriptors is reserved for discovery, the log and the reactor.
 RESERVED_DESCRIPTOR_DIVISOR = 16
 MIN_RESERVED_DESCRIPTORS = 32
 
 
 class DownstreamFactory(ServerFactory):
-    """Admits downstream connections and knows those that are open."""
+    """Admits downstream connections and keeps track of those that are open."""
 
     noisy = False
 
@@ -33,34 +32,34 @@
         clock: Callable[[], float],
         ready: Callable[[], bool],
         sockets: int,
-        counters: Counter,
+        counters: Counter[str],
     ) -> None:
-        """`enqueue` takes the connections' messages; `sockets` is the process's limit of descriptors."""
+        """`enqueue` takes the connections' events; `sockets` is the process's limit of descriptors."""
         self.enqueue = enqueue
         self.clock = clock
         self.ready = ready
         self.counters = counters
         self.connections: set[DownstreamConnection] = set()  # open; removed when closed
-        self.idle: dict[DownstreamConnection, None] = {}  # those of them without a flow, the oldest first
+        self.idle: dict[DownstreamConnection, None] = {}  # those without a flow, the oldest first
         self.descriptor_limit = 1
         self.set_descriptor_limit(sockets)
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """Take connections for so many descriptors, less those that are reserved."""
+        """Admit connections for so many descriptors, less those that are reserved."""
         reserved = max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DESCRIPTOR_DIVISOR)
         self.descriptor_limit = max(1, sockets - reserved - ACCEPTS_PER_ITERATION)
 
     def admit(self, connection: DownstreamConnection) -> None:
-        """Take a new connection: it may bring a flow, so idle ones give up their descriptors for it.
+        """Admit a new connection, or reject it where no descriptor is free.
 
-        Without the eviction, hundreds that connected and sent nothing had ordinary clients rejected.
+        It may bring a flow, so idle connections are evicted for it.
         """
         self.connections.add(connection)
         self.idle[connection] = None
         if self._exceeds_limit():
             self._evict_idle(keep=connection)
         if self._exceeds_limit():
-            # Accepting until no descriptor is left would lose flows unanswered.
+            # With no descriptor left, flows could not be answered at all.
             self.counters["load_shed"] += 1
             connection.send_final_answer(BUSY)
 
@@ -76,28 +75,28 @@
         return descriptors > self.descriptor_limit
 
     def mark_active(self, connection: DownstreamConnection) -> None:
-        """The connection has requested a flow."""
+        """Record that the connection has requested a flow."""
         self.idle.pop(connection, None)
 
     def mark_lingering(self, connection: DownstreamConnection) -> None:
-        """The connection was sent its last line: it is the youngest of the idle ones."""
+        """Record that the connection was sent its last line: it is the youngest of the idle ones."""
         if connection in self.connections:
             self.idle.pop(connection, None)
             self.idle[connection] = None
 
     def is_idle(self, connection: DownstreamConnection) -> bool:
-        """Whether the connection has no flow."""
+        """Return whether the connection has no flow."""
         return connection in self.idle
 
     def discard(self, connection: DownstreamConnection) -> None:
-        """The connection is closed."""
+        """Forget a connection that is closed."""
         self.connections.discard(connection)
         self.idle.pop(connection, None)
 
     def accept_pending(self, listener: "Listener") -> bool:
-        """Accept all that wait and read the idle connections' sockets, before the process ends.
+        """Accept all waiting connections and read the idle connections' sockets, before the process ends.
 
-        Returns whether a connection is still owed an answer or its last line.
+        Returns whether a connection still waits for an answer or its last line.
         """
         accepted = -1
         while accepted != self.counters["connections"]:
@@ -118,13 +117,13 @@
 class Listener(tcp.Port):
     """The listening socket, which accepts few connections in an iteration of the reactor.
 
-    Twisted adapts the number to the load: after a burst it accepted hundreds before it read the first, and
-    had to close ordinary clients unread.
+    Twisted adapts the number to the load. After a burst it accepts hundreds before it reads the first, more
+    than there are descriptors for.
     """
 
     @property
     def numberAccepts(self) -> int:
-        """Connections accepted in one iteration."""
+        """Number of connections accepted in one iteration."""
         return ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
--- a/lotusroute/net/monotonic_reactor.py
+++ b/lotusroute/net/monotonic_reactor.py
@@ -1,27 +1,29 @@
 """Installs the reactor that every process of the project runs on: its timers go by the monotonic clock.
 
 Twisted's reactors schedule delayed calls by the wall clock (`twisted.python.runtime.seconds` is `time.time`).
-When that is stepped back, all pending calls come late by the step; when it is stepped forward, they come at
-once. Import this module and call `install` before anything imports `twisted.internet.reactor`.
+When that clock is stepped back, all pending calls are late by the step; when it is stepped forward, they are
+made at once. Import this module and call `install` before anything imports `twisted.internet.reactor`.
 """
 
 import time
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from twisted.internet import error, main
 
+from lotusroute.net.errors import WallClockReactorError
+
 if TYPE_CHECKING:
     from twisted.internet.base import ReactorBase
 
 
 class MonotonicTime:
-    """Mixin for a reactor class: `seconds`, by which delayed calls are scheduled, is the monotonic clock."""
+    """Mixin for a reactor class: its clock, `seconds`, is the monotonic one."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> None:
-    """Install the reactor; raises RuntimeError where one that goes by another clock is installed already."""
+    """Install the reactor; raises WallClockReactorError if one that goes by another clock is installed."""
     try:
         main.installReactor(_reactor_class()())
     except error.ReactorAlreadyInstalledError:
@@ -31,12 +33,13 @@
 def _check_installed() -> None:
     from twisted.internet import reactor
 
-    if reactor.seconds is not time.monotonic:
-        raise RuntimeError("a reactor is installed whose timers go by the wall clock")
+    # Twisted declares its reactor as a module without attributes.
+    if cast("ReactorBase", reactor).seconds is not time.monotonic:
+        raise WallClockReactorError
 
 
 def _reactor_class() -> "type[ReactorBase]":
-    """Return the class for this system: with epoll, or else the one that runs everywhere."""
+    """Return the class for this system: with epoll where there is epoll, else with select."""
     try:
         from twisted.internet.epollreactor import EPollReactor
     except ImportError:
@@ -50,8 +53,7 @@
     class MonotonicEPollReactor(MonotonicTime, EPollReactor):
         """Twisted's epoll reactor on the monotonic clock, without a log context per event.
 
-        Setting up a log context for each read and write took a ninth of a flow's CPU; none of our log lines
-        use it.
+        Twisted sets up a log context for each read and write, which costs CPU; none of our log lines use it.
         """
 
         def doPoll(self, timeout: float | None) -> None:
--- a/lotusroute/net/reactor.py
+++ b/lotusroute/net/reactor.py
@@ -1,7 +1,7 @@
 """The reactor of this process, on the monotonic clock and with its type.
 
-Twisted declares its reactor as a module without attributes. Importing it installs a default one, whose timers
-go by the wall clock; so this module installs ours first.
+Twisted declares its reactor as a module without attributes. Importing that module installs a default reactor,
+whose timers go by the wall clock, unless one is installed already; so this module installs ours first.
 """
 
 from typing import cast
--- a/lotusroute/net/structured_log.py
+++ b/lotusroute/net/structured_log.py
@@ -1,7 +1,7 @@
 """Structured logging to standard error, and the process's counters.
 
-Each event is one line of key=value pairs. Events of single flows are logged at DEBUG only, so that the log of
-a busy balancer stays small; the counters say how often something happened.
+Each event is one line of key=value pairs. Events of single flows are logged at DEBUG only, which keeps the
+log of a busy balancer small; the counters show how often something has happened.
 """
 
 import logging
@@ -18,13 +18,13 @@
 class KeyValueFormatter(logging.Formatter):
     """Formats a record as key=value pairs; a value with spaces, quotes or `=` is quoted.
 
-    `time` is Unix time in s. The wall clock may be stepped, so `mono` has the monotonic clock of the machine,
-    by which lines keep their order and their distance, those of several processes too.
+    `time` is Unix time in seconds by the wall clock, which may be stepped. `mono` is the machine's monotonic
+    clock in seconds. It gives the order of lines and the time between them, also for several processes.
 
-    >>> fields = {"server": "s-1", "ms": 4.25}
+    >>> fields = {"server": "s-1", "setup_ms": 4.25}
     >>> record = logging.makeLogRecord({"msg": "outlier ejected", "levelname": "INFO", "fields": fields})
     >>> KeyValueFormatter().format(record).split(" ", 2)[2]
-    'level=info event="outlier ejected" server=s-1 ms=4.250'
+    'level=info event="outlier ejected" server=s-1 setup_ms=4.250'
     """
 
     def format(self, record: logging.LogRecord) -> str:
@@ -63,12 +63,12 @@
 
 
 def log_exception(event: str, **fields: object) -> None:
-    """Log the exception that is being handled, where it is not propagated any further."""
+    """Log the exception that is being handled, if it is not propagated any further."""
     LOGGER.error(event, extra={"fields": fields}, exc_info=True)
 
 
 def configure_logging(level: str) -> None:
-    """Write all events from `level` on, and warnings of Twisted, to standard error."""
+    """Write all events from `level` on, and warnings of libraries, to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=logging.WARNING)
