--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -11,15 +11,14 @@
 from lotusroute.net.line_protocol import BUSY
 from lotusroute.net.open_request import OpenRequest
 
-# Descriptors that flows do not get, but the process itself and connections without a flow.
+# Descriptors kept for the process and for connections without a flow.
 RESERVED_SOCKETS_DIVISOR = 8
 MIN_RESERVED_SOCKETS = 64
 SOCKETS_PER_FLOW = 2
 BASE_MEMORY_MB = 32  # of the process without flows
 MEMORY_PER_FLOW_MB = 1 / 16  # for the data buffered on both sides and the flow's objects
 MAX_BACKLOG = 4096  # queued events
-# After the start of the process, in which existing connections return; later claims to be one are forged.
-EXISTING_ACCEPT_WINDOW_MS = 60_000.0
+EXISTING_ACCEPT_WINDOW_MS = 60_000.0  # after the start; later claims to be one are forged
 
 
 class AdmissionResult(Enum):
--- a/lotusroute/net/clock_monitor.py
+++ b/lotusroute/net/clock_monitor.py
@@ -13,8 +13,7 @@
 from lotusroute.monotonic_clock import monotonic_ms
 from lotusroute.net.structured_log import Counters, log_event
 
-# A change of the offset between the clocks that counts as a step; slewing changes it by less.
-MIN_STEP_MS = 100.0
+MIN_STEP_MS = 100.0  # slewing changes the wall clock by less between two calls
 MAX_TIMER_DELAY_MS = 1_000.0
 
 
--- a/lotusroute/net/connection_monitor.py
+++ b/lotusroute/net/connection_monitor.py
@@ -20,8 +20,7 @@
 CHECK_INTERVAL_MS = 1_000.0
 # A server with an unanswered line is unresponsive after this silence.
 UNRESPONSIVE_TIMEOUT_MS = 2_500.0
-# A client that has sent lines before is idle after this time without one.
-IDLE_CLIENT_TIMEOUT_MS = 60_000.0
+IDLE_CLIENT_TIMEOUT_MS = 60_000.0  # without a line from a client that has sent some
 
 
 class PeriodicCheck(NamedTuple):
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -159,7 +159,7 @@
     ) -> EndpointUpdate | DiscoveryFailed:
         """Decode a response and record it; raises where it is no list that follows ours."""
         if response.status in REJECTION_STATUSES:
-            # The version is kept: complete lists cost an overloaded discovery more than changes.
+            # The version is kept: complete lists would add to the load of an overloaded discovery.
             return DiscoveryFailed(PollStage.REJECTED, f"status {response.status}")
         if response.status != STATUS_OK:
             raise ProtocolError(f"status {response.status}")
--- a/lotusroute/net/discovery_request.py
+++ b/lotusroute/net/discovery_request.py
@@ -1,16 +1,16 @@
 """HTTP requests to discovery: one at a time, with a timeout for the whole response. Times are seconds."""
 
-from collections.abc import Awaitable
-from typing import Any, NamedTuple, cast
+from typing import Any, NamedTuple, TypeVar
 
 from twisted.internet.base import DelayedCall
 from twisted.internet.defer import Deferred
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
-from twisted.web.iweb import IResponse
 
 from lotusroute.net.poll_schedule import REQUEST_TIMEOUT_S, PollStage, PollTiming
 from lotusroute.net.reactor import reactor
 
+Result = TypeVar("Result")
+
 # By how much the timeout fires late where this process was suspended.
 SUSPENSION_THRESHOLD_S = 0.05
 
@@ -44,13 +44,14 @@
             self._stop_timer()
 
     async def _exchange(self, url: str) -> HttpResponse:
-        response = cast(IResponse, await self._wait_for(self._agent.request(b"GET", url.encode())))
+        response = await self._wait_for(self._agent.request(b"GET", url.encode()))
         self.stage = PollStage.PARTIAL_RESPONSE
-        body = cast(bytes, await self._wait_for(readBody(response)))
+        body = await self._wait_for(readBody(response))
         self.stage = PollStage.MALFORMED_RESPONSE
         return HttpResponse(response.code, body)
 
-    def _wait_for(self, pending: "Deferred[Any]") -> Awaitable[object]:
+    def _wait_for(self, pending: "Deferred[Result]") -> "Deferred[Result]":
+        """Remember what is waited for, so that it can be cancelled."""
         self._pending = pending
         return pending
 
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -9,7 +9,7 @@
 from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.routing.events import EndpointState, ListScope
 
-# Over which a draining server's clients are migrated; the server stops within seconds.
+# Over which a draining server's clients migrate; it stops in seconds.
 DRAIN_MIGRATION_SPREAD_MS = 1_000.0
 
 
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -13,7 +13,7 @@
 from lotusroute.net.reasons import AnswerReason
 from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Effect
 
-# The protocol counts an existing connection as lost 40 s after its client's request.
+# By the protocol a connection is lost 40 s after its request.
 EXISTING_TIMEOUT_MS = 35_000.0
 EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0  # servers are busiest just after a balancer's start
 EXISTING_RETRY_BACKOFF_MS = 1_000.0  # times the attempts so far
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -75,7 +75,7 @@
             event.attempt.abort()
             return
         if flow.downstream.disconnected:
-            # The client's connection broke in the same reactor iteration; `DownstreamClosed` is still queued.
+            # The client's connection was lost in the same reactor iteration; `DownstreamClosed` is queued.
             self.withdraw(flow)
             return
         flow.cancel_timer()
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -25,7 +25,7 @@
         self._ids: set[str] = set()  # of flows in flight and of those in `_closed`
         self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids, the oldest first
         self._last_number = 0
-        # The dict's own method, without the cost of a wrapper: it is called for every event.
+        # The dict's own method, without a wrapper's overhead: it is called for every event.
         self.get: Callable[[int], ActiveFlow | None] = self._flows.get
 
     def __len__(self) -> int:
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -16,7 +16,7 @@
 from lotusroute.net.line_protocol import BUSY
 
 ACCEPTS_PER_ITERATION = 16  # of the reactor, which serves all other sockets in between
-# A fraction of the descriptors is reserved for discovery, the log and the reactor.
+# Descriptors are reserved for discovery, the log and the reactor.
 RESERVED_DESCRIPTOR_DIVISOR = 16
 MIN_RESERVED_DESCRIPTORS = 32
 
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -24,13 +24,13 @@
 # Beyond the hold, for a complete response; less where the last response shows that nothing is queued.
 REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
 UNQUEUED_REQUEST_TIMEOUT_S = 1.0
-# The same for an agent on this machine, which has the list and answers at once.
+# The same for an agent on this machine, which answers at once.
 MIN_AGENT_REQUEST_TIMEOUT_S = 0.1
 MAX_AGENT_REQUEST_TIMEOUT_S = 1.0
 MIN_BACKOFF_S = 0.1  # leaves time within the 200 ms that a watch event may take
 MAX_BACKOFF_S = 1.0
 MAX_AGENT_BACKOFF_S = 0.5
-# Kept free for the backoff after a rejection, over which the polls of many balancers spread.
+# Left for the backoff after a rejection, over which polls spread.
 MIN_REJECTION_BACKOFF_S = 1.2
 MIN_BACKOFF_FRACTION = 0.2  # of a backoff that is always waited; the rest is random
 
--- a/lotusroute/net/request_admission.py
+++ b/lotusroute/net/request_admission.py
@@ -12,8 +12,7 @@
 from lotusroute.net.final_answers import FinalAnswers
 from lotusroute.routing import events
 
-# How long before a flow's deadline it is answered, so that the answer is in time on a busy core too.
-DEADLINE_MARGIN_MS = 40.0
+DEADLINE_MARGIN_MS = 40.0  # a flow is answered so long before its deadline, for a busy core
 MAX_DEADLINE_MARGIN_FRACTION = 0.25  # of the client's timeout, so that a short one leaves time to serve
 CAPACITY_RETRY_AFTER_MS = 1_000.0
 SHUTDOWN_RETRY_AFTER_MS = 400.0  # after it, the front sends clients to other balancers only
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -14,13 +14,13 @@
 from lotusroute.net.reasons import MigrationReason
 from lotusroute.net.structured_log import log_event
 
-# Until then the front still sends new clients here, and with them those that were migrated.
+# Until then the front still sends clients here, also migrated ones.
 MIGRATION_START_MS = 450.0
-MIGRATION_SPREAD_MS = 1_300.0  # over which all clients are migrated, so that no connection storm arises
-# The front sends new clients for 400 ms after the start, and they may be read later on a busy core.
+MIGRATION_SPREAD_MS = 1_300.0  # over which clients migrate, to avoid a connection storm
+# The front sends clients for 400 ms, and a busy core reads them late.
 MIN_DURATION_MS = 900.0
 MAX_CONNECT_TIMEOUT_MS = 3_000.0  # the platform waits for no longer connect timeout before it kills
-# The platform kills 700 ms after the connect timeout; half of that is left for the last steps.
+# The platform kills the process 700 ms after the connect timeout.
 ANSWER_MARGIN_MS = 350.0
 FLUSH_TIME_MS = 200.0  # between the last answer and the end, for writing and reading it
 
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -131,7 +131,7 @@
         self.connection.half_close()
 
     def downstream_lost(self) -> None:
-        """Reset the connection, as the client's broke; the server is not at fault."""
+        """Reset the connection like the client's; the server is not at fault."""
         self._mark_downstream_left()
         self.connection.transport.abortConnection()
 
--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -27,7 +27,7 @@
     def __init__(self, attempt: "UpstreamAttempt") -> None:
         self.attempt = attempt
         self.downstream: LineProtocol | None = None  # where lines are forwarded to, once established
-        self.downstream_left = False  # the client has stopped sending, or its connection broke
+        self.downstream_left = False  # the client has stopped sending, or its connection was lost
         self.result_if_closed = ConnectionResult.RESET  # how the connection ends if it is closed now
         # When the client's unanswered lines were sent, the oldest first; each reply takes one.
         self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_LINES)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,10 +1,11 @@
-"""Admission control and the flow table and endpoint registry that it and the flow manager rely on."""
+"""Admission control, and the flow table and endpoint registry that it and the flow manager use."""
 
 from types import SimpleNamespace
 from unittest.mock import Mock
 
 import pytest
 
+from lotusroute.address import Address
 from lotusroute.net.admission import (
     EXISTING_ACCEPT_WINDOW_MS,
     MAX_BACKLOG,
@@ -18,11 +19,11 @@
 from lotusroute.routing import events
 
 LIVE = events.ServiceType(300.0)
-ADDRESS = ("127.0.0.1", 9_000)
+ADDRESS = Address("127.0.0.1", 9_000)
 
 
 class FakeLoop:
-    """A clock that is set by hand, and the length of a queue."""
+    """An event loop's clock and backlog, which tests set."""
 
     def __init__(self):
         self.now = 0.0
@@ -33,13 +34,13 @@
 
 
 def request(flow_id="id1", **pairs):
-    """A client's request for a flow of the type `live`."""
+    """Return a client's request for a flow of the type `live`."""
     text = ",".join(f"{key}={value}" for key, value in {"c": "live", "d": 900, **pairs}.items())
     return parse_open_request(f"OPEN {flow_id} k {text}\r\n".encode())
 
 
 def config(sockets):
-    """A configuration with so many descriptors."""
+    """Return a configuration with a number of descriptors."""
     service = SimpleNamespace(service_types={"live": LIVE})
     return SimpleNamespace(sockets=sockets, memory_mb=1_024.0, tenants=frozenset({"acme"}), service=service)
 
@@ -56,7 +57,7 @@
 
 @pytest.fixture
 def admission(loop, table):
-    return AdmissionControl(config(sockets=68), loop, table)  # 64 are reserved: two flows
+    return AdmissionControl(config(sockets=68), loop, table)  # of which 64 are reserved: two flows
 
 
 def fill(table, flows=2):
@@ -134,10 +135,10 @@
 
 
 def endpoints(scope, **states):
-    """An endpoint update with the states of servers by id."""
+    """Return an endpoint update from the states of servers by id."""
     servers = tuple(events.Server(server, state=state) for server, state in states.items())
-    listed = {server: ADDRESS for server, state in states.items() if state != events.EndpointState.REMOVED}
-    return EndpointUpdate(scope, servers, listed)
+    addresses = {server: ADDRESS for server, state in states.items() if state != events.EndpointState.REMOVED}
+    return EndpointUpdate(scope, servers, addresses)
 
 
 def test_a_drain_is_notified_once_and_its_deadline_stays():
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,7 @@
 """Clients that disconnect, or send too much, at any point of their flow; on loopback sockets.
 
-Each coincidence is forced: by a server that lets no connection come up until it is opened, or by a balancer
-that is stopped while both events arrive.
+The order of events is forced: by a server that accepts no connection until the test allows it, or by a
+balancer that is suspended while several events arrive.
 """
 
 import collections
@@ -38,7 +38,7 @@
 def test_a_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(
     effect, early_bytes, disconnect
 ):
-    # Neither its FIN nor its RST was noticed by a balancer that read only 4 KiB after the first line.
+    # The balancer has to read beyond what the client sent early to notice its FIN or RST.
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(wait=4_000)
@@ -66,7 +66,7 @@
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
-        server.wait_for_connections()  # connected first, so that the balancer is notified of it first
+        server.wait_for_connections()  # so that the balancer is notified of the connection first
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
@@ -87,7 +87,7 @@
 
 
 def half_close_after_partial_line(file):
-    """Send half a line more, then a FIN alone, as a client that cancels its request."""
+    """Send a part of a line, then a FIN, as a client does that cancels its request."""
     file.conn.sendall(b"M 7")
     file.conn.shutdown(socket.SHUT_WR)
 
@@ -98,14 +98,16 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_no_retry_starts_for_a_client_whose_disconnect_lies_unread_behind_its_own_lines(effect, disconnect):
-    # Reads are of 8 KiB: the FIN was still unread when the first attempt failed, and a retry was started.
+    # Reads are of 8 KiB, so the FIN is still unread when the first attempt fails.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
         wait_until(lambda: first.lines)
         balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        first.connections[0].sendall(b"BUSY\r\n")  # it has not run: a flow of any effect may be retried
+        first.connections[0].sendall(
+            b"BUSY\r\n"
+        )  # proves that the flow has not run, so that one of any effect may be retried
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
@@ -131,7 +133,7 @@
             DISCONNECTS[index % 3](client)
         time.sleep(0.35)
         balancer.resume()
-        time.sleep(2.0)  # the kernel retransmits SYNs that were dropped after one second
+        time.sleep(2.0)  # the kernel retransmits dropped SYNs after one second
         assert not server.open_lines()
         assert balancer.open_flow("other").readline() == b"UP r1\r\n"
 
@@ -177,12 +179,12 @@
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
-                continue  # the connection of the client that was rejected
+                continue  # this is the rejected client's connection
         assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
 
 
 class FloodedTransport(FakeTransport):
-    """A transport whose socket has more to read than may be buffered."""
+    """A transport whose socket always has more to read than may be buffered."""
 
     bufferSize, closed = 8_192, False
 
@@ -200,7 +202,7 @@
 
 
 def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
-    # Closed at once with data unread, its socket would send a reset that may overtake the final answer.
+    # If the socket were closed with data unread, it would send a reset that may overtake the final answer.
     events, counters = [], collections.Counter()
     clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
     side = clients.buildProtocol(None)
--- a/tests/test_clock_monitor.py
+++ b/tests/test_clock_monitor.py
@@ -1,4 +1,4 @@
-"""What the log and the counters say of clocks and timers, and why connections end."""
+"""What the log and the counters show of clocks and timers, and of why connections end."""
 
 import re
 
@@ -37,7 +37,7 @@
 
 def test_a_slewed_wall_clock_is_not_taken_for_a_stepped_one(clocks):
     for _ in range(600):
-        clocks.advance(1_000.0, step=0.5)  # 500 ppm, the most that Linux slews by
+        clocks.advance(1_000.0, step=0.5)  # ms; 500 ppm, the most that Linux slews by
     assert clocks.counters == {}
 
 
@@ -52,7 +52,7 @@
 
 
 def fields_of(event, log):
-    """The key=value pairs of each line that reports the event."""
+    """Return the key=value pairs of each line that reports the event."""
     pairs = (dict(re.findall(r'(\w+)=("[^"]*"|\S+)', line)) for line in log.splitlines())
     return [found for found in pairs if found.get("event", "").strip('"') == event]
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -34,7 +34,7 @@
     with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
         client = balancer.open_flow()
         assert client.readline() == b"UP one\r\n"
-        old.seq = 0  # the poll in flight hangs, as a backoff after failures would
+        old.seq = 0  # the poll in flight is not answered, and the new address is not to wait for it
         time.sleep(0.2)
         start = time.monotonic()
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
@@ -42,7 +42,7 @@
         assert time.monotonic() - start < 1.0
         client.write(b"M 1 a\r\n")
         assert client.readline() == b"M 1 a\r\n"
-        # Back to the first, whose versions start anew; then two signals in a row and one during shutdown.
+        # Return to the first, whose versions start at 1; then reload twice in a row and once during shutdown.
         old.entries, old.seq = [one.entry()], 1
         balancer.reload(discovery=old_address)
         balancer.reload(discovery=old_address)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,7 +1,7 @@
-"""The deadline of endpoint updates on loopback sockets: a change is received in time whatever polls fail.
+"""The deadline of endpoint updates on loopback sockets: a change is received in time whichever polls fail.
 
-Each test runs several balancers at once, every one with a discovery of its own that does to its polls what
-the case says, as the times are the protocol's.
+The times are those of the protocol. So that the tests take less time, each runs several balancers at once,
+every one with a discovery of its own that fails the polls of one case.
 """
 
 import contextlib
@@ -13,40 +13,40 @@
 import pytest
 from harness import DEADLINE, SETTINGS, Balancer, FakeDiscovery, FakeServer, wait_until
 
-CHANGE_DEADLINE = 6.0  # s after which a change counts as received
-QUEUE_TIMEOUT = 2.0  # s that polls are queued
+CHANGE_DEADLINE_S = 6.0  # after which a change counts as received
+QUEUE_DELAY_S = 2.0  # for which polls are queued
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
 FAULTS = ["silent", "half", "refuse"]
-CASES = [(*case, QUEUE_TIMEOUT) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
+CASES = [(*case, QUEUE_DELAY_S) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
 CASES += [case for case in itertools.product(FAULTS, repeat=2) if "refuse" not in case]
 CASES += [("refuse", "refuse", "silent"), ("refuse", "silent", "refuse")]
 
 
 def wait_for_poll(balancer):
-    """Wait until a poll has just been sent after a complete response."""
+    """Wait until a further poll was sent."""
     polls = len(balancer.discovery.polls)
     wait_until(lambda: len(balancer.discovery.polls) > polls)
 
 
 def received_at(balancer, seq):
-    """When the version, or a newer one, went out to the balancer; None if it has not."""
+    """Return when the version, or a newer one, was sent to the balancer; None if it was not."""
     return next((sent for sent, version in balancer.discovery.responses if version >= seq), None)
 
 
 def received_after(balancer, seq, start):
-    """How many s after `start` the version went out to the balancer."""
+    """Return how many s after `start` the version was sent to the balancer."""
     return (received_at(balancer, seq) or float("inf")) - start
 
 
 def wait_for_update(balancers, seq, timeout):
-    """Wait until the version went out to all balancers, or the time is over."""
+    """Wait until the version was sent to all balancers, or the timeout has passed."""
     until = time.monotonic() + timeout
     while time.monotonic() < until and not all(received_at(balancer, seq) for balancer in balancers):
         time.sleep(0.02)
 
 
 def measure_delays(cases, after_change=lambda balancer: None):
-    """Change the list just after a complete response and do to the next polls what each case says.
+    """Change the list just after a complete response and fail the next polls as each case says.
 
     Returns for each case how many s after the change its balancer received it.
     """
@@ -56,14 +56,14 @@
         changed = []
         for case, balancer in zip(cases, balancers, strict=True):
             wait_until(lambda balancer=balancer: len(balancer.discovery.responses) > 0)
-            # In force for the poll that comes after the response in flight.
+            # Applies to the polls after the one in flight.
             balancer.discovery.script[:] = list(case)
             wait_for_poll(balancer)
             changed.append(time.monotonic())
             balancer.discovery.entries = [servers[0].entry("DRAINING"), servers[1].entry()]
             balancer.discovery.seq = 2
             after_change(balancer)
-        wait_for_update(balancers, 2, timeout=2 * CHANGE_DEADLINE)
+        wait_for_update(balancers, 2, timeout=2 * CHANGE_DEADLINE_S)
         return {
             case: received_after(balancer, 2, start)
             for case, balancer, start in zip(cases, balancers, changed, strict=True)
@@ -71,10 +71,9 @@
 
 
 def test_two_failed_polls_in_a_row_and_a_queue_after_them_fit_into_one_deadline():
-    # With a limit for each poll and backoff by itself, a rejection backed off for up to 4 s and the grace, a
-    # silent long poll took 4.3 s, and the next backoff started anew: two in a row took more than 6.5 s.
+    # One deadline covers all polls and backoffs; limits for each by itself would add up to more.
     delays = measure_delays(CASES)
-    assert max(delays.values()) < CHANGE_DEADLINE + 0.5, delays
+    assert max(delays.values()) < CHANGE_DEADLINE_S + 0.5, delays
 
 
 def test_a_process_suspended_during_a_silent_long_poll_and_then_rejected_still_receives_in_time():
@@ -85,43 +84,45 @@
         balancer.resume()
 
     delays = measure_delays([("silent", "refuse")], suspend_for_a_while)
-    assert max(delays.values()) < CHANGE_DEADLINE + 0.5, delays
+    assert max(delays.values()) < CHANGE_DEADLINE_S + 0.5, delays
 
 
 @pytest.mark.parametrize("script", [["silent"], ["refuse", "refuse"], ["half", "refuse"]])
 def test_the_list_of_a_new_address_whose_first_polls_fail_is_received_in_time(script):
     one, two = FakeServer("s0"), FakeServer("s1", b"UP two\r\n")
     new = FakeDiscovery(two)
-    new.seq, new.script = 7, [*script, QUEUE_TIMEOUT]
+    new.seq, new.script = 7, [*script, QUEUE_DELAY_S]
     with Balancer(one, settings=POLLING_SETTINGS) as balancer:
         wait_until(lambda: balancer.discovery.responses)
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
         start = time.monotonic()
         wait_until(lambda: new.responses)
-        assert new.responses[0][0] - start < CHANGE_DEADLINE + 0.5
-        wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")  # sent is not yet received
+        assert new.responses[0][0] - start < CHANGE_DEADLINE_S + 0.5
+        wait_until(
+            lambda: balancer.open_flow().readline() == b"UP two\r\n"
+        )  # an update that was sent is not yet received
     new.shutdown()
 
 
 def test_the_list_is_received_in_time_from_a_discovery_that_returns_just_after_an_unanswered_poll():
-    # Silent for seconds, so that all backoffs have grown; the poll sent just before the return is lost, and
-    # the next one rejected.
+    # Discovery is silent for seconds, so that all backoffs have grown. The poll sent just before its return
+    # is lost, and the next one is rejected.
     servers = [FakeServer(f"s{index}") for index in range(2)]
     with contextlib.ExitStack() as stack:
         balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in range(6)]
         returned = {}
         for balancer in balancers:
             wait_until(lambda balancer=balancer: balancer.discovery.responses)
-            balancer.discovery.script[:] = ["silent"] * 4 + ["refuse", QUEUE_TIMEOUT]
+            balancer.discovery.script[:] = ["silent"] * 4 + ["refuse", QUEUE_DELAY_S]
         until = time.monotonic() + 30.0
         while time.monotonic() < until and not all(received_at(balancer, 2) for balancer in balancers):
             for balancer in balancers:
                 if balancer not in returned and len(balancer.discovery.script) == 2:
-                    returned[balancer] = time.monotonic()  # the fourth poll was just sent, and is lost
+                    returned[balancer] = time.monotonic()  # the fourth poll was just sent and is lost
                     balancer.discovery.entries, balancer.discovery.seq = [servers[1].entry()], 2
             time.sleep(0.01)
         delays = [received_after(balancer, 2, returned[balancer]) for balancer in balancers]
-        assert max(delays) < CHANGE_DEADLINE + 0.5, delays
+        assert max(delays) < CHANGE_DEADLINE_S + 0.5, delays
 
 
 IDLE_CLIENT_DATA = {
@@ -136,7 +137,7 @@
 class ConnectionStorm(threading.Thread):
     """Opens a connection every 2 ms that sends its data and stays open.
 
-    Beyond `max_open` of them the oldest is closed for each new one, or the new one itself.
+    Beyond `max_open` connections, each new one is closed, or the oldest in its place.
     """
 
     def __init__(self, port, data, max_open, close_newest):
@@ -166,16 +167,15 @@
 
 @pytest.mark.parametrize("kind", IDLE_CLIENT_DATA)
 def test_idle_clients_that_fill_the_descriptors_block_neither_updates_nor_new_flows(kind):
-    # Discovery is down, its machine resets each connection, and a client comes every 2 ms that keeps its
-    # descriptor. When discovery is back it is connected to within a second (2 s before), and a new flow is
-    # served by the server that it names.
+    # Discovery is down, and every 2 ms a client connects that keeps its descriptor. When discovery is back,
+    # the balancer connects to it within a second, and a new flow is served by the server that it names.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
         source = balancer.discovery
         wait_until(lambda: source.responses)
         source.script[:] = ["drop"] * 1_000
         established = kind == "established"
-        # Without flows, more connections than the program can have open.
+        # Without flows, more connections than the balancer can have open.
         max_open = 150 if established else 400
         storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
         storm.start()
@@ -191,7 +191,7 @@
             with contextlib.suppress(OSError):
                 answers.add(balancer.open_flow("new").readline())
         if established:
-            # Its descriptors are in use by established flows: new ones are rejected at once, none is cut off.
+            # Established flows hold the descriptors: new ones are rejected at once, none is closed.
             assert answers <= {b"UP two\r\n", b"BUSY 1000\r\n"} and answers
         else:
             assert b"UP two\r\n" in answers
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -93,7 +93,7 @@
         assert client.readline() == b"M 1 a\r\n"
         client.conn.shutdown(socket.SHUT_WR)
         assert client.readline() == b"BYE\r\n"
-        # Ended a moment ago: servers may still have it open.
+        # The flow has just ended, and servers may still have its id in use.
         assert balancer.open_flow("other", id="7f3a", t="acme").readline() == b"ERR\r\n"
         assert balancer.open_flow(t="acne").readline() == b"ERR\r\n"
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
@@ -133,7 +133,7 @@
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
             assert balancer.open_flow().readline() == b"UP r1\r\n"
             assert len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir())) <= 128
-            # The oldest was evicted first, with an answer.
+            # The oldest is evicted first, with an answer.
             assert idle[0].recv(99) == b"BUSY\r\n"
 
 
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list on loopback sockets: cached lists, long polls, rejections and agents."""
+"""Discovery clients on loopback sockets: cached lists, long polls, rejections and local agents."""
 
 import contextlib
 import time
@@ -15,7 +15,7 @@
 
 
 def wait_for_long_poll(balancer):
-    """Wait until a long poll has just been sent; returns when."""
+    """Wait until a long poll was sent, and return when."""
     calls = len(balancer.discovery.polls)
     wait_until(lambda: len(balancer.discovery.polls) > calls + 1)
     return balancer.discovery.polls[-1][0]
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def two_servers():
-    """Servers that are told apart by their receipts."""
+    """Return two servers with different receipts."""
     return FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
 
 
@@ -53,13 +53,12 @@
     with Balancer(FakeServer("s1"), rejections=1) as balancer:
         wait_until(lambda: len(balancer.discovery.polls) > 1)
         times, versions = zip(*balancer.discovery.polls[:2], strict=True)
-        # Forty that polled for the complete list instead, at once, kept discovery from serving any of them.
+        # Polls for the complete list, without a backoff, would keep discovery from serving any balancer.
         assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
 
 
 def test_the_backoff_after_rejections_never_grows_beyond_what_a_drain_allows(monkeypatch):
-    # Backoffs grew to 12 s: a change received 6 s after it was out was not followed for up to 4 s beyond the
-    # grace of 2 s.
+    # A change counts as received after 6 s, and the grace of a drain is 2 s.
     backoffs = []
     client = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
 
@@ -99,14 +98,14 @@
 )
 @pytest.mark.parametrize("half", [False, True])
 def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
-    # In a run it was given up after 7.0 s; the deadline is 6 s and 0.5 s of grace.
+    # The deadline is 6 s and the grace.
     one, two = two_servers
     with Balancer(one, two, settings=settings, partial_responses=half) as balancer:
         opened = wait_for_long_poll(balancer)
         balancer.discovery.interruptions += 1
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         wait_until(lambda: balancer.discovery.polls[-1][0] > opened)
-        # A poll may be queued for 2 s more.
+        # The next poll may be queued for 2 s.
         bound = 6.0 + settings["rules"]["stop_sending_within"] / 1000 - 2.0
         assert balancer.discovery.polls[-1][0] - opened < bound
         assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
@@ -118,9 +117,9 @@
         wait_for_long_poll(balancer)
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         balancer.discovery.interruptions += 1
-        cut = time.monotonic()
-        wait_until(lambda: balancer.discovery.polls[-1][0] > cut)
-        assert balancer.discovery.polls[-1][0] - cut < 0.5
+        reset_at = time.monotonic()
+        wait_until(lambda: balancer.discovery.polls[-1][0] > reset_at)
+        assert balancer.discovery.polls[-1][0] - reset_at < 0.5
         assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
@@ -132,19 +131,19 @@
         calls = len(balancer.discovery.polls)
         wait_until(
             lambda: len(balancer.discovery.polls) > calls + 5
-        )  # long enough for all backoffs to have grown
+        )  # so that the backoffs have reached their maximum
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
-        back, balancer.discovery.down = time.monotonic(), False
-        wait_until(lambda: balancer.discovery.polls[-1][0] > back)
-        assert balancer.discovery.polls[-1][0] - back < 0.5
+        returned_at, balancer.discovery.down = time.monotonic(), False
+        wait_until(lambda: balancer.discovery.polls[-1][0] > returned_at)
+        assert balancer.discovery.polls[-1][0] - returned_at < 0.5
         assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
 def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
-    # What its agent has counts as received from the process's start on, and the cached list is an old one.
+    # What the agent has counts as received from the start of the process on, and the cached list is old.
     one, two = two_servers
-    # With a grace of 500 ms an agent's first poll times out after 250 ms, 50 ms after this response is due:
-    # on a busy machine that came first, and the cached list was rightly used. A grace of 2 s gives it 1 s.
+    # The timeout of an agent's poll is half of the grace. With a grace of 500 ms it would pass only 50 ms
+    # after this response is due, and a busy machine may be later.
     settings = {**AGENT_SETTINGS, "rules": {"stop_sending_within": 2_000}}
     starting = Balancer(one, two, settings=settings, response_delay=0.2)
     starting.discovery.entries, starting.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: order, isolation of failures, timers."""
+"""The event loop: order of events, isolation of failures, and timers."""
 
 from unittest.mock import Mock
 
@@ -41,7 +41,7 @@
 def test_a_failed_event_is_counted_and_reported_and_the_next_one_handled(loop, counters, event):
     handled = []
     loop.on_failure = Mock()
-    loop.register({Tick: Mock(side_effect=OSError("gone")), int: handled.append})
+    loop.register({Tick: Mock(side_effect=OSError("closed")), int: handled.append})
     loop.enqueue(event)
     loop.enqueue(7)
     loop.run_pending()
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -1,4 +1,4 @@
-"""An event, a command or an endpoint that cannot be handled takes no other with it."""
+"""An event, a command or an endpoint that cannot be handled affects no other."""
 
 import collections
 import json
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def core(tmp_path):
-    """A balancer's core without sockets; `core.loop.run_pending()` dispatches what has been queued."""
+    """Return a balancer's core without sockets; `core.loop.run_pending()` dispatches queued events."""
     file = tmp_path / "config.json"
     addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
     file.write_text(json.dumps({"name": "n", **addresses, "settings": SETTINGS}))
@@ -29,7 +29,7 @@
 
 
 def established_flow(core, number):
-    """A flow in the table of `core` whose both sides are mocks."""
+    """Return a flow in the table of `core` with mocks on both sides."""
     request = parse_open_request(f"OPEN id{number} k c=live,d=900\r\n".encode())
     flow = core.flow_table.add(request, events.ServiceType(300.0), 900.0, Mock())
     flow.established = True
@@ -40,7 +40,7 @@
 def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_carried_out(core, monkeypatch):
     flows = [established_flow(core, number) for number in (1, 2)]
     upstreams = [flow.upstream for flow in flows]
-    upstreams[0].close_after_migration.side_effect = OSError("gone")
+    upstreams[0].close_after_migration.side_effect = OSError("closed")
     migrations = [events.Migrate(flow.number) for flow in flows]
     tick = events.TimerFired("tick")
     monkeypatch.setattr(Director, "decide", lambda _, now, event: migrations if event is tick else [])
@@ -51,7 +51,7 @@
 
 def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
     broken, sound = Mock(flow_id=0, disconnected=False), Mock(flow_id=0, disconnected=False)
-    broken.has_disconnected.side_effect = OSError("gone")
+    broken.has_disconnected.side_effect = OSError("closed")
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
     sound.has_disconnected.return_value = False
     for downstream in (broken, sound):
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -1,7 +1,7 @@
-"""What a flow is still owed when a drain, a corrupt answer or a time-out meets it; on loopback sockets.
+"""How flows end that meet a drain, a malformed answer or a timeout; on loopback sockets.
 
-Each coincidence is forced: by a server that lets no connection come up until it is opened, or by a balancer
-that is stopped while both events arrive.
+The order of events is forced: by a server that accepts no connection until the test allows it, or by a
+balancer that is suspended while several events arrive.
 """
 
 import socket
@@ -55,7 +55,7 @@
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
         wait_until(lambda: first.lines)
-        wait_until(lambda: is_connecting_to(second))  # accepted before, the retry would be in the window
+        wait_until(lambda: is_connecting_to(second))  # accepted earlier, the retry would be in the window
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
@@ -89,10 +89,12 @@
 
 def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
     servers = [FakeServer(f"s{index}", answer) for index, answer in enumerate(MALFORMED_RECEIPTS)]
-    home = FakeHost(servers=len(MALFORMED_RECEIPTS)).default_server
-    keys = [next(key for key in map(str, range(999)) if home(key) == server.name) for server in servers]
+    default_server = FakeHost(servers=len(MALFORMED_RECEIPTS)).default_server
+    keys = [
+        next(key for key in map(str, range(999)) if default_server(key) == server.name) for server in servers
+    ]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
-        # All at once: when most attempts have failed already, a later flow is rejected without an attempt.
+        # All at once, because a flow that is requested when most attempts have failed gets no attempt.
         balancer.suspend()
         clients = [balancer.open_flow(key, wait=1_000) for key in keys]
         balancer.resume()
--- a/tests/test_golden_bytes_clients.py
+++ b/tests/test_golden_bytes_clients.py
@@ -1,7 +1,7 @@
 """Golden bytes of the protocol of clients and servers, written literally.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+A rename of types or modules must leave all of this as it is, because processes of two builds exchange these
+bytes. Expected bytes use no name of the project.
 """
 
 from collections import Counter
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""What is still owed when the balancer is told to stop; on loopback sockets."""
+"""Flows that are unfinished when the balancer is told to stop; on loopback sockets."""
 
 import signal
 import time
@@ -17,7 +17,7 @@
     ],
 )
 def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
-    # The shutdown looked only at the attempt in flight, and that had not connected.
+    # The final answer depends on all attempts, not only on the one in flight, which has not connected.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
@@ -36,7 +36,7 @@
         time.sleep(3.0)
         balancer.suspend()
         server.connections[0].sendall(b"UP r1\r\n")
-        time.sleep(0.4)  # all that is left is rejected 3.35 s after the signal
+        time.sleep(0.4)  # unfinished flows are rejected 3.35 s after the signal
         balancer.resume()
         assert client.readline() == b"UP r1\r\n" and client.readline() == b"MOVE\r\n"
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -39,7 +39,7 @@
 
 
 def test_balancers_with_one_client_each_spread_their_migrations_though_all_get_the_list_at_once():
-    # In a run 18 servers drained, 200 balancers had one or two clients of each, and all migrated in one step.
+    # If each balancer rounded its fraction of a client up, all clients would migrate in the first step.
     migrated, steps = Counter(), int(DRAIN_MIGRATION_SPREAD_MS / MIGRATION_INTERVAL_MS)
     for seed in range(200):
         established = [types.SimpleNamespace(number=1)]
@@ -88,7 +88,7 @@
 
 
 def test_signals_that_come_during_the_start_are_handled_once_it_is_complete():
-    # Restarts and reloads came together in a run; the default action of SIGHUP ends the program.
+    # The default action of SIGHUP would end the program.
     starting = Balancer(FakeServer("s1"))
     status, caught = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
     wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & caught)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The start: many processes at once, on part of a core each, are ready in time whatever discovery does."""
+"""Many processes that start at once, on a part of a core each, are ready in time whatever discovery does."""
 
 import contextlib
 import pathlib
@@ -10,10 +10,10 @@
 import pytest
 from harness import SETTINGS, Balancer, FakeServer, free_port
 
-PROCESSES = 10  # started at once
-CPU_SHARE = 0.1  # of a core, for each
-READY_WITHIN = 10.0  # s in which nine in ten have to answer PONG
-SAMPLE_INTERVAL = 0.004  # s between looks at the CPU time that processes have used
+PROCESS_COUNT = 10  # started at once
+CPU_SHARE = 0.1  # of a core, for each process
+READY_TIMEOUT_S = 10.0  # within which 90 % have to answer PONG
+SAMPLE_INTERVAL_S = 0.004  # between readings of the CPU time that processes have used
 DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"rejections": 1_000}, "closed": {}}
 
 
@@ -37,11 +37,11 @@
             process.send_signal(signal.SIGCONT)
 
     def cpu_seconds(self, process):
-        """CPU time that a process has used."""
+        """Return the CPU time that a process has used."""
         return int(pathlib.Path(f"/proc/{process.pid}/schedstat").read_text().split()[0]) / 1e9
 
     def run(self):
-        while not self.stopped.wait(SAMPLE_INTERVAL):
+        while not self.stopped.wait(SAMPLE_INTERVAL_S):
             allowed = CPU_SHARE * (time.monotonic() - self.started_at)
             for process in self.processes:
                 with contextlib.suppress(OSError, IndexError):
@@ -50,7 +50,7 @@
 
 
 def answers_pong(balancer):
-    """Whether it answers PONG within a second."""
+    """Return whether the balancer answers PONG within a second."""
     with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", balancer.port), 1.0) as conn:
         conn.sendall(b"PING\r\n")
         return conn.recv(64) == b"PONG\r\n"
@@ -63,7 +63,7 @@
     server = FakeServer("s1")
     with contextlib.ExitStack() as stack:
         balancers = []
-        for _ in range(PROCESSES):
+        for _ in range(PROCESS_COUNT):
             env = {"LB_DISCOVERY": f"127.0.0.1:{free_port()}"} if discovery == "closed" else {}
             balancer = Balancer(
                 server,
@@ -87,13 +87,13 @@
         started_balancers(discovery) as balancers,
         Throttle([balancer.process for balancer in balancers]) as throttle,
     ):
-        while len(ready) < PROCESSES and time.monotonic() < start + 2 * READY_WITHIN:
+        while len(ready) < PROCESS_COUNT and time.monotonic() < start + 2 * READY_TIMEOUT_S:
             for index, balancer in enumerate(balancers):
                 if index not in ready and answers_pong(balancer):
                     elapsed = time.monotonic() - start
                     ready[index] = elapsed, throttle.cpu_seconds(balancer.process)
             time.sleep(0.05)
-        in_time = [elapsed for elapsed, _ in ready.values() if elapsed < READY_WITHIN]
-        assert len(in_time) >= 0.9 * PROCESSES, ready
+        in_time = [elapsed for elapsed, _ in ready.values() if elapsed < READY_TIMEOUT_S]
+        assert len(in_time) >= 0.9 * PROCESS_COUNT, ready
         ended = [balancer.terminate() for balancer in balancers if balancer.process.poll() is not None]
         assert ended == []  # the logs of processes that ended by themselves
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -29,7 +29,7 @@
         client = balancer.open_flow(wait=500)
         assert client.readline().startswith(b"BUSY") and client.readline() == b""
         assert time.monotonic() - start < 0.5
-        # Closed, so that the server knows that nobody waits.
+        # The attempt is closed, which tells the server that no client waits.
         wait_until(lambda: server.lines[-1] == b"")
 
 
@@ -85,7 +85,7 @@
     server = FakeServer("s1")
 
     def reply_and_end(connection):
-        # One after the other in the server's own thread: an end sent before the receipt is a failed attempt.
+        # Both are sent by one thread: an end that is sent before the receipt would be a failed attempt.
         connection.recv(4096)
         connection.sendall(b"UP r\r\nM 1 a\r\nBYE\r\n")
         connection.shutdown(socket.SHUT_WR)
@@ -125,12 +125,12 @@
 
 
 def new_attempt(line, clock=lambda: 0.0):
-    """An attempt that reports nothing."""
+    """Return an attempt that reports nothing."""
     return UpstreamAttempt(1, "s1", line, AttemptContext(None, clock, None))
 
 
 def test_only_a_client_that_has_sent_lines_counts_as_idle():
-    # Established connections that only receive were migrated each minute.
+    # A client that only receives is not idle.
     attempt = new_attempt(b"", clock=lambda: 5_000.0)
     attempt.connection = UpstreamConnection(attempt)
     assert attempt.connection.client_idle_time(90_000.0) == 0.0
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change no deadline, wait or grace: these are spans of real time."""
+"""Steps of the wall clock change no deadline, timeout or grace: these are spans of real time."""
 
 import signal
 import socket
@@ -7,13 +7,13 @@
 import pytest
 from harness import Balancer, FakeServer
 
-HOUR = 3_600.0
-STEPS = [-HOUR, -20.0, -3.0, 3.0, HOUR]  # s; incident-1 had 3 and -20
-UNRESPONSIVE_LIMIT = 7.0  # s in which a connection that brings nothing back has to be ended, by the protocol
+HOUR_S = 3_600.0
+STEPS_S = [-HOUR_S, -20.0, -3.0, 3.0, HOUR_S]  # 3 and -20 are from incident-1
+UNRESPONSIVE_LIMIT_S = 7.0  # the protocol's limit for ending a connection without replies
 
 
 def time_to_migration(balancer, server, wall_clock, step):
-    """Return the s until the client of a server that stops replying, as the clock is stepped, gets MOVE."""
+    """Step the clock as the server stops replying; return the s until its client gets MOVE."""
     client = balancer.open_flow()
     assert client.readline() == b"UP r1\r\n"
     server.unresponsive = True
@@ -27,17 +27,17 @@
 def test_without_a_step_the_client_of_an_unresponsive_server_is_migrated_in_time(wall_clock):
     server = FakeServer("s1")
     with Balancer(server, env=wall_clock.environment) as balancer:
-        assert time_to_migration(balancer, server, wall_clock, 0.0) < UNRESPONSIVE_LIMIT
+        assert time_to_migration(balancer, server, wall_clock, 0.0) < UNRESPONSIVE_LIMIT_S
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_S)
 def test_the_client_of_an_unresponsive_server_is_migrated_in_time_after_a_step(wall_clock, step):
     server = FakeServer("s1")
     with Balancer(server, env=wall_clock.environment) as balancer:
-        assert time_to_migration(balancer, server, wall_clock, step) < UNRESPONSIVE_LIMIT
+        assert time_to_migration(balancer, server, wall_clock, step) < UNRESPONSIVE_LIMIT_S
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_S)
 def test_a_flow_at_a_server_that_says_nothing_is_answered_by_its_deadline_after_a_step(wall_clock, step):
     server = FakeServer("s1", None)
     with Balancer(server, env=wall_clock.environment) as balancer:
@@ -50,7 +50,7 @@
         assert 0.9 < time.monotonic() - requested_at < 1.5
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_S)
 def test_a_first_line_in_two_parts_has_its_whole_time_and_no_more_after_a_step(wall_clock, step):
     server = FakeServer("s1")
     with Balancer(server, env=wall_clock.environment) as balancer:
@@ -66,7 +66,7 @@
         assert stuck.readline() == b"" and 1.8 < time.monotonic() - connected_at < 3.0
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_drain_is_received_in_time_from_a_discovery_that_fell_silent_before_a_step(wall_clock, step):
     one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
     with Balancer(one, env=wall_clock.environment) as balancer:
@@ -77,14 +77,14 @@
         changed_at = time.monotonic()
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         assert client.readline() == b"MOVE\r\n"
-        # 6 s, the grace of 2 s, and the second in which clients are migrated.
+        # 6 s, the grace of 2 s, and the second over which clients are migrated.
         assert time.monotonic() - changed_at < 9.0
         assert balancer.open_flow().readline() == b"UP two\r\n"
 
 
 def test_steps_are_counted_and_make_no_timer_late_and_no_poll_of_discovery_fail(wall_clock):
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
-        for step in (HOUR, -HOUR, -20.0, 3.0):
+        for step in (HOUR_S, -HOUR_S, -20.0, 3.0):
             wall_clock.step(step)
             time.sleep(1.2)  # the clocks are compared once a second
         log = balancer.terminate(signal.SIGTERM)
@@ -92,7 +92,7 @@
     assert not any(counter in log for counter in ("late_timers", "discovery_failures", "internal_errors"))
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_shutdown_during_which_the_clock_is_stepped_migrates_all_and_ends_in_its_time(wall_clock, step):
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(20)]
@@ -108,7 +108,7 @@
         assert 0.9 < time.monotonic() - stopped_at < 3.0
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_server_has_its_whole_grace_to_close_after_its_client_and_no_more(wall_clock, step):
     server = FakeServer("s1")
 
