--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -155,7 +155,7 @@
             case DrainStep():
                 # Only this event would have led to the end of the shutdown.
                 self.loop.call_later(MIGRATION_INTERVAL_MS, event)
-            case RequestReceived() if not event.flow_id:
+            case RequestReceived() if not event.flow_number:
                 event.connection.send_final_answer(ERR)
             case EndpointUpdate() if self.request_complete_list is not None:
                 # Part of the update may have been applied, and discovery does not repeat changes.
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -35,15 +35,15 @@
     received_at: float  # by the event loop's clock
 
     @property
-    def flow_id(self) -> int:
+    def flow_number(self) -> int:
         """The flow's number, or 0 before it is admitted."""
-        return self.connection.flow_id
+        return self.connection.flow_number
 
 
 class DownstreamClosed(NamedTuple):
     """A client has closed its connection, or its sending half."""
 
-    flow_id: int
+    flow_number: int
 
 
 class ConnectionManager(Protocol):
@@ -78,7 +78,7 @@
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
-        self.flow_id = 0  # 0 while there is no flow
+        self.flow_number = 0  # 0 while there is no flow
         self.upstream: UpstreamAttempt | None = None  # while the flow is established
         self.answered = False
         self.disconnected = False
@@ -177,14 +177,14 @@
         return not self.factory.is_idle(self)
 
     def _handle_disconnect(self) -> None:
-        if not self.flow_id:
+        if not self.flow_number:
             self.disconnected = True
             self.transport.loseConnection()
         self._report_closed()
 
     def _report_closed(self) -> None:
-        if self.flow_id:
-            self.factory.enqueue(DownstreamClosed(self.flow_id))
+        if self.flow_number:
+            self.factory.enqueue(DownstreamClosed(self.flow_number))
 
     def has_pending_answer(self) -> bool:
         """Return whether a request, or a part of one, is unanswered or the last line is not written yet."""
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -75,7 +75,7 @@
                 self._handlers[type(event)](event)
             except Exception:
                 # Any exception: a failure over one event must not affect the others.
-                self.report_failure(event, getattr(event, "flow_id", 0))
+                self.report_failure(event, getattr(event, "flow_number", 0))
         self._run_scheduled = False
 
     def report_failure(self, event: object, flow_number: int) -> None:
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -22,7 +22,7 @@
 class RetryExisting(NamedTuple):
     """The backoff of an existing connection is over."""
 
-    flow_id: int
+    flow_number: int
 
 
 class ExistingConnections:
@@ -55,7 +55,7 @@
 
     def retry(self, event: RetryExisting) -> None:
         """Connect again after the backoff."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is not None and not flow.established:
             self.reconnect(flow)
 
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -21,7 +21,7 @@
 class AttemptTimedOut(NamedTuple):
     """The connect timeout, or the whole time, of an attempt has passed."""
 
-    flow_id: int
+    flow_number: int
     attempt: UpstreamAttempt
 
 
@@ -69,7 +69,7 @@
 
     def receipt_received(self, event: ReceiptReceived) -> None:
         """Connect the client to the server that has accepted its flow."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is None or flow.upstream is not event.attempt:
             self._counters["late_receipts"] += 1
             event.attempt.abort()
@@ -93,14 +93,14 @@
 
     def load_reported(self, event: LoadReported) -> None:
         """Pass a server's load report for a connection to the Director."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is not None:
             flow.log_step("load report", load=event.load)
-            self._decide(events.LoadReport(event.flow_id, event.load))
+            self._decide(events.LoadReport(event.flow_number, event.load))
 
     def attempt_ended(self, event: AttemptEnded) -> None:
         """Handle the end of the flow's current attempt, or of the connection that it established."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is not None and flow.upstream is event.attempt:
             self.connection_ended(flow, event.attempt, event.result, event.reason)
 
@@ -110,7 +110,7 @@
         The event is queued behind whatever the sockets brought while this process was stalled, so that a
         stall of ours does not have healthy servers ejected.
         """
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         attempt = event.attempt
         if flow is None or flow.upstream is not attempt or attempt.stage >= AttemptStage.ESTABLISHED:
             return
--- a/lotusroute/net/flow_endings.py
+++ b/lotusroute/net/flow_endings.py
@@ -22,7 +22,7 @@
 class CloseGraceExpired(NamedTuple):
     """A server has had its time to close a connection whose client has left."""
 
-    flow_id: int
+    flow_number: int
 
 
 class FlowEndings:
@@ -37,7 +37,7 @@
 
     def client_disconnected(self, event: DownstreamClosed) -> None:
         """Withdraw a flow that waits; give the server of an established one time to close."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is None:
             return
         if not flow.established:
@@ -49,7 +49,7 @@
 
     def close_grace_expired(self, event: CloseGraceExpired) -> None:
         """Close a connection whose client has left and whose server does not close it."""
-        flow = self._flow_table.get(event.flow_id)
+        flow = self._flow_table.get(event.flow_number)
         if flow is not None:
             upstream = flow.established_upstream
             upstream.abort()
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -22,7 +22,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._flows: dict[int, ActiveFlow] = {}
-        self._ids: set[str] = set()  # of flows in flight and of those in `_closed`
+        self._ids: set[str] = set()  # of the requests of flows in flight and of those in `_closed`
         self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids, the oldest first
         self._last_number = 0
         # The dict's own method, without a wrapper's overhead: it is called for every event.
@@ -60,13 +60,13 @@
         """Return the established flows whose client is still connected."""
         return [flow for flow in self if flow.established and not flow.client_left_at]
 
-    def knows_id(self, flow_id: str) -> bool:
+    def knows_id(self, request_id: str) -> bool:
         """Return whether the id belongs to a flow in flight or to one that ended recently."""
-        return flow_id in self._ids
+        return request_id in self._ids
 
     def expire_closed_ids(self, now: float) -> None:
         """Forget ids of flows that ended long ago, and the oldest beyond the limit."""
         closed = self._closed
         while closed and (closed[0][0] < now - CLOSED_FLOW_ID_TTL_MS or len(closed) > MAX_CLOSED_FLOW_IDS):
-            _, flow_id = closed.popleft()
-            self._ids.discard(flow_id)
+            _, request_id = closed.popleft()
+            self._ids.discard(request_id)
--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -36,11 +36,12 @@
     timeout: float  # within which the client has to be answered
     reconnecting: bool
     existing_server: str | None  # to which the client was connected before this balancer started
-    line: tuple[bytes, bytes]  # the line before and after the value of its timeout
+    line_before_timeout: bytes  # the line up to the value of its timeout
+    line_after_timeout: bytes
 
     def rewritten(self, timeout: float) -> bytes:
         """Return the line for a server that has `timeout` to answer."""
-        return b"%b%d%b" % (self.line[0], max(1, int(timeout)), self.line[1])
+        return b"%b%d%b" % (self.line_before_timeout, max(1, int(timeout)), self.line_after_timeout)
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
@@ -65,15 +66,19 @@
         timeout=timeout,
         reconnecting=TRUE in (parameters.get(RECONNECTING), parameters.get(RECONNECTING_ALIAS)),
         existing_server=parameters.get(EXISTING_SERVER),
-        line=(line[:timeout_start], line[timeout_end:]),
+        line_before_timeout=line[:timeout_start],
+        line_after_timeout=line[timeout_end:],
     )
 
 
-def _parse_parameters(text: bytes, start: int) -> tuple[dict[bytes, str], int, int]:
-    """Return the parameters by name, and where the timeout's value starts and ends in the line.
+class _Parameters(NamedTuple):
+    by_name: dict[bytes, str]
+    timeout_start: int  # where the timeout's value starts in the line
+    timeout_end: int
 
-    `start` is the position of `text` in the line.
-    """
+
+def _parse_parameters(text: bytes, start: int) -> _Parameters:
+    """Parse `text`, which is at the position `start` of the line."""
     parameters: dict[bytes, str] = {}
     timeout_start = timeout_end = 0
     for part in text.split(b","):
@@ -88,4 +93,4 @@
             timeout_start = start + match.start(2)
             timeout_end = start + len(part)
         start += len(part) + 1
-    return parameters, timeout_start, timeout_end
+    return _Parameters(parameters, timeout_start, timeout_end)
--- a/lotusroute/net/request_admission.py
+++ b/lotusroute/net/request_admission.py
@@ -63,7 +63,7 @@
             event.received_at + request.timeout - margin,
             event.connection,
         )
-        event.connection.flow_id = flow.number
+        event.connection.flow_number = flow.number
         flow.log_step(
             "flow requested",
             service_type=request.service_type,
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -43,14 +43,14 @@
 
     def __init__(
         self,
-        flow_id: int,
+        flow_number: int,
         server: str,
         line: bytes,
         context: AttemptContext,
         may_send: Callable[[], bool] = _always_may_send,
     ) -> None:
         """`may_send` is called once, when connected, and returns whether `line` may still be sent."""
-        self.flow_id = flow_id
+        self.flow_number = flow_number
         self.server = server
         self.line = line  # the part of the client's first line that is still to be written
         self.may_send = may_send
@@ -97,7 +97,7 @@
         """Report the end, once."""
         if self.stage != AttemptStage.OVER:
             self._mark_over()
-            self.enqueue(AttemptEnded(self.flow_id, self, result, reason))
+            self.enqueue(AttemptEnded(self.flow_number, self, result, reason))
 
     def _mark_over(self) -> None:
         """Record the final stage; nothing is reported any more."""
--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -73,7 +73,7 @@
             self.buffering = True
             attempt.stage = AttemptStage.ESTABLISHED
             self.result_if_closed = ConnectionResult.RESET
-            attempt.enqueue(ReceiptReceived(attempt.flow_id, attempt, line))
+            attempt.enqueue(ReceiptReceived(attempt.flow_number, attempt, line))
         else:
             # An UP without a receipt, or before our line was complete, is no answer to this request.
             result = RESULTS_OF_ANSWERS.get(command_of(line), ConnectionResult.ERROR)
@@ -86,7 +86,7 @@
         except (InvalidValueError, UnicodeDecodeError):
             self.attempt.counters["malformed_load_reports"] += 1
             return
-        self.attempt.enqueue(LoadReported(self.attempt.flow_id, load))
+        self.attempt.enqueue(LoadReported(self.attempt.flow_number, load))
 
     def attach_downstream(self, downstream: LineProtocol) -> None:
         """Forward lines to and from a client's connection from now on."""
--- a/lotusroute/net/upstream_events.py
+++ b/lotusroute/net/upstream_events.py
@@ -28,7 +28,7 @@
 class ReceiptReceived(NamedTuple):
     """A server has accepted a flow."""
 
-    flow_id: int
+    flow_number: int
     attempt: "UpstreamAttempt"
     receipt: memoryview  # the line to forward to the client
 
@@ -36,7 +36,7 @@
 class AttemptEnded(NamedTuple):
     """An attempt, or the connection that it established, has ended."""
 
-    flow_id: int
+    flow_number: int
     attempt: "UpstreamAttempt"
     result: ConnectionResult
     reason: EndReason
@@ -45,7 +45,7 @@
 class LoadReported(NamedTuple):
     """A server has reported the load of a connection."""
 
-    flow_id: int
+    flow_number: int
     load: float  # work per second
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -33,10 +33,10 @@
         return self.now
 
 
-def request(flow_id="id1", **pairs):
+def request(request_id="id1", **pairs):
     """Return a client's request for a flow of the type `live`."""
     text = ",".join(f"{key}={value}" for key, value in {"c": "live", "d": 900, **pairs}.items())
-    return parse_open_request(f"OPEN {flow_id} k {text}\r\n".encode())
+    return parse_open_request(f"OPEN {request_id} k {text}\r\n".encode())
 
 
 def config(sockets):
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -50,7 +50,7 @@
 
 
 def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
-    broken, sound = Mock(flow_id=0, disconnected=False), Mock(flow_id=0, disconnected=False)
+    broken, sound = Mock(flow_number=0, disconnected=False), Mock(flow_number=0, disconnected=False)
     broken.has_disconnected.side_effect = OSError("closed")
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
     sound.has_disconnected.return_value = False
