--- a/lotusroute/capacity/client_stub.py
+++ b/lotusroute/capacity/client_stub.py
@@ -4,9 +4,13 @@
 import contextlib
 import itertools
 
+from lotusroute.capacity.errors import ConnectionRejectedError
+
+LOOPBACK = "127.0.0.1"
 MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"
 
-_client_ids = itertools.count(1)  # a balancer remembers an id for a minute: each connection has its own
+# Each connection has an id of its own, because a balancer remembers ids for a while.
+_client_ids = itertools.count(1)
 
 
 class StubClient:
@@ -18,22 +22,22 @@
 
     @classmethod
     async def open(cls, port: int, key: int) -> "StubClient":
-        """Open a connection and wait until a server accepts it; raises OSError where it is rejected."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+        """Open a connection and wait until a server accepts it; raises `ConnectionRejectedError`."""
+        reader, writer = await asyncio.open_connection(LOOPBACK, port)
         writer.write(b"OPEN i%d k%d c=live,d=1800\r\n" % (next(_client_ids), key))
         answer = await reader.readline()
         if not answer.startswith(b"UP "):
             writer.close()
-            raise OSError(f"rejected: {answer!r}")
+            raise ConnectionRejectedError(answer)
         return cls(reader, writer)
 
     async def exchange_line(self) -> None:
-        """Send a line and read its echo."""
+        """Send a line and wait for its echo."""
         self._writer.write(MESSAGE)
         await self._reader.readline()
 
     async def close(self) -> None:
-        """End the connection and read what is left of it."""
+        """End the connection and discard what the server still sends."""
         self._writer.write_eof()
         with contextlib.suppress(OSError):
             await self._reader.read()
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -1,6 +1,6 @@
-"""Measures the data plane of one balancer by the number of connections: flows, idle connections, lines.
+"""Measures the data plane of one balancer at several numbers of connections: flows, idle connections, lines.
 
-The balancer is the program itself; servers and discovery are stubs, clients run in the measuring process.
+The balancer is the program itself. Servers and discovery are stubs; clients run in the measuring process.
 """
 
 import asyncio
@@ -9,6 +9,7 @@
 import time
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from lotusroute.capacity.client_stub import StubClient
 from lotusroute.capacity.deployment import (
@@ -20,22 +21,27 @@
 )
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.processes import MeasuredProcess, RunTooLargeError, check_footprint
-from lotusroute.capacity.stubs import entry
-
-SETTLE_SECONDS = 4.0  # after the last connection was opened, before idle ones are measured
-SERVERS = (
-    8  # names of one server stub: a single server that is slow for a moment would be ejected, with none left
-)
-LINES_PER_CLIENT = 20  # one after the other
-CONCURRENT_CLIENTS = 16  # that open flows or exchange lines at a time
-CONCURRENT_OPENS = 32  # connections opened at a time
-UNMEASURED_FLOWS = 32  # first ones, which are slower
+from lotusroute.capacity.stubs import endpoint_entry
+
+SETTLE_DELAY_S = 4.0  # after the last connection was opened, before idle ones are measured
+SERVERS = 8  # names of one stub; several, as single servers may be ejected
+LINES_PER_CLIENT = 20  # exchanged one after the other
+CONCURRENT_CLIENTS = 16  # that open flows or exchange lines
+CONCURRENT_OPENS = 32
+UNMEASURED_FLOWS = 32  # the first ones, which are slower
 SPARE_DESCRIPTORS = 256
 
 
+class RunningBalancer(NamedTuple):
+    """The measured balancer."""
+
+    process: MeasuredProcess
+    port: int
+
+
 @dataclass(frozen=True, slots=True)
 class BalancerSample:
-    """What the balancer has used at one moment."""
+    """What the balancer has used until one moment."""
 
     timestamp: float  # s of the monotonic clock
     cpu_seconds: float
@@ -44,26 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSamples:
-    """Samples of the balancer around two intervals."""
+    """Samples of the balancer at the ends of two intervals."""
 
-    idle: BalancerSample  # all connections are open, none is used
+    idle: BalancerSample  # all connections are open and idle
     exchange: BalancerSample  # clients begin to exchange lines
-    end: BalancerSample  # all lines were exchanged
+    end: BalancerSample  # all lines have been exchanged
 
-    def idle_cpu_share(self) -> float:
-        """Share of a core that idle connections take."""
+    def idle_cpu_fraction(self) -> float:
+        """Return the fraction of a core that idle connections use."""
         cpu_seconds = self.exchange.cpu_seconds - self.idle.cpu_seconds
         return cpu_seconds / (self.exchange.timestamp - self.idle.timestamp)
 
     def exchange_cpu_seconds(self) -> float:
-        """CPU seconds of all lines, without what the connections would have taken if idle."""
+        """Return the CPU time of all lines in s, without that of the same connections if idle."""
         cpu_seconds = self.end.cpu_seconds - self.exchange.cpu_seconds
-        idle_cpu_seconds = self.idle_cpu_share() * (self.end.timestamp - self.exchange.timestamp)
+        idle_cpu_seconds = self.idle_cpu_fraction() * (self.end.timestamp - self.exchange.timestamp)
         return max(0.0, cpu_seconds - idle_cpu_seconds)
 
 
 def measure_data_plane(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure a balancer with so many connections."""
+    """Measure a balancer with `size` connections."""
     options.report(check_footprint(3))
     _raise_descriptor_limit(size)
     with _run_balancer() as (balancer, port):
@@ -82,8 +88,8 @@
     lines = LINES_PER_CLIENT * size
     return [
         Measurement("flow.cpu", "s of CPU", size, flow_cpu_seconds),
-        Measurement("standing.memory", "MB over an empty one", size, memory_mb),
-        Measurement("standing.cpu", "% of a core", size, 100 * samples.idle_cpu_share()),
+        Measurement("idle_connection.memory", "MB over a balancer without connections", size, memory_mb),
+        Measurement("idle_connection.cpu", "% of a core", size, 100 * samples.idle_cpu_fraction()),
         Measurement("line.cpu", "s of CPU", lines, samples.exchange_cpu_seconds()),
     ]
 
@@ -92,53 +98,53 @@
     needed = 2 * connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if needed > hard:
-        raise RunTooLargeError(f"{connections} connections need {needed} descriptors, {hard} are to be had")
+        raise RunTooLargeError(f"{connections} connections need {needed} descriptors, {hard} are available")
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
 
 
 @contextlib.contextmanager
-def _run_balancer() -> Iterator[tuple[MeasuredProcess, int]]:
-    """Run a balancer with its discovery and servers; yields it with its port."""
+def _run_balancer() -> Iterator[RunningBalancer]:
+    """Run a balancer with its discovery and servers."""
     server_port = allocate_port()
     port = allocate_port()
-    hosts = [entry(f"s-{index}", server_port) for index in range(SERVERS)]
+    hosts = [endpoint_entry(f"s-{index}", server_port) for index in range(SERVERS)]
     with (
         run_folder() as folder,
-        run_discovery(SERVERS, server_port) as (_, discovery_port),
+        run_discovery(SERVERS, server_port) as discovery,
         MeasuredProcess("lotusroute.capacity.server_stub", [str(server_port)]),
-        start_balancer(folder, "n1", port, discovery_port, {}, hosts) as balancer,
+        start_balancer(folder, "n1", port, discovery.port, {}, hosts) as balancer,
     ):
         wait_until_listening(port)
-        yield balancer, port
+        yield RunningBalancer(balancer, port)
 
 
 async def _open_flows(port: int, count: int) -> None:
-    """Open and close connections, some at a time."""
+    """Open and close connections, CONCURRENT_CLIENTS at a time."""
 
-    async def open_some(first: int) -> None:
+    async def open_part(first: int) -> None:
         for key in range(first, count, CONCURRENT_CLIENTS):
             client = await StubClient.open(port, key)
             await client.close()
 
-    await asyncio.gather(*(open_some(first) for first in range(CONCURRENT_CLIENTS)))
+    await asyncio.gather(*(open_part(first) for first in range(CONCURRENT_CLIENTS)))
 
 
 async def _use_connections(
     port: int, count: int, seconds: float, sample: Callable[[], BalancerSample]
 ) -> ConnectionSamples:
-    """Open connections, leave them idle for some seconds, then exchange lines over all of them."""
+    """Open connections, leave them idle for `seconds`, then exchange lines over all of them."""
     clients: list[StubClient] = []
     for first in range(0, count, CONCURRENT_OPENS):
         keys = range(first, min(count, first + CONCURRENT_OPENS))
         clients += await asyncio.gather(*(StubClient.open(port, key) for key in keys))
-    await asyncio.sleep(SETTLE_SECONDS)
+    await asyncio.sleep(SETTLE_DELAY_S)
     idle = sample()
     await asyncio.sleep(seconds)
     exchange = sample()
 
-    async def exchange_lines(some: list[StubClient]) -> None:
+    async def exchange_lines(group: list[StubClient]) -> None:
         for _ in range(LINES_PER_CLIENT):
-            for client in some:
+            for client in group:
                 await client.exchange_line()
 
     groups = [clients[first::CONCURRENT_CLIENTS] for first in range(CONCURRENT_CLIENTS)]
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -1,11 +1,13 @@
-"""Messages and bytes that a role sends for a fixed script, without a process or a clock.
+"""Counts the messages and bytes that a role sends in a fixed script, without a process or a clock.
 
-The counts do not depend on the machine: growth means that the code sends more.
+The counts do not depend on the machine: they grow only if the code sends more.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
-from lotusroute.capacity.stubs import entry
+from lotusroute.capacity.stubs import endpoint_entry
 from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
 from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
@@ -22,8 +24,15 @@
 DISCOVERY_ADDRESS = "d:1"
 
 
+class SentCounts(NamedTuple):
+    """What a role sent to all its receivers together."""
+
+    messages: int
+    size_bytes: int
+
+
 class RelayScript:
-    """A relay and its subscribers, all of which acknowledge each message at once."""
+    """A relay and its subscribers, which acknowledge each message at once."""
 
     def __init__(self, subscribers: int) -> None:
         self.now = 0.0
@@ -31,51 +40,51 @@
         self.fanout = FanOut(self.store, subscribers)
         self.subscribers = {f"n{index}": VersionedStore() for index in range(subscribers)}
         self.messages = 0
-        self.bytes = 0
+        self.size_bytes = 0
 
     def publish(self, update: EndpointListUpdate) -> None:
         """Publish an answer of discovery."""
         self.store.publish(1, endpoint_items.item_changes(self.store, update, DISCOVERY_ADDRESS))
 
     def join_all(self) -> None:
-        """Let all subscribers join from nothing."""
+        """Have all subscribers join with an empty list."""
         for name in self.subscribers:
             self.perform(self.fanout.join(self.now, name, Version()))
 
     def tick(self) -> None:
-        """Let the relay send what is due."""
+        """Have the relay send what is due."""
         self.perform(self.fanout.tick(self.now, AGE_MS))
 
     def perform(self, actions: list[Action]) -> None:
-        """Deliver messages and their acknowledgements until there are no more."""
+        """Deliver all messages, and those that their acknowledgements cause."""
         pending = list(actions)
         while pending:
             action = pending.pop(0)
             assert not isinstance(action, Drop)
             for body in messages.encode_update(action.message, AGE_MS):
                 self.messages += 1
-                self.bytes += len(body)
+                self.size_bytes += len(body)
             subscriber = self.subscribers[action.subscriber]
             if not isinstance(action.message, Heartbeat):
                 subscriber.apply(action.message)
-            self.bytes += len(messages.encode_acknowledgement(subscriber.version))
+            self.size_bytes += len(messages.encode_acknowledgement(subscriber.version))
             pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE_MS)
 
 
-def relay(size: int) -> dict[str, int]:
-    """Count for a relay with so many subscribers: all join from nothing, some changes, then idle time.
+def relay(size: int) -> SentCounts:
+    """Count for a relay with `size` subscribers that join with an empty list: some changes, then idle time.
 
     >>> few, many = relay(10), relay(20)
-    >>> many["messages"] == 2 * few["messages"], many["bytes"] == 2 * few["bytes"]
+    >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
     script = RelayScript(size)
-    endpoints = [entry(f"s-{index}") for index in range(ENDPOINTS)]
+    endpoints = [endpoint_entry(f"s-{index}") for index in range(ENDPOINTS)]
     script.publish(EndpointListUpdate(1, True, endpoints))
     script.join_all()
     for change in range(CHANGES):
         script.now += CHANGE_INTERVAL_MS
-        script.publish(EndpointListUpdate(2 + change, False, [entry("s-0", health="DRAINING")]))
+        script.publish(EndpointListUpdate(2 + change, False, [endpoint_entry("s-0", health="DRAINING")]))
         script.fanout.on_store_changed(script.now)
         script.now += HEARTBEAT_INTERVAL_MS
         script.tick()
@@ -84,24 +93,23 @@
         script.now += TICK_INTERVAL_MS
         script.tick()
     assert all(subscriber.items == script.store.items for subscriber in script.subscribers.values())
-    return {"messages": script.messages, "bytes": script.bytes}
+    return SentCounts(script.messages, script.size_bytes)
 
 
-def holder(size: int) -> dict[str, int]:
-    """Count for the holder of the lease `watch` in a fleet of so many: one change, then idle time.
+def holder(size: int) -> SentCounts:
+    """Count for the holder of the lease `watch` in a fleet of `size` balancers: one change, then idle time.
 
     >>> few, many = holder(11), holder(21)
-    >>> many["messages"] == 2 * few["messages"], many["bytes"] == 2 * few["bytes"]
+    >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
     discovery_url = "http://127.0.0.1:8500/api/targets"
-    update = SharedUpdate(7, discovery_url, 2, 1, False, [entry("s-0", health="DRAINING")])
+    update = SharedUpdate(7, discovery_url, 2, 1, False, [endpoint_entry("s-0", health="DRAINING")])
     heartbeat = SharedUpdate(7, discovery_url, 2)
     heartbeats = round(IDLE_TIME_MS / 1_000 / HOLDER_HEARTBEAT_INTERVAL)
     update_bytes = len(msgspec.msgpack.encode(update))
     heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
     peers = size - 1
-    return {
-        "messages": (1 + heartbeats) * peers,
-        "bytes": (update_bytes + heartbeats * heartbeat_bytes) * peers,
-    }
+    messages_each = 1 + heartbeats
+    bytes_each = update_bytes + heartbeats * heartbeat_bytes
+    return SentCounts(messages_each * peers, bytes_each * peers)
--- a/lotusroute/capacity/direct_discovery_clients.py
+++ b/lotusroute/capacity/direct_discovery_clients.py
@@ -1,6 +1,6 @@
-"""A process of members that each poll discovery directly, as every balancer does in `run`.
+"""A process of clients that each poll discovery directly, as a balancer without a fleet does.
 
-Each member is the program's own `Discovery`. SIGUSR1 logs the counters of all.
+Each client is the program's own `Discovery`. SIGUSR1 logs the counters of all.
 
     python -m lotusroute.capacity.direct_discovery_clients settings.json
 """
@@ -15,23 +15,23 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
-START_INTERVAL = 0.005  # s
+START_INTERVAL_S = 0.005
 
 
 def main(file: str) -> None:
-    """Run the members that a settings file names until killed."""
+    """Run the clients that a settings file names until killed."""
     settings = MemberSettings.read(file)
     counters = structured_log.Counters()
 
     def count_update(_update: object) -> None:
-        counters["lists_taken"] += 1
+        counters["lists_received"] += 1
 
     def start(_name: str, index: int) -> None:
         discovery = Discovery(settings.discovery_address(), 0, index, count_update, counters)
         defer.ensureDeferred(discovery.follow())
 
     handlers = {signal.SIGUSR1: counters.print}
-    member_process.run_members(settings.names, start, START_INTERVAL, handlers)
+    member_process.run_members(settings.names, start, START_INTERVAL_S, handlers)
 
 
 if __name__ == "__main__":
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -1,4 +1,4 @@
-"""Measures discovery that every balancer polls directly, as in `run`, by the number of balancers."""
+"""Measures discovery at several numbers of clients that poll it directly."""
 
 import time
 
@@ -7,19 +7,19 @@
 from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.capacity.processes import MeasuredProcess, check_footprint, usage_between
 
-SETTLE_SECONDS = 4.0  # after the last start, before anything is measured
+SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
 
 
 def measure_direct_discovery(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure discovery with so many balancers, all of one process."""
+    """Measure discovery with `size` clients, all of one process."""
     options.report(check_footprint(2, size))
-    with run_folder() as folder, run_discovery(options.hosts) as (discovery, discovery_port):
+    with run_folder() as folder, run_discovery(options.hosts) as discovery:
         names = [f"n{index + 1}" for index in range(size)]
-        settings_file = MemberSettings(names, address(discovery_port)).write(folder / "clients.json")
+        settings_file = MemberSettings(names, address(discovery.port)).write(folder / "clients.json")
         with MeasuredProcess("lotusroute.capacity.direct_discovery_clients", [settings_file]) as clients:
             clients.wait_for_line("event=ready")
-            time.sleep(SETTLE_SECONDS)
-            return _measure(size, options.seconds, discovery, clients)
+            time.sleep(SETTLE_DELAY_S)
+            return _measure(size, options.seconds, discovery.process, clients)
 
 
 def _measure(
@@ -34,7 +34,7 @@
     clients_percent = 100 * (clients.cpu_seconds() - clients_before) / elapsed
     usage = usage_between(discovery_before, discovery_after, elapsed)
     return [
-        Measurement("discovery.alone.calls", "calls a second", size, usage.rate("calls")),
-        Measurement("discovery.alone.cpu", "% of a core", size, usage.cpu_percent),
-        Measurement("follower.cpu", "% of a core, of all together", size, clients_percent),
+        Measurement("direct_discovery.polls", "polls a second", size, usage.rate("polls")),
+        Measurement("direct_discovery.cpu", "% of a core", size, usage.cpu_percent),
+        Measurement("direct_clients.cpu", "% of a core, of all together", size, clients_percent),
     ]
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -1,4 +1,7 @@
-"""A stub of discovery as a Twisted web resource: a queue of polls that it answers at a limited rate."""
+"""A discovery stub as a web resource: polls wait in a queue and are answered at a limited rate.
+
+Times are in seconds of the reactor's clock.
+"""
 
 import json
 from collections import Counter, deque
@@ -6,19 +9,22 @@
 
 from twisted.web import resource, server
 
+from lotusroute.capacity.stubs import EndpointEntry
 from lotusroute.net.reactor import reactor
 
-MAX_QUEUE_SECONDS = 2.0  # that a poll waits in the queue; after that it is rejected
-MAX_QUEUE_LENGTH = 64  # polls in the queue; one more is rejected at once
+QUEUE_TIMEOUT_S = 2.0  # after which a poll in the queue is rejected
+MAX_QUEUE_LENGTH = 64  # polls; further ones are rejected at once
+UNLIMITED_ANSWERS_PER_S = 1e6
+STATUS_REJECTED = 503
 
 
 @dataclass(slots=True, eq=False)
 class PendingPoll:
-    """A poll that has no answer yet."""
+    """A poll that has not been answered yet."""
 
     request: server.Request
-    received_at: float  # s of the reactor's clock
-    connected: bool = True  # the client still waits for the answer
+    received_at: float
+    connected: bool = True  # the client has not closed the connection
 
     def mark_disconnected(self, _reason: object) -> None:
         """Note that the client closed the connection."""
@@ -26,28 +32,35 @@
 
 
 class DiscoveryResource(resource.Resource):
-    """Answers one poll after the other, `answers` a second, and none before `available_from`."""
+    """The resource that clients poll."""
 
     isLeaf = True
 
-    def __init__(self, hosts: list[dict], answers: float = 1e6, available_from: float = 0.0) -> None:
+    def __init__(
+        self,
+        hosts: list[EndpointEntry],
+        answers_per_s: float = UNLIMITED_ANSWERS_PER_S,
+        available_from: float = 0.0,
+    ) -> None:
+        """`hosts` is the endpoint list; no poll that comes before `available_from` is answered."""
         super().__init__()
         self.hosts = hosts
         self.sequence = 1  # version of the list
-        self.available_from = available_from  # s of the reactor's clock
-        self.poll_times: list[float] = []  # when each came while discovery was up; bounded by a run's length
-        self.bytes_sent = 0  # of answers
+        self.available_from = available_from
+        self.poll_times: list[float] = []  # of polls received since then
+        self.bytes_sent = 0  # in answers
         self.counters: Counter[str] = Counter()
-        self._answer_interval = 1 / answers  # s
+        self._answer_interval = 1 / answers_per_s
         self._next_answer_at = 0.0
         self._queue: deque[PendingPoll] = deque()
-        self._watches: list[PendingPoll] = []  # answered by a change or when their hold time is over
-        self._unanswered: set[server.Request] = (
-            set()
-        )  # came before `available_from`; leave as clients give up
-
-    def change(self, hosts: list[dict]) -> None:
-        """Replace or add these servers and answer all watches with them."""
+        self._watches: list[
+            PendingPoll
+        ] = []  # long polls that wait for a change or the end of their hold time
+        # Polls that came before `available_from`, until their clients close the connection.
+        self._unanswered: set[server.Request] = set()
+
+    def change(self, hosts: list[EndpointEntry]) -> None:
+        """Replace or add these servers, and answer all watches with them."""
         self.sequence += 1
         by_name = {host["host"]: host for host in self.hosts}
         by_name.update({host["host"]: host for host in hosts})
@@ -58,7 +71,7 @@
             self._answer(poll, hosts)
 
     def render_GET(self, request: server.Request) -> object:
-        """Take a poll."""
+        """Queue a poll, or reject it if the queue is full."""
         now = reactor.seconds()
         if now < self.available_from:
             self._unanswered.add(request)
@@ -79,12 +92,12 @@
         reactor.callLater(max(0.0, self._next_answer_at - reactor.seconds()), self._process_next)
 
     def _process_next(self) -> None:
-        """Serve the first poll of the queue that can be served."""
+        """Answer the first poll of the queue that can still be answered."""
         while self._queue:
             poll = self._queue.popleft()
             if not poll.connected:
-                self.counters["given_up"] += 1
-            elif reactor.seconds() - poll.received_at > MAX_QUEUE_SECONDS:
+                self.counters["abandoned"] += 1
+            elif reactor.seconds() - poll.received_at > QUEUE_TIMEOUT_S:
                 self._reject(poll)
             else:
                 self._serve(poll)
@@ -94,21 +107,21 @@
             self._schedule_next()
 
     def _reject(self, poll: PendingPoll) -> None:
-        self.counters["refused"] += 1
-        poll.request.setResponseCode(503)
+        self.counters["rejected"] += 1
+        poll.request.setResponseCode(STATUS_REJECTED)
         poll.request.finish()
 
     def _serve(self, poll: PendingPoll) -> None:
-        hold_seconds = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
+        hold = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
-        self.counters["watches" if hold_seconds else "answers"] += 1
+        self.counters["watches" if hold else "answers"] += 1
         if 0 <= known_sequence == self.sequence - 1:
             self._answer(poll, self.hosts)
         elif known_sequence < self.sequence:
             self._answer_completely(poll)
-        elif hold_seconds:
+        elif hold:
             self._watches.append(poll)
-            reactor.callLater(hold_seconds, self._end_watch, poll)
+            reactor.callLater(hold, self._end_watch, poll)
         else:
             self._answer(poll, [])
 
@@ -118,15 +131,15 @@
             self._answer(poll, [])
 
     def _answer_completely(self, poll: PendingPoll) -> None:
-        self._write(poll, {"seq": self.sequence, "whole": True, "hosts": self.hosts})
+        self._write(poll, self.hosts, complete=True)
 
-    def _answer(self, poll: PendingPoll, changed: list[dict]) -> None:
-        self._write(poll, {"seq": self.sequence, "whole": False, "hosts": changed})
+    def _answer(self, poll: PendingPoll, changed: list[EndpointEntry]) -> None:
+        self._write(poll, changed, complete=False)
 
-    def _write(self, poll: PendingPoll, document: dict) -> None:
+    def _write(self, poll: PendingPoll, hosts: list[EndpointEntry], complete: bool) -> None:
         if not poll.connected:
             return
-        body = json.dumps(document).encode()
+        body = json.dumps({"seq": self.sequence, "whole": complete, "hosts": hosts}).encode()
         self.bytes_sent += len(body)
         poll.request.write(body)
         poll.request.finish()
--- a/lotusroute/capacity/discovery_stub.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -2,17 +2,11 @@
 
     python -m lotusroute.capacity.discovery_stub PORT HOSTS ANSWERS [INTERVAL [SERVER_PORT]]
 
-HOSTS servers are listed, all on SERVER_PORT; ANSWERS polls a second are answered; every INTERVAL seconds one
-entry of the list changes. SIGUSR1 logs the counters, SIGUSR2 makes one change, SIGHUP a burst of changes.
+The list has HOSTS servers, all on SERVER_PORT. ANSWERS polls a second are answered. Every INTERVAL seconds
+one entry of the list changes. SIGUSR1 logs the counters, SIGUSR2 makes one change, SIGHUP a burst of changes.
 Each change is logged with its number and with the time of the monotonic clock, which all processes share.
 """
 
-# ruff: noqa: E402, I001  the reactor has to be installed before others import it
-from lotusroute.net.reactor import reactor
-from lotusroute.net import monotonic_reactor
-
-monotonic_reactor.install()
-
 import itertools
 import signal
 import sys
@@ -21,46 +15,50 @@
 from twisted.internet import task
 from twisted.web import server
 
+from lotusroute.capacity.deployment import LOOPBACK
 from lotusroute.capacity.discovery_resource import DiscoveryResource
 from lotusroute.capacity.signals import call_on_signal
-from lotusroute.capacity.stubs import BURST_CHANGES, CHANGED_HOST, entry
+from lotusroute.capacity.stubs import BURST_CHANGES, CHANGED_HOST, DISCARD_PORT, endpoint_entry
 from lotusroute.net import structured_log
+from lotusroute.net.reactor import reactor
 
 
 class DiscoveryStub:
-    """The resource, its counters, and changes of its list."""
+    """The resource, and changes of its list."""
 
-    def __init__(self, hosts: int, answers: float, server_port: int) -> None:
+    def __init__(self, hosts: int, answers_per_s: float, server_port: int) -> None:
         self.server_port = server_port
         self.resource = DiscoveryResource(
-            [entry(f"s-{index}", server_port) for index in range(hosts)], answers
+            [endpoint_entry(f"s-{index}", server_port) for index in range(hosts)], answers_per_s
         )
         self.counters = structured_log.Counters()
         self._change_numbers = itertools.count(1)
 
     def log_counters(self) -> None:
-        """Log how many polls came and how many bytes were sent."""
-        self.counters["calls"] = len(self.resource.poll_times)
-        self.counters["bytes"] = self.resource.bytes_sent
+        """Log how many polls were received and how many bytes were sent."""
+        self.counters["polls"] = len(self.resource.poll_times)
+        self.counters["bytes_sent"] = self.resource.bytes_sent
         self.counters.print()
 
     def change(self) -> None:
         """Change one entry of the list."""
         number = next(self._change_numbers)
-        self.resource.change([{**entry(CHANGED_HOST, self.server_port), "block": number}])
-        structured_log.log_event("changed", change=number, at=time.monotonic(), of=CHANGED_HOST)
+        self.resource.change([{**endpoint_entry(CHANGED_HOST, self.server_port), "block": number}])
+        structured_log.log_event("changed", change=number, at=time.monotonic(), server=CHANGED_HOST)
 
     def change_in_burst(self) -> None:
-        """Change the entry many times within a second."""
+        """Change the entry BURST_CHANGES times within a second."""
         for index in range(BURST_CHANGES):
             reactor.callLater(index / BURST_CHANGES, self.change)
 
 
-def main(port: str, hosts: str, answers: str, interval: str = "0", server_port: str = "9") -> None:
+def main(
+    port: str, hosts: str, answers: str, interval: str = "0", server_port: str = str(DISCARD_PORT)
+) -> None:
     """Run until killed."""
     structured_log.configure_logging("INFO")
     stub = DiscoveryStub(int(hosts), float(answers), int(server_port))
-    reactor.listenTCP(int(port), server.Site(stub.resource), interface="127.0.0.1")
+    reactor.listenTCP(int(port), server.Site(stub.resource), interface=LOOPBACK)
     if float(interval):
         task.LoopingCall(stub.change).start(float(interval), now=False)
     call_on_signal(reactor, signal.SIGUSR1, stub.log_counters)
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -1,4 +1,4 @@
-"""Measures an endpoint list by its number of servers: its bytes, parsing it, applying it, routing by it."""
+"""Measures an endpoint list at several numbers of servers: its size, and parsing, applying and using it."""
 
 import itertools
 import json
@@ -7,27 +7,32 @@
 
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.processes import check_footprint
-from lotusroute.capacity.stubs import entry
+from lotusroute.capacity.stubs import endpoint_entry
 from lotusroute.net.endpoint_list import parse_endpoint_list
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
-REPETITIONS = 3  # of each timing; the shortest counts
+REPETITIONS = 3  # of each timing, of which the shortest counts
 FLOWS = 200  # of one timing
+SETUP_TARGET_MS = 300.0
+FLOW_DEADLINE_MS = 2_000.0
 SERVER_PORT = 9_000
 
 
 def measure_endpoint_list(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure a list of so many servers."""
+    """Measure a list of `size` servers."""
     options.report(check_footprint(1))
-    hosts = [entry(f"s-{index:08x}", SERVER_PORT) for index in range(size)]
+    hosts = [endpoint_entry(f"s-{index:08x}", SERVER_PORT) for index in range(size)]
     document = {"seq": 1, "whole": True, "hosts": hosts}
     body = json.dumps(document).encode()
     update = parse_endpoint_list(document, events.ListScope.COMPLETE)
     complete = events.EndpointList(events.ListScope.COMPLETE, update.servers)
     change = events.EndpointList(events.ListScope.CHANGES, update.servers[:1])
     director = Director(
-        events.ServiceConfig({"live": events.ServiceType(300.0)}, groups_share_work=True, max_attempts=4), 1
+        events.ServiceConfig(
+            {"live": events.ServiceType(SETUP_TARGET_MS)}, groups_share_work=True, max_attempts=4
+        ),
+        1,
     )
     flow_ids = itertools.count(1)
 
@@ -47,15 +52,15 @@
     flow_unit = "ms of CPU, each in a segment of its own"
     return [
         Measurement("list.bytes", "B", size, len(body)),
-        Measurement("list.read", "ms of CPU", size, _shortest_cpu_ms(parse)),
-        Measurement("list.take", "ms of CPU", size, _shortest_cpu_ms(apply_complete)),
-        Measurement("list.change", "ms of CPU", size, _shortest_cpu_ms(apply_change)),
-        Measurement("decisions.flow", flow_unit, size, _shortest_cpu_ms(route_flows) / FLOWS),
+        Measurement("list.parse", "ms of CPU", size, _shortest_cpu_ms(parse)),
+        Measurement("list.apply", "ms of CPU", size, _shortest_cpu_ms(apply_complete)),
+        Measurement("list.apply_change", "ms of CPU", size, _shortest_cpu_ms(apply_change)),
+        Measurement("routing.flow", flow_unit, size, _shortest_cpu_ms(route_flows) / FLOWS),
     ]
 
 
 def _route_flow(director: Director, flow_id: int) -> None:
-    flow = events.FlowRequest(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", 2_000.0)
+    flow = events.FlowRequest(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", FLOW_DEADLINE_MS)
     director.decide(1.0, flow)
     director.decide(2.0, events.ClientDisconnected(flow_id))
 
--- /dev/null
+++ b/lotusroute/capacity/errors.py
@@ -0,0 +1,65 @@
+"""The errors of capacity runs; each message can be shown to an operator as it is."""
+
+import pathlib
+
+from lotusroute.errors import LotusrouteError
+
+
+class CapacityError(LotusrouteError):
+    """Base class of the errors of capacity runs."""
+
+
+class NotListeningError(CapacityError):
+    """A balancer did not answer health checks in time."""
+
+    def __init__(self, port: int, timeout: float) -> None:
+        super().__init__(f"no PONG from port {port} within {timeout:g} s")
+        self.port = port
+        self.timeout = timeout
+
+
+class ConnectionRejectedError(CapacityError):
+    """A balancer rejected a stub client."""
+
+    def __init__(self, answer: bytes) -> None:
+        super().__init__(f"rejected: {answer!r}")
+        self.answer = answer
+
+
+class NoLeaseHolderError(CapacityError):
+    """No process acquired a lease in time."""
+
+    def __init__(self, lease: str, timeout: float) -> None:
+        super().__init__(f"no process has acquired the lease '{lease}' within {timeout:g} s")
+        self.lease = lease
+        self.timeout = timeout
+
+
+class NoUpdateSentError(CapacityError):
+    """The lease holder sent no update while it was measured."""
+
+    def __init__(self, lease_holder: str) -> None:
+        super().__init__(f"{lease_holder} held the lease but sent no update")
+        self.lease_holder = lease_holder
+
+
+class NoReportError(CapacityError):
+    """A process of hollow subscribers did not write its report in time."""
+
+    def __init__(self, file: pathlib.Path, timeout: float) -> None:
+        super().__init__(f"{file.name} was not written within {timeout:g} s")
+        self.file = file
+        self.timeout = timeout
+
+
+class TooFewSizesError(CapacityError):
+    """A series was measured at fewer sizes than a line needs."""
+
+    def __init__(self, series: str, points: int) -> None:
+        super().__init__(f"{series}: {points} points at one size make no line")
+        self.series = series
+        self.points = points
+
+
+class RunFileError(CapacityError):
+    """A file does not hold a run of `capacity measure --json`."""
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -1,17 +1,19 @@
-"""Measures a fleet at rest whose members compete for the lease `watch`, by the number of members.
+"""Measures a fleet at rest whose members compete for the lease `watch`, at several numbers of members.
 
-Up to five members are balancers of their own, the others are hollow. Figures: the lease holder, which polls
-discovery and sends its updates to all others; acceptors of leases; other balancers; polls at discovery.
+Up to five members are real balancers, the others are hollow. There are figures of the lease holder, which
+polls discovery and sends its updates to all others, of the acceptors of leases, of other balancers and of
+discovery.
 """
 
 import contextlib
 import pathlib
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from typing import Self
 
 from lotusroute.capacity import processes
 from lotusroute.capacity.deployment import (
+    RunningDiscovery,
     address,
     allocate_port,
     run_discovery,
@@ -19,15 +21,23 @@
     start_balancer,
     write_fleet_file,
 )
+from lotusroute.capacity.errors import NoLeaseHolderError, NoUpdateSentError
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import HollowBalancerSettings
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 
-SETTLE_SECONDS = 4.0  # after the last start, before anything is measured
+SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
 MAX_REAL_BALANCERS = 5
-HOLLOW_PER_PROCESS = 60  # with more, it would be that process that is measured
+HOLLOW_PER_PROCESS = 60  # more would limit the fleet by this process's CPU
 ACCEPTORS = 3
-DISCOVERY = "discovery"  # its name among the processes that are sampled
+LEASE = "watch"
+HOLLOW_LEASE = "check"  # another one, so that the holder of LEASE is a process of its own
+DISCOVERY = "discovery"  # its name among the measured processes
+CHECK_INTERVAL_S = 0.05
+
+# Units of figures.
+CPU = "% of a core"
+BYTES = "B a second, both ways"
 
 
 class LinkedFleet:
@@ -36,18 +46,17 @@
     def __init__(self, size: int, hosts: int) -> None:
         self.names = [f"n{index + 1}" for index in range(size)]
         self.acceptors = self.names[:ACCEPTORS]
-        self.balancers: dict[str, MeasuredProcess] = {}  # by name; hollow ones are not among them
+        self.balancers: dict[str, MeasuredProcess] = {}  # the real ones, by name
         self.lease_holder = ""
-        self.discovery: MeasuredProcess
+        self.discovery: RunningDiscovery
         self._hosts = hosts
         self._ports = {name: allocate_port() for name in self.names}
-        self._discovery_port = 0
         self._resources = contextlib.ExitStack()
 
     def __enter__(self) -> Self:
         with contextlib.ExitStack() as stack:
             folder = stack.enter_context(run_folder())
-            self.discovery, self._discovery_port = stack.enter_context(run_discovery(self._hosts))
+            self.discovery = stack.enter_context(run_discovery(self._hosts))
             for name in self.names[:MAX_REAL_BALANCERS]:
                 self.balancers[name] = stack.enter_context(self._start_balancer(folder, name))
             self.lease_holder = self._wait_for_lease_holder()
@@ -63,10 +72,8 @@
     def _start_balancer(self, folder: pathlib.Path, name: str) -> MeasuredProcess:
         state = folder / name
         state.mkdir()
-        file = write_fleet_file(
-            folder / f"{name}.toml", self._ports, self.acceptors, "watch", state=str(state)
-        )
-        return start_balancer(folder, name, allocate_port(), self._discovery_port, {"LB_FLEET": file})
+        file = write_fleet_file(folder / f"{name}.toml", self._ports, self.acceptors, LEASE, state=str(state))
+        return start_balancer(folder, name, allocate_port(), self.discovery.port, {"LB_FLEET": file})
 
     def _wait_for_lease_holder(self) -> str:
         deadline = time.monotonic() + processes.LOG_TIMEOUT
@@ -74,33 +81,32 @@
             for name, balancer in self.balancers.items():
                 if any("lease acquired" in line for line in balancer.lines):
                     return name
-            time.sleep(0.05)
-        raise RuntimeError("no balancer holds the lease `watch`")
+            time.sleep(CHECK_INTERVAL_S)
+        raise NoLeaseHolderError(LEASE, processes.LOG_TIMEOUT)
 
     def _start_hollow(self, folder: pathlib.Path) -> Iterable[MeasuredProcess]:
-        # Hollow balancers compete for another lease: the holder of this one has a process of its own.
-        file = write_fleet_file(folder / "hollow.toml", self._ports, self.acceptors, "check")
+        file = write_fleet_file(folder / "hollow.toml", self._ports, self.acceptors, HOLLOW_LEASE)
         for start in range(MAX_REAL_BALANCERS, len(self.names), HOLLOW_PER_PROCESS):
             names = self.names[start : start + HOLLOW_PER_PROCESS]
-            settings = HollowBalancerSettings(names, address(self._discovery_port), file)
+            settings = HollowBalancerSettings(names, address(self.discovery.port), file)
             settings_file = settings.write(folder / f"hollow{start}.json")
             yield MeasuredProcess("lotusroute.capacity.hollow_balancers", [settings_file])
 
     def other_balancers(self) -> list[str]:
-        """Names of balancers that neither hold the lease nor are acceptors.
+        """Return the real balancers that neither hold the lease nor are acceptors.
 
-        In a fleet without such ones: names of all that do not hold the lease.
+        If there are none, all real balancers that do not hold the lease are returned.
         """
         non_holders = [name for name in self.balancers if name != self.lease_holder]
         return [name for name in non_holders if name not in self.acceptors] or non_holders
 
     def other_acceptors(self) -> list[str]:
-        """Names of acceptors that do not hold the lease."""
+        """Return the acceptors that do not hold the lease."""
         return [name for name in self.acceptors if name != self.lease_holder]
 
     def measure_usage(self, seconds: float) -> dict[str, ProcessUsage]:
-        """Measure all balancers, by name, and discovery."""
-        measured = {**self.balancers, DISCOVERY: self.discovery}
+        """Measure the real balancers and discovery; return the usage by name."""
+        measured = {**self.balancers, DISCOVERY: self.discovery.process}
         before = processes.sample_all(measured)
         started = time.monotonic()
         time.sleep(seconds)
@@ -110,20 +116,20 @@
 
 
 def measure_fleet(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure a fleet of so many members."""
+    """Measure a fleet of `size` members."""
     real = min(MAX_REAL_BALANCERS, size)
     hollow = size - real
     hollow_processes = (hollow + HOLLOW_PER_PROCESS - 1) // HOLLOW_PER_PROCESS
     options.report(processes.check_footprint(real + 1 + hollow_processes, hollow))
     with LinkedFleet(size, options.hosts) as fleet:
-        time.sleep(SETTLE_SECONDS)
+        time.sleep(SETTLE_DELAY_S)
         usage = fleet.measure_usage(options.seconds)
         if usage[fleet.lease_holder].rate("shared_discovery_sent") <= 0:
-            raise RuntimeError(f"{fleet.lease_holder} held the lease but sent no update")
-        return [Measurement(name, unit, size, value) for name, unit, value in _figures(fleet, usage)]
+            raise NoUpdateSentError(fleet.lease_holder)
+        return _measurements(size, fleet, usage)
 
 
-def _figures(fleet: LinkedFleet, usage: dict[str, ProcessUsage]) -> list[tuple[str, str, float]]:
+def _measurements(size: int, fleet: LinkedFleet, usage: Mapping[str, ProcessUsage]) -> list[Measurement]:
     holder = [fleet.lease_holder]
     others = fleet.other_balancers()
     acceptors = fleet.other_acceptors()
@@ -138,17 +144,19 @@
         return _mean(names, lambda name: fleet.balancers[name].resident_mb())
 
     return [
-        ("holder.cpu", "% of a core", cpu(holder)),
-        ("holder.messages", "calls out a second", rate(holder, "peer_calls_sent")),
-        ("holder.bytes", "B a second, both ways", rate(holder, *processes.PEER_BYTE_COUNTERS)),
-        ("holder.memory", "MB", memory(holder)),
-        ("balancer.cpu", "% of a core", cpu(others)),
-        ("balancer.bytes", "B a second, both ways", rate(others, *processes.PEER_BYTE_COUNTERS)),
-        ("balancer.memory", "MB", memory(others)),
-        ("keeper.cpu", "% of a core", cpu(acceptors)),
-        ("keeper.messages", "calls in a second", rate(acceptors, "peer_calls_received")),
-        ("keeper.memory", "MB", memory(acceptors)),
-        ("discovery.calls", "calls a second", usage[DISCOVERY].rate("calls")),
+        Measurement("holder.cpu", CPU, size, cpu(holder)),
+        Measurement("holder.messages", "calls sent a second", size, rate(holder, "peer_calls_sent")),
+        Measurement("holder.bytes", BYTES, size, rate(holder, *processes.PEER_BYTE_COUNTERS)),
+        Measurement("holder.memory", "MB", size, memory(holder)),
+        Measurement("balancer.cpu", CPU, size, cpu(others)),
+        Measurement("balancer.bytes", BYTES, size, rate(others, *processes.PEER_BYTE_COUNTERS)),
+        Measurement("balancer.memory", "MB", size, memory(others)),
+        Measurement("acceptor.cpu", CPU, size, cpu(acceptors)),
+        Measurement(
+            "acceptor.messages", "calls received a second", size, rate(acceptors, "peer_calls_received")
+        ),
+        Measurement("acceptor.memory", "MB", size, memory(acceptors)),
+        Measurement("discovery.polls", "polls a second", size, usage[DISCOVERY].rate("polls")),
     ]
 
 
--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -1,7 +1,7 @@
 """A process of hollow balancers: members of a fleet without flows.
 
-Each is made of the very code that a balancer runs: transport, leases, shared discovery and discovery client.
-SIGUSR1 logs the counters of all.
+Each consists of the components of a balancer that need no flows: transport, leases, shared discovery and
+discovery client. SIGUSR1 logs the counters of all.
 
     python -m lotusroute.capacity.hollow_balancers settings.json
 """
@@ -16,9 +16,10 @@
 from lotusroute.fleet import config, lease_service, shared_discovery
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.reactor import reactor
 
-START_INTERVAL = 0.01  # s
-DRAIN_GRACE = 2_000.0  # ms
+START_INTERVAL_S = 0.01
+DRAIN_GRACE_MS = 2_000.0
 
 
 class HollowBalancers:
@@ -30,21 +31,22 @@
         self.counters = structured_log.Counters()
 
     def start(self, name: str, seed: int) -> None:
-        """Start one."""
-        leases = lease_service.LeaseService(member_process.reactor, self.fleet, name, self.counters)
+        """Start a hollow balancer."""
+        leases = lease_service.LeaseService(reactor, self.fleet, name, self.counters)
         discovery = Discovery(
-            self.discovery_address, 0, seed, self._count_update, self.counters, DRAIN_GRACE, False
+            self.discovery_address, 0, seed, self._count_update, self.counters, DRAIN_GRACE_MS
         )
         if self.fleet.tasks:
-            discovery.watch = shared_discovery.SharedDiscovery(leases)
-            discovery.watch.discovery = discovery
+            shared = shared_discovery.SharedDiscovery(leases)
+            shared.discovery = discovery
+            discovery.watch = shared
         leases.start().addErrback(
-            lambda failure: structured_log.log_event("no address", name=name, reason=str(failure.value))
+            lambda failure: structured_log.log_event("listen failed", name=name, reason=str(failure.value))
         )
         defer.ensureDeferred(discovery.follow())
 
     def _count_update(self, _update: object) -> None:
-        self.counters["lists_taken"] += 1
+        self.counters["lists_received"] += 1
 
 
 def main(file: str) -> None:
@@ -52,7 +54,7 @@
     settings = HollowBalancerSettings.read(file)
     balancers = HollowBalancers(settings)
     handlers = {signal.SIGUSR1: balancers.counters.print}
-    member_process.run_members(settings.names, balancers.start, START_INTERVAL, handlers)
+    member_process.run_members(settings.names, balancers.start, START_INTERVAL_S, handlers)
 
 
 if __name__ == "__main__":
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -1,8 +1,8 @@
 """A process of hollow subscribers of relays: balancers without flows.
 
-Each is the program's own `Subscription` and `Discovery`. The process records when each of them received which
-change. SIGUSR1 writes a SubscriberReport; SIGUSR2 makes all subscribers lose their state and start again at
-once.
+Each consists of the program's own `Subscription` and `Discovery`. The process records when each subscriber
+received which change. SIGUSR1 writes a SubscriberReport; SIGUSR2 makes all subscribers lose their state and
+restart at once.
 
     python -m lotusroute.capacity.hollow_subscribers settings.json
 """
@@ -11,6 +11,7 @@
 import signal
 import sys
 import time
+from typing import NamedTuple, cast
 
 from twisted.internet import defer
 
@@ -20,13 +21,32 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.endpoint_list import EndpointUpdate
-from lotusroute.relay import config, subscription
+from lotusroute.net.reactor import reactor
+from lotusroute.relay.config import parse_relays_config
+from lotusroute.relay.subscription import Subscription
 
-# s. Thousands that started at once on one machine's cores all fell back on discovery, and its one process
-# then kept the relays from taking them.
-START_INTERVAL = 0.15
-DRAIN_GRACE = 500.0  # ms
-RESTART_SEED = 1_000  # first seed of the subscribers that start again
+# Long enough for relays to accept each subscriber: one that is not accepted in time polls discovery, and many
+# such polls would take the CPU that the relays need.
+START_INTERVAL_S = 0.15
+DRAIN_GRACE_MS = 500.0
+RESTART_SEED = 1_000  # first seed of restarted subscribers
+
+
+class HollowSubscriber(NamedTuple):
+    """One hollow subscriber."""
+
+    subscription: Subscription
+    discovery: Discovery
+
+    def stop(self) -> None:
+        """End the subscription and the polling of discovery."""
+        self.subscription.stop()
+        self.discovery.close()
+
+    def list_digest(self) -> str:
+        """Return a text that identifies the endpoint list of this subscriber."""
+        store = self.subscription.replica.store
+        return f"{store.version} {store.digest}"
 
 
 class HollowSubscribers:
@@ -36,64 +56,54 @@
         self.settings = settings
         self.counters = structured_log.Counters()
         self.received: dict[str, dict[int, float]] = {name: {} for name in settings.names}
-        self.subscriptions: dict[str, subscription.Subscription] = {}
+        self.subscribers: dict[str, HollowSubscriber] = {}
 
     def start(self, name: str, seed: int) -> None:
-        """Start one."""
-        relays = config.parse_relays_config(
+        """Start a hollow subscriber."""
+        relays = parse_relays_config(
             {"name": FLEET_NAME, "zone": self.settings.zone, "relays": self.settings.relays}
         )
-        subscribed = subscription.Subscription(member_process.reactor, relays, name, self.counters)
+        subscription = Subscription(reactor, relays, name, self.counters)
 
-        def record(update: EndpointUpdate) -> None:
-            self._record(name, update)
+        def record(update: object) -> None:
+            self._record(name, cast(EndpointUpdate, update))
 
-        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, DRAIN_GRACE)
-        discovery.watch = subscribed.update_source
-        subscribed.update_source.discovery = discovery
-        self.subscriptions[name] = subscribed
-        subscribed.start()
+        address = self.settings.discovery_address()
+        discovery = Discovery(address, 0, seed, record, self.counters, DRAIN_GRACE_MS)
+        discovery.watch = subscription.update_source
+        subscription.update_source.discovery = discovery
+        self.subscribers[name] = HollowSubscriber(subscription, discovery)
+        subscription.start()
         defer.ensureDeferred(discovery.follow())
 
     def _record(self, name: str, update: EndpointUpdate) -> None:
         now = time.monotonic()
         for server in update.servers:
             if server.id == stubs.CHANGED_HOST:
-                # A discovery stub writes the number of the change into the field that is read as `cell`.
+                # A discovery stub writes the number of the change into the field that is decoded as `cell`.
                 self.received[name].setdefault(server.cell, now)
 
     def write_report(self) -> None:
-        """Write what each one received and holds."""
-        digests = {
-            name: f"{one.replica.store.version} {one.replica.store.digest}"
-            for name, one in self.subscriptions.items()
-        }
+        """Write what each subscriber has received, and a digest of its list."""
+        digests = {name: subscriber.list_digest() for name, subscriber in self.subscribers.items()}
         report = SubscriberReport(self.received, digests, dict(self.counters))
         report.write(pathlib.Path(self.settings.report_file))
 
     def restart(self) -> None:
-        """Drop all subscriptions with their state and start them again at once."""
-        for name, subscribed in self.subscriptions.items():
-            subscribed.transport.close()
-            subscribed.transport.closed = True
-            subscribed.discovery.close()
-            # A subscription schedules its own `start` again and again: this one is to stop there.
-            subscribed.start = _do_nothing
+        """Stop all subscribers and start new ones of the same names at once."""
+        for name, subscriber in self.subscribers.items():
+            subscriber.stop()
             self.received[name] = {}
-        for index, name in enumerate(list(self.subscriptions)):
+        for index, name in enumerate(list(self.subscribers)):
             self.start(name, RESTART_SEED + index)
 
 
-def _do_nothing() -> None:
-    pass
-
-
 def main(file: str) -> None:
     """Run the subscribers that a settings file names until killed."""
     settings = HollowSubscriberSettings.read(file)
     subscribers = HollowSubscribers(settings)
     handlers = {signal.SIGUSR1: subscribers.write_report, signal.SIGUSR2: subscribers.restart}
-    member_process.run_members(settings.names, subscribers.start, START_INTERVAL, handlers, "WARNING")
+    member_process.run_members(settings.names, subscribers.start, START_INTERVAL_S, handlers, "WARNING")
 
 
 if __name__ == "__main__":
--- a/lotusroute/capacity/measurement.py
+++ b/lotusroute/capacity/measurement.py
@@ -1,7 +1,8 @@
-"""Figures that a run of a role yields at one size, and the series that they form over several sizes."""
+"""The figures that are measured for a role at one size, and their series over several sizes."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,55 +15,48 @@
     value: float
 
 
+class Point(NamedTuple):
+    """The value of a figure at one size."""
+
+    size: float
+    value: float
+
+
 @dataclass(frozen=True, slots=True)
 class Series:
     """The values of one figure by size."""
 
     name: str
     unit: str
-    points: tuple[tuple[float, float], ...]  # (size, value)
-
-    @classmethod
-    def from_json(cls, document: dict) -> "Series":
-        """Read what `as_json` returned; raises KeyError, TypeError or ValueError for anything else.
-
-        >>> Series.from_json({"name": "list.bytes", "unit": "B", "points": [[1, 99.0]]}).points
-        ((1, 99.0),)
-        """
-        points = tuple((size, value) for size, value in document["points"])
-        return cls(document["name"], document["unit"], points)
-
-    def as_json(self) -> dict:
-        """Return the form that the files of `measure --json` hold."""
-        return {"name": self.name, "unit": self.unit, "points": self.points}
+    points: tuple[Point, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MeasurementOptions:
-    """What is the same at all sizes of a run."""
+    """The options of a run that apply to all sizes."""
 
     seconds: float  # how long the role is measured at each size
-    hosts: int  # servers in the endpoint list, where the role does not set their number itself
-    report: Callable[[str], None]  # takes a line of progress for the operator
+    hosts: int  # servers in the endpoint list, unless the role determines their number
+    report: Callable[[str], None]  # called with a line of progress for the operator
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A role that can be measured by size."""
+    """A role that can be measured at several sizes."""
 
     measure: Callable[[int, MeasurementOptions], list[Measurement]]
     default_sizes: tuple[int, ...]
 
 
 def group_into_series(measurements: Iterable[Measurement]) -> list[Series]:
-    """Collect the points of each figure, in the order in which figures and sizes were measured.
+    """Group measurements by figure, in the order of their first occurrence.
 
     >>> group_into_series([Measurement("a.cpu", "ms", 1, 2.0), Measurement("a.cpu", "ms", 2, 3.0)])
-    [Series(name='a.cpu', unit='ms', points=((1, 2.0), (2, 3.0)))]
+    [Series(name='a.cpu', unit='ms', points=(Point(size=1, value=2.0), Point(size=2, value=3.0)))]
     """
     units: dict[str, str] = {}
-    points: dict[str, list[tuple[float, float]]] = {}
+    points: dict[str, list[Point]] = {}
     for measurement in measurements:
         units.setdefault(measurement.name, measurement.unit)
-        points.setdefault(measurement.name, []).append((measurement.size, measurement.value))
+        points.setdefault(measurement.name, []).append(Point(measurement.size, measurement.value))
     return [Series(name, unit, tuple(points[name])) for name, unit in units.items()]
--- a/lotusroute/capacity/member_settings.py
+++ b/lotusroute/capacity/member_settings.py
@@ -1,11 +1,11 @@
-"""Settings that a measuring process passes, in a JSON file, to a process of many members."""
+"""The JSON files that a measuring process and a process of many members exchange."""
 
 import json
 import pathlib
 from dataclasses import asdict, dataclass
 from typing import Self
 
-from lotusroute.address import Address
+from lotusroute.address import Address, parse_address
 from lotusroute.capacity.processes import write_json
 
 
@@ -14,52 +14,50 @@
     """Settings of any process of members."""
 
     names: list[str]  # of the members
-    discovery: str  # host:port
+    discovery: str  # HOST:PORT
 
     @classmethod
     def read(cls, file: str) -> Self:
-        """Read what `write` wrote."""
+        """Read a file that `write` has written."""
         return cls(**json.loads(pathlib.Path(file).read_text(encoding="utf-8")))
 
     def write(self, file: pathlib.Path) -> str:
-        """Write the settings; returns the file's path."""
+        """Write the settings to a file and return its path."""
         return write_json(file, asdict(self))
 
     def discovery_address(self) -> Address:
-        """Return host and port of discovery."""
-        host, _, port = self.discovery.rpartition(":")
-        return host, int(port)
+        """Return the address of discovery."""
+        return parse_address(self.discovery)
 
 
 @dataclass(frozen=True, slots=True)
 class HollowBalancerSettings(MemberSettings):
     """Settings of a process of hollow balancers that are members of a fleet."""
 
-    fleet: str  # path of the operator's file on the fleet
+    fleet: str  # path of the fleet's configuration file
 
 
 @dataclass(frozen=True, slots=True)
 class HollowSubscriberSettings(MemberSettings):
     """Settings of a process of hollow subscribers of relays."""
 
-    zone: str  # of all of them
-    relays: dict[str, dict[str, str]]  # address by name by zone
-    report_file: str  # where the process writes a SubscriberReport
+    zone: str  # of all subscribers
+    relays: dict[str, dict[str, str]]  # addresses by zone and name
+    report_file: str  # path of the SubscriberReport
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriberReport:
     """What the hollow subscribers of one process received."""
 
-    received: dict[
-        str, dict[int, float]
-    ]  # by subscriber: when each change came first, s of the monotonic clock
-    digests: dict[str, str]  # by subscriber: version and digest of the endpoint list it holds
-    counters: dict[str, int]  # of all of them together
+    # By subscriber and number of the change, when it was first received, in s of the monotonic clock.
+    received: dict[str, dict[int, float]]
+    digests: dict[str, str]  # by subscriber, a digest of its endpoint list
+    counters: dict[str, int]  # sums over all subscribers
 
     @classmethod
     def read(cls, file: pathlib.Path) -> "SubscriberReport":
-        """Read what `write` wrote."""
+        """Read a file that `write` has written."""
         document = json.loads(file.read_text(encoding="utf-8"))
         received = {
             name: {int(change): timestamp for change, timestamp in changes.items()}
@@ -68,7 +66,7 @@
         return cls(received, document["digests"], document["counters"])
 
     def write(self, file: pathlib.Path) -> None:
-        """Write the report so that a reader sees either nothing or all of it."""
+        """Write the report atomically."""
         partial = file.with_suffix(".part")
         write_json(partial, asdict(self))
         partial.rename(file)
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet for runs of update propagation: discovery, relays, balancers, and hollow subscribers.
+"""The processes of a run of update propagation: discovery, relays, balancers and hollow subscribers.
 
 Times are in seconds of the monotonic clock, which all processes of a machine share.
 """
@@ -13,6 +13,7 @@
 
 from lotusroute.capacity import processes
 from lotusroute.capacity.deployment import (
+    UNLIMITED_ANSWERS_PER_S,
     address,
     allocate_port,
     run_folder,
@@ -20,19 +21,24 @@
     write_fleet_file,
     write_relays_file,
 )
+from lotusroute.capacity.errors import NoLeaseHolderError, NoReportError
 from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage, log_field
 from lotusroute.capacity.stubs import CHANGED_HOST
 
 HOLLOW_PER_PROCESS = 160
-LARGE_ACCEPTOR_GROUP = 5  # relays that are acceptors of the lease, where there are so many
+# Relays that are acceptors of the lease; three if there are fewer than five relays.
+LARGE_ACCEPTOR_GROUP = 5
 SMALL_ACCEPTOR_GROUP = 3
-LEASE_MS = 1_500
+LEASE = "origin"
+LEASE_DURATION_MS = 1_500
 MAX_SUBSCRIBERS = 4_000  # of a relay
-START_TIMEOUT = 60.0
-LEASE_TIMEOUT = 30.0
-REPORT_TIMEOUT = 20.0
-SETTLE_SECONDS = 8.0  # after the last start
+START_TIMEOUT_S = 60.0
+LEASE_TIMEOUT_S = 30.0
+LEASE_CHECK_INTERVAL_S = 0.1
+REPORT_TIMEOUT_S = 20.0
+REPORT_CHECK_INTERVAL_S = 0.05
+SETTLE_DELAY_S = 8.0  # after the last start
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,21 +48,29 @@
     relays: int
     real: int  # balancers that are the program itself
     hollow: int  # hollow subscribers
-    zones: int  # that all are spread over
+    zones: int
     hosts: int  # servers in the endpoint list
 
 
+@dataclass(frozen=True, slots=True)
+class OriginFigures:
+    """What the relay that is the origin uses at rest."""
+
+    cpu_percent: float  # of one core
+    bytes_per_s: float  # in both directions
+
+
 @dataclass(frozen=True, slots=True)
 class RestFigures:
-    """What relays and balancers use at rest: means, but for the relay that is the origin."""
+    """What relays and real balancers use at rest; means over all of them but the origin."""
 
-    origin: dict[str, float]  # cpu_percent and bytes_s
+    origin: OriginFigures
     relay_cpu_percent: float  # of one core
-    relay_bytes_s: float  # both ways
-    relay_rss_mb: float
+    relay_bytes_per_s: float  # in both directions
+    relay_resident_mb: float
     balancer_cpu_percent: float
-    balancer_bytes_s: float
-    balancer_rss_mb: float
+    balancer_bytes_per_s: float
+    balancer_resident_mb: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +88,7 @@
     def __init__(self, size: FleetSize, report: Callable[[str], None]) -> None:
         self.size = size
         self.relays: dict[str, MeasuredProcess] = {}  # by name
-        self.balancers: dict[str, MeasuredProcess] = {}  # by name; hollow ones are not among them
+        self.balancers: dict[str, MeasuredProcess] = {}  # the real ones, by name
         self.hollow: list[HollowGroup] = []
         self.discovery: MeasuredProcess
         names = [f"r{index + 1}" for index in range(size.relays)]
@@ -94,7 +108,7 @@
             self._start_relays(folder, stack)
             self._start_balancers(folder, stack)
             self._start_hollow(folder, groups, stack)
-            time.sleep(SETTLE_SECONDS)
+            time.sleep(SETTLE_DELAY_S)
             self._resources = stack.pop_all()
         return self
 
@@ -104,7 +118,7 @@
     # Start
 
     def _start_discovery(self, stack: contextlib.ExitStack) -> None:
-        arguments = [str(self._discovery_port), str(self.size.hosts), "1e6"]
+        arguments = [str(self._discovery_port), str(self.size.hosts), UNLIMITED_ANSWERS_PER_S]
         process = MeasuredProcess("lotusroute.capacity.discovery_stub", arguments)
         self.discovery = stack.enter_context(process)
         self.discovery.wait_for_line("event=ready")
@@ -120,24 +134,24 @@
                 folder / f"{name}.toml",
                 self._relay_ports,
                 acceptors,
-                "origin",
+                LEASE,
                 state=str(state),
-                lease_ms=LEASE_MS,
+                lease_ms=LEASE_DURATION_MS,
                 guests=MAX_SUBSCRIBERS,
             )
             options = ["--fleet", file, "--name", name, "--discovery", address(self._discovery_port)]
             process = MeasuredProcess("lotusroute", ["relay", "run", *options])
             self.relays[name] = stack.enter_context(process)
         for relay in self.relays.values():
-            relay.wait_for_line("relay ready", timeout=START_TIMEOUT)
+            relay.wait_for_line("relay ready", timeout=START_TIMEOUT_S)
         self._wait_for_origin()
 
     def _wait_for_origin(self) -> None:
-        deadline = time.monotonic() + LEASE_TIMEOUT
+        deadline = time.monotonic() + LEASE_TIMEOUT_S
         while not any("lease acquired" in line for relay in self.relays.values() for line in relay.lines):
             if time.monotonic() > deadline:
-                raise RuntimeError("no relay holds the lease `origin`")
-            time.sleep(0.1)
+                raise NoLeaseHolderError(LEASE, LEASE_TIMEOUT_S)
+            time.sleep(LEASE_CHECK_INTERVAL_S)
 
     def _start_balancers(self, folder: pathlib.Path, stack: contextlib.ExitStack) -> None:
         relays = self._relay_addresses()
@@ -165,13 +179,13 @@
             process = MeasuredProcess("lotusroute.capacity.hollow_subscribers", [settings_file])
             self.hollow.append(HollowGroup(stack.enter_context(process), settings.zone, report_file))
         for hollow_group in self.hollow:
-            hollow_group.process.wait_for_line("event=ready", timeout=START_TIMEOUT)
+            hollow_group.process.wait_for_line("event=ready", timeout=START_TIMEOUT_S)
 
     def _zone(self, index: int) -> str:
         return f"z{index % self.size.zones}"
 
     def _relay_addresses(self) -> dict[str, dict[str, str]]:
-        """Addresses of the relays by zone and name."""
+        """Return the addresses of the relays by zone and name."""
         addresses: dict[str, dict[str, str]] = {}
         for name, zone in self.relay_zones.items():
             addresses.setdefault(zone, {})[name] = address(self._relay_ports[name])
@@ -180,11 +194,11 @@
     # Relays
 
     def running_relays(self) -> list[str]:
-        """Names of the relays that have not ended, sorted."""
+        """Return the names of the relays that have not ended, sorted."""
         return sorted(name for name, relay in self.relays.items() if relay.is_running())
 
     def origin(self) -> str:
-        """Return the relay that acquired the lease `origin` last and did not log its loss."""
+        """Return the relay that acquired the lease last and has not logged its loss."""
         acquired_at: dict[str, float] = {}
         for name, relay in self.relays.items():
             for line in relay.lines:
@@ -197,11 +211,11 @@
     # Changes of the endpoint list
 
     def publish_change(self, number: int) -> float:
-        """Have discovery change a server's entry, for the `number`th time; returns when it did."""
+        """Have discovery make the change of this number; return when it was made."""
         return self._publish(signal.SIGUSR2, number)
 
     def publish_burst(self, last_number: int) -> float:
-        """Have discovery change the entry 50 times within a second; returns when the last change was made."""
+        """Have discovery make a burst of changes; return when the last one was made."""
         return self._publish(signal.SIGHUP, last_number)
 
     def _publish(self, number: signal.Signals, change: int) -> float:
@@ -209,28 +223,28 @@
         return float(log_field(line, "at"))
 
     def collect_reports(self) -> list[SubscriberReport]:
-        """Have all processes of hollow subscribers write their reports; returns these."""
+        """Have all processes of hollow subscribers write their reports, and return them."""
         for group in self.hollow:
             group.report_file.unlink(missing_ok=True)
         for group in self.hollow:
             group.process.send_signal(signal.SIGUSR1)
-        deadline = time.monotonic() + REPORT_TIMEOUT
+        deadline = time.monotonic() + REPORT_TIMEOUT_S
         for group in self.hollow:
             while not group.report_file.exists():
                 if time.monotonic() > deadline:
-                    raise RuntimeError(f"{group.report_file.name} was not written")
-                time.sleep(0.05)
+                    raise NoReportError(group.report_file, REPORT_TIMEOUT_S)
+                time.sleep(REPORT_CHECK_INTERVAL_S)
         return [SubscriberReport.read(group.report_file) for group in self.hollow]
 
     def balancer_update_times(self, change: int) -> dict[str, float]:
-        """When each balancer, the program itself, logged a change."""
+        """Return when each real balancer logged a change; without those that have not."""
         times = {name: change_time(balancer.lines, change) for name, balancer in self.balancers.items()}
         return {name: logged_at for name, logged_at in times.items() if logged_at is not None}
 
     # Usage
 
     def measure_at_rest(self, seconds: float) -> RestFigures:
-        """Measure CPU, bytes and memory of relays and balancers."""
+        """Measure CPU time, bytes and memory of relays and balancers."""
         origin = self.origin()
         measured = {**self.relays, **self.balancers}
         before = processes.sample_all(measured)
@@ -242,21 +256,20 @@
         relays = [usage[name] for name in self.relays if name != origin]
         balancers = [usage[name] for name in self.balancers]
         return RestFigures(
-            origin={
-                "cpu_percent": round(usage[origin].cpu_percent, 2),
-                "bytes_s": round(_bytes_per_second(usage[origin])),
-            },
+            origin=OriginFigures(
+                round(usage[origin].cpu_percent, 2), round(_bytes_per_second(usage[origin]))
+            ),
             relay_cpu_percent=_mean([relay.cpu_percent for relay in relays]),
-            relay_bytes_s=_mean([_bytes_per_second(relay) for relay in relays]),
-            relay_rss_mb=_mean_resident_mb(self.relays),
+            relay_bytes_per_s=_mean([_bytes_per_second(relay) for relay in relays]),
+            relay_resident_mb=_mean_resident_mb(self.relays),
             balancer_cpu_percent=_mean([balancer.cpu_percent for balancer in balancers]),
-            balancer_bytes_s=_mean([_bytes_per_second(balancer) for balancer in balancers]),
-            balancer_rss_mb=_mean_resident_mb(self.balancers),
+            balancer_bytes_per_s=_mean([_bytes_per_second(balancer) for balancer in balancers]),
+            balancer_resident_mb=_mean_resident_mb(self.balancers),
         )
 
 
 def change_time(lines: Iterable[str], change: int) -> float | None:
-    """Return when a balancer's log has a change first, None where it has not.
+    """Return when a balancer logged a change first; None if it has not.
 
     >>> line = f'time=7.000 mono=12.500 level=debug event="endpoint update" server={CHANGED_HOST} cell=3'
     >>> change_time([line], 3), change_time([line], 4)
@@ -266,7 +279,7 @@
 
 
 def _logs_change(line: str, change: int) -> bool:
-    # The number of a change is logged in the field `cell`, which may be the last of the line.
+    # The stub puts the number of a change into the field that balancers log as `cell`. It may end the line.
     return (
         'event="endpoint update"' in line
         and f"server={CHANGED_HOST}" in line
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -1,104 +1,122 @@
-"""Measures a connection storm at discovery: many clients poll it at once as it starts or comes back.
+"""Measures a connection storm at discovery: many clients poll it at once when it starts or recovers.
 
-All run in one process: a discovery stub with a limited rate of answers, and clients that are the program's
-own `Discovery`. The reactor has to be installed before this module is imported.
+All run in one process: a discovery stub that answers at a limited rate, and clients that are the program's
+own `Discovery`. The reactor has to be installed before this module is imported. Times are in seconds of the
+reactor's clock unless a name ends in `_ms`.
 """
 
 import time
 from collections import Counter
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from twisted.internet import defer
 from twisted.web import server
 
+from lotusroute.address import Address
+from lotusroute.capacity.deployment import LOOPBACK
 from lotusroute.capacity.discovery_resource import DiscoveryResource
-from lotusroute.capacity.stubs import entry
+from lotusroute.capacity.stubs import endpoint_entry
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.reactor import reactor
 
-STORM_SECONDS = 10.0  # from the first answer on, whose polls are counted
-REST_SECONDS = 5.0  # at the end of a run, by which the rate at rest is measured
+STORM_DURATION_S = 10.0  # from the first answer on
+REST_DURATION_S = 5.0  # at the end of a run
+
+
+@dataclass(frozen=True, slots=True)
+class StormOptions:
+    """What a storm consists of."""
+
+    clients: int
+    hosts: int  # servers in the endpoint list
+    answers_per_s: float  # that discovery gives
+    down_s: float  # for which discovery gives no answer at first
+    duration_s: float  # of the run after that
+    grace_ms: float  # the clients' grace period of a drain
+
+
+@dataclass(frozen=True, slots=True)
+class FirstListTimes:
+    """When clients had their first endpoint list, in s since discovery was available."""
+
+    p50: float
+    last: float
 
 
 @dataclass(frozen=True, slots=True)
 class StormFigures:
     """The figures of one run."""
 
-    followers: int  # clients
-    calls_10s: int  # polls in the first 10 s
-    busiest_second: int  # polls in the second that had most
-    at_rest_a_second: float  # polls a second in the last 5 s
-    refused: int  # polls rejected by the stub
-    given_up: int  # polls whose client closed the connection before its answer
+    clients: int
+    polls_first_10s: int
+    max_polls_per_second: int
+    polls_per_second_at_rest: float  # in the last 5 s
+    rejected: int  # polls rejected by the stub
+    abandoned: int  # polls whose client closed the connection before the answer
     watches: int
     answers: int
-    without_a_list: int  # clients that have no endpoint list at the end
-    first_list_s: dict[str, float]  # when clients had their first list: p50 and last; empty if none had
+    clients_without_list: int  # at the end
+    first_list_s: FirstListTimes | None  # None if no client had a list
     cpu_s: float
 
 
 class StormClients:
-    """Clients that poll one discovery, and when each had its first list."""
+    """Clients that poll one discovery service, and when each had its first list."""
 
-    def __init__(self, port: int, grace: float, available_from: float) -> None:
-        self.first_lists: dict[int, float] = {}  # by client: s since discovery was available
-        self._port = port
-        self._grace = grace
+    def __init__(self, port: int, grace_ms: float, available_from: float) -> None:
+        self.first_lists: dict[int, float] = {}  # by client, s since discovery was available
+        self._address = Address(LOOPBACK, port)
+        self._grace_ms = grace_ms
         self._available_from = available_from
         self._counters: Counter[str] = Counter()
 
     def start_client(self, index: int) -> None:
-        """Start one client, whose index is its seed as well."""
+        """Start a client; its index is also its seed."""
 
         def record(_update: object) -> None:
             self.first_lists.setdefault(index, reactor.seconds() - self._available_from)
 
-        address = ("127.0.0.1", self._port)
-        discovery = Discovery(address, 0, index, record, self._counters, self._grace, False)
+        discovery = Discovery(self._address, 0, index, record, self._counters, self._grace_ms)
         defer.ensureDeferred(discovery.follow())
 
 
-def run(followers: int, answers: float, hosts: int, down: float, seconds: float, grace: float) -> dict:
-    """Run a storm once and return its figures.
-
-    Discovery lists `hosts` servers and gives `answers` answers a second, none in the first `down` seconds;
-    the run ends `seconds` after those. `grace` is the clients' grace period of a drain, in ms.
-    """
-    available_from = reactor.seconds() + down
-    discovery = DiscoveryResource([entry(f"s-{index}") for index in range(hosts)], answers, available_from)
-    listener = reactor.listenTCP(0, server.Site(discovery), interface="127.0.0.1")
-    clients = StormClients(listener.getHost().port, grace, available_from)
+def run_storm(options: StormOptions) -> StormFigures:
+    """Run a storm once and return its figures."""
+    available_from = reactor.seconds() + options.down_s
+    entries = [endpoint_entry(f"s-{index}") for index in range(options.hosts)]
+    discovery = DiscoveryResource(entries, options.answers_per_s, available_from)
+    listener = reactor.listenTCP(0, server.Site(discovery), interface=LOOPBACK)
+    clients = StormClients(listener.getHost().port, options.grace_ms, available_from)
     cpu_started = time.process_time()
-    for index in range(followers):
+    for index in range(options.clients):
         clients.start_client(index)
-    reactor.callLater(down + seconds, reactor.stop)
+    reactor.callLater(options.down_s + options.duration_s, reactor.stop)
     reactor.run(installSignalHandlers=False)
-    cpu_seconds = time.process_time() - cpu_started
+    cpu_s = time.process_time() - cpu_started
     poll_times = [timestamp - available_from for timestamp in discovery.poll_times]
     first_lists = sorted(clients.first_lists.values())
-    figures = StormFigures(
-        followers=followers,
-        calls_10s=sum(elapsed < STORM_SECONDS for elapsed in poll_times),
-        busiest_second=max(Counter(int(elapsed) for elapsed in poll_times).values(), default=0),
-        at_rest_a_second=_rate_at_rest(poll_times, seconds),
-        refused=discovery.counters["refused"],
-        given_up=discovery.counters["given_up"],
+    return StormFigures(
+        clients=options.clients,
+        polls_first_10s=sum(elapsed < STORM_DURATION_S for elapsed in poll_times),
+        max_polls_per_second=max(Counter(int(elapsed) for elapsed in poll_times).values(), default=0),
+        polls_per_second_at_rest=_rate_at_rest(poll_times, options.duration_s),
+        rejected=discovery.counters["rejected"],
+        abandoned=discovery.counters["abandoned"],
         watches=discovery.counters["watches"],
         answers=discovery.counters["answers"],
-        without_a_list=followers - len(first_lists),
-        first_list_s=_summarize(first_lists),
-        cpu_s=round(cpu_seconds, 2),
+        clients_without_list=options.clients - len(first_lists),
+        first_list_s=_first_list_times(first_lists),
+        cpu_s=round(cpu_s, 2),
     )
-    return asdict(figures)
 
 
-def _rate_at_rest(poll_times: list[float], seconds: float) -> float:
-    polls = sum(elapsed >= seconds - REST_SECONDS for elapsed in poll_times)
-    return round(polls / REST_SECONDS, 1)
+def _rate_at_rest(poll_times: list[float], duration_s: float) -> float:
+    polls = sum(elapsed >= duration_s - REST_DURATION_S for elapsed in poll_times)
+    return round(polls / REST_DURATION_S, 1)
 
 
-def _summarize(first_lists: list[float]) -> dict[str, float]:
-    if not first_lists:
-        return {}
-    median = first_lists[len(first_lists) // 2]
-    return {"p50": round(median, 2), "last": round(first_lists[-1], 2)}
+def _first_list_times(ascending: list[float]) -> FirstListTimes | None:
+    if not ascending:
+        return None
+    median = ascending[len(ascending) // 2]
+    return FirstListTimes(round(median, 2), round(ascending[-1], 2))
--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -1,14 +1,18 @@
-"""Least-squares lines through measured series, and the comparison of two runs by their lines."""
+"""Lines fitted to measured series by least squares, and the comparison of two runs by their lines."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import numpy
 
-from lotusroute.capacity.measurement import Series
+from lotusroute.capacity.errors import TooFewSizesError
+from lotusroute.capacity.measurement import Point, Series
 
-MAX_GROWTH = 1.25  # factor from one run to the next; more is reported
-MIN_SIZES = 4  # sizes that a line needs before its slope can be relied on
+MAX_GROWTH = 1.25  # factor from one run to the next
+MIN_SIZES = 4  # of a series with a reliable slope
+MIN_LINE_SIZES = 2
+ALLOWED_ERRORS = 2  # standard errors of a slope that do not count as a difference
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,34 +21,35 @@
 
     name: str  # role.figure
     unit: str
-    slope: float  # units for each one of the size
+    slope: float  # units per unit of size
     intercept: float  # value at size 0
     slope_error: float  # standard error of the slope
-    points: tuple[tuple[float, float], ...]  # (size, value)
+    points: tuple[Point, ...]
 
     def value_at(self, size: float) -> float:
         """Return the line's value at a size."""
         return self.intercept + self.slope * size
 
     def extrapolation_factor(self, size: float) -> float:
-        """Return by which factor a size exceeds the largest that was measured; 1 within that range."""
-        return max(1.0, size / max(measured for measured, _ in self.points))
+        """Return the factor by which a size exceeds the largest measured one, at least 1."""
+        return max(1.0, size / max(point.size for point in self.points))
 
 
 def fit_line(series: Series) -> RegressionLine:
-    """Fit a line by least squares; raises ValueError for a series of fewer than two sizes.
+    """Fit a line by least squares; raises `TooFewSizesError` for fewer than two sizes.
 
-    >>> series = Series("r.cpu", "ms", ((1, 3.0), (2, 5.0), (3, 7.0), (4, 9.0)))
+    >>> points = (Point(1, 3.0), Point(2, 5.0), Point(3, 7.0), Point(4, 9.0))
+    >>> series = Series("r.cpu", "ms", points)
     >>> fitted = fit_line(series)
     >>> round(fitted.slope, 6), round(fitted.intercept, 6), round(fitted.slope_error, 6)
     (2.0, 1.0, 0.0)
     >>> fitted.extrapolation_factor(40)
     10.0
     """
-    if len({size for size, _ in series.points}) < 2:
-        raise ValueError(f"{series.name}: {len(series.points)} points at one size make no line")
-    sizes = numpy.array([size for size, _ in series.points], dtype=float)
-    values = numpy.array([value for _, value in series.points], dtype=float)
+    if len({point.size for point in series.points}) < MIN_LINE_SIZES:
+        raise TooFewSizesError(series.name, len(series.points))
+    sizes = numpy.array([point.size for point in series.points], dtype=float)
+    values = numpy.array([point.value for point in series.points], dtype=float)
     slope, intercept = numpy.polyfit(sizes, values, 1)
     residuals = values - (intercept + slope * sizes)
     degrees_of_freedom = max(1, len(sizes) - 2)
@@ -56,10 +61,10 @@
 
 
 def find_growth(before: Sequence[Series], after: Sequence[Series]) -> list[str]:
-    """Describe each figure that grew by over a quarter, or is missing, in the second of two runs.
+    """Return a description of each figure that grew by more than MAX_GROWTH, or is missing in `after`.
 
-    >>> run = [Series("r.bytes", "B", ((1, 10.0), (2, 20.0)))]
-    >>> larger = [Series("r.bytes", "B", ((1, 10.0), (2, 24.0)))]
+    >>> run = [Series("r.bytes", "B", (Point(1, 10.0), Point(2, 20.0)))]
+    >>> larger = [Series("r.bytes", "B", (Point(1, 10.0), Point(2, 24.0)))]
     >>> find_growth(run, run), len(find_growth(run, larger)), find_growth(run, [])
     ([], 1, ['r.bytes: not measured any more'])
     """
@@ -71,18 +76,25 @@
         if new_line is None:
             findings.append(f"{series.name}: not measured any more")
             continue
-        old, new = _comparable_values(old_line, new_line)
+        old, new = _values_to_compare(old_line, new_line)
         if old > 0 and new > MAX_GROWTH * old:
             findings.append(f"{series.name}: {old:.4g} to {new:.4g} {series.unit}, {new / old:.2f} times")
     return findings
 
 
-def _comparable_values(old: RegressionLine, new: RegressionLine) -> tuple[float, float]:
-    """Slopes where the old one exceeds its own error, or else the values at the largest size of the old run.
+class _ComparedValues(NamedTuple):
+    """The values of one figure in two runs."""
 
-    The new slope is taken at the lower end of its error, so that noise is not reported as growth.
+    old: float
+    new: float
+
+
+def _values_to_compare(old: RegressionLine, new: RegressionLine) -> _ComparedValues:
+    """Return the slopes if the old one exceeds its error, else the values at the old run's largest size.
+
+    The new slope is reduced by its error, so that noise is not reported as growth.
     """
-    if old.slope > 2 * old.slope_error and old.slope > 0:
-        return old.slope, new.slope - 2 * new.slope_error
-    last_size, _ = old.points[-1]
-    return old.value_at(last_size), new.value_at(last_size)
+    if old.slope > ALLOWED_ERRORS * old.slope_error and old.slope > 0:
+        return _ComparedValues(old.slope, new.slope - ALLOWED_ERRORS * new.slope_error)
+    last_size = old.points[-1].size
+    return _ComparedValues(old.value_at(last_size), new.value_at(last_size))
--- a/lotusroute/capacity/relay_role.py
+++ b/lotusroute/capacity/relay_role.py
@@ -1,4 +1,4 @@
-"""Measures three relays at rest, by the number of subscribers of each."""
+"""Measures three relays at rest, at several numbers of subscribers of each."""
 
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet
@@ -8,7 +8,7 @@
 
 
 def measure_relays(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure relays with so many subscribers each."""
+    """Measure relays with `size` subscribers each."""
     fleet_size = FleetSize(
         relays=RELAYS, real=REAL_SUBSCRIBERS, hollow=RELAYS * size, zones=1, hosts=options.hosts
     )
@@ -16,9 +16,9 @@
         figures = fleet.measure_at_rest(options.seconds)
     return [
         Measurement("relay.cpu", "% of a core", size, figures.relay_cpu_percent),
-        Measurement("relay.bytes", "B a second, both ways", size, figures.relay_bytes_s),
-        Measurement("relay.memory", "MB", size, figures.relay_rss_mb),
+        Measurement("relay.bytes", "B a second, both ways", size, figures.relay_bytes_per_s),
+        Measurement("relay.memory", "MB", size, figures.relay_resident_mb),
         Measurement("subscriber.cpu", "% of a core", size, figures.balancer_cpu_percent),
-        Measurement("subscriber.bytes", "B a second, both ways", size, figures.balancer_bytes_s),
-        Measurement("subscriber.memory", "MB", size, figures.balancer_rss_mb),
+        Measurement("subscriber.bytes", "B a second, both ways", size, figures.balancer_bytes_per_s),
+        Measurement("subscriber.memory", "MB", size, figures.balancer_resident_mb),
     ]
--- a/lotusroute/capacity/role_registry.py
+++ b/lotusroute/capacity/role_registry.py
@@ -1,4 +1,4 @@
-"""The roles that `measure` knows, by the name that its argument takes."""
+"""The roles that can be measured, by the name that `capacity measure` accepts."""
 
 from lotusroute.capacity.data_plane_role import measure_data_plane
 from lotusroute.capacity.direct_discovery_role import measure_direct_discovery
@@ -8,9 +8,9 @@
 from lotusroute.capacity.relay_role import measure_relays
 
 ROLE_BY_NAME: dict[str, Role] = {
+    "data-plane": Role(measure_data_plane, (250, 500, 1_000, 2_000)),
+    "direct-discovery": Role(measure_direct_discovery, (25, 50, 100, 200)),
     "fleet": Role(measure_fleet, (8, 30, 65, 125)),
-    "followers": Role(measure_direct_discovery, (25, 50, 100, 200)),
     "list": Role(measure_endpoint_list, (100, 400, 1_600, 6_400)),
-    "plane": Role(measure_data_plane, (250, 500, 1_000, 2_000)),
     "relays": Role(measure_relays, (20, 50, 100, 150)),
 }
--- a/lotusroute/capacity/server_stub.py
+++ b/lotusroute/capacity/server_stub.py
@@ -2,18 +2,19 @@
 
     python -m lotusroute.capacity.server_stub PORT
 
-It accepts each connection with a receipt, echoes each line, and ends with BYE after the client's end.
+It confirms each connection with a receipt, echoes each line, and sends BYE after the client's end of stream.
 """
 
 import asyncio
 import contextlib
 import sys
 
-BACKLOG = 1_024  # connections that wait to be accepted
+LOOPBACK = "127.0.0.1"
+BACKLOG = 1_024  # connections waiting to be accepted
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve one connection until its client ends it."""
+    """Serve one connection until its client closes it."""
     with contextlib.suppress(OSError, asyncio.IncompleteReadError):
         await reader.readuntil(b"\r\n")
         writer.write(b"UP r1\r\n")
@@ -26,7 +27,7 @@
 
 async def main(port: str) -> None:
     """Serve until killed."""
-    listener = await asyncio.start_server(serve, "127.0.0.1", int(port), backlog=BACKLOG)
+    listener = await asyncio.start_server(serve, LOOPBACK, int(port), backlog=BACKLOG)
     await listener.serve_forever()
 
 
--- a/lotusroute/capacity/target.py
+++ b/lotusroute/capacity/target.py
@@ -1,10 +1,9 @@
-"""The operators' capacity target for two years from now, and the figures that follow from it by division.
-
-Measured figures are not kept here: they come from runs.
-"""
+"""The operators' capacity target for two years from now, and the figures that follow from it by division."""
 
 from typing import NamedTuple
 
+SECONDS_PER_DAY = 86_400
+
 
 class Target(NamedTuple):
     """The load that the system has to carry."""
@@ -19,10 +18,10 @@
     zones: int = 19
     changes: int = 8_000  # of configuration, a day
     in_force_s: float = 4.0  # from a change until it is in force everywhere
-    core: float = 0.035  # of a core for the control plane, a balancer
-    memory_mb: float = 64.0
-    bytes_s: float = 8_192.0  # a second for the control plane, a balancer
-    machines: int = 44  # for the control plane
+    core: float = 0.035  # fraction of a core for the control plane of a balancer
+    memory_mb: float = 64.0  # for the control plane of a balancer
+    bytes_s: float = 8_192.0  # a second for the control plane of a balancer
+    machines: int = 44  # of the control plane
     machines_fail: int = 19  # a day
     replaced: int = 540  # processes a day
 
@@ -36,6 +35,7 @@
         (326, 141)
         """
         balancers_a_zone = self.balancers / self.zones
+        connections_of_a_zone = self.connections / self.zones
         return {
             "connections_a_balancer": self.connections / self.balancers,
             "descriptors_a_balancer": 2 * self.connections / self.balancers,
@@ -44,12 +44,10 @@
             "deliveries_a_connection_s": self.deliveries / self.connections,
             "balancers_a_region": self.balancers / self.regions,
             "balancers_a_zone": balancers_a_zone,
-            "connections_of_a_lost_zone": self.connections / self.zones,
-            "extra_a_balancer_of_a_lost_zone": self.connections
-            / self.zones
-            / (self.balancers - balancers_a_zone),
+            "connections_of_a_lost_zone": connections_of_a_zone,
+            "extra_a_balancer_of_a_lost_zone": connections_of_a_zone / (self.balancers - balancers_a_zone),
             "balancers_a_machine": self.balancers / self.machines,
-            "s_between_changes": 86_400 / self.changes,
-            "s_between_replacements": 86_400 / self.replaced,
+            "s_between_changes": SECONDS_PER_DAY / self.changes,
+            "s_between_replacements": SECONDS_PER_DAY / self.replaced,
             "bytes_s_over_all": self.bytes_s * self.balancers,
         }
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -1,6 +1,7 @@
-"""Measures how long a change of the endpoint list takes until it is in force at all subscribers of relays.
+"""Measures how long a change of the endpoint list takes to reach all subscribers of relays.
 
-One fleet goes through scenarios, each a fault and a change of the list at the same time.
+A run takes one fleet through scenarios, each of which is a fault and a change of the list at the same time.
+Times are in seconds.
 """
 
 import contextlib
@@ -14,25 +15,26 @@
 from enum import StrEnum
 
 from lotusroute.capacity.processes import MeasuredProcess
-from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet
+from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet, RestFigures
 from lotusroute.capacity.stubs import BURST_CHANGES
 
-REST_SECONDS = 6.0  # for which the fleet is measured before the first scenario
-MAX_PROPAGATION_SECONDS = 12.0  # a change that is not in force after them is counted as lacking
-POLL_INTERVAL = 0.5  # s between reports of the subscribers
-PAUSE_SECONDS = 3.0  # after each scenario
+REST_DURATION_S = 6.0  # for which the fleet is measured before the first scenario
+PROPAGATION_TIMEOUT_S = 12.0  # a subscriber without the change after it is counted as lagging
+REPORT_INTERVAL_S = 0.5
+PAUSE_S = 3.0  # after each scenario
+SEED = 1  # of the choice of relays that fail
 
 
 class Scenario(StrEnum):
-    """What happens together with a change of the endpoint list."""
+    """What happens at the time of a change of the endpoint list."""
 
-    CALM = "calm"  # nothing else
-    BURST = "burst"  # 50 changes within a second
+    CALM = "calm"  # no fault
+    BURST = "burst"  # many changes within a second
     KILL = "kill"  # a relay is killed
     STOP = "stop"  # a relay is stopped and continues afterwards
     TWO = "two"  # two relays of a zone are stopped
-    ORIGIN = "origin"  # the relay that polls discovery is killed
-    ZONE = "zone"  # all hollow subscribers of a zone start again
+    ORIGIN = "origin"  # the origin is killed
+    ZONE = "zone"  # all hollow subscribers of a zone restart
 
 
 SCENARIOS = tuple(Scenario)
@@ -45,24 +47,36 @@
     p50_s: float
     p99_s: float
     worst_s: float
-    of: int  # subscribers that received it
-    lack: int  # hollow subscribers that did not
-    real: int  # balancers, the program itself, that received it
-    states: int  # distinct endpoint lists that hollow subscribers hold; 1 if they agree
-    own_calls: int  # times that a hollow subscriber fell back to polling discovery, from the start on
+    received: int  # subscribers that received the change
+    lagging: int  # hollow subscribers that did not
+    real: int  # real balancers that received it
+    distinct_lists: int  # of hollow subscribers; 1 if all have the same list
+    fallbacks: int  # times since the start that a hollow subscriber fell back to polling discovery
+
+    def is_late(self, limit_s: float) -> bool:
+        """Return whether some subscriber received the change later than the limit, or not at all."""
+        return self.lagging > 0 or self.worst_s > limit_s
+
+
+@dataclass(frozen=True, slots=True)
+class PropagationRun:
+    """The figures of a run."""
+
+    rest: RestFigures  # before the first scenario
+    scenarios: dict[Scenario, PropagationFigures]
 
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """A fleet as a scenario finds it."""
+    """The fleet at the start of a scenario."""
 
     fleet: PropagationFleet
-    origin: str  # name of the relay that polls discovery
-    other_relays: list[str]  # names of the others that run
+    origin: str  # name of the relay
+    other_relays: list[str]  # names of the other relays that run
     rng: random.Random
 
     def any_other_relay(self) -> str:
-        """Choose a relay other than the origin at random."""
+        """Return a random relay other than the origin."""
         return self.rng.choice(self.other_relays)
 
 
@@ -88,14 +102,14 @@
 
 @contextlib.contextmanager
 def stop_relay(situation: Situation) -> Iterator[None]:
-    """Stop a relay other than the origin for as long as the change is followed."""
+    """Stop a relay other than the origin until the change has propagated."""
     with _stopped([situation.fleet.relays[situation.any_other_relay()]]):
         yield
 
 
 @contextlib.contextmanager
 def stop_two_relays(situation: Situation) -> Iterator[None]:
-    """Stop two relays other than the origin, of one zone if it has as many."""
+    """Stop two relays other than the origin, of the same zone if it has two."""
     zones = situation.fleet.relay_zones
     zone = zones[situation.any_other_relay()]
     of_zone = [name for name in situation.other_relays if zones[name] == zone]
@@ -106,7 +120,7 @@
 
 @contextlib.contextmanager
 def restart_zone(situation: Situation) -> Iterator[None]:
-    """Have all hollow subscribers of the first zone lose their state and start again."""
+    """Have all hollow subscribers of the first zone lose their state and restart."""
     zone = situation.fleet.hollow[0].zone
     for group in situation.fleet.hollow:
         if group.zone == zone:
@@ -137,49 +151,48 @@
 
 
 def run_scenarios(
-    size: FleetSize, scenarios: Sequence[str], report: Callable[[str], None]
-) -> dict[str, dict]:
-    """Run scenarios one after the other on one fleet; returns the figures at rest and of each scenario.
+    size: FleetSize, scenarios: Sequence[Scenario], report: Callable[[str], None]
+) -> PropagationRun:
+    """Run scenarios one after the other on one fleet.
 
-    Raises RunTooLargeError where the fleet does not fit on this machine, ValueError for an unknown scenario.
+    Raises `RunTooLargeError` if the fleet does not fit on this machine.
     """
-    rng = random.Random(1)
+    rng = random.Random(SEED)
     change = 0
-    figures: dict[str, dict] = {}
+    results: dict[Scenario, PropagationFigures] = {}
     with PropagationFleet(size, report) as fleet:
-        figures["rest"] = asdict(fleet.measure_at_rest(REST_SECONDS))
-        report(f"rest: {json.dumps(figures['rest'])}")
-        for scenario in map(Scenario, scenarios):
+        rest = fleet.measure_at_rest(REST_DURATION_S)
+        report(f"rest: {json.dumps(asdict(rest))}")
+        for scenario in scenarios:
             change += BURST_CHANGES if scenario is Scenario.BURST else 1
             origin = fleet.origin()
             others = [name for name in fleet.running_relays() if name != origin]
             with FAULTS[scenario](Situation(fleet, origin, others, rng)):
-                result = _propagate(fleet, scenario, change)
-            figures[scenario.value] = asdict(result)
-            report(f"{scenario.value}: {json.dumps(figures[scenario.value])}")
-            time.sleep(PAUSE_SECONDS)
-    return figures
+                results[scenario] = _propagate(fleet, scenario, change)
+            report(f"{scenario}: {json.dumps(asdict(results[scenario]))}")
+            time.sleep(PAUSE_S)
+    return PropagationRun(rest, results)
 
 
 def _propagate(fleet: PropagationFleet, scenario: Scenario, change: int) -> PropagationFigures:
-    """Publish changes up to the `change`th and follow that one."""
+    """Publish the changes of a scenario, the last of which is `change`, and follow that one."""
     if scenario is Scenario.BURST:
         return follow_change(fleet, change, fleet.publish_burst(change))
     return follow_change(fleet, change, fleet.publish_change(change))
 
 
 def follow_change(fleet: PropagationFleet, change: int, published_at: float) -> PropagationFigures:
-    """Wait until all hollow subscribers have a change, 12 s at most; returns how long it took."""
-    deadline = time.monotonic() + MAX_PROPAGATION_SECONDS
+    """Wait until all hollow subscribers have a change, for at most PROPAGATION_TIMEOUT_S."""
+    deadline = time.monotonic() + PROPAGATION_TIMEOUT_S
     while True:
         reports = fleet.collect_reports()
         received = [
-            _first_received(changes, change) for part in reports for changes in part.received.values()
+            _first_received(changes, change) for report in reports for changes in report.received.values()
         ]
-        lacking = received.count(None)
-        if not lacking or time.monotonic() > deadline:
+        lagging = received.count(None)
+        if not lagging or time.monotonic() > deadline:
             break
-        time.sleep(POLL_INTERVAL)
+        time.sleep(REPORT_INTERVAL_S)
     balancer_times = fleet.balancer_update_times(change)
     all_times = [*received, *balancer_times.values()]
     durations = sorted(timestamp - published_at for timestamp in all_times if timestamp is not None)
@@ -187,19 +200,19 @@
         p50_s=_quantile(durations, 0.5),
         p99_s=_quantile(durations, 0.99),
         worst_s=round(durations[-1], 3),
-        of=len(durations),
-        lack=lacking,
+        received=len(durations),
+        lagging=lagging,
         real=len(balancer_times),
-        states=len({digest for part in reports for digest in part.digests.values()}),
-        own_calls=sum(part.counters.get("relay_stale", 0) for part in reports),
+        distinct_lists=len({digest for report in reports for digest in report.digests.values()}),
+        fallbacks=sum(report.counters.get("relay_stale", 0) for report in reports),
     )
 
 
 def _first_received(changes: dict[int, float], change: int) -> float | None:
-    """When a change was received, alone or, as a later change contains the earlier ones, with a later one."""
+    """Return when a change was received, by itself or as part of a later one; None if it was not."""
     return min((timestamp for number, timestamp in changes.items() if number >= change), default=None)
 
 
-def _quantile(ascending: list[float], share: float) -> float:
-    index = min(len(ascending) - 1, int(share * len(ascending)))
+def _quantile(ascending: list[float], fraction: float) -> float:
+    index = min(len(ascending) - 1, int(fraction * len(ascending)))
     return round(ascending[index], 3)
--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -2,21 +2,38 @@
 
 import functools
 import json
-import pathlib
 import sys
+from dataclasses import asdict
 
 import click
 
-from lotusroute.capacity.measurement import Measurement, MeasurementOptions, Series, group_into_series
+from lotusroute.capacity.errors import RunFileError, TooFewSizesError
+from lotusroute.capacity.measurement import Measurement, MeasurementOptions, group_into_series
 from lotusroute.capacity.processes import RunTooLargeError
 from lotusroute.capacity.regression_line import MIN_SIZES, RegressionLine, find_growth, fit_line
+from lotusroute.capacity.run_file import Run, read_run, write_run
 from lotusroute.capacity.target import Target
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
 
+ROLES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
+RENAMED_ROLES = {"followers": "direct-discovery", "plane": "data-plane"}  # earlier names, still accepted
+
+
+def parse_role(text: str) -> str:
+    """Return the present name of a role from its present or earlier name.
+
+    >>> parse_role("plane")
+    'data-plane'
+    """
+    role = RENAMED_ROLES.get(text, text)
+    if role not in ROLES:
+        raise click.BadParameter(f"'{text}' is not one of {', '.join(map(repr, ROLES))}")
+    return role
+
 
 @click.command()
-@click.argument("role", type=click.Choice(["fleet", "followers", "list", "plane", "relays"]))
-@click.option("--sizes", default="", help="as 8,30,65,125; at least two, four for a line to rely on")
+@click.argument("role", type=parse_role, metavar=f"[{'|'.join(ROLES)}]")
+@click.option("--sizes", default="", help="as 8,30,65,125; at least two, four for a reliable line")
 @click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="measured at each size")
 @click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the endpoint list")
 @click.option("--json", "file", type=click.Path(dir_okay=False), help="write the points here, for `compare`")
@@ -39,11 +56,10 @@
         exit_with_wrong_use(f"{role}: {error}")
     series = group_into_series(measurements)
     lines = [fit_line(one) for one in series]
-    for fitted in lines:
-        click.echo(_line_summary(fitted, len(size_list)))
+    for line in lines:
+        click.echo(_line_summary(line, len(size_list)))
     if file:
-        run = {"role": role, "seconds": seconds, "lines": [one.as_json() for one in series]}
-        pathlib.Path(file).write_text(json.dumps(run, indent=1))
+        write_run(file, Run(series, role, seconds))
     if plot:
         _plot(lines, plot)
 
@@ -62,12 +78,12 @@
     click.echo(prefix + text, err=True)
 
 
-def _line_summary(fitted: RegressionLine, size_count: int) -> str:
-    points = " ".join(f"{size:g}:{value:.4g}" for size, value in fitted.points)
+def _line_summary(line: RegressionLine, size_count: int) -> str:
+    points = " ".join(f"{point.size:g}:{point.value:.4g}" for point in line.points)
     caution = "" if size_count >= MIN_SIZES else f"  (only {size_count} sizes)"
     return (
-        f"{fitted.name}: {fitted.slope:.5g} +- {fitted.slope_error:.2g} {fitted.unit} by one, "
-        f"{fitted.intercept:.4g} at none; {points}{caution}"
+        f"{line.name}: slope {line.slope:.5g} +- {line.slope_error:.2g} {line.unit}, "
+        f"{line.intercept:.4g} at size 0; {points}{caution}"
     )
 
 
@@ -80,12 +96,12 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(len(lines), 1, figsize=(7, 2.4 * len(lines)), squeeze=False)
-    for fitted, (axis,) in zip(lines, axes, strict=True):
-        axis.plot(*zip(*fitted.points, strict=True), "o")
-        ends = [0, max(size for size, _ in fitted.points)]
-        axis.plot(ends, [fitted.value_at(size) for size in ends])
-        axis.set_title(fitted.name, fontsize=8)
-        axis.set_ylabel(fitted.unit, fontsize=7)
+    for line, (axis,) in zip(lines, axes, strict=True):
+        axis.plot(*zip(*line.points, strict=True), "o")
+        ends = [0, max(point.size for point in line.points)]
+        axis.plot(ends, [line.value_at(size) for size in ends])
+        axis.set_title(line.name, fontsize=8)
+        axis.set_ylabel(line.unit, fontsize=7)
     figure.tight_layout()
     figure.savefig(file)
 
@@ -99,11 +115,9 @@
     Example: lotusroute capacity compare before.json after.json
     """
     try:
-        runs = [json.loads(pathlib.Path(file).read_text())["lines"] for file in (before, after)]
-        old_run, new_run = ([Series.from_json(document) for document in run] for run in runs)
-        findings = find_growth(old_run, new_run)
-    except (ValueError, KeyError, TypeError) as error:
-        exit_with_wrong_use(f"{before}, {after}: no runs of `capacity measure --json`: {error}")
+        findings = find_growth(read_run(before).lines, read_run(after).lines)
+    except (RunFileError, TooFewSizesError) as error:
+        exit_with_wrong_use(str(error))
     for finding in findings:
         click.echo(finding)
     sys.exit(ExitCode.FAILED if findings else ExitCode.OK)
@@ -126,48 +140,68 @@
     Example: lotusroute capacity propagation --relays 40 --real 20 --hollow 6140 --zones 19
     """
     from lotusroute.capacity.propagation_fleet import FleetSize
-    from lotusroute.capacity.update_propagation import SCENARIOS, run_scenarios
+    from lotusroute.capacity.update_propagation import SCENARIOS, Scenario, run_scenarios
 
     for scenario in scenarios:
         if scenario not in SCENARIOS:
             raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
+    chosen = [Scenario(scenario) for scenario in scenarios] or list(SCENARIOS)
     try:
-        figures = run_scenarios(FleetSize(**sizes), scenarios or SCENARIOS, _report)
+        run = run_scenarios(FleetSize(**sizes), chosen, _report)
     except RunTooLargeError as error:
         exit_with_wrong_use(f"propagation: {error}")
+    figures: dict[str, dict[str, object]] = {"rest": asdict(run.rest)}
+    figures.update((scenario.value, asdict(result)) for scenario, result in run.scenarios.items())
     if as_json:
         click.echo(json.dumps(figures))
     else:
-        click.echo("\n".join(f"{scenario} {result}" for scenario, result in figures.items()))
-    late = any(result.get("lack") or result.get("worst_s", 0.0) > within for result in figures.values())
+        click.echo("\n".join(f"{name} {result}" for name, result in figures.items()))
+    late = any(result.is_late(within) for result in run.scenarios.values())
     sys.exit(ExitCode.FAILED if late else ExitCode.OK)
 
 
 @click.command()
-@click.option("--followers", type=click.IntRange(1, 2_000), default=200, help="hollow balancers")
+@click.option(
+    "--clients",
+    "--followers",  # an earlier name
+    "clients",
+    type=click.IntRange(1, 2_000),
+    default=200,
+    help="hollow balancers",
+)
 @click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="of discovery, a second")
 @click.option("--hosts", type=click.IntRange(1, 100_000), default=60, help="servers in the endpoint list")
 @click.option("--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s without any answer at first")
 @click.option("--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="duration after that")
 @click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="ms, grace period of a drain")
 @JSON_OPTION
-def reconnect_storm(as_json: bool, **sizes: float) -> None:
+def reconnect_storm(as_json: bool, **options: float) -> None:
     """Let many balancers poll discovery as it comes back; exit 1 where one has no endpoint list at the end.
 
-    Example: lotusroute capacity reconnect-storm --followers 200 --answers 150 --down 8
+    Example: lotusroute capacity reconnect-storm --clients 200 --answers 150 --down 8
     """
     from lotusroute.net import monotonic_reactor
 
     # The next import loads Twisted's reactor, which has to be the one that balancers use.
     monotonic_reactor.install()
-    from lotusroute.capacity.reconnect_storm import run
-
-    figures = run(**sizes)
+    from lotusroute.capacity.reconnect_storm import StormOptions, run_storm
+
+    result = run_storm(
+        StormOptions(
+            clients=int(options["clients"]),
+            hosts=int(options["hosts"]),
+            answers_per_s=options["answers"],
+            down_s=options["down"],
+            duration_s=options["seconds"],
+            grace_ms=options["grace"],
+        )
+    )
+    figures = asdict(result)
     if as_json:
         click.echo(json.dumps(figures))
     else:
         click.echo(" ".join(f"{key}={value}" for key, value in figures.items()))
-    sys.exit(ExitCode.FAILED if figures["without_a_list"] > 0 else ExitCode.OK)
+    sys.exit(ExitCode.FAILED if result.clients_without_list else ExitCode.OK)
 
 
 @click.command()
@@ -190,7 +224,7 @@
     "propagation": propagation,
     "reconnect-storm": reconnect_storm,
     "target": target,
-    # Older names of two commands, which operators' scripts use.
+    # Earlier names of two commands, which operators' scripts use.
     "herd": hidden_alias(reconnect_storm),
     "news": hidden_alias(propagation),
 }
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -7,9 +7,11 @@
 import pytest
 
 from lotusroute.capacity import deterministic_counts
-from lotusroute.capacity.measurement import Series
+from lotusroute.capacity.errors import TooFewSizesError
+from lotusroute.capacity.measurement import Point, Series
 from lotusroute.capacity.processes import RunTooLargeError, check_footprint
 from lotusroute.capacity.regression_line import fit_line
+from lotusroute.capacity.run_file import read_run
 
 
 def run_command(*arguments):
@@ -27,7 +29,7 @@
     ],
 )
 def test_messages_and_bytes_of_a_role_do_not_change(role, size, messages, size_bytes):
-    assert role(size) == {"messages": messages, "bytes": size_bytes}
+    assert role(size) == deterministic_counts.SentCounts(messages, size_bytes)
 
 
 def write_run(file, *lines):
@@ -63,13 +65,13 @@
     [
         (("measure", "list", "--sizes", "50"), "give two or more"),
         (("measure", "list", "--sizes", "many"), "give whole numbers"),
-        (("measure", "all"), "'fleet', 'followers', 'list', 'plane', 'relays'"),
+        (("measure", "all"), "'data-plane', 'direct-discovery', 'fleet', 'list', 'relays'"),
         (("propagation", "--scenario", "flood"), "there are calm, burst"),
         (
             ("propagation", "--relays", "64", "--real", "64", "--hollow", "20000"),
             "254 processes, 200 at most",
         ),
-        (("compare", __file__, __file__), "no runs of `capacity measure --json`"),
+        (("compare", __file__, __file__), f"{__file__}: no run of `capacity measure --json`"),
     ],
 )
 def test_wrong_use_and_too_large_runs_exit_with_2_and_say_how_to_correct_it(arguments, message):
@@ -83,5 +85,15 @@
 
 
 def test_no_line_is_fitted_to_one_size():
-    with pytest.raises(ValueError, match="at one size"):
-        fit_line(Series("r", "ms", ((1, 2.0), (1, 3.0))))
+    with pytest.raises(TooFewSizesError, match="at one size"):
+        fit_line(Series("r", "ms", (Point(1, 2.0), Point(1, 3.0))))
+
+
+def test_a_run_of_an_earlier_build_is_compared_under_the_present_names(tmp_path):
+    earlier = {"name": "keeper.cpu", "unit": "% of a core", "points": [[8, 0.5], [30, 0.8]]}
+    present = {**earlier, "name": "acceptor.cpu"}
+    before = write_run(tmp_path / "before.json", earlier)
+    after = write_run(tmp_path / "after.json", present)
+    (series,) = read_run(before).lines
+    assert series == Series("acceptor.cpu", "% of a core", (Point(8, 0.5), Point(30, 0.8)))
+    assert run_command("compare", before, after).returncode == 0
