--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lotusroute.capacity.stubs import endpoint_entry
-from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL as HOLDER_HEARTBEAT_INTERVAL
+from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL_S as HOLDER_HEARTBEAT_INTERVAL_S
 from lotusroute.fleet.shared_discovery import SharedUpdate
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.endpoint_items import EndpointListUpdate
@@ -106,7 +106,7 @@
     discovery_url = "http://127.0.0.1:8500/api/targets"
     update = SharedUpdate(7, discovery_url, 2, 1, False, [endpoint_entry("s-0", health="DRAINING")])
     heartbeat = SharedUpdate(7, discovery_url, 2)
-    heartbeats = round(IDLE_TIME_MS / 1_000 / HOLDER_HEARTBEAT_INTERVAL)
+    heartbeats = round(IDLE_TIME_MS / 1_000 / HOLDER_HEARTBEAT_INTERVAL_S)
     update_bytes = len(msgspec.msgpack.encode(update))
     heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
     peers = size - 1
--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -16,6 +16,7 @@
 from lotusroute.fleet import config, lease_service, shared_discovery
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 
 START_INTERVAL_S = 0.01
@@ -33,9 +34,8 @@
     def start(self, name: str, seed: int) -> None:
         """Start a hollow balancer."""
         leases = lease_service.LeaseService(reactor, self.fleet, name, self.counters)
-        discovery = Discovery(
-            self.discovery_address, 0, seed, self._count_update, self.counters, DRAIN_GRACE_MS
-        )
+        limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
+        discovery = Discovery(self.discovery_address, 0, seed, self._count_update, self.counters, limits)
         if self.fleet.tasks:
             shared = shared_discovery.SharedDiscovery(leases)
             shared.discovery = discovery
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -21,6 +21,7 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.endpoint_list import EndpointUpdate
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 from lotusroute.relay.config import parse_relays_config
 from lotusroute.relay.subscription import Subscription
@@ -69,7 +70,8 @@
             self._record(name, cast(EndpointUpdate, update))
 
         address = self.settings.discovery_address()
-        discovery = Discovery(address, 0, seed, record, self.counters, DRAIN_GRACE_MS)
+        limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
+        discovery = Discovery(address, 0, seed, record, self.counters, limits)
         discovery.watch = subscription.update_source
         subscription.update_source.discovery = discovery
         self.subscribers[name] = HollowSubscriber(subscription, discovery)
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -17,6 +17,7 @@
 from lotusroute.capacity.discovery_resource import DiscoveryResource
 from lotusroute.capacity.stubs import endpoint_entry
 from lotusroute.net.discovery import Discovery
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 
 STORM_DURATION_S = 10.0  # from the first answer on
@@ -76,7 +77,8 @@
         def record(_update: object) -> None:
             self.first_lists.setdefault(index, reactor.seconds() - self._available_from)
 
-        discovery = Discovery(self._address, 0, index, record, self._counters, self._grace_ms)
+        limits = PollLimits.for_remote_discovery(self._grace_ms)
+        discovery = Discovery(self._address, 0, index, record, self._counters, limits)
         defer.ensureDeferred(discovery.follow())
 
 
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -8,7 +8,7 @@
 
 from lotusroute.address import parse_address
 from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_wrong_use
-from lotusroute.cli.peer_query import PeerStates, print_and_exit, query_peers
+from lotusroute.cli.peer_query import print_and_exit, query_peers
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import load_fleet_config
 from lotusroute.fleet.lease_service import LeaseService
@@ -82,8 +82,8 @@
     """
     answers = query_peers(file, peers)
     lines = [_status_line(name, decode_relay_status(state)) for name, state in answers.states.items()]
-    printed_states = {name: printed_process_status(state) for name, state in answers.states.items()}
-    print_and_exit(PeerStates(printed_states, answers.errors), as_json, lines)
+    printed_states = {name: dict(printed_process_status(state)) for name, state in answers.states.items()}
+    print_and_exit(answers._replace(states=printed_states), as_json, lines)
 
 
 def _status_line(name: str, status: RelayStatus | None) -> str:
--- a/lotusroute/relay/status.py
+++ b/lotusroute/relay/status.py
@@ -12,6 +12,7 @@
 PRINTED_SECTION = "updates"  # the same key as `relay show --json` prints it
 
 EncodedVersion = tuple[int, int]  # fencing token, sequence number
+ProcessDocument = Mapping[str, object]  # the status of a process as a JSON object
 
 
 class RelayStatus(
@@ -37,7 +38,7 @@
     oldest_version: EncodedVersion  # of all subscribers
 
 
-def decode_relay_status(process_status: Mapping[str, object]) -> RelayStatus | None:
+def decode_relay_status(process_status: ProcessDocument) -> RelayStatus | None:
     """Return the status of the relay in the status of a process; None if the process is not a relay.
 
     Raises `msgspec.ValidationError` for a status of another form.
@@ -46,7 +47,7 @@
     return None if section is None else msgspec.convert(section, RelayStatus)
 
 
-def printed_process_status(process_status: Mapping[str, object]) -> dict[str, object]:
+def printed_process_status(process_status: ProcessDocument) -> ProcessDocument:
     """Return the status of a process with its relay's status under the terms of the code.
 
     >>> printed_process_status({"name": "n1"})
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -11,7 +11,9 @@
 from twisted.python.failure import Failure
 
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.peer_connection import CallError
+from lotusroute.fleet.errors import CallError, UnknownCallError
+from lotusroute.fleet.peer_connection import PeerHandlers
+from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.transport import PeerTransport
 from lotusroute.leases.messages import LeaseTerms
 from lotusroute.monotonic_clock import monotonic_ms
@@ -19,7 +21,7 @@
 from lotusroute.relay import messages
 from lotusroute.relay.config import RelaysConfig
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
-from lotusroute.relay.errors import NotSubscribedError, UnknownCallError
+from lotusroute.relay.errors import NotSubscribedError
 from lotusroute.relay.relay_selector import Action, Join, Leave, RelaySelector
 from lotusroute.relay.replica import ReceivedUpdate, Replica
 from lotusroute.relay.update_source import RelayUpdateSource
@@ -44,16 +46,12 @@
         self.update_source = RelayUpdateSource(
             reactor, self.clock, self.rng, counters, self.selector, self.forwarder
         )
-        self.transport = PeerTransport(
-            reactor,
-            FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(())),
-            name,
-            self.rng,
-            counters,
-            self.handle_call,
-            self.on_connected,
-            self._on_lost,
+        relays = FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(()))
+        process = FleetProcess(reactor=reactor, config=relays, name=name, counters=counters, rng=self.rng)
+        handlers = PeerHandlers(
+            handle_call=self.handle_call, on_connected=self.on_connected, on_disconnected=self._on_lost
         )
+        self.transport = PeerTransport(process, handlers)
         self._timer: DelayedCall | None = None  # the next tick
 
     clock = staticmethod(monotonic_ms)
@@ -110,7 +108,10 @@
     # Messages
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
-        """Apply an update of the relay and return the acknowledgement; raises a `RelayError` to reject it."""
+        """Apply an update of the relay and return the acknowledgement.
+
+        Raises `UnknownCallError` for any other call, `NotSubscribedError` for an update of another process.
+        """
         if kind != messages.UPDATE_CALL:
             raise UnknownCallError(kind)
         message = messages.decode_update(body)
--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer
 from twisted.internet.base import DelayedCall
 
-from lotusroute.fleet.peer_connection import CallError
+from lotusroute.fleet.errors import CallError
 from lotusroute.relay import messages
 from lotusroute.relay.context import RelayContext
 from lotusroute.relay.fanout import Action, Drop, FanOut, Heartbeat, Message, Send
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -8,14 +8,14 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
 
 from twisted.internet import defer
 from twisted.internet.base import ReactorBase
 
-from lotusroute.net.discovery import MIN_REJECTION_BACKOFF, QUEUE_TIMEOUT
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.poll_schedule import MIN_REJECTION_BACKOFF_S, QUEUE_TIMEOUT_S
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
+from lotusroute.relay.endpoint_items import DiscoveryMessage
 from lotusroute.relay.relay_selector import RelaySelector
 
 CHECK_INTERVAL_S = 0.1
@@ -75,7 +75,7 @@
 
         The wait leaves enough of the time in which a change has to be in force for the poll itself.
         """
-        max_delay = max(0.0, min(MIN_REJECTION_BACKOFF, discovery.remaining() - QUEUE_TIMEOUT))
+        max_delay = max(0.0, min(MIN_REJECTION_BACKOFF_S, discovery.remaining() - QUEUE_TIMEOUT_S))
         await self._wait(max_delay * self.rng.random())
         if not self.selector.is_fresh(self.clock()):
             self.polling = True
@@ -105,7 +105,7 @@
             return math.inf
         return (self.clock() - self.selector.confirmed_at) / 1000
 
-    def on_response(self, message: dict[str, Any], since: int | None) -> None:
+    def on_response(self, message: DiscoveryMessage, since: int | None) -> None:
         """Do nothing: the balancer continues to poll until a relay has a fresh list."""
 
     def on_failure(self) -> None:
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -112,5 +112,5 @@
     grant = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
     assert shown["keeps"] == {"watch": grant}
     assert shown["connections"] == {"out": [], "in": []}
-    news = {"version": [3, 1], "digest": "8a86d8c31d5bf2fe", "items": 3, "age_ms": 250, "origin": 3}
-    assert shown["news"] == {**news, "subscribers": 0, "lack": 0, "in_line": 0, "oldest": [3, 1]}
+    section = {"version": [3, 1], "digest": "8a86d8c31d5bf2fe", "items": 3, "age_ms": 250, "origin": 3}
+    assert shown["news"] == {**section, "subscribers": 0, "lack": 0, "in_line": 0, "oldest": [3, 1]}
--- a/tests/test_relay_status.py
+++ b/tests/test_relay_status.py
@@ -28,8 +28,8 @@
     printed = printed_process_status({"name": "r1", "news": SECTION})
     assert list(printed) == ["name", "updates"]
     renamed = {"origin_fencing_token": 7, "lagging": 2, "snapshot_queue": 1, "oldest_version": (6, 30)}
-    kept = {key: SECTION[key] for key in ("digest", "items", "age_ms", "subscribers")}
-    assert printed["updates"] == {"version": (7, 31), **kept, **renamed}
+    unchanged = {key: SECTION[key] for key in ("digest", "items", "age_ms", "subscribers")}
+    assert printed["updates"] == {"version": (7, 31), **unchanged, **renamed}
 
 
 def test_a_process_that_is_no_relay_has_no_relay_status():
