--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -123,9 +123,8 @@
 ) -> str:
     """Write an operator's file of a fleet whose members compete for one lease; return its path."""
     document = {"name": FLEET_NAME, "keepers": list(acceptors), "tasks": [lease], **settings}
-    lines = [
-        f"{key} = {json.dumps(value)}" for key, value in document.items()
-    ]  # the JSON of these values is valid TOML
+    # JSON is valid TOML for these values.
+    lines = [f"{key} = {json.dumps(value)}" for key, value in document.items()]
     lines.append("[peers]")
     lines += [f"{name} = {json.dumps(address(port))}" for name, port in peer_ports.items()]
     file.write_text("\n".join(lines) + "\n", encoding="utf-8")
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -15,6 +15,7 @@
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
 HEARTBEAT_INTERVAL_MS = 600.0
+TICKS_PER_HEARTBEAT = 4  # at least
 ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # after which a subscriber is dropped
 COALESCE_DELAY_MS = 50.0  # that a change waits for further ones
 MIN_UPDATE_INTERVAL_MS = 250.0  # between updates to one subscriber
@@ -129,7 +130,10 @@
 
     def next_tick_in(self, now: float) -> float:
         """Return in how many ms the next tick is due."""
-        return min(HEARTBEAT_INTERVAL_MS / 4, max(0.0, self.pending_since + COALESCE_DELAY_MS - now))
+        return min(
+            HEARTBEAT_INTERVAL_MS / TICKS_PER_HEARTBEAT,
+            max(0.0, self.pending_since + COALESCE_DELAY_MS - now),
+        )
 
     def _drop_slow(self, now: float) -> list[Action]:
         actions: list[Action] = []
