--- a/lotusroute/capacity/client_stub.py
+++ b/lotusroute/capacity/client_stub.py
@@ -5,8 +5,8 @@
 import itertools
 
 from lotusroute.capacity.errors import ConnectionRejectedError
+from lotusroute.process_control.free_ports import LOOPBACK
 
-LOOPBACK = "127.0.0.1"
 MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"
 
 # Each connection has an id of its own, because a balancer remembers ids for a while.
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -21,7 +21,7 @@
 )
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.processes import MeasuredProcess, RunTooLargeError, check_footprint
-from lotusroute.capacity.stubs import endpoint_entry
+from lotusroute.process_control.config_files import endpoint_entry
 
 SETTLE_DELAY_S = 4.0  # after the last connection was opened, before idle ones are measured
 SERVERS = 8  # names of one stub; several, as single servers may be ejected
--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -1,29 +1,24 @@
 """Starts the processes of measured roles and writes their operators' files, all on loopback."""
 
 import contextlib
-import json
 import pathlib
-import random
-import socket
 import tempfile
-import time
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
 
-from lotusroute.capacity.errors import NotListeningError
-from lotusroute.capacity.processes import LOG_TIMEOUT, MeasuredProcess, write_json
+from lotusroute.address import Address, parse_address
+from lotusroute.capacity.processes import MeasuredProcess
 from lotusroute.capacity.stubs import DISCARD_PORT, EndpointEntry
+from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject, RelaysConfig
+from lotusroute.process_control.free_ports import LOOPBACK, PortAllocator
+from lotusroute.process_control.logged_process import TIMEOUT_S
+from lotusroute.process_control.readiness import wait_until_ready
 
-LOOPBACK = "127.0.0.1"
 FLEET_NAME = "scale"
-# Below the range of ephemeral ports: another process's connection could use one of those before the process
-# that it is allocated for has started.
-PORT_RANGE = range(10_000, 32_000)
-UNLIMITED_ANSWERS_PER_S = "1e6"  # argument of a discovery stub
-NO_CHANGES = "0"  # argument of a discovery stub: it makes no changes by itself
-READY_CHECK_INTERVAL_S = 0.05
-READY_CHECK_TIMEOUT_S = 1.0
-BALANCER_SETTINGS = {
+# Arguments of a discovery stub.
+UNLIMITED_ANSWERS_PER_S = "1e6"
+NO_CHANGES = "0"
+BALANCER_SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
     "siblings": 1,
@@ -39,19 +34,12 @@
     port: int
 
 
-_rng = random.SystemRandom()
-_allocated_ports: set[int] = set()
+_ports = PortAllocator()
 
 
 def allocate_port() -> int:
-    """Return a free port for a process that has not started yet; no port is returned twice."""
-    while True:
-        port = _rng.randrange(PORT_RANGE.start, PORT_RANGE.stop)
-        if port in _allocated_ports:
-            continue
-        _allocated_ports.add(port)
-        with contextlib.suppress(OSError), socket.create_server((LOOPBACK, port)):
-            return port
+    """Return a free port for a process that has not started yet."""
+    return _ports.allocate()
 
 
 def address(port: int) -> str:
@@ -85,50 +73,28 @@
     hosts: Sequence[EndpointEntry] = (),
 ) -> MeasuredProcess:
     """Start a balancer, the program itself, that has `hosts` as its endpoint list at the start."""
-    config = {
-        "name": name,
-        "listen": address(listen_port),
-        "discovery": address(discovery_port),
-        "seed": name,
-        "settings": BALANCER_SETTINGS,
-        "known": {"seq": 0, "hosts": list(hosts)},
-        "limits": BALANCER_LIMITS,
-    }
-    file = write_json(folder / f"{name}.json", config)
+    config = BalancerConfig(
+        name=name,
+        listen=Address(LOOPBACK, listen_port),
+        discovery=Address(LOOPBACK, discovery_port),
+        settings=BALANCER_SETTINGS,
+        seed=name,
+        limits=BALANCER_LIMITS,
+        cached_list={"seq": 0, "hosts": hosts},
+    )
+    file = config.write(folder / f"{name}.json")
     return MeasuredProcess("lotusroute", environment={"LB_CONFIG": file, "LB_LOG": "INFO", **environment})
 
 
 def wait_until_listening(port: int) -> None:
-    """Wait until a balancer answers health checks; raises `NotListeningError`."""
-    deadline = time.monotonic() + LOG_TIMEOUT
-    while time.monotonic() < deadline:
-        with contextlib.suppress(OSError), _connect(port) as connection:
-            connection.sendall(b"PING\r\n")
-            if connection.recv(64) == b"PONG\r\n":
-                return
-        time.sleep(READY_CHECK_INTERVAL_S)
-    raise NotListeningError(port, LOG_TIMEOUT)
-
-
-def _connect(port: int) -> socket.socket:
-    return socket.create_connection((LOOPBACK, port), READY_CHECK_TIMEOUT_S)
-
-
-def write_fleet_file(
-    file: pathlib.Path,
-    peer_ports: Mapping[str, int],
-    acceptors: Sequence[str],
-    lease: str,
-    **settings: str | int,
-) -> str:
-    """Write an operator's file of a fleet whose members compete for one lease; return its path."""
-    document = {"name": FLEET_NAME, "keepers": list(acceptors), "tasks": [lease], **settings}
-    # JSON is valid TOML for these values.
-    lines = [f"{key} = {json.dumps(value)}" for key, value in document.items()]
-    lines.append("[peers]")
-    lines += [f"{name} = {json.dumps(address(port))}" for name, port in peer_ports.items()]
-    file.write_text("\n".join(lines) + "\n", encoding="utf-8")
-    return str(file)
+    """Wait until a balancer answers health checks; raises `NotReadyError`."""
+    wait_until_ready(port, TIMEOUT_S)
+
+
+def fleet_config(peer_ports: Mapping[str, int], acceptors: Sequence[str], lease: str) -> FleetConfig:
+    """Return the configuration of a fleet whose members compete for one lease."""
+    peers = {name: Address(LOOPBACK, port) for name, port in peer_ports.items()}
+    return FleetConfig(name=FLEET_NAME, acceptors=acceptors, tasks=[lease], peers=peers)
 
 
 def write_relays_file(file: pathlib.Path, zone: str, relays: Mapping[str, Mapping[str, str]]) -> str:
@@ -136,9 +102,8 @@
 
     `relays` are addresses by zone and name.
     """
-    lines = [f"name = {json.dumps(FLEET_NAME)}", f"zone = {json.dumps(zone)}"]
-    for relay_zone, addresses in relays.items():
-        lines.append(f"[relays.{relay_zone}]")
-        lines += [f"{name} = {json.dumps(relay)}" for name, relay in addresses.items()]
-    file.write_text("\n".join(lines) + "\n", encoding="utf-8")
-    return str(file)
+    addresses = {
+        relay_zone: {name: parse_address(relay) for name, relay in zone_relays.items()}
+        for relay_zone, zone_relays in relays.items()
+    }
+    return RelaysConfig(name=FLEET_NAME, zone=zone, relays=addresses).write(file)
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -7,9 +7,10 @@
 
 import msgspec
 
-from lotusroute.capacity.stubs import endpoint_entry
+from lotusroute.capacity.stubs import DISCARD_PORT
 from lotusroute.fleet.shared_discovery import HEARTBEAT_INTERVAL_S as HOLDER_HEARTBEAT_INTERVAL_S
 from lotusroute.fleet.shared_discovery import SharedUpdate
+from lotusroute.process_control.config_files import endpoint_entry
 from lotusroute.relay import endpoint_items, messages
 from lotusroute.relay.endpoint_items import EndpointListUpdate
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
@@ -79,12 +80,14 @@
     (True, True)
     """
     script = RelayScript(size)
-    endpoints = [endpoint_entry(f"s-{index}") for index in range(ENDPOINTS)]
+    endpoints = [endpoint_entry(f"s-{index}", DISCARD_PORT) for index in range(ENDPOINTS)]
     script.publish(EndpointListUpdate(1, True, endpoints))
     script.join_all()
     for change in range(CHANGES):
         script.now += CHANGE_INTERVAL_MS
-        script.publish(EndpointListUpdate(2 + change, False, [endpoint_entry("s-0", health="DRAINING")]))
+        script.publish(
+            EndpointListUpdate(2 + change, False, [endpoint_entry("s-0", DISCARD_PORT, "DRAINING")])
+        )
         script.fanout.on_store_changed(script.now)
         script.now += HEARTBEAT_INTERVAL_MS
         script.tick()
@@ -104,7 +107,7 @@
     (True, True)
     """
     discovery_url = "http://127.0.0.1:8500/api/targets"
-    update = SharedUpdate(7, discovery_url, 2, 1, False, [endpoint_entry("s-0", health="DRAINING")])
+    update = SharedUpdate(7, discovery_url, 2, 1, False, [endpoint_entry("s-0", DISCARD_PORT, "DRAINING")])
     heartbeat = SharedUpdate(7, discovery_url, 2)
     heartbeats = round(IDLE_TIME_MS / 1_000 / HOLDER_HEARTBEAT_INTERVAL_S)
     update_bytes = len(msgspec.msgpack.encode(update))
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -62,8 +62,7 @@
     def change(self, hosts: list[EndpointEntry]) -> None:
         """Replace or add these servers, and answer all watches with them."""
         self.sequence += 1
-        by_name = {host["host"]: host for host in self.hosts}
-        by_name.update({host["host"]: host for host in hosts})
+        by_name = {str(host["host"]): host for host in [*self.hosts, *hosts]}
         self.hosts = list(by_name.values())
         watches = self._watches
         self._watches = []
--- a/lotusroute/capacity/discovery_stub.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -15,12 +15,13 @@
 from twisted.internet import task
 from twisted.web import server
 
-from lotusroute.capacity.deployment import LOOPBACK
 from lotusroute.capacity.discovery_resource import DiscoveryResource
 from lotusroute.capacity.signals import call_on_signal
-from lotusroute.capacity.stubs import BURST_CHANGES, CHANGED_HOST, DISCARD_PORT, endpoint_entry
+from lotusroute.capacity.stubs import BURST_CHANGES, CHANGED_HOST, DISCARD_PORT
 from lotusroute.net import structured_log
 from lotusroute.net.reactor import reactor
+from lotusroute.process_control.config_files import endpoint_entry
+from lotusroute.process_control.free_ports import LOOPBACK
 
 
 class DiscoveryStub:
--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -9,15 +9,6 @@
     """Base class of the errors of capacity runs."""
 
 
-class NotListeningError(CapacityError):
-    """A balancer did not answer health checks in time."""
-
-    def __init__(self, port: int, timeout: float) -> None:
-        super().__init__(f"no PONG from port {port} within {timeout:g} s")
-        self.port = port
-        self.timeout = timeout
-
-
 class ConnectionRejectedError(CapacityError):
     """A balancer rejected a stub client."""
 
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -6,6 +6,7 @@
 """
 
 import contextlib
+import dataclasses
 import pathlib
 import time
 from collections.abc import Callable, Iterable, Mapping
@@ -16,15 +17,16 @@
     RunningDiscovery,
     address,
     allocate_port,
+    fleet_config,
     run_discovery,
     run_folder,
     start_balancer,
-    write_fleet_file,
 )
 from lotusroute.capacity.errors import NoLeaseHolderError, NoUpdateSentError
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import HollowBalancerSettings
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
+from lotusroute.process_control.logged_process import TIMEOUT_S
 
 SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
 MAX_REAL_BALANCERS = 5
@@ -72,20 +74,21 @@
     def _start_balancer(self, folder: pathlib.Path, name: str) -> MeasuredProcess:
         state = folder / name
         state.mkdir()
-        file = write_fleet_file(folder / f"{name}.toml", self._ports, self.acceptors, LEASE, state=str(state))
+        config = dataclasses.replace(fleet_config(self._ports, self.acceptors, LEASE), state_folder=state)
+        file = config.write(folder / f"{name}.toml")
         return start_balancer(folder, name, allocate_port(), self.discovery.port, {"LB_FLEET": file})
 
     def _wait_for_lease_holder(self) -> str:
-        deadline = time.monotonic() + processes.LOG_TIMEOUT
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() <= deadline:
             for name, balancer in self.balancers.items():
                 if any("lease acquired" in line for line in balancer.lines):
                     return name
             time.sleep(CHECK_INTERVAL_S)
-        raise NoLeaseHolderError(LEASE, processes.LOG_TIMEOUT)
+        raise NoLeaseHolderError(LEASE, TIMEOUT_S)
 
     def _start_hollow(self, folder: pathlib.Path) -> Iterable[MeasuredProcess]:
-        file = write_fleet_file(folder / "hollow.toml", self._ports, self.acceptors, HOLLOW_LEASE)
+        file = fleet_config(self._ports, self.acceptors, HOLLOW_LEASE).write(folder / "hollow.toml")
         for start in range(MAX_REAL_BALANCERS, len(self.names), HOLLOW_PER_PROCESS):
             names = self.names[start : start + HOLLOW_PER_PROCESS]
             settings = HollowBalancerSettings(names, address(self.discovery.port), file)
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -8,7 +8,7 @@
 import signal
 import time
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Self
 
 from lotusroute.capacity import processes
@@ -16,15 +16,16 @@
     UNLIMITED_ANSWERS_PER_S,
     address,
     allocate_port,
+    fleet_config,
     run_folder,
     start_balancer,
-    write_fleet_file,
     write_relays_file,
 )
 from lotusroute.capacity.errors import NoLeaseHolderError, NoReportError
 from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
-from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage, log_field
+from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 from lotusroute.capacity.stubs import CHANGED_HOST
+from lotusroute.process_control.log_fields import log_field
 
 HOLLOW_PER_PROCESS = 160
 # Relays that are acceptors of the lease; three if there are fewer than five relays.
@@ -130,15 +131,13 @@
         for name in names:
             state = folder / name
             state.mkdir()
-            file = write_fleet_file(
-                folder / f"{name}.toml",
-                self._relay_ports,
-                acceptors,
-                LEASE,
-                state=str(state),
+            config = replace(
+                fleet_config(self._relay_ports, acceptors, LEASE),
+                state_folder=state,
                 lease_ms=LEASE_DURATION_MS,
-                guests=MAX_SUBSCRIBERS,
+                max_subscribers=MAX_SUBSCRIBERS,
             )
+            file = config.write(folder / f"{name}.toml")
             options = ["--fleet", file, "--name", name, "--discovery", address(self._discovery_port)]
             process = MeasuredProcess("lotusroute", ["relay", "run", *options])
             self.relays[name] = stack.enter_context(process)
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -13,12 +13,13 @@
 from twisted.web import server
 
 from lotusroute.address import Address
-from lotusroute.capacity.deployment import LOOPBACK
 from lotusroute.capacity.discovery_resource import DiscoveryResource
-from lotusroute.capacity.stubs import endpoint_entry
+from lotusroute.capacity.stubs import DISCARD_PORT
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
+from lotusroute.process_control.config_files import endpoint_entry
+from lotusroute.process_control.free_ports import LOOPBACK
 
 STORM_DURATION_S = 10.0  # from the first answer on
 REST_DURATION_S = 5.0  # at the end of a run
@@ -85,7 +86,7 @@
 def run_storm(options: StormOptions) -> StormFigures:
     """Run a storm once and return its figures."""
     available_from = reactor.seconds() + options.down_s
-    entries = [endpoint_entry(f"s-{index}") for index in range(options.hosts)]
+    entries = [endpoint_entry(f"s-{index}", DISCARD_PORT) for index in range(options.hosts)]
     discovery = DiscoveryResource(entries, options.answers_per_s, available_from)
     listener = reactor.listenTCP(0, server.Site(discovery), interface=LOOPBACK)
     clients = StormClients(listener.getHost().port, options.grace_ms, available_from)
--- a/lotusroute/capacity/server_stub.py
+++ b/lotusroute/capacity/server_stub.py
@@ -9,7 +9,8 @@
 import contextlib
 import sys
 
-LOOPBACK = "127.0.0.1"
+from lotusroute.process_control.free_ports import LOOPBACK
+
 BACKLOG = 1_024  # connections waiting to be accepted
 
 
