--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -8,7 +8,7 @@
 
 from lotusroute.address import Address, parse_address
 from lotusroute.capacity.processes import MeasuredProcess
-from lotusroute.capacity.stubs import DISCARD_PORT, EndpointEntry
+from lotusroute.capacity.stubs import DISCARD_PORT, EndpointDocument
 from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject, RelaysConfig
 from lotusroute.process_control.free_ports import LOOPBACK, PortAllocator
 from lotusroute.process_control.logged_process import TIMEOUT_S
@@ -70,7 +70,7 @@
     listen_port: int,
     discovery_port: int,
     environment: Mapping[str, str],
-    hosts: Sequence[EndpointEntry] = (),
+    hosts: Sequence[EndpointDocument] = (),
 ) -> MeasuredProcess:
     """Start a balancer, the program itself, that has `hosts` as its endpoint list at the start."""
     config = BalancerConfig(
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -9,7 +9,7 @@
 
 from twisted.web import resource, server
 
-from lotusroute.capacity.stubs import EndpointEntry
+from lotusroute.capacity.stubs import EndpointDocument
 from lotusroute.net.reactor import reactor
 
 QUEUE_TIMEOUT_S = 2.0  # after which a poll in the queue is rejected
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        hosts: list[EndpointEntry],
+        hosts: list[EndpointDocument],
         answers_per_s: float = UNLIMITED_ANSWERS_PER_S,
         available_from: float = 0.0,
     ) -> None:
@@ -59,7 +59,7 @@
         # Polls that came before `available_from`, until their clients close the connection.
         self._unanswered: set[server.Request] = set()
 
-    def change(self, hosts: list[EndpointEntry]) -> None:
+    def change(self, hosts: list[EndpointDocument]) -> None:
         """Replace or add these servers, and answer all watches with them."""
         self.sequence += 1
         by_name = {str(host["host"]): host for host in [*self.hosts, *hosts]}
@@ -132,10 +132,10 @@
     def _answer_completely(self, poll: PendingPoll) -> None:
         self._write(poll, self.hosts, complete=True)
 
-    def _answer(self, poll: PendingPoll, changed: list[EndpointEntry]) -> None:
+    def _answer(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
         self._write(poll, changed, complete=False)
 
-    def _write(self, poll: PendingPoll, hosts: list[EndpointEntry], complete: bool) -> None:
+    def _write(self, poll: PendingPoll, hosts: list[EndpointDocument], complete: bool) -> None:
         if not poll.connected:
             return
         body = json.dumps({"seq": self.sequence, "whole": complete, "hosts": hosts}).encode()
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -11,7 +11,7 @@
 import signal
 import sys
 import time
-from typing import NamedTuple, cast
+from typing import NamedTuple
 
 from twisted.internet import defer
 
@@ -66,8 +66,8 @@
         )
         subscription = Subscription(reactor, relays, name, self.counters)
 
-        def record(update: object) -> None:
-            self._record(name, cast(EndpointUpdate, update))
+        def record(update: EndpointUpdate) -> None:
+            self._record(name, update)
 
         address = self.settings.discovery_address()
         limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
--- a/lotusroute/capacity/stubs.py
+++ b/lotusroute/capacity/stubs.py
@@ -6,4 +6,4 @@
 BURST_CHANGES = 50  # that a discovery stub makes within a second on SIGHUP
 DISCARD_PORT = 9  # of servers to which nothing connects
 
-EndpointEntry = dict[str, JsonValue]  # a server as discovery lists it
+EndpointDocument = dict[str, JsonValue]  # a server as discovery lists it
--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -15,8 +15,8 @@
 from lotusroute.capacity.target import Target
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
 
-ROLES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
-RENAMED_ROLES = {"followers": "direct-discovery", "plane": "data-plane"}  # earlier names, still accepted
+ROLE_NAMES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
+EARLIER_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # earlier names, still accepted
 
 
 def parse_role(text: str) -> str:
@@ -25,14 +25,14 @@
     >>> parse_role("plane")
     'data-plane'
     """
-    role = RENAMED_ROLES.get(text, text)
-    if role not in ROLES:
-        raise click.BadParameter(f"'{text}' is not one of {', '.join(map(repr, ROLES))}")
+    role = EARLIER_ROLE_NAMES.get(text, text)
+    if role not in ROLE_NAMES:
+        raise click.BadParameter(f"'{text}' is not one of {', '.join(map(repr, ROLE_NAMES))}")
     return role
 
 
 @click.command()
-@click.argument("role", type=parse_role, metavar=f"[{'|'.join(ROLES)}]")
+@click.argument("role", type=parse_role, metavar=f"[{'|'.join(ROLE_NAMES)}]")
 @click.option("--sizes", default="", help="as 8,30,65,125; at least two, four for a reliable line")
 @click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="measured at each size")
 @click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the endpoint list")
--- a/lotusroute/relay/endpoint_items.py
+++ b/lotusroute/relay/endpoint_items.py
@@ -8,13 +8,13 @@
 import json
 from typing import Any, NamedTuple
 
+from lotusroute.net.endpoint_list import EndpointListMessage
 from lotusroute.relay.versioned_store import Changes, VersionedStore
 
 LIST_METADATA_KEY = "#list"
 REMOVED_HEALTH = "DELETED"  # health of an endpoint that has left the list, in changes to a list
 
-DiscoveryMessage = dict[str, Any]  # a decoded answer of discovery, with its keys `seq`, `whole` and `hosts`
-EndpointEntry = dict[str, Any]  # an endpoint as discovery describes it
+EndpointDocument = dict[str, Any]  # an endpoint as discovery describes it
 
 
 class EndpointListUpdate(NamedTuple):
@@ -22,10 +22,10 @@
 
     seq: int | None  # discovery's version of the list
     complete: bool
-    entries: list[EndpointEntry]
+    entries: list[EndpointDocument]
 
     @classmethod
-    def from_message(cls, message: DiscoveryMessage) -> "EndpointListUpdate":
+    def from_message(cls, message: EndpointListMessage) -> "EndpointListUpdate":
         """Convert an answer of discovery.
 
         >>> EndpointListUpdate.from_message({"seq": 4, "whole": True, "hosts": []})
@@ -33,7 +33,7 @@
         """
         return cls(message["seq"], message["whole"], message["hosts"])
 
-    def to_message(self) -> DiscoveryMessage:
+    def to_message(self) -> EndpointListMessage:
         """Convert to the form of an answer of discovery."""
         return {"seq": self.seq, "whole": self.complete, "hosts": self.entries}
 
@@ -87,10 +87,10 @@
     return EndpointListUpdate(list_metadata(store).seq, False, entries)
 
 
-def _changed_entry(name: str, value: bytes | None) -> EndpointEntry:
+def _changed_entry(name: str, value: bytes | None) -> EndpointDocument:
     if value is None:
         return {"host": name, "health": REMOVED_HEALTH}
-    entry: EndpointEntry = json.loads(value)
+    entry: EndpointDocument = json.loads(value)
     return entry
 
 
--- a/lotusroute/relay/origin.py
+++ b/lotusroute/relay/origin.py
@@ -8,10 +8,10 @@
 from lotusroute.address import Address
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.endpoint_list import EndpointListMessage
 from lotusroute.net.structured_log import log_event
 from lotusroute.relay import endpoint_items
 from lotusroute.relay.context import RelayContext
-from lotusroute.relay.endpoint_items import DiscoveryMessage
 from lotusroute.relay.errors import DeposedError
 
 ORIGIN_TASK = "origin"  # the leased task
@@ -77,7 +77,7 @@
         """Return infinity: the origin receives the list only from discovery."""
         return math.inf
 
-    def on_response(self, message: DiscoveryMessage, since: int | None) -> None:
+    def on_response(self, message: EndpointListMessage, since: int | None) -> None:
         """Publish an answer of discovery, if enough of the lease is left."""
         if not self.context.lease_service.fencing_token(ORIGIN_TASK, MAX_PUBLISH_DURATION_MS):
             return
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -13,9 +13,9 @@
 from twisted.internet.base import ReactorBase
 
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.endpoint_list import EndpointListMessage
 from lotusroute.net.poll_schedule import MIN_REJECTION_BACKOFF_S, QUEUE_TIMEOUT_S
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
-from lotusroute.relay.endpoint_items import DiscoveryMessage
 from lotusroute.relay.relay_selector import RelaySelector
 
 CHECK_INTERVAL_S = 0.1
@@ -105,7 +105,7 @@
             return math.inf
         return (self.clock() - self.selector.confirmed_at) / 1000
 
-    def on_response(self, message: DiscoveryMessage, since: int | None) -> None:
+    def on_response(self, message: EndpointListMessage, since: int | None) -> None:
         """Do nothing: the balancer continues to poll until a relay has a fresh list."""
 
     def on_failure(self) -> None:
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -14,7 +14,7 @@
 OPERATORS = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
 ORIGINS = "target|measured|worked out|guessed"
 ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.M)
-ROUNDING = 0.006  # relative difference that a figure on the page may have: it has three digits
+ROUNDING_FRACTION = 0.006  # figures on the page have three digits
 
 
 class Figure(NamedTuple):
@@ -58,7 +58,7 @@
         values[figure.name] = figure.value
         if figure.origin == "worked out":
             formula = figure.source.strip("`").strip()
-            expected = pytest.approx(evaluate(formula, values), rel=ROUNDING)
+            expected = pytest.approx(evaluate(formula, values), rel=ROUNDING_FRACTION)
             assert figure.value == expected, (figure.name, formula)
     assert sum(figure.origin == "worked out" for figure in figures) > 30
 
