--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -1,21 +1,23 @@
-"""Processes and operators' files that several measured roles set up, all on loopback."""
+"""Starts the processes of measured roles and writes their operators' files, all on loopback."""
 
 import contextlib
 import pathlib
 import tempfile
 from collections.abc import Iterator, Mapping, Sequence
+from typing import NamedTuple
 
 from lotusroute.address import Address, parse_address
 from lotusroute.capacity.processes import MeasuredProcess
+from lotusroute.capacity.stubs import DISCARD_PORT, EndpointDocument
 from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject, RelaysConfig
 from lotusroute.process_control.free_ports import LOOPBACK, PortAllocator
 from lotusroute.process_control.logged_process import TIMEOUT_S
 from lotusroute.process_control.readiness import wait_until_ready
 
 FLEET_NAME = "scale"
-UNLIMITED_ANSWERS = "1e6"  # a second, of a discovery stub
-NO_CHANGES = "0"  # s between changes that a discovery stub makes by itself
-DISCARD_PORT = 9  # of servers to which nothing connects
+# Arguments of a discovery stub.
+UNLIMITED_ANSWERS_PER_S = "1e6"
+NO_CHANGES = "0"
 BALANCER_SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
@@ -24,34 +26,42 @@
 }
 BALANCER_LIMITS = {"sockets": 16_384, "memory_mb": 4_096}
 
+
+class RunningDiscovery(NamedTuple):
+    """A discovery stub."""
+
+    process: MeasuredProcess
+    port: int
+
+
 _ports = PortAllocator()
 
 
 def allocate_port() -> int:
-    """Return a free port for a process that is still to start, which was not returned lately."""
+    """Return a free port for a process that has not started yet."""
     return _ports.allocate()
 
 
 def address(port: int) -> str:
-    """Return the address of a port on loopback, as operators' files hold it."""
+    """Return the address of a port on loopback in the form of operators' files."""
     return f"{LOOPBACK}:{port}"
 
 
 @contextlib.contextmanager
 def run_folder() -> Iterator[pathlib.Path]:
-    """Yield a folder for the files of a run, which is removed at the end."""
+    """Provide a folder for the files of a run, and remove it at the end."""
     with tempfile.TemporaryDirectory(prefix="lotusroute-scale-") as name:
         yield pathlib.Path(name)
 
 
 @contextlib.contextmanager
-def run_discovery(hosts: int, server_port: int = DISCARD_PORT) -> Iterator[tuple[MeasuredProcess, int]]:
-    """Run a discovery stub that lists `hosts` servers, all on one port; yields the process and its port."""
+def run_discovery(hosts: int, server_port: int = DISCARD_PORT) -> Iterator[RunningDiscovery]:
+    """Run a discovery stub that lists `hosts` servers, all on one port."""
     port = allocate_port()
-    arguments = [str(port), str(hosts), UNLIMITED_ANSWERS, NO_CHANGES, str(server_port)]
+    arguments = [str(port), str(hosts), UNLIMITED_ANSWERS_PER_S, NO_CHANGES, str(server_port)]
     with MeasuredProcess("lotusroute.capacity.discovery_stub", arguments) as process:
         process.wait_for_line("event=ready")
-        yield process, port
+        yield RunningDiscovery(process, port)
 
 
 def start_balancer(
@@ -60,9 +70,9 @@
     listen_port: int,
     discovery_port: int,
     environment: Mapping[str, str],
-    hosts: Sequence[JsonObject] = (),
+    hosts: Sequence[EndpointDocument] = (),
 ) -> MeasuredProcess:
-    """Start a balancer, the program itself, that knows `hosts` before it has polled discovery."""
+    """Start a balancer, the program itself, that has `hosts` as its endpoint list at the start."""
     config = BalancerConfig(
         name=name,
         listen=Address(LOOPBACK, listen_port),
@@ -77,7 +87,7 @@
 
 
 def wait_until_listening(port: int) -> None:
-    """Wait until a balancer answers a health check; raises NotReadyError."""
+    """Wait until a balancer answers health checks; raises `NotReadyError`."""
     wait_until_ready(port, TIMEOUT_S)
 
 
@@ -88,7 +98,10 @@
 
 
 def write_relays_file(file: pathlib.Path, zone: str, relays: Mapping[str, Mapping[str, str]]) -> str:
-    """Write an operator's file that names the relays, by zone, to a balancer of a zone; returns its path."""
+    """Write an operator's file that names the relays to a balancer of a zone; return its path.
+
+    `relays` are addresses by zone and name.
+    """
     addresses = {
         relay_zone: {name: parse_address(relay) for name, relay in zone_relays.items()}
         for relay_zone, zone_relays in relays.items()
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -82,7 +82,7 @@
     """
     answers = query_peers(file, peers)
     lines = [_status_line(name, decode_relay_status(state)) for name, state in answers.states.items()]
-    printed_states = {name: printed_process_status(state) for name, state in answers.states.items()}
+    printed_states = {name: dict(printed_process_status(state)) for name, state in answers.states.items()}
     print_and_exit(answers._replace(states=printed_states), as_json, lines)
 
 
--- a/lotusroute/relay/errors.py
+++ b/lotusroute/relay/errors.py
@@ -11,8 +11,6 @@
 if TYPE_CHECKING:
     from lotusroute.relay.versioned_store import Version
 
-MAX_SHOWN_CALL_KIND = 32  # characters
-
 
 class RelayError(LotusrouteError):
     """Base class of the errors of relays and their subscribers."""
@@ -65,11 +63,3 @@
     def __init__(self, relay: str) -> None:
         super().__init__(f"not subscribed to relay '{relay}'")
         self.relay = relay
-
-
-class UnknownCallError(RelayError):
-    """A subscriber received a call of a kind that it does not handle."""
-
-    def __init__(self, kind: str) -> None:
-        super().__init__(f"no call '{kind[:MAX_SHOWN_CALL_KIND]}'")
-        self.kind = kind
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -20,7 +20,7 @@
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
 MIN_BACKOFF_FRACTION = 0.5  # the rest of a backoff is random
-# Random, so that the subscribers of a zone do not return to it all at once.
+# The delay is random, so that subscribers do not return to their zone all at once.
 MIN_FAILBACK_DELAY_MS = 20_000.0
 MAX_FAILBACK_DELAY_MS = 60_000.0
 
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from lotusroute.fleet.config import FleetConfig
-from lotusroute.fleet.errors import CallError
+from lotusroute.fleet.errors import CallError, UnknownCallError
 from lotusroute.fleet.peer_connection import PeerHandlers
 from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.transport import PeerTransport
@@ -21,7 +21,7 @@
 from lotusroute.relay import messages
 from lotusroute.relay.config import RelaysConfig
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
-from lotusroute.relay.errors import NotSubscribedError, UnknownCallError
+from lotusroute.relay.errors import NotSubscribedError
 from lotusroute.relay.relay_selector import Action, Join, Leave, RelaySelector
 from lotusroute.relay.replica import ReceivedUpdate, Replica
 from lotusroute.relay.update_source import RelayUpdateSource
@@ -108,7 +108,10 @@
     # Messages
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
-        """Apply an update of the relay and return the acknowledgement; raises a `RelayError` to reject it."""
+        """Apply an update of the relay and return the acknowledgement.
+
+        Raises `UnknownCallError` for any other call, `NotSubscribedError` for an update of another process.
+        """
         if kind != messages.UPDATE_CALL:
             raise UnknownCallError(kind)
         message = messages.decode_update(body)
