--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -5,43 +5,52 @@
 import time
 from collections.abc import Callable
 
+from line_connection import LineConnection
 from peer_messages import ClientsResult, ClientsSettings, FlowsEstablished, Message
-from twisted.internet import protocol, reactor
+from twisted.internet import protocol
 from twisted.internet.interfaces import IConnector
-from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-FLOW_DEADLINE_MS = 3_000
+from lotusroute.net.reactor import reactor
+from lotusroute.process_control.free_ports import LOOPBACK
+
+FLOW_TIMEOUT_MS = 3_000
 KEY_COUNT = 1_000  # keys of skewed clients, the n-th in proportion to 1/n
-CONNECT_TIMEOUT_S = 5
+KEY_BITS = 64  # of the keys of other clients
+CONNECT_TIMEOUT_S = 5.0
 
 
-class Client(LineReceiver):
-    """One flow: opens, waits for its receipt, then ends, or stays open and passes on later lines."""
+class Client(LineConnection):
+    """One flow: it is requested and awaits its receipt; then it ends, or stays open and exchanges lines."""
 
-    delimiter = b"\r\n"
     factory: "ClientFactory"
 
-    def connectionMade(self) -> None:
-        """Open the flow."""
-        self.transport.setTcpNoDelay(True)
-        self.started_at = time.monotonic()
+    def __init__(self) -> None:
         self.receipt = b""
-        self.sendLine(self.factory.generator.next_opening())
+
+    def connectionMade(self) -> None:
+        """Request the flow."""
+        super().connectionMade()
+        self.requested_at = time.monotonic()
+        self.sendLine(self.factory.generator.next_request())
 
     def lineReceived(self, line: bytes) -> None:
-        """Take the receipt, or a later line."""
+        """Handle the receipt or a later line."""
         generator = self.factory.generator
         if self.receipt:
             generator.line_received(self, line)
             return
         self.receipt = line
-        generator.receipt_received(self, (time.monotonic() - self.started_at) * 1000)
+        generator.receipt_received(self, (time.monotonic() - self.requested_at) * 1000)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Report the end of the flow."""
         self.factory.generator.connection_lost(self)
 
+    def close(self) -> None:
+        """End the flow."""
+        self.connection.loseConnection()
+
 
 class ClientFactory(protocol.ClientFactory):
     """Makes the clients of a load generator."""
@@ -60,8 +69,8 @@
 class LoadGenerator:
     """Opens a number of flows, so many at a time; passes messages to `report`; stops the reactor at the end.
 
-    A flow ends at its receipt; with `hold_s` it stays open until all are established and that time has
-    passed, with `line_count` until that many lines have come back.
+    A flow ends at its receipt. With `hold_s` it stays open until all are established and that time has
+    passed; with `line_count` it stays open until so many lines have been echoed.
     """
 
     def __init__(self, settings: ClientsSettings, report: Callable[[Message], None]) -> None:
@@ -69,7 +78,7 @@
         self.report = report
         self.rng = random.Random(settings.seed)
         self.flow_numbers = itertools.count()
-        self.name = f"{settings.seed:x}x"
+        self.name = f"{settings.seed:x}x"  # prefix of the flows' ids
         self.key_weights = list(itertools.accumulate(1 / rank for rank in range(1, KEY_COUNT + 1)))
         self.factory = ClientFactory(self)
         self.opened = 0
@@ -94,21 +103,21 @@
     def _open_flow(self) -> None:
         self.opened += 1
         self.connections += 1
-        reactor.connectTCP("127.0.0.1", self.settings.port, self.factory, timeout=CONNECT_TIMEOUT_S)
+        reactor.connectTCP(LOOPBACK, self.settings.port, self.factory, timeout=CONNECT_TIMEOUT_S)
 
-    def next_opening(self) -> bytes:
+    def next_request(self) -> bytes:
         """Return the first line of the next flow."""
         if self.settings.skewed:
             key = f"k{self.rng.choices(range(KEY_COUNT), cum_weights=self.key_weights)[0]}"
         else:
-            key = f"{self.rng.getrandbits(64):x}"
-        return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_DEADLINE_MS}".encode()
+            key = f"{self.rng.getrandbits(KEY_BITS):x}"
+        return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_TIMEOUT_MS}".encode()
 
     def receipt_received(self, client: Client, setup_ms: float) -> None:
-        """Take the receipt of a flow, which rejects it or follows so many ms after its opening."""
+        """Handle the answer to a request, which follows it after so many ms: a receipt or a rejection."""
         if not client.receipt.startswith(b"UP"):
             self.rejected += 1
-            client.transport.loseConnection()
+            client.close()
             return
         self.setups_ms.append(setup_ms)
         if self.settings.line_count:
@@ -121,9 +130,10 @@
             else:
                 self._check_all_established()
         else:
-            client.transport.loseConnection()
+            client.close()
 
     def _check_all_established(self) -> None:
+        """Report that all flows are established, once each has been answered or has failed."""
         answered = len(self.setups_ms) + self.rejected + self.failed
         if self.all_established or answered < self.settings.flows:
             return
@@ -135,7 +145,7 @@
     def _close_all(self) -> None:
         self.closing = True
         for client in list(self.established):
-            client.transport.loseConnection()
+            client.close()
         if not self.established:
             self._finish()
 
@@ -144,7 +154,7 @@
         client.sendLine(b"M %d" % len(self.line_delays_ms))
 
     def line_received(self, client: Client, line: bytes) -> None:
-        """Take a line after the receipt."""
+        """Handle a line after the receipt: a migration, or the echo of a line."""
         if line.startswith(b"MOVE"):
             self.migrated += 1
         elif line.startswith(b"M "):
@@ -152,10 +162,10 @@
             if len(self.line_delays_ms) < self.settings.line_count:
                 self._send_line(client)
             else:
-                client.transport.loseConnection()
+                client.close()
 
     def connection_lost(self, client: Client | None) -> None:
-        """Take the end of a connection; None for one that was never made."""
+        """Handle the end of a connection; None for one that was never made."""
         self.connections -= 1
         if client is None or not client.receipt:
             self.failed += 1
@@ -173,6 +183,7 @@
             self._finish()
 
     def _finish(self) -> None:
+        """Report the result and stop."""
         self.report(
             ClientsResult(
                 opened=self.opened,
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,28 +1,28 @@
 """One process of peers for the loopback benchmark: servers, the endpoint list, or clients.
 
-Peers run in processes of their own, so that their CPU time is not counted as the balancer's. They import
-nothing of the balancer but its reactor, connect on loopback only, and end with the process that started them.
+Peers run in processes of their own, so that their CPU time is not counted as the balancer's. They use nothing
+of the balancer but its reactor, connect on loopback only, and end with the process that started them.
 
     python benchmarks/peers.py servers '{"setups_ms": [1, 1], "spread": "light", "seed": 1}'
     python benchmarks/peers.py clients '{"port": 9000, "flows": 100, "concurrency": 4, "seed": 1}'
 """
 
-# ruff: noqa: E402, I001  the reactor has to be installed before others import it
-from lotusroute.net import monotonic_reactor
-
-monotonic_reactor.install()
-
 import os
 import sys
+from collections.abc import Callable
 
+import checkout_path  # noqa: F401  lotusroute is imported from this checkout
+from endpoint_list_stub import start_endpoint_list
 from load_generator import LoadGenerator
 from peer_messages import ClientsSettings, EndpointListSettings, Message, ServersSettings, to_json
-from server_stub import start_endpoint_list, start_servers
-from twisted.internet import reactor, task
+from server_stub import start_servers
+from twisted.internet import task
+
+from lotusroute.net.reactor import reactor
 
-MAX_LIFETIME_S = 300.0  # of any process, whatever becomes of its parent
-PARENT_CHECK_S = 1.0
-ROLES = ("servers", "list", "clients")
+MAX_LIFETIME_S = 300.0  # of a process, also where its parent does not end it
+PARENT_CHECK_INTERVAL_S = 1.0
+WRONG_USE = 2  # exit code
 
 
 def report(message: Message) -> None:
@@ -30,15 +30,26 @@
     print(to_json(message), flush=True)
 
 
-def start(role: str, settings: str) -> None:
-    """Start one role with its settings in JSON."""
-    match role:
-        case "servers":
-            report(start_servers(ServersSettings.from_json(settings)))
-        case "list":
-            report(start_endpoint_list(EndpointListSettings.from_json(settings)))
-        case "clients":
-            LoadGenerator(ClientsSettings.from_json(settings), report).start()
+def serve_servers(settings: str) -> None:
+    """Start servers with settings in JSON."""
+    report(start_servers(ServersSettings.from_json(settings)))
+
+
+def serve_endpoint_list(settings: str) -> None:
+    """Start the endpoint list with settings in JSON."""
+    report(start_endpoint_list(EndpointListSettings.from_json(settings)))
+
+
+def run_clients(settings: str) -> None:
+    """Start clients with settings in JSON."""
+    LoadGenerator(ClientsSettings.from_json(settings), report).start()
+
+
+PEERS: dict[str, Callable[[str], None]] = {
+    "servers": serve_servers,
+    "list": serve_endpoint_list,
+    "clients": run_clients,
+}
 
 
 def stop_if_orphaned(parent: int) -> None:
@@ -48,13 +59,14 @@
 
 
 def main() -> int:
-    """Run one role up to its end."""
-    if len(sys.argv) != 3 or sys.argv[1] not in ROLES:
-        print(f"peers.py: a role of {', '.join(ROLES)} and its JSON are wanted", file=sys.stderr)
-        return 2
+    """Run the peers that the arguments name up to their end; returns the exit code."""
+    if len(sys.argv) != 3 or sys.argv[1] not in PEERS:
+        print(f"peers.py: give one of {', '.join(PEERS)}, and its settings as JSON", file=sys.stderr)
+        return WRONG_USE
+    _, peers, settings = sys.argv
     reactor.callLater(MAX_LIFETIME_S, reactor.stop)
-    reactor.callWhenRunning(start, sys.argv[1], sys.argv[2])
-    task.LoopingCall(stop_if_orphaned, os.getppid()).start(PARENT_CHECK_S)
+    reactor.callWhenRunning(PEERS[peers], settings)
+    task.LoopingCall(stop_if_orphaned, os.getppid()).start(PARENT_CHECK_INTERVAL_S)
     reactor.run()
     return 0
 
