--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,8 @@
 """Fixtures that several test modules share."""
 
+import pathlib
+from collections.abc import Iterator
+
 import pytest
 from balancer_process import Balancer
 from fake_servers import FakeServer
@@ -9,13 +12,13 @@
 
 
 @pytest.fixture(scope="module")
-def shared_balancer():
-    """A running balancer with one server, for tests that leave it as they found it."""
+def shared_balancer() -> Iterator[Balancer]:
+    """A running balancer with one server, for tests that do not change either."""
     with Balancer(FakeServer("s1")) as balancer:
         yield balancer
 
 
 @pytest.fixture
-def wall_clock(tmp_path):
+def wall_clock(tmp_path: pathlib.Path) -> SteppableWallClock:
     """A wall clock that the test can step, for processes that it starts with its environment."""
     return SteppableWallClock(tmp_path / "wall-clock-offset")
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -6,29 +6,29 @@
 import struct
 
 SHIM_FOLDER = pathlib.Path(__file__).parent / "wall_clock_shim"
-OFFSET = struct.Struct("d")
+OFFSET_S = struct.Struct("d")  # as the file holds it
 
 
 class SteppableWallClock:
     """The wall clock of all processes that are started with `environment`."""
 
-    def __init__(self, path):
-        """`path` is a file that is not there yet, by which the processes share the offset."""
+    def __init__(self, path: pathlib.Path) -> None:
+        """`path` is a file that does not exist yet; through it the processes share the offset."""
         self._path = path
-        path.write_bytes(OFFSET.pack(0.0))
+        path.write_bytes(OFFSET_S.pack(0.0))
         with path.open("r+b") as file:
-            self._offset = mmap.mmap(file.fileno(), OFFSET.size)
+            self._offset = mmap.mmap(file.fileno(), OFFSET_S.size)
 
     @property
-    def environment(self):
-        """Variables for the processes, as pairs."""
+    def environment(self) -> tuple[tuple[str, str], ...]:
+        """The environment variables of the processes, as pairs of name and value."""
         search_path = [str(SHIM_FOLDER), *filter(None, [os.environ.get("PYTHONPATH")])]
         return (
             ("PYTHONPATH", os.pathsep.join(search_path)),
             ("WALL_CLOCK_OFFSET_FILE", str(self._path)),
         )
 
-    def step(self, seconds):
+    def step(self, seconds: float) -> None:
         """Set the wall clock forward, or back where `seconds` is negative."""
-        (offset,) = OFFSET.unpack_from(self._offset)
-        OFFSET.pack_into(self._offset, 0, offset + seconds)
+        (offset_s,) = OFFSET_S.unpack_from(self._offset)
+        OFFSET_S.pack_into(self._offset, 0, offset_s + seconds)
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -1,10 +1,10 @@
 """Lets a test step the wall clock of one Python process, as an operator or NTP steps that of a machine.
 
-Python imports this before anything else in a process whose PYTHONPATH names this folder. Where the variable
-WALL_CLOCK_OFFSET_FILE names a file of one double, its value in s is added to every reading of the wall clock,
-at once when the test writes it. Where WALL_CLOCK_JUMPS has a seed, the clock is stepped at random four times
-a second, by up to an hour in both directions: any test can be run so. The monotonic clock and all waits are
-the system's own.
+Python imports this module before any other in a process whose PYTHONPATH names this folder. The variable
+WALL_CLOCK_OFFSET_FILE names a file of one double: its value in s is added to every reading of the wall clock,
+from the moment at which the test writes it. Without that file, the variable WALL_CLOCK_JUMPS may have a seed:
+then the clock is stepped at random four times a second, by up to an hour in both directions, so that any test
+can be run under stepped clocks. The monotonic clock and all waits are the system's own.
 """
 
 import mmap
@@ -14,34 +14,37 @@
 import time
 from collections.abc import Callable
 
-OFFSET = struct.Struct("d")
-NANOSECONDS = 1_000_000_000
+OFFSET_S = struct.Struct("d")
+NANOSECONDS = 1_000_000_000  # in a second
 JUMPS_PER_SECOND = 4
-MAX_JUMP = 3_600.0  # s
+MAX_JUMP_S = 3_600.0
 
 
 def _shared_offset(path: str) -> Callable[[], float]:
     """Return a function that reads the offset that a test has written."""
     with open(path, "rb") as file:
-        shared = mmap.mmap(file.fileno(), OFFSET.size, prot=mmap.PROT_READ)
-    return lambda: OFFSET.unpack_from(shared)[0]
+        shared = mmap.mmap(file.fileno(), OFFSET_S.size, prot=mmap.PROT_READ)
+    return lambda: float(OFFSET_S.unpack_from(shared)[0])
 
 
 def _random_offset(seed: str) -> Callable[[], float]:
-    """Return a function whose value changes at random, in each process in a way of its own."""
+    """Return a function whose value changes at random, independently in each process."""
 
     def offset() -> float:
         interval = int(time.monotonic() * JUMPS_PER_SECOND)
-        return random.Random(f"{seed} {os.getpid()} {interval}").uniform(-MAX_JUMP, MAX_JUMP)
+        return random.Random(f"{seed} {os.getpid()} {interval}").uniform(-MAX_JUMP_S, MAX_JUMP_S)
 
     return offset
 
 
 def _install(offset: Callable[[], float]) -> None:
-    read_time, read_clock = time.time, time.clock_gettime
+    """Add an offset in s to every reading of the wall clock."""
+    read_time = time.time
+    read_clock = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
-        return read_clock(clock) + (offset() if clock == time.CLOCK_REALTIME else 0.0)
+        is_wall_clock = clock == time.CLOCK_REALTIME
+        return read_clock(clock) + (offset() if is_wall_clock else 0.0)
 
     time.time = lambda: read_time() + offset()
     time.time_ns = lambda: int(time.time() * NANOSECONDS)
