--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -20,6 +20,7 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 from lotusroute.net.endpoint_list import EndpointUpdate
+from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.relay import config, subscription
 
 # s. Thousands that started at once on one machine's cores all fell back on discovery, and its one process
@@ -48,9 +49,10 @@
         def record(update: EndpointUpdate) -> None:
             self._record(name, update)
 
-        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, DRAIN_GRACE)
-        discovery.watch = subscribed
-        subscribed.discovery = discovery
+        limits = PollLimits.for_remote_discovery(DRAIN_GRACE)
+        discovery = Discovery(self.settings.discovery_address(), 0, seed, record, self.counters, limits)
+        discovery.watch = subscribed.update_source
+        subscribed.update_source.discovery = discovery
         self.subscriptions[name] = subscribed
         subscribed.start()
         defer.ensureDeferred(discovery.follow())
@@ -65,7 +67,8 @@
     def write_report(self) -> None:
         """Write what each one received and holds."""
         digests = {
-            name: f"{one.store.version} {one.store.digest}" for name, one in self.subscriptions.items()
+            name: f"{one.replica.store.version} {one.replica.store.digest}"
+            for name, one in self.subscriptions.items()
         }
         report = SubscriberReport(self.received, digests, dict(self.counters))
         report.write(pathlib.Path(self.settings.report_file))
@@ -75,7 +78,7 @@
         for name, subscribed in self.subscriptions.items():
             subscribed.transport.close()
             subscribed.transport.closed = True
-            subscribed.discovery.close()
+            subscribed.update_source.discovery.close()
             # A subscription schedules its own `start` again and again: this one is to stop there.
             subscribed.start = _do_nothing
             self.received[name] = {}
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -113,7 +113,7 @@
         name = next(iter(self.processes))
         command = _relay_command("show", "--fleet", str(self._fleet_file(name)), "--json")
         done = subprocess.run(command, capture_output=True, timeout=SHOW_TIMEOUT_S, check=False)
-        return {name: state["news"] for name, state in json.loads(done.stdout)["balancers"].items()}
+        return {name: state["updates"] for name, state in json.loads(done.stdout)["balancers"].items()}
 
     def subscriber_count(self) -> int:
         """Return how many subscribers all relays have; the other relays are subscribers of the origin."""
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -10,7 +10,8 @@
 from waiting import wait_until
 
 from lotusroute.net import structured_log
-from lotusroute.net.discovery import Discovery, DiscoveryFailed, PollStage
+from lotusroute.net.discovery import Discovery, DiscoveryFailed
+from lotusroute.net.poll_schedule import PollStage
 
 AGENT_SETTINGS = {**SETTINGS, "discovery": "push", "rules": {"stop_sending_within": 500}}
 
