--- a/benchmarks/endpoint_list_stub.py
+++ b/benchmarks/endpoint_list_stub.py
@@ -11,7 +11,7 @@
 from lotusroute.process_control.config_files import JsonObject
 from lotusroute.process_control.free_ports import LOOPBACK
 
-MIN_POLL_S = 0.05  # that a poll for changes takes at least, however often the balancer polls
+MIN_POLL_S = 0.05  # the shortest time that a poll for changes takes
 
 
 class EndpointListConnection(LineConnection):
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -27,7 +27,7 @@
 from lotusroute.process_control.config_files import JsonValue
 
 SERVER_PROCESSES = 3  # that the servers are divided among
-CLIENT_PROCESSES = 3  # that the clients of a case with CONCURRENT flows or more are divided among
+CLIENT_PROCESSES = 3  # that the clients are divided among, from CONCURRENT flows on
 CONCURRENT = 16
 COUNTERS_DELAY_S = 0.5  # after the last receipt, for ends of connections to arrive
 MAX_SETUP_US = 60_000_000  # the longest set-up that the histogram distinguishes
--- a/benchmarks/sampled_days.py
+++ b/benchmarks/sampled_days.py
@@ -19,7 +19,8 @@
 from typing import NamedTuple
 
 CONCURRENT_DAYS = 3  # each takes some 5 GB of memory
-START_INTERVAL_S = 2.0  # between two starts: days that start at the same moment may end without output
+# Days that start at the same moment may end without output.
+START_INTERVAL_S = 2.0
 DAY_TIMEOUT_S = 900.0
 OUTPUT_TAIL_LENGTH = 200  # characters of output in the report of a day without figures
 RESULT_LINE = re.compile(
--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -33,16 +33,16 @@
 @click.option("--seed", type=int, default=1, help="of the first scenario; each further one adds 1")
 @click.option("--processes", type=click.IntRange(3, 25), default=3, help="balancers of each scenario")
 @click.option("--acceptors", type=click.Choice(["3", "5", "7"]), default="3", help="of them, lease acceptors")
-@click.option("--keepers", type=click.Choice(["3", "5", "7"]), hidden=True, help="older name of --acceptors")
+@click.option("--keepers", "older_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # older name
 @JSON_OPTION
 def run(
-    seconds: float, seed: int, processes: int, acceptors: str, keepers: str | None, as_json: bool
+    seconds: float, seed: int, processes: int, acceptors: str, older_acceptors: str | None, as_json: bool
 ) -> None:
     """Run random scenarios with processes and check invariants; exit 1 where one is violated.
 
     Example: lotusroute fault-injection run --seconds 60 --processes 5 --acceptors 5 --seed 1
     """
-    acceptor_count = int(keepers or acceptors)
+    acceptor_count = int(older_acceptors or acceptors)
     if acceptor_count > processes:
         raise click.UsageError(
             f"--acceptors {acceptor_count}: more than the {processes} processes; give fewer"
--- a/lotusroute/fault_injection/network_proxy.py
+++ b/lotusroute/fault_injection/network_proxy.py
@@ -7,18 +7,15 @@
 
 import asyncio
 import contextlib
-import socket
-import struct
 import threading
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from typing import NamedTuple
 
 from lotusroute.process_control.free_ports import LOOPBACK
+from lotusroute.process_control.tcp_reset import reset_on_close
 
-# Read at a time, and buffered while a link is blocked. TCP holds back the rest.
-READ_SIZE_BYTES = 16_384
+READ_SIZE_BYTES = 16_384  # read at a time, and buffered while a link is blocked
 CALL_TIMEOUT_S = 10.0  # for the event loop to carry out a call
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: closing a socket sends a reset
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -206,5 +203,5 @@
     """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        reset_on_close(sock)
     writer.transport.abort()
--- a/lotusroute/process_control/readiness.py
+++ b/lotusroute/process_control/readiness.py
@@ -15,13 +15,14 @@
     """Wait until the balancer at a port of loopback answers a health check; raises NotReadyError."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
-        if _answers_health_check(port, check_timeout):
+        if answers_health_check(port, check_timeout):
             return
         time.sleep(CHECK_INTERVAL_S)
     raise NotReadyError(port, timeout)
 
 
-def _answers_health_check(port: int, check_timeout: float) -> bool:
+def answers_health_check(port: int, check_timeout: float = CHECK_TIMEOUT_S) -> bool:
+    """Return whether the balancer at a port of loopback answers a health check in time."""
     with (
         contextlib.suppress(OSError),
         socket.create_connection((LOOPBACK, port), check_timeout) as connection,
--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -1,18 +1,17 @@
 """A fake discovery on a loopback socket, whose faults tests choose."""
 
 import contextlib
-import socket
 import time
 from typing import Protocol
 
-from fake_servers import RESET_ON_CLOSE
 from waiting import POLL_INTERVAL_S
 
 from lotusroute.process_control.config_files import JsonObject
 from lotusroute.process_control.discovery_server import DiscoveryHandler, DiscoveryServer, Poll
+from lotusroute.process_control.tcp_reset import reset_on_close
 
 
-class ListedServer(Protocol):
+class ServerWithEntry(Protocol):
     """A server that has an entry in the endpoint list."""
 
     def entry(self) -> JsonObject:
@@ -68,7 +67,7 @@
 
     def _interrupt(self) -> None:
         if self.server.resets:
-            self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_on_close(self.connection)
             self.close_connection = True
         else:
             self._leave_unanswered(partial=self.server.partial_responses)
@@ -89,7 +88,7 @@
 class FakeDiscovery(DiscoveryServer):
     """Discovery on a free port. Tests set its attributes while it runs."""
 
-    def __init__(self, *servers: ListedServer, available: bool = True) -> None:
+    def __init__(self, *servers: ServerWithEntry, available: bool = True) -> None:
         self.polls: list[tuple[float, str | None]] = []  # time and version of each poll
         self.responses: list[tuple[float, int]] = []  # time and version of each response
         self.rejections = 0  # how many of the next polls are rejected
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -2,14 +2,12 @@
 
 import contextlib
 import socket
-import struct
 import threading
 
 from waiting import wait_until
 
 from lotusroute.process_control.config_files import JsonValue, endpoint_entry
-
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: closing a socket sends a reset
+from lotusroute.process_control.tcp_reset import reset_on_close
 
 
 class FakeServer:
@@ -51,7 +49,7 @@
                 self._reply_to(conn, line)
         self.lines.append(b"")
         if self.resets_connections:
-            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_on_close(conn)
         else:
             conn.sendall(b"BYE\r\n")
         conn.close()
--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -1,13 +1,13 @@
 """Settings, broken connections and resetting servers for tests of how flows end."""
 
 import pathlib
-import socket
-import struct
 
 from balancer_process import SETTINGS
 from director_host import FakeHost
 from fake_servers import FakeServer
 
+from lotusroute.process_control.tcp_reset import reset_on_close
+
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
 
@@ -30,7 +30,7 @@
 
 def reset_connection(file):
     """Close a connection with a reset."""
-    file.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    reset_on_close(file.conn)
     file.close()
     file.conn.close()
 
@@ -60,7 +60,7 @@
 
     def broken(conn):
         server.lines.append(conn.recv(4096))
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        reset_on_close(conn)
         conn.close()
 
     server.serve_connection = lambda conn: (serve if server.reply else broken)(conn)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -37,7 +37,7 @@
     return run
 
 
-def listed_commands(help_text):
+def shown_commands(help_text):
     """Return the names under "Commands:" of a help text."""
     _, _, table = help_text.partition("Commands:\n")
     return re.findall(r"^  (\S+)", table, re.MULTILINE)
@@ -46,13 +46,13 @@
 def test_root_help_lists_the_groups_and_no_older_name(invoke):
     result = invoke("--help")
     assert result.exit_code == 0
-    assert listed_commands(result.stdout) == list(GROUPS)
+    assert shown_commands(result.stdout) == list(GROUPS)
 
 
 def test_capacity_help_lists_the_commands_and_no_older_name(invoke):
     result = invoke("capacity", "--help")
     assert result.exit_code == 0
-    assert listed_commands(result.stdout) == [
+    assert shown_commands(result.stdout) == [
         "compare",
         "measure",
         "propagation",
@@ -68,7 +68,7 @@
 def test_group_help_lists_its_commands(invoke, group, commands):
     result = invoke(group, "--help")
     assert result.exit_code == 0
-    assert listed_commands(result.stdout) == commands
+    assert shown_commands(result.stdout) == commands
 
 
 @pytest.mark.parametrize("older, current", OLDER_NAMES.items(), ids=" ".join)
--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -1,6 +1,6 @@
 """Outlier ejection: servers that fail connections."""
 
-from harness import FakeHost, actions_of
+from director_host import FakeHost, actions_of
 
 from lotusroute.routing import events
 
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -141,9 +141,9 @@
 
 
 def test_a_poll_without_a_version_gets_the_complete_list(discovery_server):
-    listed = poll(discovery_server, "")
-    assert listed["seq"] == 1 and listed["whole"] is True
-    assert [entry["host"] for entry in listed["hosts"]] == ["s-1"]
+    answer = poll(discovery_server, "")
+    assert answer["seq"] == 1 and answer["whole"] is True
+    assert [entry["host"] for entry in answer["hosts"]] == ["s-1"]
 
 
 def test_a_long_poll_gets_a_change_or_an_empty_list_once_its_time_is_over(discovery_server):
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -4,8 +4,10 @@
 import time
 
 import pytest
-from harness import FakeDiscovery, FakeServer, wait_until
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
 from relay_harness import RELAYS, running_deployment
+from waiting import wait_until
 
 
 @pytest.fixture
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -3,8 +3,9 @@
 import time
 
 import pytest
+from fake_discovery import FakeDiscovery
+from fake_servers import FakeServer
 from fleet_support import first_record, other_processes
-from harness import FakeDiscovery, FakeServer
 
 from lotusroute.fault_injection.processes import ProcessFleet
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -3,7 +3,6 @@
 import contextlib
 import pathlib
 import signal
-import socket
 import threading
 import time
 
@@ -11,6 +10,8 @@
 from balancer_process import SETTINGS, Balancer, free_port
 from fake_servers import FakeServer
 
+from lotusroute.process_control.readiness import answers_health_check
+
 PROCESSES = 10  # started at once
 CPU_SHARE = 0.1  # of a core, for each
 READY_WITHIN = 10.0  # s in which nine in ten have to answer PONG
@@ -50,14 +51,6 @@
                     process.send_signal(signal.SIGSTOP if over else signal.SIGCONT)
 
 
-def answers_pong(balancer):
-    """Whether it answers PONG within a second."""
-    with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", balancer.port), 1.0) as conn:
-        conn.sendall(b"PING\r\n")
-        return conn.recv(64) == b"PONG\r\n"
-    return False
-
-
 @contextlib.contextmanager
 def started_balancers(discovery):
     """Start all processes at once, with discovery in one of its states."""
@@ -90,7 +83,7 @@
     ):
         while len(ready) < PROCESSES and time.monotonic() < start + 2 * READY_WITHIN:
             for index, balancer in enumerate(balancers):
-                if index not in ready and answers_pong(balancer):
+                if index not in ready and answers_health_check(balancer.port):
                     elapsed = time.monotonic() - start
                     ready[index] = elapsed, throttle.cpu_seconds(balancer.process)
             time.sleep(0.05)
