--- a/lotusroute/process_control/logged_process.py
+++ b/lotusroute/process_control/logged_process.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Self
 
-from lotusroute.process_control.errors import LogTimeoutError
+from lotusroute.process_control.errors import LogTimeoutError, ProcessEndedError
 from lotusroute.process_control.log_fields import COUNTERS_EVENT, parse_counters
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import ProcessOptions, start_process
@@ -38,7 +38,10 @@
         return self._lines.copy()
 
     def wait_for_line(self, text: str, start: int = 0, timeout: float = TIMEOUT_S) -> str:
-        """Return the first log line from index `start` on that contains a text; raises LogTimeoutError."""
+        """Return the first log line from index `start` on that contains a text.
+
+        Raises LogTimeoutError, or ProcessEndedError where the process ends without such a line.
+        """
         deadline = time.monotonic() + timeout
         while True:
             ended = not self.is_running()
@@ -49,7 +52,9 @@
             )
             if line is not None:
                 return line
-            if ended or remaining <= 0:
+            if ended:
+                raise ProcessEndedError(f"'{text}'", self.process.returncode, self.lines)
+            if remaining <= 0:
                 raise LogTimeoutError(f"'{text}'", timeout, self.lines)
 
     def is_running(self) -> bool:
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -17,7 +17,7 @@
 from lotusroute.fleet.config import load_fleet_config
 from lotusroute.process_control import config_files
 from lotusroute.process_control.discovery_server import DiscoveryServer
-from lotusroute.process_control.errors import LogTimeoutError, NotReadyError
+from lotusroute.process_control.errors import LogTimeoutError, NotReadyError, ProcessEndedError
 from lotusroute.process_control.free_ports import PortAllocator, system_assigned_port
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.logged_process import LoggedProcess
@@ -39,6 +39,15 @@
     return [sys.executable, "-c", script]
 
 
+def test_the_balancer_imports_no_module_of_process_control():
+    script = "import sys, lotusroute.__main__; print(*sys.modules)"
+    options = ProcessOptions(stdout=subprocess.PIPE)
+    output, _ = start_process(script_command(script), options).communicate(timeout=20)
+    loaded = output.split()
+    assert "lotusroute.__main__" in loaded
+    assert [name for name in loaded if name.startswith("lotusroute.process_control")] == []
+
+
 # Start
 
 
@@ -85,10 +94,11 @@
 
 def test_a_wait_for_a_line_ends_with_the_process_and_shows_its_log():
     process = LoggedProcess(script_command("import sys; sys.exit('no configuration')"))
-    with pytest.raises(LogTimeoutError, match="'ready' not seen within 20 s; the last lines:\nno config"):
+    message = "'ready' not seen before the process ended with 1; the last lines:\nno configuration"
+    with pytest.raises(ProcessEndedError, match=message) as error:
         process.wait_for_line("ready")
+    assert error.value.exit_code == 1
     process.stop()
-    assert process.process.returncode == 1
 
 
 def test_a_wait_for_a_line_ends_after_its_timeout():
