--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -12,6 +12,7 @@
 import urllib.request
 
 import pytest
+from balancer_process import free_port
 
 from lotusroute.address import Address
 from lotusroute.fleet.config import load_fleet_config
@@ -54,6 +55,7 @@
 def test_a_process_gets_its_options(tmp_path, monkeypatch):
     monkeypatch.setenv("WALL_CLOCK_JUMPS_OF_THIS_TEST", "7")
     script = "import os; print(os.getcwd(), os.environ['WALL_CLOCK_JUMPS_OF_THIS_TEST'], os.environ['ADDED'])"
+    script += "; print(oct(os.umask(0)))"
     options = ProcessOptions(
         environment={"ADDED": "yes"},
         working_folder=tmp_path,
@@ -61,7 +63,7 @@
         stdout=subprocess.PIPE,
     )
     output, _ = start_process(script_command(script), options).communicate(timeout=20)
-    assert output == f"{tmp_path} 7 yes\n"
+    assert output == f"{tmp_path} 7 yes\n0o77\n"
 
 
 def test_a_module_runs_with_the_interpreter_of_this_process():
@@ -110,12 +112,17 @@
 
 
 def test_a_port_is_not_allocated_twice_nor_while_somebody_listens_on_it():
-    first, second, third = (system_assigned_port() for _ in range(3))
+    first, second, third = (free_port() for _ in range(3))
     allocator = PortAllocator([first, second, third])
     with socket.create_server(("127.0.0.1", third)):
         assert {allocator.allocate(), allocator.allocate()} == {first, second}
 
 
+def test_nobody_listens_on_a_port_that_the_system_assigned():
+    with socket.create_server(("127.0.0.1", system_assigned_port())) as listener:
+        assert listener.getsockname()[0] == "127.0.0.1"
+
+
 def test_a_balancer_is_ready_once_it_answers_a_health_check():
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
@@ -130,7 +137,7 @@
 
 
 def test_a_balancer_that_does_not_answer_is_not_ready():
-    port = system_assigned_port()
+    port = free_port()
     with pytest.raises(NotReadyError, match=f"port {port}: "):
         wait_until_ready(port, timeout=0.1)
 
