--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -24,7 +24,7 @@
 # A balancer polls itself after this time without a message; it leaves time for a drain's limit of 2 s.
 HOLDER_TIMEOUT_MS = 1_500.0
 MAX_ANSWER_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # of discovery's last answer, for heartbeats to be sent
-MAX_SEND_DURATION_MS = 50.0  # so much of the lease must be left to send
+MAX_SEND_DURATION_MS = 50.0  # the part of a lease that must be left when an update is sent
 NEVER_MS = -1e12  # a time before any other
 NO_SEQ = -1
 
@@ -89,16 +89,15 @@
         if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             return
         if answer["hosts"] or answer["whole"]:
-            self._broadcast(
-                SharedUpdate(
-                    self.fencing_token,
-                    self.discovery.base,
-                    answer["seq"],
-                    NO_SEQ if since is None else since,
-                    answer["whole"],
-                    answer["hosts"],
-                )
+            update = SharedUpdate(
+                fencing_token=self.fencing_token,
+                discovery_url=self.discovery.base,
+                seq=answer["seq"],
+                since=NO_SEQ if since is None else since,
+                complete=answer["whole"],
+                entries=answer["hosts"],
             )
+            self._broadcast(update)
 
     def on_failure(self) -> None:
         """Stop the heartbeats until discovery's next answer, so that the others poll themselves."""
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -116,8 +116,8 @@
             if endpoint.state == events.EndpointState.REMOVED:
                 return
             server = self._add_server(endpoint)
-        elif endpoint.started != server.started_at:
-            server.restart(endpoint.started, state.now)
+        elif endpoint.started_at != server.started_at:
+            server.restart(endpoint.started_at, state.now)
         server.update(endpoint)
         # Squared, since a heavy connection or a group's work takes a smaller part of a large server.
         server.size = endpoint.size**2 if state.config.trusts_weights and endpoint.size > 0 else 1.0
@@ -147,8 +147,9 @@
         flow = segments.register(state, event.request)
         server = state.servers.get(event.server)
         flow.restore_connection(server)
-        is_ready = server is not None and server.state == events.EndpointState.READY
-        if server is not None and is_ready and state.config.groups_share_work:
+        if server is None or server.state != events.EndpointState.READY:
+            return
+        if state.config.groups_share_work:
             # New clients of the group share the work that the server already does for it.
             state.overrides[flow.segment, flow.replica] = server
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,28 +1,29 @@
-"""Admission control and the flow table and endpoint registry that it and the flow manager rely on."""
+"""Admission control, and the flow table and endpoint registry that it and the flow manager use."""
 
 from types import SimpleNamespace
 from unittest.mock import Mock
 
 import pytest
 
+from lotusroute.address import Address
 from lotusroute.net.admission import (
-    EXISTING_ACCEPT_WINDOW,
+    EXISTING_ACCEPT_WINDOW_MS,
     MAX_BACKLOG,
     AdmissionControl,
     AdmissionResult,
 )
 from lotusroute.net.downstream import parse_open_request
 from lotusroute.net.endpoint_list import EndpointUpdate
-from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD, EndpointRegistry
-from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL, MAX_CLOSED_FLOW_IDS, FlowTable
+from lotusroute.net.endpoints import DRAIN_MIGRATION_SPREAD_MS, EndpointRegistry
+from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL_MS, MAX_CLOSED_FLOW_IDS, FlowTable
 from lotusroute.routing import events
 
 LIVE = events.ServiceType(300.0)
-ADDRESS = ("127.0.0.1", 9_000)
+ADDRESS = Address("127.0.0.1", 9_000)
 
 
 class FakeLoop:
-    """A clock that is set by hand, and the length of a queue."""
+    """An event loop's clock and backlog, which tests set."""
 
     def __init__(self):
         self.now = 0.0
@@ -32,14 +33,14 @@
         return self.now
 
 
-def request(flow_id="id1", **pairs):
-    """A client's request for a flow of the type `live`."""
+def request(request_id="id1", **pairs):
+    """Return a client's request for a flow of the type `live`."""
     text = ",".join(f"{key}={value}" for key, value in {"c": "live", "d": 900, **pairs}.items())
-    return parse_open_request(f"OPEN {flow_id} k {text}\r\n".encode())
+    return parse_open_request(f"OPEN {request_id} k {text}\r\n".encode())
 
 
 def config(sockets):
-    """A configuration with so many descriptors."""
+    """Return a configuration with a number of descriptors."""
     service = SimpleNamespace(service_types={"live": LIVE})
     return SimpleNamespace(sockets=sockets, memory_mb=1_024.0, tenants=frozenset({"acme"}), service=service)
 
@@ -56,7 +57,7 @@
 
 @pytest.fixture
 def admission(loop, table):
-    return AdmissionControl(config(sockets=68), loop, table)  # 64 are reserved: two flows
+    return AdmissionControl(config(sockets=68), loop, table)  # of which 64 are reserved: two flows
 
 
 def fill(table, flows=2):
@@ -98,7 +99,7 @@
 
 
 def test_existing_connections_are_malformed_when_the_time_after_the_start_is_over(admission, loop):
-    loop.now = EXISTING_ACCEPT_WINDOW
+    loop.now = EXISTING_ACCEPT_WINDOW_MS
     assert admission.evaluate(request(at="s1")) is AdmissionResult.ACCEPTED
     loop.now += 1.0
     assert admission.evaluate(request(at="s1")) is AdmissionResult.MALFORMED
@@ -113,9 +114,9 @@
 def test_the_id_of_a_closed_flow_is_known_until_its_time_is_over(table, loop):
     (flow,) = fill(table, 1)
     table.remove(flow)
-    table.expire_closed_ids(CLOSED_FLOW_ID_TTL)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS)
     assert table.knows_id("other0") and not len(table)
-    table.expire_closed_ids(CLOSED_FLOW_ID_TTL + 1.0)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS + 1.0)
     assert not table.knows_id("other0")
 
 
@@ -134,10 +135,10 @@
 
 
 def endpoints(scope, **states):
-    """An endpoint update with the states of servers by id."""
+    """Return an endpoint update from the states of servers by id."""
     servers = tuple(events.Server(server, state=state) for server, state in states.items())
-    listed = {server: ADDRESS for server, state in states.items() if state != events.EndpointState.REMOVED}
-    return EndpointUpdate(scope, servers, listed)
+    addresses = {server: ADDRESS for server, state in states.items() if state != events.EndpointState.REMOVED}
+    return EndpointUpdate(scope, servers, addresses)
 
 
 def test_a_drain_is_notified_once_and_its_deadline_stays():
@@ -150,7 +151,7 @@
             ),
             now,
         )
-    assert on_drain_started.call_count == 1 and registry.drain_deadlines == {"s1": DRAIN_MIGRATION_SPREAD}
+    assert on_drain_started.call_count == 1 and registry.drain_deadlines == {"s1": DRAIN_MIGRATION_SPREAD_MS}
     assert registry.has_address("s1") and not registry.accepts_new_flows("s1")
     assert registry.accepts_new_flows("s2")
 
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -12,12 +12,13 @@
 import urllib.request
 
 import pytest
+from balancer_process import free_port
 
 from lotusroute.address import Address
 from lotusroute.fleet.config import load_fleet_config
 from lotusroute.process_control import config_files
 from lotusroute.process_control.discovery_server import DiscoveryServer
-from lotusroute.process_control.errors import LogTimeoutError, NotReadyError
+from lotusroute.process_control.errors import LogTimeoutError, NotReadyError, ProcessEndedError
 from lotusroute.process_control.free_ports import PortAllocator, system_assigned_port
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.logged_process import LoggedProcess
@@ -39,12 +40,22 @@
     return [sys.executable, "-c", script]
 
 
+def test_the_balancer_imports_no_module_of_process_control():
+    script = "import sys, lotusroute.__main__; print(*sys.modules)"
+    options = ProcessOptions(stdout=subprocess.PIPE)
+    output, _ = start_process(script_command(script), options).communicate(timeout=20)
+    loaded = output.split()
+    assert "lotusroute.__main__" in loaded
+    assert [name for name in loaded if name.startswith("lotusroute.process_control")] == []
+
+
 # Start
 
 
 def test_a_process_gets_its_options(tmp_path, monkeypatch):
     monkeypatch.setenv("WALL_CLOCK_JUMPS_OF_THIS_TEST", "7")
     script = "import os; print(os.getcwd(), os.environ['WALL_CLOCK_JUMPS_OF_THIS_TEST'], os.environ['ADDED'])"
+    script += "; print(oct(os.umask(0)))"
     options = ProcessOptions(
         environment={"ADDED": "yes"},
         working_folder=tmp_path,
@@ -52,7 +63,7 @@
         stdout=subprocess.PIPE,
     )
     output, _ = start_process(script_command(script), options).communicate(timeout=20)
-    assert output == f"{tmp_path} 7 yes\n"
+    assert output == f"{tmp_path} 7 yes\n0o77\n"
 
 
 def test_a_module_runs_with_the_interpreter_of_this_process():
@@ -85,10 +96,11 @@
 
 def test_a_wait_for_a_line_ends_with_the_process_and_shows_its_log():
     process = LoggedProcess(script_command("import sys; sys.exit('no configuration')"))
-    with pytest.raises(LogTimeoutError, match="'ready' not seen within 20 s; the last lines:\nno config"):
+    message = "'ready' not seen before the process ended with 1; the last lines:\nno configuration"
+    with pytest.raises(ProcessEndedError, match=message) as error:
         process.wait_for_line("ready")
+    assert error.value.exit_code == 1
     process.stop()
-    assert process.process.returncode == 1
 
 
 def test_a_wait_for_a_line_ends_after_its_timeout():
@@ -100,12 +112,17 @@
 
 
 def test_a_port_is_not_allocated_twice_nor_while_somebody_listens_on_it():
-    first, second, third = (system_assigned_port() for _ in range(3))
+    first, second, third = (free_port() for _ in range(3))
     allocator = PortAllocator([first, second, third])
     with socket.create_server(("127.0.0.1", third)):
         assert {allocator.allocate(), allocator.allocate()} == {first, second}
 
 
+def test_nobody_listens_on_a_port_that_the_system_assigned():
+    with socket.create_server(("127.0.0.1", system_assigned_port())) as listener:
+        assert listener.getsockname()[0] == "127.0.0.1"
+
+
 def test_a_balancer_is_ready_once_it_answers_a_health_check():
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
@@ -120,7 +137,7 @@
 
 
 def test_a_balancer_that_does_not_answer_is_not_ready():
-    port = system_assigned_port()
+    port = free_port()
     with pytest.raises(NotReadyError, match=f"port {port}: "):
         wait_until_ready(port, timeout=0.1)
 
@@ -141,9 +158,9 @@
 
 
 def test_a_poll_without_a_version_gets_the_complete_list(discovery_server):
-    listed = poll(discovery_server, "")
-    assert listed["seq"] == 1 and listed["whole"] is True
-    assert [entry["host"] for entry in listed["hosts"]] == ["s-1"]
+    answer = poll(discovery_server, "")
+    assert answer["seq"] == 1 and answer["whole"] is True
+    assert [entry["host"] for entry in answer["hosts"]] == ["s-1"]
 
 
 def test_a_long_poll_gets_a_change_or_an_empty_list_once_its_time_is_over(discovery_server):
