--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -41,7 +41,7 @@
 from lotusroute.routing.events import ListScope
 
 STATUS_OK = 200
-REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # they say nothing of the version that was polled for
+REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # the version that was polled for may be valid
 MAX_LOGGED_ERROR_LENGTH = 200
 DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(DEFAULT_DRAIN_GRACE_MS)
 
@@ -77,7 +77,7 @@
         self.max_hold_ms = LONG_POLL_HOLD_MS
         self.closed = False
         self.on_first_response: Callable[[], None] | None = None  # called once, after the first poll
-        # Another source, where balancers share updates; asked before each poll.
+        # Another source of updates, where balancers share them; it delays this client's own polls.
         self.watch: UpdateSource | None = None
         self._schedule = PollSchedule(limits, random.Random(seed), reactor.seconds())
         self._requester = DiscoveryRequester(limits.request_timeout)
@@ -137,7 +137,7 @@
         return result
 
     async def _request_update(self, timing: PollTiming) -> EndpointUpdate | DiscoveryFailed:
-        """Send a request; every failure comes back as a value."""
+        """Send a request; every failure is returned as a value."""
         self.counters["discovery_requests"] += 1
         try:
             response = await self._requester.get(self._poll_url(timing.hold), timing)
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -94,7 +94,7 @@
         self.factory.admit(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read lines, or discard what comes after the final answer."""
+        """Read lines, or discard what arrives after the final answer."""
         self.reads += 1
         if self.upstream is None and self.answered:
             # A buffer would grow without limit.
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -18,7 +18,7 @@
 from lotusroute.net.reactor import reactor
 from lotusroute.net.structured_log import Counters, log_exception
 
-# A handler takes one type of events or commands; the table that it stands in says which.
+# A handler takes events or commands of one type, under which a table of handlers has it.
 Handler: TypeAlias = Callable[[Any], None]
 Handlers: TypeAlias = Mapping[type, Handler]
 
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -1,8 +1,8 @@
 """One flow in flight: its client, its current connection attempt and what earlier attempts may have done.
 
-A flow lives from a client's first line to its final answer or to the end of its connection. Every way for a
-flow to end asks here what may be answered and whether the client's line may still be sent, so that two ends
-that coincide agree. Times are milliseconds of Unix time.
+A flow lives from a client's first line to its final answer or to the end of its connection. Whatever ends a
+flow, the decisions on what may be answered and on whether the client's line may still be sent are made here,
+so that two ends that coincide agree. Times are milliseconds of Unix time.
 """
 
 import logging
@@ -42,8 +42,7 @@
     def record_attempt_result(self, result: events.ConnectionResult) -> None:
         """Record how an attempt ended.
 
-        A flow that may have run stays one whatever becomes of later attempts: the final answer depends on
-        all attempts, not on the one in flight.
+        A flow that may have run is not made harmless to retry by the results of later attempts.
         """
         if result not in events.NEVER_RAN and self.may_have_run_since is None:
             self.may_have_run_since = self.attempt_started_at
--- a/lotusroute/net/flow_endings.py
+++ b/lotusroute/net/flow_endings.py
@@ -1,4 +1,4 @@
-"""Ends of flows that do not come from their server: the client leaves, or this balancer ends them.
+"""Ends of flows that their servers do not cause: the client leaves, or this balancer ends the flow.
 
 Times are milliseconds of Unix time.
 """
--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -26,7 +26,7 @@
 
 
 class OpenRequest(NamedTuple):
-    """What a client's first line asks for."""
+    """A client's request for a flow, as its first line has it."""
 
     id: str
     service_type: str
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -1,8 +1,8 @@
 """When a discovery client polls, how long each poll may take, and how long the client waits after a failure.
 
-One deadline covers all polls. Whatever becomes of them, a change counts as received `CHANGE_DEADLINE_S` after
-discovery had it, and from then on a draining server may be sent to only for its grace. So each poll, its
-timeout and each backoff have to fit into what is left of both since the last complete response.
+One deadline covers all polls. Whether they succeed or not, a change counts as received `CHANGE_DEADLINE_S`
+after discovery had it, and from then on a draining server may be sent to only for its grace. So each poll,
+its timeout and each backoff have to fit into what is left of both since the last complete response.
 
 Nothing here does I/O or reads a clock: the caller passes the time. All times are seconds of the monotonic
 clock unless a name ends in `_ms`.
@@ -103,7 +103,7 @@
     """The times of one poll."""
 
     started_at: float
-    hold: float  # for which discovery is asked to hold a poll that has nothing to report
+    hold: float  # for how long discovery may hold a poll that has nothing to report
     timeout: float  # for the complete response, with the hold
     suspension_extension: float  # beyond the timeout where this process was suspended meanwhile
 
@@ -122,7 +122,7 @@
 
     @property
     def is_backing_off(self) -> bool:
-        """Whether the poll before the last one failed too."""
+        """Whether a backoff was computed since the last success."""
         return self._backoff > 0
 
     def remaining(self, now: float) -> float:
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -62,7 +62,7 @@
         # Set when connected; a receipt of this attempt proves that it is set.
         self.connection: UpstreamConnection = None  # type: ignore[assignment]
         self.connector: Connector | None = None
-        # Whether the flow's deadline shortened the connect timeout: a timeout then says little of the server.
+        # Whether the flow's deadline shortened the connect timeout; then a timeout is not the server's fault.
         self.timeout_shortened = False
 
     def connect(self, address: Address, timeout_shortened: bool) -> None:
--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -49,7 +49,7 @@
             attempt.stage = AttemptStage.WRITTEN
 
     def lineReceived(self, line: memoryview) -> None:
-        """Forward a line of the server, after noting what it says of the connection."""
+        """Forward a line of the server, after recording what it means for the connection."""
         if self.downstream is None:
             self._receive_answer(line)
             return
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -148,7 +148,7 @@
         (PollLimits.for_local_agent(0.0), MIN_BACKOFF_S),
     ],
 )
-def test_backoffs_double_up_to_their_limit_and_start_anew_after_a_success(limits, longest):
+def test_backoffs_double_up_to_their_limit_and_start_at_the_minimum_after_a_success(limits, longest):
     schedule = new_schedule(limits)
     backoffs = [schedule.next_backoff(START, PollStage.NO_RESPONSE) for _ in range(6)]
     assert backoffs == [min(MIN_BACKOFF_S * 2**index, longest) for index in range(6)]
