--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        address: Address | tuple[str, int],
+        address: Address,
         seq: int | None,
         seed: int,
         enqueue: Callable[[EndpointUpdate], None],
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -7,6 +7,7 @@
 from harness import SETTINGS, Balancer, FakeServer, wait_until
 from twisted.internet import defer
 
+from lotusroute.address import Address
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery, DiscoveryFailed
 from lotusroute.net.poll_schedule import PollStage
@@ -60,7 +61,7 @@
 def test_the_backoff_after_rejections_never_grows_beyond_what_a_drain_allows(monkeypatch):
     # A change counts as received after 6 s, and the grace of a drain is 2 s.
     backoffs = []
-    client = Discovery(("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
+    client = Discovery(Address("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
 
     async def rejected_poll():
         client.closed = len(backoffs) == 200
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -7,6 +7,7 @@
 import pytest
 from harness import SETTINGS, Balancer, FakeServer, wait_until
 
+from lotusroute.address import Address
 from lotusroute.net.balancer import BalancerCore
 from lotusroute.net.config import load_config
 from lotusroute.net.discovery import Discovery
@@ -62,7 +63,7 @@
 
 
 def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
-    following = Discovery(("127.0.0.1", 1), 41, 7, print, collections.Counter())
+    following = Discovery(Address("127.0.0.1", 1), 41, 7, print, collections.Counter())
     core.request_complete_list = following.request_complete_list
     core.enqueue(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
     core.loop.run_pending()
--- /dev/null
+++ b/tests/test_flow_table.py
@@ -0,0 +1,43 @@
+"""The flow table: flows in flight, and the client ids that are in use."""
+
+from unittest.mock import Mock
+
+import pytest
+
+from lotusroute.net.flow_table import CLOSED_FLOW_ID_TTL_MS, MAX_CLOSED_FLOW_IDS, FlowTable
+from lotusroute.net.open_request import parse_open_request
+from lotusroute.routing import events
+
+
+@pytest.fixture
+def table():
+    return FlowTable(lambda: 0.0)
+
+
+def add_flows(table, count):
+    """Add flows with the ids `id0`, `id1` and so on."""
+    requests = (parse_open_request(f"OPEN id{index} k c=live,d=900\r\n".encode()) for index in range(count))
+    return [table.add(request, events.ServiceType(300.0), 900.0, Mock()) for request in requests]
+
+
+def test_the_id_of_a_closed_flow_is_known_until_its_time_is_over(table):
+    (flow,) = add_flows(table, 1)
+    table.remove(flow)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS)
+    assert table.knows_id("id0") and not len(table)
+    table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS + 1.0)
+    assert not table.knows_id("id0")
+
+
+def test_the_oldest_ids_of_closed_flows_are_forgotten_beyond_the_limit(table):
+    for flow in add_flows(table, MAX_CLOSED_FLOW_IDS + 1):
+        table.remove(flow)
+    table.expire_closed_ids(0.0)
+    assert not table.knows_id("id0") and table.knows_id("id1")
+
+
+def test_only_flows_whose_client_is_there_count_as_established(table):
+    waiting, established, client_left = add_flows(table, 3)
+    established.established = client_left.established = True
+    client_left.client_left_at = 5.0
+    assert table.established() == [established] and waiting in table
