--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -47,7 +47,7 @@
         """Start an attempt at the flow's server, or wait for a list that names it."""
         server = flow.request.existing_server
         if server is not None and self._endpoints.has_address(server):
-            flow.attempts += 1
+            flow.reconnect_attempts += 1
             deadline = min(flow.deadline, self._loop.clock() + EXISTING_ATTEMPT_TIMEOUT_MS)
             self._start_attempt(flow, server, deadline)
         else:
@@ -67,11 +67,11 @@
             self._give_up(flow)
 
     def _retry_later(self, flow: ActiveFlow) -> None:
-        exhausted = flow.attempts >= self._max_attempts
+        exhausted = flow.reconnect_attempts >= self._max_attempts
         if exhausted or self._loop.clock() + EXISTING_RETRY_BACKOFF_MS >= flow.deadline:
             self._give_up(flow)
         else:
-            backoff = EXISTING_RETRY_BACKOFF_MS * max(1, flow.attempts)
+            backoff = EXISTING_RETRY_BACKOFF_MS * max(1, flow.reconnect_attempts)
             self._loop.call_later(backoff, RetryExisting(flow.number))
 
     def _give_up(self, flow: ActiveFlow) -> None:
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -34,7 +34,7 @@
     timer: DelayedCall | None = None  # of the attempt, or of the grace after the client has left
     established: bool = False
     client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is connected
-    attempts: int = 0  # attempts to re-establish an existing connection
+    reconnect_attempts: int = 0  # of an existing connection
     attempt_started_at: float = 0.0
     attempt_deadline: float = 0.0
     may_have_run_since: float | None = None  # start of the first attempt that may have run on a server
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -21,8 +21,8 @@
 )
 
 GRACE_MS = 500.0
-MAX_HOLD = 2.0
-START = 100.0
+MAX_HOLD_S = 2.0
+START_S = 100.0
 
 
 class LongestBackoffs(random.Random):
@@ -34,7 +34,7 @@
 
 
 def new_schedule(limits, rng=None):
-    return PollSchedule(limits, rng or LongestBackoffs(), START)
+    return PollSchedule(limits, rng or LongestBackoffs(), START_S)
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
 
 def poll_successfully(schedule, now, duration=0.01, has_changes=True):
     """Send a poll and let it succeed after `duration` s; returns its times."""
-    timing = schedule.next_poll(now, True, MAX_HOLD)
+    timing = schedule.next_poll(now, True, MAX_HOLD_S)
     schedule.response_received(now + duration, timing, has_changes)
     schedule.poll_succeeded()
     return timing
@@ -57,7 +57,7 @@
 
 def fail_poll(schedule, now, stage):
     """Send a poll and let it fail after its timeout; returns when the next one may be sent."""
-    timing = schedule.next_poll(now, True, MAX_HOLD)
+    timing = schedule.next_poll(now, True, MAX_HOLD_S)
     schedule.poll_failed(timing, stage)
     failed_at = now if stage == PollStage.REJECTED else now + timing.timeout
     return failed_at + schedule.next_backoff(failed_at, stage)
@@ -65,78 +65,78 @@
 
 def test_the_time_that_is_left_counts_from_the_last_complete_response(remote):
     interval = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
-    assert remote.remaining(START) == pytest.approx(interval)
-    poll_successfully(remote, START + 3.0)
-    assert remote.remaining(START + 4.0) == pytest.approx(interval - 1.0 + 0.01)
+    assert remote.remaining(START_S) == pytest.approx(interval)
+    poll_successfully(remote, START_S + 3.0)
+    assert remote.remaining(START_S + 4.0) == pytest.approx(interval - 1.0 + 0.01)
 
 
 def test_a_list_known_to_be_current_from_another_source_extends_the_time_and_an_older_one_does_not(remote):
-    before = remote.remaining(START)
-    remote.note_list_current_at(START - 5.0)
-    assert remote.remaining(START) == before
-    remote.note_list_current_at(START + 1.0)
-    assert remote.remaining(START) == before + 1.0
+    before = remote.remaining(START_S)
+    remote.note_list_current_at(START_S - 5.0)
+    assert remote.remaining(START_S) == before
+    remote.note_list_current_at(START_S + 1.0)
+    assert remote.remaining(START_S) == before + 1.0
 
 
 def test_the_first_poll_and_one_for_the_complete_list_are_not_held(remote):
-    assert remote.next_poll(START, True, MAX_HOLD).hold == 0.0
-    poll_successfully(remote, START)
-    assert remote.next_poll(START, False, MAX_HOLD).hold == 0.0
-    assert remote.next_poll(START, True, MAX_HOLD).hold > 0.0
+    assert remote.next_poll(START_S, True, MAX_HOLD_S).hold == 0.0
+    poll_successfully(remote, START_S)
+    assert remote.next_poll(START_S, False, MAX_HOLD_S).hold == 0.0
+    assert remote.next_poll(START_S, True, MAX_HOLD_S).hold > 0.0
 
 
 def test_a_poll_after_a_prompt_response_waits_for_less_than_one_that_may_be_queued(remote):
-    assert remote.next_poll(START, True, MAX_HOLD).timeout == REQUEST_TIMEOUT_S
-    poll_successfully(remote, START)
-    timing = remote.next_poll(START, True, MAX_HOLD)
+    assert remote.next_poll(START_S, True, MAX_HOLD_S).timeout == REQUEST_TIMEOUT_S
+    poll_successfully(remote, START_S)
+    timing = remote.next_poll(START_S, True, MAX_HOLD_S)
     assert timing.timeout - timing.hold == pytest.approx(UNQUEUED_REQUEST_TIMEOUT_S)
-    poll_successfully(remote, START, duration=UNQUEUED_REQUEST_TIMEOUT_S)
-    timing = remote.next_poll(START, True, MAX_HOLD)
+    poll_successfully(remote, START_S, duration=UNQUEUED_REQUEST_TIMEOUT_S)
+    timing = remote.next_poll(START_S, True, MAX_HOLD_S)
     assert timing.timeout - timing.hold == pytest.approx(REQUEST_TIMEOUT_S)
 
 
 def test_a_response_without_changes_after_the_whole_hold_was_not_queued(remote):
-    poll_successfully(remote, START)
-    hold = remote.next_poll(START, True, MAX_HOLD).hold
-    poll_successfully(remote, START, duration=hold + 0.01, has_changes=False)
-    timing = remote.next_poll(START, True, MAX_HOLD)
+    poll_successfully(remote, START_S)
+    hold = remote.next_poll(START_S, True, MAX_HOLD_S).hold
+    poll_successfully(remote, START_S, duration=hold + 0.01, has_changes=False)
+    timing = remote.next_poll(START_S, True, MAX_HOLD_S)
     assert timing.timeout - timing.hold == pytest.approx(UNQUEUED_REQUEST_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("grace_ms", [0.0, 500.0, 2_000.0, 9_000.0])
 def test_a_hold_leaves_time_for_a_timeout_a_rejection_and_the_queue(grace_ms):
     schedule = new_schedule(PollLimits.for_remote_discovery(grace_ms))
-    poll_successfully(schedule, START)
-    timing = schedule.next_poll(START, True, MAX_HOLD)
-    rest = schedule.remaining(START) - timing.timeout - MIN_BACKOFF_S - MIN_REJECTION_BACKOFF_S
+    poll_successfully(schedule, START_S)
+    timing = schedule.next_poll(START_S, True, MAX_HOLD_S)
+    rest = schedule.remaining(START_S) - timing.timeout - MIN_BACKOFF_S - MIN_REJECTION_BACKOFF_S
     assert rest >= QUEUE_TIMEOUT_S - 1e-9 or timing.hold == 0.0
-    assert 0.0 <= timing.hold <= MAX_HOLD
+    assert 0.0 <= timing.hold <= MAX_HOLD_S
 
 
 def test_a_response_that_is_read_after_its_timeout_is_as_old_as_the_timeout_allows(remote):
-    timing = remote.next_poll(START, True, MAX_HOLD)
-    remote.response_received(START + 60.0, timing, has_changes=True)
+    timing = remote.next_poll(START_S, True, MAX_HOLD_S)
+    remote.response_received(START_S + 60.0, timing, has_changes=True)
     fresh = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
-    assert remote.remaining(START + timing.timeout) == pytest.approx(fresh)
+    assert remote.remaining(START_S + timing.timeout) == pytest.approx(fresh)
 
 
 @pytest.mark.parametrize("stage", [PollStage.NO_RESPONSE, PollStage.PARTIAL_RESPONSE])
 def test_two_unanswered_polls_in_a_row_restart_the_deadline_and_one_does_not(remote, stage):
-    poll_successfully(remote, START)
-    before = remote.remaining(START)
-    second = fail_poll(remote, START, stage)
-    assert remote.remaining(START) == before
+    poll_successfully(remote, START_S)
+    before = remote.remaining(START_S)
+    second = fail_poll(remote, START_S, stage)
+    assert remote.remaining(START_S) == before
     fail_poll(remote, second, stage)
     assert remote.remaining(second) == pytest.approx(before - 0.01)
 
 
 @pytest.mark.parametrize("stage", [PollStage.REJECTED, PollStage.MALFORMED_RESPONSE])
 def test_a_poll_that_was_answered_without_a_list_does_not_restart_the_deadline(remote, stage):
-    poll_successfully(remote, START)
-    before = remote.remaining(START)
-    fail_poll(remote, START, stage)
-    fail_poll(remote, START, stage)
-    assert remote.remaining(START) == before
+    poll_successfully(remote, START_S)
+    before = remote.remaining(START_S)
+    fail_poll(remote, START_S, stage)
+    fail_poll(remote, START_S, stage)
+    assert remote.remaining(START_S) == before
 
 
 @pytest.mark.parametrize(
@@ -150,37 +150,37 @@
 )
 def test_backoffs_double_up_to_their_limit_and_start_at_the_minimum_after_a_success(limits, longest):
     schedule = new_schedule(limits)
-    backoffs = [schedule.next_backoff(START, PollStage.NO_RESPONSE) for _ in range(6)]
+    backoffs = [schedule.next_backoff(START_S, PollStage.NO_RESPONSE) for _ in range(6)]
     assert backoffs == [min(MIN_BACKOFF_S * 2**index, longest) for index in range(6)]
     assert schedule.is_backing_off
-    poll_successfully(schedule, START)
+    poll_successfully(schedule, START_S)
     assert not schedule.is_backing_off
-    assert schedule.next_backoff(START, PollStage.NO_RESPONSE) == MIN_BACKOFF_S
+    assert schedule.next_backoff(START_S, PollStage.NO_RESPONSE) == MIN_BACKOFF_S
 
 
 def test_every_part_of_a_backoff_beyond_the_fixed_one_is_random():
     limits = PollLimits.for_remote_discovery(GRACE_MS)
     schedules = [new_schedule(limits, random.Random(seed)) for seed in range(200)]
-    backoffs = [schedule.next_backoff(START, PollStage.NO_RESPONSE) for schedule in schedules]
+    backoffs = [schedule.next_backoff(START_S, PollStage.NO_RESPONSE) for schedule in schedules]
     assert MIN_BACKOFF_FRACTION * MIN_BACKOFF_S <= min(backoffs) < max(backoffs) <= MIN_BACKOFF_S
     assert max(backoffs) - min(backoffs) > 0.7 * MIN_BACKOFF_S
 
 
 def test_a_rejection_and_a_queue_after_a_lost_poll_fit_into_the_deadline(remote):
-    poll_successfully(remote, START)
-    first_retry = fail_poll(remote, START, PollStage.NO_RESPONSE)
+    poll_successfully(remote, START_S)
+    first_retry = fail_poll(remote, START_S, PollStage.NO_RESPONSE)
     second_retry = fail_poll(remote, first_retry, PollStage.REJECTED)
     assert remote.remaining(second_retry) >= QUEUE_TIMEOUT_S - 0.01
 
 
 def test_a_rejection_by_an_agent_has_the_backoff_of_any_failure_and_no_hold_is_cut_for_its_queue(agent):
-    assert agent.next_backoff(START, PollStage.REJECTED) == GRACE_MS / 4_000
-    poll_successfully(agent, START)
-    assert agent.next_poll(START, True, MAX_HOLD).hold == MAX_HOLD
+    assert agent.next_backoff(START_S, PollStage.REJECTED) == GRACE_MS / 4_000
+    poll_successfully(agent, START_S)
+    assert agent.next_poll(START_S, True, MAX_HOLD_S).hold == MAX_HOLD_S
 
 
 def test_rejections_without_time_left_wait_for_a_whole_interval_from_the_second_on(remote):
-    late = START + remote.remaining(START) + 1.0
+    late = START_S + remote.remaining(START_S) + 1.0
     interval = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S - QUEUE_TIMEOUT_S
     assert remote.next_backoff(late, PollStage.REJECTED) == pytest.approx(interval)
     assert remote.next_backoff(late, PollStage.REJECTED) == pytest.approx(interval)
@@ -188,8 +188,8 @@
 
 @pytest.mark.parametrize("already_late", [0.0, 60.0])
 def test_a_poll_interrupted_by_a_suspension_may_go_on_for_the_rest_of_the_deadline(remote, already_late):
-    poll_successfully(remote, START)
-    now = START + already_late
-    timing = remote.next_poll(now, True, MAX_HOLD)
+    poll_successfully(remote, START_S)
+    now = START_S + already_late
+    timing = remote.next_poll(now, True, MAX_HOLD_S)
     rest = remote.remaining(now) - timing.timeout - REQUEST_TIMEOUT_S
     assert timing.suspension_extension == pytest.approx(max(TIMING_MARGIN_S, rest))
