--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -2,8 +2,9 @@
 
 The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
 discovery themselves once no message has come for `HOLDER_TIMEOUT_MS`, or while the holder has a newer version
-than they do. Updates under a lower fencing token than one seen are rejected, and a holder that discovery does
-not answer sends no heartbeats. `Discovery` uses it as an `UpdateSource`. Times are in milliseconds.
+than they do. Updates under a lower fencing token than one seen are rejected. A holder that has no recent
+response of discovery sends no heartbeats. `Discovery` uses it as an `UpdateSource`. Times are in
+milliseconds.
 """
 
 from typing import Any
@@ -16,6 +17,7 @@
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES
 from lotusroute.net.discovery_source import DiscoveryClient
+from lotusroute.net.endpoint_list import EndpointListMessage
 from lotusroute.net.poll_schedule import LONG_POLL_HOLD_MS
 from lotusroute.net.structured_log import log_event
 
@@ -23,7 +25,7 @@
 HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that a lost one does no harm
 # A balancer polls itself after this time without a message; it leaves time for a drain's limit of 2 s.
 HOLDER_TIMEOUT_MS = 1_500.0
-MAX_ANSWER_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # of discovery's last answer, for heartbeats to be sent
+MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # with an older last response, no heartbeats are sent
 MAX_SEND_DURATION_MS = 50.0  # the part of a lease that must be left when an update is sent
 NEVER_MS = -1e12  # a time before any other
 NO_SEQ = -1
@@ -52,8 +54,8 @@
         self.highest_fencing_token = 0  # of the messages accepted so far
         self.last_update_at = NEVER_MS  # ms, when a message was last accepted
         self.holder_seq = NO_SEQ  # the version that the holder had at its last message
-        self.answered_at = NEVER_MS  # ms, when discovery last answered this balancer
-        self.waiting: defer.Deferred[None] | None = None
+        self.last_response_at = NEVER_MS  # ms, when discovery last responded to this balancer
+        self._pending_wait: defer.Deferred[None] | None = None  # of `wait_until_poll_due`
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
@@ -65,43 +67,43 @@
             remaining = self.last_update_at + HOLDER_TIMEOUT_MS - self.lease_service.clock()
             if remaining <= 0:
                 break
-            self.waiting = defer.Deferred()
+            self._pending_wait = defer.Deferred()
             timer = self.reactor.callLater(remaining / 1000, self.wake)
-            await self.waiting
+            await self._pending_wait
             if timer.active():
                 timer.cancel()
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
         """Make a pending `wait_until_poll_due` evaluate its condition again."""
-        waiting = self.waiting
-        self.waiting = None
-        if waiting is not None:
-            waiting.callback(None)
+        pending_wait = self._pending_wait
+        self._pending_wait = None
+        if pending_wait is not None:
+            pending_wait.callback(None)
 
     def age(self) -> float:
         """Return the maximum age of the endpoint list in s: the time since the holder's last message."""
         return (self.lease_service.clock() - self.last_update_at) / 1000
 
-    def on_response(self, answer: dict[str, Any], since: int | None) -> None:
-        """Send an answer of discovery to the others, if this balancer is the holder."""
-        self.answered_at = self.lease_service.clock()
+    def on_response(self, message: EndpointListMessage, since: int | None) -> None:
+        """Send a response of discovery to the others, if this balancer is the holder."""
+        self.last_response_at = self.lease_service.clock()
         if self.discovery is None or not self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             return
-        if answer["hosts"] or answer["whole"]:
+        if message["hosts"] or message["whole"]:
             update = SharedUpdate(
                 fencing_token=self.fencing_token,
                 discovery_url=self.discovery.base,
-                seq=answer["seq"],
+                seq=message["seq"],
                 since=NO_SEQ if since is None else since,
-                complete=answer["whole"],
-                entries=answer["hosts"],
+                complete=message["whole"],
+                entries=message["hosts"],
             )
             self._broadcast(update)
 
     def on_failure(self) -> None:
-        """Stop the heartbeats until discovery's next answer, so that the others poll themselves."""
-        self.answered_at = NEVER_MS
+        """Stop the heartbeats until discovery's next response, so that the others poll themselves."""
+        self.last_response_at = NEVER_MS
 
     # The holder
 
@@ -123,7 +125,7 @@
         self.reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat, fencing_token)
         if self.discovery is None or self.discovery.seq is None:
             return
-        fresh = self.lease_service.clock() - self.answered_at < MAX_ANSWER_AGE_MS
+        fresh = self.lease_service.clock() - self.last_response_at < MAX_RESPONSE_AGE_MS
         if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             self._broadcast(SharedUpdate(fencing_token, self.discovery.base, self.discovery.seq))
 
@@ -165,10 +167,14 @@
         return b""
 
     def _apply(self, discovery: DiscoveryClient, update: SharedUpdate) -> None:
-        """Pass the update to the discovery client, which validates it like an answer to its own poll."""
-        answer = {"seq": update.seq, "whole": update.complete, "hosts": update.entries}
+        """Pass the update to the discovery client, which validates it like a response to its own poll."""
+        message: EndpointListMessage = {
+            "seq": update.seq,
+            "whole": update.complete,
+            "hosts": update.entries,
+        }
         since = None if update.since < 0 else update.since
-        applied = discovery.apply_shared_update(answer, since)
+        applied = discovery.apply_shared_update(message, since)
         self.counters["shared_discovery_applied"] += applied
 
     def _behind(self) -> bool:
