--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -16,22 +16,22 @@
 from lotusroute.net.reactor import reactor
 
 
-class PeerStates(NamedTuple):
-    """What was queried, by the peer's name."""
+class PeerAnswers(NamedTuple):
+    """The answers of the queried peers, by the peer's name."""
 
     statuses: dict[str, ProcessStatus]
-    states: dict[str, dict[str, object]]  # the same as JSON objects, with the sections of further services
-    errors: dict[str, str]  # of peers without a usable answer
+    documents: dict[str, dict[str, object]]  # the statuses as JSON objects, with the sections of services
+    errors: dict[str, str]  # the reason, for peers without a usable answer
 
 
-def query_peers(file: str, peers: Sequence[str]) -> PeerStates:
+def query_peers(file: str, peers: Sequence[str]) -> PeerAnswers:
     """Query the status of `peers`, or of all peers in the fleet's file if none is named.
 
     Exits with `ExitCode.WRONG_USE` if the file cannot be used or lacks a peer. It runs the reactor, which can
     be done once in a process.
     """
     config = _load_config(file, peers)
-    answers = PeerStates({}, {}, {})
+    answers = PeerAnswers({}, {}, {})
     query = _query_all(config, peers or tuple(config.peers), answers)
     reactor.callWhenRunning(defer.ensureDeferred, query)
     reactor.run(installSignalHandlers=False)
@@ -50,23 +50,23 @@
     return config
 
 
-async def _query_all(config: FleetConfig, names: Sequence[str], answers: PeerStates) -> None:
+async def _query_all(config: FleetConfig, names: Sequence[str], answers: PeerAnswers) -> None:
     """Query all peers at once, record the answers in the order of `names`, and stop the reactor."""
     queries = [query_status(reactor, config, name) for name in names]
     for name, query in zip(names, queries, strict=True):
         try:
             body = await query
             answers.statuses[name] = decode_status(body)
-            answers.states[name] = status_document(body)
+            answers.documents[name] = status_document(body)
         except Exception as error:  # whatever fails concerns this peer only
             answers.errors[name] = str(error) or type(error).__name__
     reactor.stop()
 
 
-def print_and_exit(answers: PeerStates, as_json: bool, lines: Iterable[str]) -> NoReturn:
+def print_and_exit(answers: PeerAnswers, as_json: bool, lines: Iterable[str]) -> NoReturn:
     """Print the answers as one JSON object, or else `lines` and the peers without an answer, and exit."""
     if as_json:
-        click.echo(json.dumps({"balancers": answers.states, "errors": answers.errors}, indent=1))
+        click.echo(json.dumps({"balancers": answers.documents, "errors": answers.errors}, indent=1))
     else:
         for line in lines:
             click.echo(line)
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -81,9 +81,11 @@
     Example: lotusroute relay show --fleet deploy/relays.toml
     """
     answers = query_peers(file, peers)
-    lines = [_status_line(name, decode_relay_status(state)) for name, state in answers.states.items()]
-    printed_states = {name: dict(printed_process_status(state)) for name, state in answers.states.items()}
-    print_and_exit(answers._replace(states=printed_states), as_json, lines)
+    lines = [
+        _status_line(name, decode_relay_status(document)) for name, document in answers.documents.items()
+    ]
+    printed = {name: dict(printed_process_status(document)) for name, document in answers.documents.items()}
+    print_and_exit(answers._replace(documents=printed), as_json, lines)
 
 
 def _status_line(name: str, status: RelayStatus | None) -> str:
