--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from lotusroute.errors import LotusrouteError
-from lotusroute.fault_injection.log_records import INJECTOR, FaultKind, LogRecord
+from lotusroute.fault_injection.log_records import INJECTOR, LEASE_ACQUIRED, LEASE_LOST, FaultKind, LogRecord
 
 MAX_READ_DELAY_S = 0.25  # from writing a record to reading it, on a busy machine
 CONTEXT_RECORDS = 20  # shown with a violation
@@ -74,9 +74,9 @@
         task = record.fields.get("task", "")
         if record.process == INJECTOR:
             self._apply_fault(record)
-        elif record.event == "lease lost":
+        elif record.event == LEASE_LOST:
             self.holders.setdefault(task, {}).pop(record.process, None)
-        elif record.event == "lease acquired":
+        elif record.event == LEASE_ACQUIRED:
             self._check_acquired(index, task)
 
     def _apply_fault(self, fault: LogRecord) -> None:
@@ -112,7 +112,7 @@
         """Return whether the loss of the lease was read shortly after the record of the next holder."""
         deadline = self.records[index].time + MAX_READ_DELAY_S
         return any(
-            (record.process, record.event) == (process, "lease lost")
+            (record.process, record.event) == (process, LEASE_LOST)
             and record.fields.get("task") == task
             and record.time < deadline
             for record in self.records[index:]
