--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -4,13 +4,12 @@
 may add sections of their own. Durations are in milliseconds from the time of the status.
 """
 
-import math
 from collections.abc import Mapping
 
 import msgspec
 
 from lotusroute.leases.acceptor import Acceptor, AcceptorState
-from lotusroute.leases.proposer import Proposer, ProposerState
+from lotusroute.leases.proposer import NEVER_MS, Proposer, ProposerState
 
 
 class LeaseStatus(
@@ -82,7 +81,7 @@
 
 def _lease_status(state: ProposerState, now: float) -> LeaseStatus:
     holds = state.holds(now)
-    retry_in = max(0.0, state.retry_at - now) if state.retry_at > -math.inf else 0.0
+    retry_in = max(0.0, state.retry_at - now) if state.retry_at > NEVER_MS else 0.0
     return LeaseStatus(
         holds=holds,
         fencing_token=state.ballot if holds else 0,
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -32,7 +32,7 @@
     ballot: int = 0  # of the last holder
     holder: str = ""
     expires_at: float = -math.inf
-    contended_at: float = -math.inf  # when a proposer other than the holder last requested it
+    contended_at: float = -math.inf  # when a proposer other than the holder last requested the lease
     waiters: tuple[str, ...] = ()  # the last MAX_WAITERS proposers rejected; cleared when notified
 
 
@@ -68,16 +68,16 @@
     def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
         """Handle one request.
 
-        A ballot that must be persisted first is rejected; the proposer retries after that.
+        Where the ballot has to be persisted first, the request is rejected and the proposer retries later.
         """
         rejection = self._reject_inadmissible(now, request)
         if rejection is not None:
             return rejection
-        floor = self.ballot_floor
         before = self.states.get(request.task)
         if before is None:
             if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
-                return AcceptorDecision(reject(request, RejectReason.TASK_LIMIT, highest_ballot=floor))
+                reply = reject(request, RejectReason.TASK_LIMIT, highest_ballot=self.ballot_floor)
+                return AcceptorDecision(reply)
             before = AcceptorState(promised=self.ballot_floor)
         after, reply = apply_request(before, now, request, self.terms)
         self.states[request.task] = after
@@ -89,7 +89,7 @@
         self.persisted_below = max(self.persisted_below, below)
 
     def _reject_inadmissible(self, now: float, request: LeaseRequest) -> AcceptorDecision | None:
-        """Return the rejection of a request that must not be applied to any task; None for all others."""
+        """Return the rejection of a request that must not be applied to its task; None if it may be."""
         floor = self.ballot_floor
         if now < self.serving_from:
             remaining = self.serving_from - now
@@ -106,8 +106,8 @@
     def _evict_expired(self, now: float) -> bool:
         """Remove the task whose lease expired first, and return whether that was possible.
 
-        The lease must have expired at least a lease duration ago. The floor prevents the ballots of the task
-        from being promised again.
+        The lease must have expired at least a lease duration ago. The ballot floor rises to the task's
+        promised ballot, so that none of the task's ballots is promised again.
         """
         task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
         if state.expires_at + self.terms.lease_duration > now:
@@ -137,7 +137,8 @@
         case Release():
             return _apply_release(state, now, request)
         case _ if now < state.expires_at and state.holder != request.proposer:
-            # Not promised either: a promise would stop the holder's renewals, and nobody would get the task.
+            # The ballot is not promised either: a promise would make this acceptor reject the holder's
+            # renewals, and the task would have no holder once the lease expires.
             return _reject_while_leased(state, now, request)
         case Prepare():
             return _apply_prepare(state, request)
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -10,14 +10,14 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LEASE_DURATION_MS = 3_000.0  # after a holder is killed, nobody holds its tasks for so long
+LEASE_DURATION_MS = 3_000.0  # a killed holder's task has no holder until this has passed
 CLOCK_DRIFT_FRACTION = 0.01  # maximum rate error of any clock, far more than real clocks have
 SAFETY_MARGIN_MS = 50.0  # subtracted from the holder's duration, so that an act in progress can end
 RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews; two more attempts fit into the rest
 REQUEST_TIMEOUT_MS = 400.0  # for the replies of a majority of acceptors
 MIN_RETRY_BACKOFF_MS = 100.0  # the backoff is random, so that competing proposers separate
 MAX_RETRY_BACKOFF_MS = 400.0
-MAX_TENURE_MS = 60_000.0  # after which a holder yields if another proposer asks for the task
+MAX_TENURE_MS = 60_000.0  # after which a holder yields if another proposer requests the task
 STALL_THRESHOLD_MS = 1_000.0  # between two events, after which a holder yields because it was stalled
 
 
@@ -148,7 +148,7 @@
     reason: str = ""  # a RejectReason, unless accepted
     highest_ballot: int = 0  # the highest ballot that the acceptor has promised
     remaining: float = 0.0  # ms until the other holder's lease expires there
-    contended: bool = False  # another proposer asked for the task within the last lease duration
+    contended: bool = False  # another proposer requested the task within the last lease duration
 
 
 # Events that a proposer handles
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -266,7 +266,10 @@
     def _give_up_lease(
         self, task: str, now: float, reason: LossReason, cooldown: float = 0.0
     ) -> ProposerState:
-        """Give up a task, and do not request it again before `cooldown` ms have passed."""
+        """Release the lease or proposal on a task, and store the task's new state, which is returned.
+
+        The task is not requested again before `cooldown` ms have passed.
+        """
         state = self.states[task]
         if state.has_lease:
             self.actions.append(LeaseLost(task, reason))
