--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -32,10 +32,11 @@
 TASK = "task"
 MAX_IN_FLIGHT = 16  # messages; the oldest is lost if there are more
 DRIFT_FRACTION = 0.2  # far more than real clocks have, so that it amounts to whole steps
+NO_TARGET = -1  # of a transition that concerns no single process or message
 
 
 class LowerBoundRng(random.Random):
-    """Always returns the lower bound, because the checker explores interleavings and not backoffs."""
+    """Returns the lower bound of every range, because the checker explores interleavings, not backoffs."""
 
     def uniform(self, a: float, b: float) -> float:
         """Return the lower bound."""
@@ -45,9 +46,6 @@
 LOWER_BOUND_RNG = LowerBoundRng()
 
 
-NO_TARGET = -1
-
-
 class TransitionKind(StrEnum):
     """The kind of a transition; the values are shown in counterexamples."""
 
@@ -130,14 +128,14 @@
         drift: float = DRIFT_FRACTION,
         known_drift: float = DRIFT_FRACTION,
     ) -> None:
-        """`known_drift` is the drift that the lease terms allow for."""
+        """`drift` is how far the clocks are off, `known_drift` what the lease terms allow for; fractions."""
         names = tuple(f"acceptor{index}" for index in range(acceptors))
-        # The defaults, except for durations that would only add steps.
+        # The default terms, except for durations that would only make interleavings longer.
         self.terms = LeaseTerms(
             names, drift=known_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
         )
-        self.fast = 1 + drift
-        self.slow = 1 - drift
+        self.acceptor_clock_rate = 1 + drift
+        self.proposer_clock_rate = 1 - drift
         self.initial = ModelState(
             now=0,
             acceptors=tuple(AcceptorSnapshot((), -1.0, 0) for _ in names),
@@ -156,20 +154,20 @@
 
     def transitions(self, state: ModelState) -> list[Transition]:
         """Return all transitions that are possible in a state."""
-        found = [Transition(TransitionKind.ADVANCE_TIME)]
+        possible = [Transition(TransitionKind.ADVANCE_TIME)]
         now = self._proposer_clock(state)
         for index, proposer in enumerate(state.proposers):
             if proposer.last_event_at < now or not proposer.round:
-                found.append(Transition(TransitionKind.TICK, index))
-        found += self._deliveries(state)
+                possible.append(Transition(TransitionKind.TICK, index))
+        possible += self._deliveries(state)
         if state.crashes:
-            found += [
+            possible += [
                 Transition(TransitionKind.CRASH_ACCEPTOR, index) for index in range(len(state.acceptors))
             ]
-            found += [
+            possible += [
                 Transition(TransitionKind.CRASH_PROPOSER, index) for index in range(len(state.proposers))
             ]
-        return found
+        return possible
 
     @staticmethod
     def _deliveries(state: ModelState) -> Iterator[Transition]:
@@ -184,7 +182,7 @@
                 yield Transition(TransitionKind.DUPLICATE, index)
 
     def apply(self, state: ModelState, transition: Transition) -> ModelState:
-        """Return the next state; raises `InvariantViolationError` if it is invalid."""
+        """Return the next state; raises `InvariantViolationError` if it violates an invariant."""
         index = transition.target
         match transition.kind:
             case TransitionKind.ADVANCE_TIME:
@@ -203,7 +201,7 @@
                 state = self._crash_acceptor(state, index)
             case TransitionKind.CRASH_PROPOSER:
                 state = self._crash_proposer(state, index)
-        self.check_single_holder(state)
+        self._check_single_holder(state)
         return state
 
     def _crash_acceptor(self, state: ModelState, index: int) -> ModelState:
@@ -254,10 +252,10 @@
     # Clocks
 
     def _acceptor_clock(self, state: ModelState) -> float:
-        return state.now * STEP_MS * self.fast
+        return state.now * STEP_MS * self.acceptor_clock_rate
 
     def _proposer_clock(self, state: ModelState) -> float:
-        return state.now * STEP_MS * self.slow
+        return state.now * STEP_MS * self.proposer_clock_rate
 
     # Conversion of snapshots to state machines and back
 
@@ -307,7 +305,7 @@
 
     @staticmethod
     def _record_holder(state: ModelState, name: str, fencing_token: int) -> ModelState:
-        """Check that fencing tokens increase from one holder to the next."""
+        """Store who acquired the lease; raises `InvariantViolationError` if its fencing token is too low."""
         if fencing_token <= state.fencing_token and name != state.holder:
             raise InvariantViolationError(
                 f"{name} acquired the lease with fencing token {fencing_token}, "
@@ -315,8 +313,8 @@
             )
         return state._replace(fencing_token=max(fencing_token, state.fencing_token), holder=name)
 
-    def check_single_holder(self, state: ModelState) -> None:
-        """Check that at most one proposer considers itself the holder, each by its own clock."""
+    def _check_single_holder(self, state: ModelState) -> None:
+        """Raise `InvariantViolationError` if two proposers consider themselves holders by their clocks."""
         now = self._proposer_clock(state)
         holders = [proposer.name for proposer in state.proposers if proposer.state.holds(now)]
         if len(holders) > 1:
