--- a/lotusroute/fault_injection/fault_injector.py
+++ b/lotusroute/fault_injection/fault_injector.py
@@ -111,7 +111,7 @@
         names = self.fleet.names
         minority = self.rng.sample(names, self.rng.randint(1, len(names) // 2))
         joined_names = ",".join(minority)
-        self.fleet.record_fault(FaultKind.PARTITION, of=joined_names)
+        self.fleet.record_fault(FaultKind.PARTITION, targets=joined_names)
         self.fleet.proxy.partition(minority, [name for name in names if name not in minority])
         if self.rng.random() < TEMPORARY_PARTITION_FRACTION:
             time.sleep(self.rng.choice(PARTITIONS_S))
@@ -120,7 +120,7 @@
 
     def _disturb_link(self, kind: FaultKind, link: Link) -> str:
         proxy = self.fleet.proxy
-        self.fleet.record_fault(kind, of=link.sender, to=link.receiver)
+        self.fleet.record_fault(kind, sender=link.sender, receiver=link.receiver)
         match kind:
             case FaultKind.BLOCK:
                 proxy.block(link)
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -48,7 +48,7 @@
     ['t at 2.000 s: b (fencing token 4) and a (3) both hold the lease']
     >>> find_violations([first, record(1.9, "a", "lease lost"), second])
     []
-    >>> paused = record(1.9, "injector", "pause", of="a")
+    >>> paused = record(1.9, "injector", "pause", target="a")
     >>> len(find_violations([first, paused, second])), len(find_violations([second, first]))
     (0, 2)
     """
@@ -80,7 +80,7 @@
             self._check_acquired(index, task)
 
     def _apply_fault(self, fault: LogRecord) -> None:
-        process = fault.fields.get("of", "")
+        process = fault.fields.get("target", "")
         if fault.event == FaultKind.KILL:
             self.paused.discard(process)
             for tokens in self.holders.values():
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -147,12 +147,12 @@
     def kill(self, name: str) -> None:
         """End a balancer by SIGKILL."""
         self._end(name, signal.SIGKILL)
-        self.record_fault(FaultKind.KILL, of=name)
+        self.record_fault(FaultKind.KILL, target=name)
 
     def terminate(self, name: str) -> int:
         """Shut a balancer down gracefully by SIGTERM; returns its exit code."""
         exit_code = self._end(name, signal.SIGTERM)
-        self.record_fault(FaultKind.TERMINATE, of=name)
+        self.record_fault(FaultKind.TERMINATE, target=name)
         return exit_code
 
     def _end(self, name: str, number: signal.Signals) -> int:
@@ -169,11 +169,11 @@
         """Pause a balancer by SIGSTOP and let it continue at the end."""
         process = self._running[name].process
         process.send_signal(signal.SIGSTOP)
-        self.record_fault(FaultKind.PAUSE, of=name)
+        self.record_fault(FaultKind.PAUSE, target=name)
         try:
             yield
         finally:
-            self.record_fault(FaultKind.RESUME, of=name)
+            self.record_fault(FaultKind.RESUME, target=name)
             process.send_signal(signal.SIGCONT)
 
     # Observations
--- a/lotusroute/fault_injection/random_scenarios.py
+++ b/lotusroute/fault_injection/random_scenarios.py
@@ -88,4 +88,4 @@
     """Return whether the record says that the holder lost the lease or was killed."""
     if record.event == LEASE_LOST:
         return record.process == holder
-    return record.event == FaultKind.KILL and record.fields.get("of") == holder
+    return record.event == FaultKind.KILL and record.fields.get("target") == holder
