--- a/lotusroute/config_validation.py
+++ b/lotusroute/config_validation.py
@@ -78,7 +78,7 @@
     """Return a whole number from 0 to `high`; 0 if the key is missing."""
     value = document.get(key, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= high:
-        raise ConfigError(f"{key}: give a number from 0 to {high}")
+        raise ConfigError(f"{key}: give a whole number from 0 to {high}")
     return value
 
 
--- a/lotusroute/fleet/acceptor_host.py
+++ b/lotusroute/fleet/acceptor_host.py
@@ -1,4 +1,4 @@
-"""The acceptor of one process: answers lease requests and persists ballots on a thread."""
+"""The acceptor of one process: answers lease requests, and persists ballots on a thread."""
 
 import os
 from collections.abc import Callable
@@ -38,7 +38,7 @@
         transport: PeerTransport,
         on_local_release: Callable[[LeaseReleased], None],
     ) -> None:
-        """Load the persisted ballot; raises `ConfigError` if the state directory cannot be used.
+        """Load the persisted ballot; raises `ConfigError` if the state directory or its file cannot be used.
 
         `on_local_release` notifies the proposer of this process that a holder released its lease.
         """
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -48,7 +48,7 @@
     ) -> None:
         """Set up without connecting; raises `ConfigError` if the configuration does not fit this process."""
         if name not in config.peers:
-            raise ConfigError(f"LB_FLEET: peers: '{name}', this balancer, is not among them")
+            raise ConfigError(f"LB_FLEET: peers: no address for '{name}', this balancer; add it there")
         self.reactor = reactor
         self.config = config
         self.name = name
--- a/lotusroute/fleet/outbound_connections.py
+++ b/lotusroute/fleet/outbound_connections.py
@@ -42,7 +42,7 @@
         if self.transport.closed or in_use or peer not in self.process.config.peers:
             return
         self.connecting[peer] = MIN_RECONNECT_BACKOFF_S
-        self._open_connection(peer)
+        self._start_attempt(peer)
 
     def disconnect(self, peer: str) -> None:
         """Close the connection to a peer and do not reconnect."""
@@ -67,7 +67,7 @@
             self.connect(peer)
         self.transport.handlers.on_disconnected(peer)
 
-    def _open_connection(self, peer: str) -> None:
+    def _start_attempt(self, peer: str) -> None:
         self.reconnect_timers.pop(peer, None)
         if self.transport.closed:
             return
@@ -102,7 +102,7 @@
         backoff = self.connecting[peer]
         self.connecting[peer] = min(2 * backoff, MAX_RECONNECT_BACKOFF_S)
         delay = backoff * self.process.rng.uniform(MIN_JITTER_FRACTION, 1.0)
-        timer = self.process.reactor.callLater(delay, self._open_connection, peer)
+        timer = self.process.reactor.callLater(delay, self._start_attempt, peer)
         self.reconnect_timers[peer] = timer
         self.transport.handlers.on_disconnected(peer)
 
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -37,7 +37,6 @@
 MAX_DESCRIPTION_LENGTH = 200  # characters of an error that go to the caller
 MAX_LOGGED_NAME_LENGTH = 64  # characters of what an unknown process calls itself
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
-
 SHOW_CALL = "show"  # the kind of the call that reads a process's status
 
 CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]  # (peer, kind, body)
@@ -190,6 +189,7 @@
         same_protocol = (fleet, form) == (config.name, PROTOCOL_VERSION)
         known = name in config.peers or name == OBSERVER or self.manager.admits_subscriber(name)
         if self.identified or self.peer or not same_protocol or not known:
+            # On the reactor's next iteration, after AMP has written the response.
             fleet, name = fleet[:MAX_LOGGED_NAME_LENGTH], name[:MAX_LOGGED_NAME_LENGTH]
             reason = f"fleet {fleet} version {form} name {name}"
             self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
@@ -266,7 +266,7 @@
 
 
 def _decode_rejection(rejection: Failure) -> Failure:
-    """Map the one description on the wire that has a type of its own."""
+    """Return the rejection as received, or as the type that `UNIDENTIFIED_PEER_DESCRIPTION` stands for."""
     if str(rejection.value) == UNIDENTIFIED_PEER_DESCRIPTION:
         return Failure(UnidentifiedPeerError())
     return rejection
--- a/lotusroute/fleet/process.py
+++ b/lotusroute/fleet/process.py
@@ -1,4 +1,4 @@
-"""What all parts of one process of the fleet share."""
+"""The identity of one process of the fleet, and the collaborators that all its services share."""
 
 import random
 from collections import Counter
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetProcess:
-    """One process of the fleet, with its collaborators."""
+    """One process of the fleet: its name and configuration, the reactor, counters, randomness and clock."""
 
     reactor: ReactorBase
     config: FleetConfig
