--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -1,4 +1,4 @@
-"""The lease service's answers to calls that it rejects."""
+"""The lease service: calls that it rejects, and configurations that it cannot use."""
 
 import pytest
 from golden_bytes_support import PROPOSE_B, lease_service_at_fixed_clock
@@ -36,6 +36,11 @@
         service.handle_call("b", "propose", PROPOSE_B)
 
 
+def test_a_process_requires_an_address_of_its_own(tmp_path):
+    with pytest.raises(ConfigError, match="LB_FLEET: peers: no address for 'z', this balancer; add it there"):
+        lease_service_at_fixed_clock("z", tmp_path)
+
+
 def test_an_acceptor_requires_a_state_directory(tmp_path):
     with pytest.raises(ConfigError, match="is not a directory; an acceptor needs one"):
         lease_service_at_fixed_clock("a", tmp_path / "missing")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -217,7 +217,8 @@
     assert acceptor.handle(0.0, Prepare("t", 3, "a", 1)).reply.accepted
     reply = acceptor.handle(0.0, Propose("t", 2, "b", 1, 3_000.0)).reply
     assert reply.reason == RejectReason.BALLOT_TOO_LOW
-    assert acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0)).reply.reason == "long"
+    reply = acceptor.handle(0.0, Propose("t", 3, "a", 2, 9_000.0)).reply
+    assert reply.reason == RejectReason.OUT_OF_RANGE == "long"
     assert acceptor.handle(0.0, Propose("t", 3, "a", 3, 3_000.0)).reply.accepted
 
 
@@ -241,14 +242,18 @@
 def test_an_acceptor_tracks_a_bounded_number_of_tasks_and_evicts_expired_ones(acceptor):
     for index in range(acceptor_module.MAX_TASKS):
         assert acceptor.handle(0.0, Propose(f"t{index}", 7, "a", 1, 3_000.0)).reply.accepted
-    assert acceptor.handle(100.0, Prepare("one more", 8, "a", 2)).reply.reason == "full"
+    reply = acceptor.handle(100.0, Prepare("one more", 8, "a", 2)).reply
+    assert reply.reason == RejectReason.TASK_LIMIT == "full"
     assert acceptor.handle(7_000.0, Prepare("one more", 8, "a", 3)).reply.accepted
     assert len(acceptor.states) == acceptor_module.MAX_TASKS
     assert acceptor.ballot_floor == 7
 
 
 def test_a_proposer_has_a_bounded_number_of_tasks():
-    assert proposer_module.MAX_TASKS == 64
+    proposer = Proposer("a", TERMS, random.Random(1))
+    for index in range(proposer_module.MAX_TASKS + 1):
+        proposer.handle(0.0, RequestLease(f"t{index}"))
+    assert len(proposer.states) == proposer_module.MAX_TASKS == 64
 
 
 def fencing_token_after_a_late_reply():
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -16,7 +16,7 @@
 
 
 def amp_box(**pairs):
-    """Return an AMP box as it goes over the wire."""
+    """Return an AMP box as it is on the wire; AMP's own keys start with an underscore."""
     box = b""
     for key, value in pairs.items():
         key = f"_{key}" if key in ("ask", "command") else key
@@ -25,7 +25,7 @@
 
 
 HELLO = amp_box(ask=b"1", command=b"Hello", fleet=b"f", form=b"1", name=b"b")
-SHOW_CALL = amp_box(ask=b"2", command=b"Call", kind=b"show", body=b"x")
+CALL = amp_box(ask=b"2", command=b"Call", kind=b"show", body=b"x")
 
 
 class InboundConnection:
@@ -83,12 +83,12 @@
 
 
 def truncated_calls(rng):
-    data = HELLO + SHOW_CALL
+    data = HELLO + CALL
     return data[: rng.randrange(len(data))]
 
 
 def calls_with_one_byte_changed(rng):
-    data = bytearray(HELLO + SHOW_CALL)
+    data = bytearray(HELLO + CALL)
     data[rng.randrange(len(data))] = rng.randrange(256)
     return bytes(data)
 
