--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -15,9 +15,10 @@
 )
 from lotusroute.routing.errors import UnknownEventError
 from lotusroute.routing.records import FlowRecord, ServerRecord
-from lotusroute.routing.state import FleetSetupTimes, RoutingState
+from lotusroute.routing.state import TICK_INTERVAL_MS, FleetSetupTimes, RoutingState
 from lotusroute.routing.statistics import DecayingCount
 
+RATE_GAIN = 0.1  # weight of the last tick in rates and counts
 REBALANCE_TICKS = 5  # between rebalancings; 1 if there are no latency reports
 RECONNECT_PERIOD_MS = 5_000.0  # after servers have left the endpoint list
 SUBSCRIBE_BACKOFF_MS = 500.0  # doubles, up to half of the poll interval
@@ -91,7 +92,7 @@
             return
         if not state.ticks:
             state.ticks = 1
-            state.actions.append(events.SetTimer(state.rng.uniform(0.0, slow_start.TICK_INTERVAL_MS), TICK))
+            state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK))
         elif state.config.polls_discovery:
             state.subscription.record_poll(accepted=True)
         if event.scope != events.ListScope.CHANGES:
@@ -182,8 +183,9 @@
 
     def _run_tick(self) -> None:
         state = self.state
-        state.actions.append(events.SetTimer(slow_start.TICK_INTERVAL_MS, TICK))
-        state.end_tick(max(slow_start.RATE_GAIN, 1 / state.ticks), 1 - slow_start.RATE_GAIN)
+        state.actions.append(events.SetTimer(TICK_INTERVAL_MS, TICK))
+        # Until 1 / RATE_GAIN ticks have passed, a rate is the plain mean of them.
+        state.end_tick(max(RATE_GAIN, 1 / state.ticks), 1 - RATE_GAIN)
         self._renew_subscription()
         state.expire_overloaded()
         migration.migrate(state)
--- a/lotusroute/routing/failure_detection.py
+++ b/lotusroute/routing/failure_detection.py
@@ -3,8 +3,8 @@
 from lotusroute.routing.events import ConnectionResult, OutlierEjected
 from lotusroute.routing.overload_detection import record_full_queue
 from lotusroute.routing.records import ServerRecord
-from lotusroute.routing.slow_start import TICK_INTERVAL_MS, start_recovery
-from lotusroute.routing.state import RoutingState
+from lotusroute.routing.slow_start import start_recovery
+from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 
 # A score of 0 to 1. A failure moves it towards 1 by its weight; a success multiplies it by SUCCESS_FACTOR.
 EJECTION_SCORE = 0.45  # two consecutive failures, or one unreachable server
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -9,8 +9,8 @@
 import math
 
 from lotusroute.routing.records import FlowRecord, ServerRecord, SetupTimes
-from lotusroute.routing.slow_start import TICK_INTERVAL_MS, record_timely_setup, start_recovery, warming_up
-from lotusroute.routing.state import RoutingState
+from lotusroute.routing.slow_start import record_timely_setup, start_recovery, warming_up
+from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 from lotusroute.routing.statistics import DecayingMean
 
 OVERLOAD_LATENCY_FACTOR = 3.0  # latency of an overloaded server over that of a slow one
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -6,14 +6,12 @@
 
 from lotusroute.routing.records import ServerRecord
 from lotusroute.routing.segments import assigned_server, preference_order
-from lotusroute.routing.state import RoutingState
+from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 
-TICK_INTERVAL_MS = 1_000.0  # servers report their latency as often
 SLOT_ROUND_MS = 3_000.0  # in which each balancer has one slot
 GROUP_LOAD_FACTOR = 2.0  # load of a large group over the mean load of a server
 MIN_CAPACITY_FRACTION = 0.05  # of the full capacity, when a server starts
 PRIOR_FLOWS_PER_TICK = 1.0  # added to rates; a few flows are no storm
-RATE_GAIN = 0.1  # weight of the last tick in rates and counts
 RECOVERY_TIME_MS = 12_000.0
 RECOVERY_RATE = 0.5  # fraction of its part of first arrivals, at first
 RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that rate
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -13,6 +13,8 @@
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.statistics import ConnectionCounts, DecayingCount, DecayingMean, TickRate
 
+TICK_INTERVAL_MS = 1_000.0  # servers report their latency as often
+
 
 @dataclass(slots=True)
 class FleetSetupTimes:
