--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -45,7 +45,7 @@
     @property
     def slow_latency_threshold(self) -> float:
         """The latency from which a server is slow, in ms, for a host that measures latencies."""
-        return overload_detection.slow_latency(self.state)
+        return overload_detection.slow_latency_threshold(self.state)
 
     def decide(self, now: float, event: events.Event) -> list[events.Action]:
         """Handle an event that happened at `now`; return the actions to carry out, in order."""
@@ -179,7 +179,7 @@
         """Evaluate a latency report, unless the server has been removed."""
         server = self.state.servers.get(event.server)
         if server is not None:
-            overload_detection.record_latency(self.state, server, event.delay)
+            overload_detection.record_latency(self.state, server, event.latency)
 
     def _run_tick(self) -> None:
         state = self.state
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -163,7 +163,7 @@
     """A server has reported its latency, or the host has measured it."""
 
     server: str
-    delay: float  # of a message
+    latency: float  # of a message
 
 
 class TimerFired(NamedTuple):
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -6,7 +6,7 @@
 
 from collections import Counter
 
-from lotusroute.routing.overload_detection import overload_latency
+from lotusroute.routing.overload_detection import overload_latency_threshold
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.segments import assigned_server, default_server
 from lotusroute.routing.slow_start import admitted_fraction, capacity_fraction, warming_up
@@ -70,7 +70,7 @@
     if state.lacks_latency_reports:
         return max(FIXED_MIGRATION_FRACTION, fraction)
     # Not more than the latency calls for: many balancers may have a single flow there each.
-    by_latency = LATENCY_MIGRATION_FRACTION * server.reported_latency / overload_latency(state)
+    by_latency = LATENCY_MIGRATION_FRACTION * server.reported_latency / overload_latency_threshold(state)
     return max(LATENCY_MIGRATION_FRACTION, min(fraction, by_latency))
 
 
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -35,7 +35,7 @@
 STALL_WINDOW_MS = 100.0  # attempts that began within it are one sample
 
 
-def slow_latency(state: RoutingState) -> float:
+def slow_latency_threshold(state: RoutingState) -> float:
     """Return the latency from which a server is slow.
 
     It derives from the latency objective; without latency reports from the shortest set-up target.
@@ -44,9 +44,9 @@
     return (objective or state.min_setup_target) / OVERLOAD_LATENCY_FACTOR
 
 
-def overload_latency(state: RoutingState) -> float:
+def overload_latency_threshold(state: RoutingState) -> float:
     """Return the latency from which a server is overloaded."""
-    return slow_latency(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
+    return slow_latency_threshold(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
 
 
 def record_latency(state: RoutingState, server: ServerRecord, latency: float) -> None:
@@ -56,8 +56,8 @@
     expires_at = state.now + LATENCY_REPORT_TTL_MS
     # A recovered server still holds the connections that overloaded it.
     recovered_until = 0.0 if state.lacks_latency_reports else state.now + RECOVERED_DEPRIORITIZED_MS
-    overload.deprioritized_until = expires_at if latency >= slow_latency(state) else recovered_until
-    overload.overloaded_until = expires_at if latency >= overload_latency(state) else 0.0
+    overload.deprioritized_until = expires_at if latency >= slow_latency_threshold(state) else recovered_until
+    overload.overloaded_until = expires_at if latency >= overload_latency_threshold(state) else 0.0
     if overload.overloaded_until:
         start_recovery(state, server)
     elif overload.deprioritized_until:
@@ -121,7 +121,7 @@
         return
     expected = max(FLEET_SETUP_FRACTION * fleet_mean, reference.value, MIN_SETUP_TIME_MS)
     if sample <= expected * SLOW_SETUP_RATIO:
-        _record_timely_setup(state, server)
+        _record_timely_sample(state, server)
         return
     server.overload.accumulated_delay += sample - expected
     if server.overload.accumulated_delay >= _significant_delay(state):
@@ -153,7 +153,7 @@
     return fleet_mean
 
 
-def _record_timely_setup(state: RoutingState, server: ServerRecord) -> None:
+def _record_timely_sample(state: RoutingState, server: ServerRecord) -> None:
     server.overload.accumulated_delay = 0.0
     if server.overload.deprioritized_until <= state.now:
         server.overload.slow_samples = 0
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -100,9 +100,9 @@
     for index in range(200):
         host = FakeHost(2, reports_latency=True, latency_objective=60.0)
         host.director.state.rng.seed(index)
-        delay = (65.0, 600.0)[index % 2]
-        host.decide(events.LatencyReport(host.establish().server, delay))
-        migrated[delay] += len(actions_of(events.Migrate, host.advance(2000.0)))
+        latency = (65.0, 600.0)[index % 2]
+        host.decide(events.LatencyReport(host.establish().server, latency))
+        migrated[latency] += len(actions_of(events.Migrate, host.advance(2000.0)))
     assert migrated[65.0] <= 30 < 35 <= migrated[600.0] <= 65
 
 
