--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -26,24 +26,28 @@
 
 
 def _throttles(state: RoutingState, request: FlowRequest) -> bool:
-    """Return whether to reject a flow because most attempts fail, whatever the server.
+    """Return whether to reject a flow because many attempts fail, whatever the server.
 
-    The probability is that by which failures exceed their allowed part of all attempts.
+    The probability is the fraction of all attempts by which the failures exceed the allowed number.
     """
-    failures = state.connects.failed
-    successes = state.connects.established
-    excess = failures - MAX_FAILURE_RATIO * successes - FAILURE_ALLOWANCE
+    connects = state.connects
     # A balancer with few flows cannot detect most overloaded servers by itself; resets indicate them.
     has_few_flows = len(state.flows) < len(state.ready)
     counts_resets = state.lacks_latency_reports and request.reconnecting and has_few_flows
     if counts_resets:
-        failures += state.connects.resets
-        successes = max(0.0, successes - state.connects.resets)
+        failures = connects.failed + connects.resets
+        successes = max(0.0, connects.established - connects.resets)
         excess = failures - MAX_RESET_RATIO * successes - RESET_ALLOWANCE
-    if request.mid_flow or excess <= 0 or state.rng.random() > excess / (failures + successes):
+    else:
+        failures = connects.failed
+        successes = connects.established
+        excess = failures - MAX_FAILURE_RATIO * successes - FAILURE_ALLOWANCE
+    if request.mid_flow or excess <= 0:
+        return False
+    if state.rng.random() > excess / (failures + successes):
         return False
     if not counts_resets:
-        state.connects.failed += 1
+        connects.failed += 1
     return True
 
 
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -24,14 +24,19 @@
 
 
 def select_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
-    """Return the first candidate that is unrestricted and admits the flow, else the best of the others."""
+    """Return the first candidate that is unrestricted and admits the flow, else the best of the others.
+
+    These are, in this order: a server that was skipped as unknown; without latency reports a fallback server;
+    a deprioritized server; and an ejected one, unless a candidate is overloaded.
+    """
     mid_flow = flow.request.mid_flow
-    unknown = overloaded = deprioritized = ejected = None
+    unknown = deprioritized = ejected = None
+    any_overloaded = False
     for server in _candidates(state, flow):
         if server.failures.ejected_until > state.now:
             ejected = ejected or server
         elif server.overload.overloaded_until > state.now and not mid_flow:
-            overloaded = server
+            any_overloaded = True
         elif server.overload.deprioritized_until > state.now and not mid_flow:
             deprioritized = deprioritized or server
         elif _skips_unknown(state, server, flow.request):
@@ -41,9 +46,11 @@
     if _admits(state, unknown, flow):
         return unknown
     fallback = _fallback_server(state, flow) if state.lacks_latency_reports else None
-    if fallback is not None or _admits(state, deprioritized, flow):
-        return fallback or deprioritized
-    return ejected if overloaded is None and _admits(state, ejected, flow) else None
+    if fallback is not None:
+        return fallback
+    if _admits(state, deprioritized, flow):
+        return deprioritized
+    return ejected if not any_overloaded and _admits(state, ejected, flow) else None
 
 
 def _candidates(state: RoutingState, flow: FlowRecord) -> Iterator[ServerRecord]:
@@ -59,7 +66,8 @@
     others = [s for s in preference_order(state, flow.segment) if s is not assigned]
     for server in others if assigned is None else [assigned, *others]:
         if warming_up(state, server):
-            warming_candidate = warming_candidate or (server if state.lacks_latency_reports else None)
+            if warming_candidate is None and state.lacks_latency_reports:
+                warming_candidate = server
             if server is not warming_candidate:
                 continue
         else:
@@ -97,23 +105,31 @@
 
 
 def _may_attempt(state: RoutingState, flow: FlowRecord, server: ServerRecord) -> bool:
-    """Return whether the flow may be sent to a server: not twice to one, and only if a retry is safe.
-
-    A flow with an idempotency key that may have run goes only to servers that recognize the key.
-    """
+    """Return whether the flow may be sent to a server: not twice to one, and only if a retry is safe."""
+    if server.id in flow.attempted:
+        return False
     previous = flow.possibly_ran_on
-    if previous is None or server.id in flow.attempted:
-        return server.id not in flow.attempted
+    if previous is None:
+        return True
     service_type = state.config.service_types[flow.request.service_type]
-    if service_type.effect != Effect.IDEMPOTENCY_KEY:
-        return service_type.effect != Effect.NON_IDEMPOTENT
-    in_window = state.now < flow.possibly_ran_at + service_type.dedup_window
-    match service_type.dedup_scope:
+    match service_type.effect:
+        case Effect.IDEMPOTENT:
+            return True
+        case Effect.NON_IDEMPOTENT:
+            return False
+        case Effect.IDEMPOTENCY_KEY:
+            is_remembered = state.now < flow.possibly_ran_at + service_type.dedup_window
+            return is_remembered and _shares_keys(service_type.dedup_scope, server, previous)
+
+
+def _shares_keys(scope: DedupScope, server: ServerRecord, previous: ServerRecord) -> bool:
+    """Return whether a server recognizes the idempotency keys of flows that ran on `previous`."""
+    match scope:
         case DedupScope.ALL:
-            return in_window
+            return True
         case DedupScope.ZONE:
-            return in_window and server.zone == previous.zone
+            return server.zone == previous.zone
         case DedupScope.CELL:
-            return in_window and server.cell == previous.cell
-        case _:
+            return server.cell == previous.cell
+        case DedupScope.NONE:
             return False
