--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -13,9 +13,10 @@
 MIN_CAPACITY_FRACTION = 0.05  # of the full capacity, when a server starts
 PRIOR_FLOWS_PER_TICK = 1.0  # added to rates; a few flows are no storm
 RECOVERY_TIME_MS = 12_000.0
-RECOVERY_RATE = 0.5  # fraction of its part of first arrivals, at first
-RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that rate
-RECOVERY_SLOT_FACTOR = 4.0  # flows per round; slots are used up to this rate
+INITIAL_RECOVERY_FRACTION = 0.5  # of the server's part of first arrivals
+RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that fraction
+RECOVERY_SLOT_FLOWS = 4.0  # per round; above this rate slots are too few
+MIN_RATE_PER_MS = 1e-9  # keeps intervals finite
 SETUPS_TO_RECOVER = 8  # timely set-ups that end a recovery early
 
 
@@ -25,7 +26,7 @@
 
 
 def capacity_fraction(state: RoutingState, server: ServerRecord) -> float:
-    """Return which fraction of its full capacity a server has, by the time since its start."""
+    """Return the fraction of its full capacity that a server has, by the time since its start."""
     config = state.config
     progress = min(1.0, max(0.0, state.now - server.started_at) / max(config.slow_start_duration, 1.0))
     return config.slow_start_share + (1 - config.slow_start_share) * progress
@@ -70,12 +71,16 @@
 
 
 def _try_use_quota(state: RoutingState, server: ServerRecord, capacity: float) -> bool:
+    """Use this balancer's own quota: one of every `instance_count` flows that all balancers may send.
+
+    Its first flow comes earlier or later, by its index, so that the balancers do not send theirs at once.
+    """
     config, admission = state.config, server.admission
     total_size = max(state.total_size, server.size)
-    first_rate = state.first_arrivals.mean
-    rate = first_rate * config.instance_count / TICK_INTERVAL_MS * capacity * server.size / total_size
-    flows = config.instance_count if admission.quota_flows else config.instance_index + 1
-    if state.now < admission.last_quota_at + flows / max(rate, 1e-9):
+    fleet_arrival_rate = state.first_arrivals.mean * config.instance_count / TICK_INTERVAL_MS
+    fleet_quota_rate = fleet_arrival_rate * capacity * server.size / total_size
+    fleet_flows = config.instance_count if admission.quota_flows else config.instance_index + 1
+    if state.now < admission.last_quota_at + fleet_flows / max(fleet_quota_rate, MIN_RATE_PER_MS):
         return False
     admission.last_quota_at = state.now
     admission.quota_flows += 1
@@ -85,7 +90,7 @@
 def _warming_up_slot_fraction(
     state: RoutingState, server: ServerRecord, capacity: float, reconnecting: bool
 ) -> float:
-    """Return the length of a slot, as a fraction of the round."""
+    """Return the length of a slot at a server that warms up, as a fraction of the round."""
     total_size = max(state.total_size, server.size)
     # A group's load does not depend on the size of the server that it is assigned to.
     fraction = capacity / GROUP_LOAD_FACTOR * (server.size * len(state.ready) / total_size)
@@ -97,21 +102,24 @@
 
 
 def admitted_fraction(state: RoutingState, server: ServerRecord, reconnecting: bool) -> float:
-    """Return which fraction of the flows for a warming server is admitted if there are no latency reports.
+    """Return the fraction of a warming server's flows that is admitted if there are no latency reports.
 
     With these fractions all balancers together load the server up to its capacity in the warm-up time. A
     further limit applies while all clients of a group that lost its server may reconnect at once.
     """
     config = state.config
-    initial = max(config.slow_start_share, MIN_CAPACITY_FRACTION) * max(config.slow_start_duration, 1.0)
+    initial_capacity = max(config.slow_start_share, MIN_CAPACITY_FRACTION)
+    duration = max(config.slow_start_duration, 1.0)
+    capacity = config.slow_start_burst * capacity_fraction(state, server)
+    # What the server can take in one round, as a fraction of a mean server's load.
+    round_budget = capacity * SLOT_ROUND_MS / (initial_capacity * duration)
     even_share = even_share_factor(state, server)
-    capacity = config.slow_start_burst * capacity_fraction(state, server) * SLOT_ROUND_MS / initial
     limit = 1.0
     if reconnecting and config.groups_share_work and state.now < state.reconnects_expected_until:
         servers_per_flow = max(1.0, len(state.ready) / len(state.recent_replicas))
-        limit = capacity / GROUP_LOAD_FACTOR * min(1.0, even_share * servers_per_flow)
+        limit = round_budget / GROUP_LOAD_FACTOR * min(1.0, even_share * servers_per_flow)
     arrivals = max(1.0, state.recent_arrivals.value_at(state.now))
-    return min(1.0, limit, capacity * len(state.flows) / arrivals * even_share)
+    return min(1.0, limit, round_budget * len(state.flows) / arrivals * even_share)
 
 
 def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
@@ -134,12 +142,13 @@
 
 def _try_admit_recovering(state: RoutingState, server: ServerRecord) -> bool:
     """Use a slot; at high arrival rates, for which slots are too few, keep to this balancer's own rate."""
-    calm_time = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
-    capacity = RECOVERY_RATE * 2 ** (calm_time / RECOVERY_DOUBLING_TIME_MS)
+    # A recovery that is shorter than RECOVERY_TIME_MS begins in the course of a full one.
+    elapsed = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
+    capacity = INITIAL_RECOVERY_FRACTION * 2 ** (elapsed / RECOVERY_DOUBLING_TIME_MS)
     arrivals = max(state.first_arrivals.mean, state.first_arrivals.count)
     rate = arrivals / TICK_INTERVAL_MS * capacity * server.size / state.total_size
-    if rate * SLOT_ROUND_MS <= RECOVERY_SLOT_FACTOR:
-        return _try_take_slot(state, server, capacity / RECOVERY_SLOT_FACTOR)
+    if rate * SLOT_ROUND_MS <= RECOVERY_SLOT_FLOWS:
+        return _try_take_slot(state, server, capacity / RECOVERY_SLOT_FLOWS)
     if state.now < server.admission.last_slot_at + 1 / rate:
         return False
     server.admission.last_slot_at = state.now
