--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -123,7 +123,7 @@
     def remove_load_reports(self) -> None:
         """Remove the meaning of load reports, which the servers of the new deployment do not send."""
         for path in LOAD_REPORT_PATHS:
-            if self.not_carried and get_path(self.old, path):
+            if self._is_old_deployment and get_path(self.old, path):
                 self.not_carried.append(f"{path} (servers send no load reports)")
                 delete_path(self.new, path)
 
@@ -142,7 +142,7 @@
         if keep and has_other_locations:
             self.not_carried.append(f"known.hosts: sites {', '.join(locations)}{self._one_location()}")
             set_path(self.new, "known.hosts", [host | {"site": self.location} for host in hosts])
-        elif hosts and not keep and (self.not_carried or has_other_locations):
+        elif hosts and not keep and (self._is_old_deployment or has_other_locations):
             self.not_carried.append(
                 f"known: {len(hosts)} servers (discovery sends those of the new deployment)"
             )
@@ -151,14 +151,19 @@
     def paths_to_reenter(self, overrides: Container[str]) -> list[str]:
         """Return the paths that describe the old deployment, without overridden ones.
 
-        There are none if nothing was replaced, since the document is of the new deployment then.
+        There are none for a document of the new deployment.
         """
-        if not self.not_carried:
+        if not self._is_old_deployment:
             return []
         return [
             path for path in REENTERED_PATHS if get_path(self.old, path) is not None and path not in overrides
         ]
 
+    @property
+    def _is_old_deployment(self) -> bool:
+        """Whether the document is of an old deployment, as far as a step has replaced something by now."""
+        return bool(self.not_carried)
+
     def _replace(self, path: str, value: object, reason: str = "") -> None:
         self.not_carried.append(f"{path} = {json.dumps(get_path(self.old, path))}{reason}")
         set_path(self.new, path, value)
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -48,7 +48,10 @@
         return overload_detection.slow_latency_threshold(self.state)
 
     def decide(self, now: float, event: events.Event) -> list[events.Action]:
-        """Handle an event that happened at `now`; return the actions to carry out, in order."""
+        """Handle an event that happened at `now`; return the actions to carry out, in order.
+
+        An event of a flow that has ended is ignored.
+        """
         self.state.start_event(now)
         if not isinstance(event, events.FlowEvent):
             self._handle(event)
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -139,6 +139,7 @@
         fleet.quickest_first = sorted(state.ready, key=lambda s: (_mean_setup_time(state, s).value, s.id))
         fleet.sorted_at = state.now
     rank = len(fleet.quickest_first) // REFERENCE_RANK_DIVISOR
+    # One more server than the rank needs, as the server itself may be among them.
     others = [other for other in fleet.quickest_first[: rank + 2] if other is not server]
     return _mean_setup_time(state, others[min(rank, len(others) - 1)]) if others else None
 
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -23,7 +23,7 @@
 NEW_SERVER_PERIOD_MS = 10_000.0  # in which the low usage of a new server says nothing
 SPILL_DEPTH = 4  # servers of its preference order that a segment may use
 MAX_REPLICAS = 2 * SPILL_DEPTH  # also the length of a preference order
-RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; most first servers are below it
+RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; enough servers for an order usually rank below it
 HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # an odd number, from SplitMix64
 HASH_MASK = (1 << 64) - 1
 
@@ -68,10 +68,12 @@
     servers = len(state.ready)
     counts = Counter(recent for recent, _ in state.recent_replicas)
     total = len(state.recent_replicas)
-    same_group = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
-    if same_group * servers <= MAX_LOAD_RATIO:
+    # The probability that two recent flows have one segment, which is the mean fraction of all flows that
+    # a flow's segment has.
+    usual_fraction = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
+    if usual_fraction * servers <= MAX_LOAD_RATIO:
         return None
-    fraction = (counts[segment] + PRIOR_RECENT_FLOWS * same_group) / (total + PRIOR_RECENT_FLOWS)
+    fraction = (counts[segment] + PRIOR_RECENT_FLOWS * usual_fraction) / (total + PRIOR_RECENT_FLOWS)
     return min(1 + int(fraction * servers / MAX_LOAD_RATIO), MAX_REPLICAS)
 
 
@@ -83,6 +85,8 @@
 
 
 def _rank_servers(state: RoutingState, segment_hash: int) -> list[ServerRecord]:
+    """Return the first servers by weighted rendezvous hashing; the lowest rank is the first."""
+
     def rank(server: ServerRecord) -> float:
         sample = ((segment_hash ^ server.hash) * HASH_MULTIPLIER & HASH_MASK) + 1
         return -math.log(sample / (HASH_MASK + 2)) / server.size
@@ -118,15 +122,17 @@
     connections = len(busiest.connections)
     if connections < MIN_CONNECTIONS_TO_REBALANCE or idlest.usage >= REBALANCE_RATIO * busiest.usage:
         return
-    half_gap = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
+    connections_to_move = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
     replicas = {(flow.segment, flow.replica) for flow in busiest.connections.values()}
     assigned = [replica for replica in replicas if assigned_server(state, *replica) is busiest]
     if not assigned:
         return
-    closest = min(assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - half_gap), replica))
-    state.overrides.pop(closest, None)
-    if assigned_server(state, *closest) is not idlest:
-        state.overrides[closest] = idlest
+    moved = min(
+        assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - connections_to_move), replica)
+    )
+    state.overrides.pop(moved, None)
+    if assigned_server(state, *moved) is not idlest:
+        state.overrides[moved] = idlest
 
 
 def _can_rebalance(state: RoutingState, server: ServerRecord) -> bool:
