--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -20,6 +20,26 @@
 REGISTRY_VALUE_COUNT = 3
 
 
+def generate_replies(lines: Iterable[str]) -> Iterator[str]:
+    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and the reason.
+
+    >>> list(generate_replies(["mark 8412.25", "your_turn"]))
+    ['finished\\n']
+    """
+    session = SimulatorSession()
+    for line_number, line in enumerate(lines, 1):
+        text = line.rstrip("\r\n")
+        if not text:
+            continue
+        try:
+            reply = session.read_line(text)
+        except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
+            # The errors of Python are raised by the decisions for events that contradict earlier ones.
+            raise ProtocolError(f"line {line_number}: {error}") from None
+        if reply is not None:
+            yield reply
+
+
 @dataclass(slots=True)
 class Batch:
     """A batch of which some lines have been read."""
@@ -76,8 +96,9 @@
         return None
 
     def _begin_batch(self, values: list[str]) -> None:
-        if self.batch is not None or len(values) != 1:
-            raise ProtocolError("'mark' has one value and begins a batch")
+        if self.batch is not None:
+            raise ProtocolError("'mark' within a batch; 'your_turn' ends it")
+        wire.check_value_count("mark", values, 1)
         self.batch = Batch(parse_number(values[0]))
 
     def _end_batch(self, batch: Batch) -> str:
@@ -86,7 +107,8 @@
 
     def _read_in_batch(self, batch: Batch, name: str, values: list[str]) -> None:
         if name == "at":
-            batch.instance = wire.parse_integer(values[0] if len(values) == 1 else "")
+            wire.check_value_count(name, values, 1)
+            batch.instance = wire.parse_integer(values[0])
         elif name == "roster":
             self._begin_list(values)
         elif batch.instance is None:
@@ -97,8 +119,7 @@
             self._handle_event(batch, batch.instance, name, values)
 
     def _begin_list(self, values: list[str]) -> None:
-        if len(values) != ROSTER_VALUE_COUNT:
-            raise ProtocolError(f"roster has {ROSTER_VALUE_COUNT} values, not {len(values)}")
+        wire.check_value_count("roster", values, ROSTER_VALUE_COUNT)
         number = wire.parse_integer(values[0])
         rows = wire.parse_integer(values[1])
         if number > MAX_LIST_NUMBER:
@@ -143,8 +164,7 @@
         batch.reply.extend(wire.format_action(action) for action in actions)
 
     def _parse_endpoint_list(self, values: list[str]) -> events.EndpointList:
-        if len(values) != REGISTRY_VALUE_COUNT:
-            raise ProtocolError(f"registry has {REGISTRY_VALUE_COUNT} values, not {len(values)}")
+        wire.check_value_count("registry", values, REGISTRY_VALUE_COUNT)
         number, _version, scope_name = values
         scope = look_up(wire.SCOPES, scope_name, "scope")
         if scope == events.ListScope.REJECTED:
@@ -162,23 +182,3 @@
             return
     if service_type not in service.service_types:
         raise ProtocolError(f"unknown class '{service_type}'")
-
-
-def generate_replies(lines: Iterable[str]) -> Iterator[str]:
-    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and the reason.
-
-    >>> list(generate_replies(["mark 8412.25", "your_turn"]))
-    ['finished\\n']
-    """
-    session = SimulatorSession()
-    for line_number, line in enumerate(lines, 1):
-        text = line.rstrip("\r\n")
-        if not text:
-            continue
-        try:
-            reply = session.read_line(text)
-        except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
-            # The errors of Python are raised by the decisions for events that contradict earlier ones.
-            raise ProtocolError(f"line {line_number}: {error}") from None
-        if reply is not None:
-            yield reply
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -50,6 +50,12 @@
     LATENCY = 2
 
 
+def check_value_count(name: str, values: list[str], expected: int) -> None:
+    """Raise `ProtocolError` if a message does not have the expected number of values."""
+    if len(values) != expected:
+        raise ProtocolError(f"'{name}' with {len(values)} values, not {expected}")
+
+
 def parse_integer(text: str) -> int:
     """Parse an integer that is not negative."""
     if not (text.isascii() and text.isdigit()):
@@ -75,7 +81,7 @@
     for pair in pairs:
         path, equals, value = pair.partition("=")
         if not equals:
-            raise ProtocolError(f"'{pair}' is not a setting")
+            raise ProtocolError(f"'{pair}' is not PATH=VALUE")
         if value not in UNSET_SETTINGS:
             settings[path] = value
     return parse_service_config(settings)
@@ -83,8 +89,7 @@
 
 def parse_server(values: list[str]) -> events.Server:
     """Parse one row of a server list."""
-    if len(values) != SERVER_VALUE_COUNT:
-        raise ProtocolError(f"a row has {SERVER_VALUE_COUNT} values, not {len(values)}")
+    check_value_count("row", values, SERVER_VALUE_COUNT)
     server, zone, _kind, cell, state, weight, started = values
     return events.Server(
         server,
@@ -131,6 +136,7 @@
 
 def _parse_connection_ended(values: list[str]) -> events.ConnectionEnded:
     flow, final, server, latency, attempt, result, _load_report = values
+    # The decisions use neither, but a malformed value is an error.
     parse_number(latency)
     parse_integer(attempt)
     return events.ConnectionEnded(
@@ -194,8 +200,7 @@
     event_format = EVENT_FORMATS.get(name)
     if event_format is None:
         raise ProtocolError(f"unknown message '{name}'")
-    if len(values) != event_format.value_count:
-        raise ProtocolError(f"{name} has {event_format.value_count} values, not {len(values)}")
+    check_value_count(name, values, event_format.value_count)
     return event_format.parse(values)
 
 
