--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -156,7 +156,7 @@
     try:
         return look_up(choices, text, "value")
     except UnknownNameError as error:
-        raise ConfigError(f"{path}: {error}; it is one of {', '.join(choices)}") from None
+        raise ConfigError(f"{path}: {error}; give one of {', '.join(choices)}") from None
 
 
 def _parse_setting(
@@ -172,6 +172,8 @@
         value = parse_number(text)
     except MalformedNumberError as error:
         raise ConfigError(f"{path}: {error}") from None
-    if not least <= value <= most:
-        raise ConfigError(f"{path}: {value:g} is not between {least:g} and {most:g}")
+    if value < least:
+        raise ConfigError(f"{path}: {value:g} is too small; give at least {least:g}")
+    if value > most:
+        raise ConfigError(f"{path}: {value:g} is too large; give at most {most:g}")
     return value
