--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -8,36 +8,37 @@
 from lotusroute.routing import events
 
 
+def establish_after(host, key, setup_time):
+    """Establish a flow `setup_time(server)` ms after its request; return its server."""
+    connect = host.request(key)
+    host.now += setup_time(connect.server)
+    host.decide(events.Established(connect.id, connect.server))
+    return connect.server
+
+
 def test_a_server_whose_set_ups_take_far_longer_than_the_others_is_overloaded():
     # Without latency reports nothing else shows that a server is overloaded.
     host = FakeHost()
-
-    def open_in(ms, key):
-        connect = host.request(key)
-        host.now += ms(connect.server)
-        host.decide(events.Established(connect.id, connect.server))
-        return connect.server
-
+    servers = host.director.state.servers.values()
     slow = host.request().server
     for key in KEYS[:40]:
-        open_in(lambda server: 20.0, key)
-    seen = {open_in(lambda server: 90.0 if server == slow else 20.0, key) for key in KEYS[:40]}
-    assert slow in seen and slow not in {host.request(key).server for key in KEYS[:20]}
+        establish_after(host, key, lambda server: 20.0)
+    used = {establish_after(host, key, lambda server: 90.0 if server == slow else 20.0) for key in KEYS[:40]}
+    assert slow in used and slow not in {host.request(key).server for key in KEYS[:20]}
     assert actions_of(events.Migrate, host.advance(2000.0))
+
+    # A connection storm slows all servers alike; the first two may look overloaded.
     host.now += 30_000.0
-    for key in KEYS:  # A connection storm slows all servers alike; the first two may look overloaded.
-        open_in(lambda server: 200.0, key)
-        assert (
-            sum(known.overload.overloaded_until > host.now for known in host.director.state.servers.values())
-            <= 2
-        )
-    for ms in (20.0, 20.0, 80.0):  # All servers but one are slow, so that the median is slow, too.
+    for key in KEYS:
+        establish_after(host, key, lambda server: 200.0)
+        assert sum(server.overload.overloaded_until > host.now for server in servers) <= 2
+
+    # In the end all servers but one are slow, so that the median is slow, too.
+    for others_ms in (20.0, 20.0, 80.0):
         host.now += 30_000.0
         for key in KEYS[:60]:
-            open_in(lambda server, ms=ms: 20.0 if server == slow else ms, key)
-    assert [
-        known.overload.deprioritized_until > host.now for known in host.director.state.servers.values()
-    ].count(True) == 3
+            establish_after(host, key, lambda server, ms=others_ms: 20.0 if server == slow else ms)
+    assert [server.overload.deprioritized_until > host.now for server in servers].count(True) == 3
 
 
 @pytest.mark.parametrize("servers", [1, 2, 8, 40])
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -94,8 +94,8 @@
     assert FakeHost(4, reports_latency=True).request().timeout == 600.0
 
 
-def overload_cutting_servers(seed):
-    """Simulate 100 balancers, 520 clients and 20 servers that reset a third of any more than 20 connections.
+def simulate_resetting_servers(seed):
+    """Simulate 100 balancers, 520 clients and 20 servers, which reset 7 connections when they exceed 20.
 
     Returns the numbers of requests and resets, and the mean number of connections.
     """
@@ -140,5 +140,5 @@
 
 def test_most_clients_that_overloaded_servers_reset_are_rejected_until_there_is_capacity():
     # Without throttling each client would be connected and reset again and again.
-    requests, resets, connections = overload_cutting_servers(3)
+    requests, resets, connections = simulate_resetting_servers(3)
     assert resets < 2_000 and connections > 300, (requests, resets, connections)
