--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -94,6 +94,7 @@
             self._back_off_subscription()
             return
         if not state.ticks:
+            # The first list starts the ticks, at a random phase.
             state.ticks = 1
             state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK))
         elif state.config.polls_discovery:
