--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -15,9 +15,10 @@
 )
 from lotusroute.routing.errors import UnknownEventError
 from lotusroute.routing.records import FlowRecord, ServerRecord
-from lotusroute.routing.state import FleetSetupTimes, RoutingState
+from lotusroute.routing.state import TICK_INTERVAL_MS, FleetSetupTimes, RoutingState
 from lotusroute.routing.statistics import DecayingCount
 
+RATE_GAIN = 0.1  # weight of the last tick in rates and counts
 REBALANCE_TICKS = 5  # between rebalancings; 1 if there are no latency reports
 RECONNECT_PERIOD_MS = 5_000.0  # after servers have left the endpoint list
 SUBSCRIBE_BACKOFF_MS = 500.0  # doubles, up to half of the poll interval
@@ -44,10 +45,13 @@
     @property
     def slow_latency_threshold(self) -> float:
         """The latency from which a server is slow, in ms, for a host that measures latencies."""
-        return overload_detection.slow_latency(self.state)
+        return overload_detection.slow_latency_threshold(self.state)
 
     def decide(self, now: float, event: events.Event) -> list[events.Action]:
-        """Handle an event that happened at `now`; return the actions to carry out, in order."""
+        """Handle an event that happened at `now`; return the actions to carry out, in order.
+
+        An event of a flow that has ended is ignored.
+        """
         self.state.start_event(now)
         if not isinstance(event, events.FlowEvent):
             self._handle(event)
@@ -90,8 +94,9 @@
             self._back_off_subscription()
             return
         if not state.ticks:
+            # The first list starts the ticks, at a random phase.
             state.ticks = 1
-            state.actions.append(events.SetTimer(state.rng.uniform(0.0, slow_start.TICK_INTERVAL_MS), TICK))
+            state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK))
         elif state.config.polls_discovery:
             state.subscription.record_poll(accepted=True)
         if event.scope != events.ListScope.CHANGES:
@@ -178,12 +183,13 @@
         """Evaluate a latency report, unless the server has been removed."""
         server = self.state.servers.get(event.server)
         if server is not None:
-            overload_detection.record_latency(self.state, server, event.delay)
+            overload_detection.record_latency(self.state, server, event.latency)
 
     def _run_tick(self) -> None:
         state = self.state
-        state.actions.append(events.SetTimer(slow_start.TICK_INTERVAL_MS, TICK))
-        state.end_tick(max(slow_start.RATE_GAIN, 1 / state.ticks), 1 - slow_start.RATE_GAIN)
+        state.actions.append(events.SetTimer(TICK_INTERVAL_MS, TICK))
+        # Until 1 / RATE_GAIN ticks have passed, a rate is the plain mean of them.
+        state.end_tick(max(RATE_GAIN, 1 / state.ticks), 1 - RATE_GAIN)
         self._renew_subscription()
         state.expire_overloaded()
         migration.migrate(state)
