--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -39,7 +39,7 @@
         if self.fleet.tasks:
             shared = shared_discovery.SharedDiscovery(leases)
             shared.discovery = discovery
-            discovery.watch = shared
+            discovery.update_source = shared
         leases.start().addErrback(
             lambda failure: structured_log.log_event("listen failed", name=name, reason=str(failure.value))
         )
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -72,7 +72,7 @@
         address = self.settings.discovery_address()
         limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
         discovery = Discovery(address, 0, seed, record, self.counters, limits)
-        discovery.watch = subscription.update_source
+        discovery.update_source = subscription.update_source
         subscription.update_source.discovery = discovery
         self.subscribers[name] = HollowSubscriber(subscription, discovery)
         subscription.start()
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -91,7 +91,7 @@
         if answer["hosts"] or answer["whole"]:
             update = SharedUpdate(
                 fencing_token=self.fencing_token,
-                discovery_url=self.discovery.base,
+                discovery_url=self.discovery.list_url,
                 seq=answer["seq"],
                 since=NO_SEQ if since is None else since,
                 complete=answer["whole"],
@@ -121,11 +121,11 @@
         if fencing_token != self.fencing_token:
             return
         self.reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat, fencing_token)
-        if self.discovery is None or self.discovery.seq is None:
+        if self.discovery is None or self.discovery.version is None:
             return
         fresh = self.lease_service.clock() - self.answered_at < MAX_ANSWER_AGE_MS
         if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
-            self._broadcast(SharedUpdate(fencing_token, self.discovery.base, self.discovery.seq))
+            self._broadcast(SharedUpdate(fencing_token, self.discovery.list_url, self.discovery.version))
 
     def _broadcast(self, update: SharedUpdate) -> None:
         body = msgspec.msgpack.encode(update)
@@ -151,7 +151,7 @@
             self.counters["shared_discovery_fenced"] += 1
             raise DeposedHolderError(update.fencing_token, self.highest_fencing_token)
         discovery = self.discovery
-        if discovery is None or update.discovery_url != discovery.base or self.fencing_token:
+        if discovery is None or update.discovery_url != discovery.list_url or self.fencing_token:
             raise UpdateNotFollowedError
         if update.fencing_token > self.highest_fencing_token:
             log_event("shared discovery followed", holder=peer, fencing_token=update.fencing_token)
@@ -173,6 +173,6 @@
 
     def _behind(self) -> bool:
         """Return whether the holder has a newer version than this balancer."""
-        if self.discovery is None or self.discovery.seq is None:
+        if self.discovery is None or self.discovery.version is None:
             return True
-        return self.discovery.seq < self.holder_seq
+        return self.discovery.version < self.holder_seq
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         address: Address,
-        seq: int | None,
+        version: int | None,
         seed: int,
         enqueue: Callable[[EndpointUpdate], None],
         counters: Counter[str],
@@ -67,18 +67,18 @@
     ) -> None:
         """`enqueue` takes the updates.
 
-        `seq` is the version of the list that `enqueue` has already, None where the complete one is needed.
+        `version` is that of the list that `enqueue` has already, None where the complete one is needed.
         """
         host, port = address
-        self.base = f"http://{host}:{port}/api/targets"
-        self.seq = seq
+        self.list_url = f"http://{host}:{port}/api/targets"
+        self.version = version
         self.enqueue = enqueue
         self.counters = counters
         self.max_hold_ms = LONG_POLL_HOLD_MS
         self.closed = False
         self.on_first_response: Callable[[], None] | None = None  # called once, after the first poll
-        # Another source of updates, where balancers share them; it delays this client's own polls.
-        self.watch: UpdateSource | None = None
+        # A source of updates that balancers share; it delays this client's own polls.
+        self.update_source: UpdateSource | None = None
         self._schedule = PollSchedule(limits, random.Random(seed), reactor.seconds())
         self._requester = DiscoveryRequester(limits.request_timeout)
         self._backoff: Deferred[None] | None = None  # the wait after a failed poll
@@ -91,12 +91,12 @@
         if self._backoff is not None:
             self._backoff.cancel()
         self._requester.close()
-        if self.watch is not None:
-            self.watch.wake()
+        if self.update_source is not None:
+            self.update_source.wake()
 
     def request_complete_list(self) -> None:
         """Poll for the complete list the next time, because an update was not applied."""
-        self.seq = None
+        self.version = None
 
     def remaining(self) -> float:
         """Return the s left until the next complete response has to be in."""
@@ -120,15 +120,15 @@
 
     async def _wait_until_poll_due(self) -> None:
         """Wait while another source provides the updates."""
-        if self.watch is not None:
-            await self.watch.wait_until_poll_due(self)
+        if self.update_source is not None:
+            await self.update_source.wait_until_poll_due(self)
             if not self.closed:
-                self._schedule.note_list_current_at(reactor.seconds() - self.watch.age())
+                self._schedule.note_list_current_at(reactor.seconds() - self.update_source.age())
 
     async def _poll(self) -> EndpointUpdate | DiscoveryFailed:
         """Poll once and record the result for later polls."""
         max_hold = self.max_hold_ms / MS_PER_SECOND
-        timing = self._schedule.next_poll(reactor.seconds(), self.seq is not None, max_hold)
+        timing = self._schedule.next_poll(reactor.seconds(), self.version is not None, max_hold)
         result = await self._request_update(timing)
         if isinstance(result, DiscoveryFailed):
             self._schedule.poll_failed(timing, result.stage)
@@ -143,16 +143,16 @@
             response = await self._requester.get(self._poll_url(timing.hold), timing)
             return self._handle_response(response, timing)
         except MALFORMED_LIST_ERRORS as error:
-            self.seq = None
+            self.version = None
             return DiscoveryFailed(self._requester.stage, f"{type(error).__name__}: {error}")
         except Exception as error:  # the HTTP client raises many types, and none may end the following
             reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR_LENGTH]
             return DiscoveryFailed(self._requester.stage, reason)
 
     def _poll_url(self, hold: float) -> str:
-        if self.seq is None:
-            return self.base
-        return f"{self.base}?from={self.seq}&hold_ms={int(MS_PER_SECOND * hold)}"
+        if self.version is None:
+            return self.list_url
+        return f"{self.list_url}?from={self.version}&hold_ms={int(MS_PER_SECOND * hold)}"
 
     def _handle_response(
         self, response: HttpResponse, timing: PollTiming
@@ -164,18 +164,18 @@
         if response.status != STATUS_OK:
             raise ProtocolError(f"status {response.status}")
         message = json.loads(response.body)
-        since = self.seq
+        since = self.version
         update = self._decode(message)
         self._schedule.response_received(reactor.seconds(), timing, has_changes=bool(update.servers))
-        if self.watch is not None:
-            self.watch.on_response(message, since)
+        if self.update_source is not None:
+            self.update_source.on_response(message, since)
         return update
 
     async def _back_off(self, failure: DiscoveryFailed) -> None:
         """Wait after a failed poll; only the first failure in a row is logged."""
         self.counters["discovery_failures"] += 1
-        if self.watch is not None:
-            self.watch.on_failure()
+        if self.update_source is not None:
+            self.update_source.on_failure()
         if not self._schedule.is_backing_off:
             log_event("discovery failed", stage=failure.stage, reason=failure.reason)
         backoff = self._schedule.next_backoff(reactor.seconds(), failure.stage)
@@ -214,16 +214,16 @@
 
     def _follows(self, message: EndpointListMessage, since: int | None) -> bool:
         """Return whether a list is not older than ours and, if it is changes, changes to our version."""
-        if self.seq is not None and parse_version(message["seq"]) < self.seq:
+        if self.version is not None and parse_version(message["seq"]) < self.version:
             return False
-        return bool(message["whole"]) or since == self.seq
+        return bool(message["whole"]) or since == self.version
 
     def _decode(self, message: EndpointListMessage) -> EndpointUpdate:
         """Decode a list and take over its version; raises where it is no list or does not follow ours."""
         scope = ListScope.COMPLETE if message["whole"] else ListScope.CHANGES
         update = parse_endpoint_list(message, scope, self.counters)
-        seq = parse_version(message["seq"])
-        if scope == ListScope.CHANGES and (self.seq is None or seq < self.seq):
-            raise ProtocolError(f"changes up to {seq} of a list held at {self.seq}")
-        self.seq = seq
+        version = parse_version(message["seq"])
+        if scope == ListScope.CHANGES and (self.version is None or version < self.version):
+            raise ProtocolError(f"changes up to {version} of a list held at {self.version}")
+        self.version = version
         return update
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -67,7 +67,7 @@
         self._discovery = discovery
         discovery.on_first_response = on_first_response
         if self.update_source is not None:
-            discovery.watch = self.update_source
+            discovery.update_source = self.update_source
             self.update_source.discovery = discovery
         defer.ensureDeferred(discovery.follow())
 
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -12,8 +12,8 @@
 class DiscoveryClient(Protocol):
     """What an update source may use of the discovery client that it is attached to."""
 
-    base: str  # URL of the endpoint list
-    seq: int | None  # version of the cached list; None: the complete list is needed
+    list_url: str  # URL of the endpoint list
+    version: int | None  # of the cached list; None: the complete list is needed
     closed: bool
 
     def remaining(self) -> float:
--- a/lotusroute/relay/discovery_forwarder.py
+++ b/lotusroute/relay/discovery_forwarder.py
@@ -17,7 +17,7 @@
     def has_list_of(self, client: DiscoveryClient) -> bool:
         """Return whether the list in the store is from the discovery service that the client polls."""
         address = endpoint_items.list_metadata(self.store).discovery_address
-        return client.base.startswith(f"http://{address}/")
+        return client.list_url.startswith(f"http://{address}/")
 
     def list_seq(self) -> int | None:
         """Return discovery's version of the list in the store."""
--- a/lotusroute/relay/origin.py
+++ b/lotusroute/relay/origin.py
@@ -48,7 +48,7 @@
             self._ignore_endpoint_update,
             self.context.counters,
         )
-        client.watch = self
+        client.update_source = self
         client.max_hold_ms = POLL_HOLD_MS
         self.discovery = self._client = client
         defer.ensureDeferred(client.follow())
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -62,7 +62,7 @@
                 self.counters["relay_fallback_requests"] += 1
                 return
             if starting or self.selector.is_fresh(now):
-                if has_list and discovery.seq is None:
+                if has_list and discovery.version is None:
                     self.forwarder.forward_complete_list(discovery)
                 await self._wait(CHECK_INTERVAL_S)
                 continue
--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -62,7 +62,7 @@
 class RecordingDiscovery:
     """A discovery client that records the updates of other processes."""
 
-    base, seq, closed = "http://10.0.0.9:8500/api/targets", 12, False
+    list_url, version, closed = "http://10.0.0.9:8500/api/targets", 12, False
 
     def __init__(self):
         self.taken = []
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -69,7 +69,7 @@
     core.request_complete_list = following.request_complete_list
     core.enqueue(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
     core.loop.run_pending()
-    assert following.seq is None
+    assert following.version is None
 
 
 def test_one_malformed_endpoint_does_not_hide_a_drain_and_no_complete_list_is_requested():
--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -87,7 +87,7 @@
 def test_a_client_without_a_list_gets_the_complete_one(reactor, source):
     receive_list(source)
     discovery = PolledDiscovery()
-    discovery.seq = None
+    discovery.version = None
     wait_for_poll(source, discovery)
     assert discovery.taken == [({"seq": 12, "whole": True, "hosts": [{"host": "s-1"}]}, None)]
 
@@ -97,7 +97,7 @@
     source.discovery = PolledDiscovery()
     advance(reactor, FIRST_UPDATE_TIMEOUT_S + CHECK_INTERVAL_S)
     assert source.age() == pytest.approx(FIRST_UPDATE_TIMEOUT_S + CHECK_INTERVAL_S)
-    source.discovery.base = "http://10.0.0.8:8500/api/targets"
+    source.discovery.list_url = "http://10.0.0.8:8500/api/targets"
     assert source.age() == math.inf
     assert wait_for_poll(source, source.discovery).called
 
