--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -108,9 +108,8 @@
         wait_until(lambda: first.lines)
         balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        first.connections[0].sendall(
-            b"BUSY\r\n"
-        )  # proves that the flow has not run, so that one of any effect may be retried
+        # The answer proves that the flow has not run, so that one of any effect may be retried.
+        first.connections[0].sendall(b"BUSY\r\n")
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
--- a/tests/test_clock_monitor.py
+++ b/tests/test_clock_monitor.py
@@ -5,6 +5,7 @@
 import pytest
 from balancer_process import Balancer
 from fake_servers import FakeServer
+from flow_helpers import close_connection
 from waiting import wait_until
 
 from lotusroute.net.clock_monitor import ClockMonitor
@@ -64,8 +65,7 @@
     with Balancer(*servers, env={"LB_LOG": "debug"}.items()) as balancer:
         client = balancer.open_flow(id="left", at="s1")
         assert client.readline().startswith(b"UP")
-        client.close()
-        client.conn.close()
+        close_connection(client)
         assert balancer.open_flow(id="busy", at="s2").readline() == b"ERR\r\n"
         wait_until(lambda: servers[0].lines[-1] == b"")
         log = balancer.terminate()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -101,9 +101,8 @@
         start = time.monotonic()
         wait_until(lambda: new.responses)
         assert new.responses[0][0] - start < CHANGE_DEADLINE_S + 0.5
-        wait_until(
-            lambda: balancer.open_flow().readline() == b"UP two\r\n"
-        )  # an update that was sent is not yet received
+        # An update that was sent is not yet received.
+        wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")
     new.shutdown()
 
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -7,6 +7,7 @@
 import pytest
 from balancer_process import SETTINGS, Balancer
 from fake_servers import FakeServer
+from flow_helpers import descriptor_count
 from waiting import TIMEOUT_S, wait_until
 
 from lotusroute.net.line_protocol import LineProtocol
@@ -134,7 +135,7 @@
         for _ in range(3):
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
             assert balancer.open_flow().readline() == b"UP r1\r\n"
-            assert len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir())) <= 128
+            assert descriptor_count(balancer) <= 128
             # The oldest is evicted first, with an answer.
             assert idle[0].recv(99) == b"BUSY\r\n"
 
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -132,9 +132,8 @@
         wait_for_long_poll(balancer)
         balancer.discovery.down = True
         calls = len(balancer.discovery.polls)
-        wait_until(
-            lambda: len(balancer.discovery.polls) > calls + 5
-        )  # so that the backoffs have reached their maximum
+        # After these polls the backoffs have reached their maximum.
+        wait_until(lambda: len(balancer.discovery.polls) > calls + 5)
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         returned_at, balancer.discovery.down = time.monotonic(), False
         wait_until(lambda: balancer.discovery.polls[-1][0] > returned_at)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -2,13 +2,13 @@
 
 import re
 import socket
-import struct
 import time
 
 import pytest
 from balancer_process import Balancer
 from fake_servers import FakeServer
 from fake_transport import FakeTransport
+from flow_helpers import reset_connection
 from waiting import wait_until
 
 from lotusroute.net.upstream_attempt import AttemptContext, UpstreamAttempt
@@ -64,9 +64,7 @@
         for _ in range(2):
             client = balancer.open_flow()
             client.readline()
-            client.conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            client.close()
-            client.conn.close()
+            reset_connection(client)
         wait_until(lambda: server.lines[-1] == b"")
         time.sleep(0.1)
         log = balancer.terminate()
