--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -76,7 +76,7 @@
     """
     path = environ.get("LB_CONFIG")
     if not path:
-        raise ConfigError("LB_CONFIG: not set")
+        raise ConfigError("LB_CONFIG: not set; set it to the path of the configuration file")
     try:
         document = read_json_object(path)
     except ConfigError as error:
@@ -204,10 +204,10 @@
 
 
 def _parse_amount(key: str, value: object, default: float, zero_allowed: bool = False) -> float:
-    """Parse a number that must be positive."""
+    """Parse a number that must be positive, or 0 where that is allowed."""
     amount = default if value is None else _parse_keyed(key, parse_number, str(value))
     if amount < 0 or (amount == 0 and not zero_allowed):
-        raise ConfigError(f"{key}: {amount:g} is not above 0")
+        raise ConfigError(f"{key}: {amount:g} is not {'0 or above' if zero_allowed else 'above 0'}")
     return amount
 
 
--- a/lotusroute/net/errors.py
+++ b/lotusroute/net/errors.py
@@ -31,4 +31,7 @@
     """Another reactor is installed already."""
 
     def __init__(self) -> None:
-        super().__init__("a reactor is installed whose timers go by the wall clock")
+        super().__init__(
+            "a reactor is installed whose timers go by the wall clock; "
+            "import lotusroute.net.reactor before twisted.internet.reactor"
+        )
