--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -48,10 +48,9 @@
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
 
-# Allocated objects between collections of the first generation, then collections of each generation between
-# those of the next.
+# Of the three generations; see `gc.set_threshold`.
 GC_THRESHOLDS = (5_000, 20, 20)
-FIRST_RESPONSE_TIMEOUT_S = 1.0  # for which the listener waits for discovery's first response
+FIRST_RESPONSE_TIMEOUT_S = 1.0  # how long the listener waits for discovery's first response
 LISTEN_BACKLOG = 1024  # room for all clients of a failed peer, which reconnect at once
 EXIT_START_FAILED = 2
 
@@ -61,9 +60,8 @@
 
     listener: Listener
     session: DiscoverySession
-    shut_down: Callable[
-        [Callable[[], None]], None
-    ]  # finishes and migrates all flows, then calls its argument
+    # Finishes and migrates all flows, then calls its argument.
+    shut_down: Callable[[Callable[[], None]], None]
 
 
 def main() -> int:
@@ -180,7 +178,7 @@
 
 
 def tune_garbage_collection() -> None:
-    """Exempt the objects of the start from garbage collection, and collect rarely: it stalls the process."""
+    """Exempt the objects of the start from garbage collection, which stalls the process, and make it rare."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -29,7 +29,7 @@
     parse_version,
 )
 from lotusroute.net.poll_schedule import (
-    DEFAULT_DRAIN_GRACE_MS,
+    ASSUMED_DRAIN_GRACE_MS,
     LONG_POLL_HOLD_MS,
     PollLimits,
     PollSchedule,
@@ -43,7 +43,7 @@
 STATUS_OK = 200
 REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # the version that was polled for may be valid
 MAX_LOGGED_ERROR_LENGTH = 200
-DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(DEFAULT_DRAIN_GRACE_MS)
+DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(ASSUMED_DRAIN_GRACE_MS)
 
 
 class DiscoveryFailed(NamedTuple):
@@ -118,6 +118,22 @@
             else:
                 await self._back_off(result)
 
+    def apply_shared_update(self, message: EndpointListMessage, since: int | None) -> bool:
+        """Apply a list that another balancer received from the same discovery.
+
+        Returns False where it is malformed, older than ours, or changes to another version than ours: then
+        this balancer polls by itself.
+        """
+        try:
+            if self.closed or not self._follows(message, since):
+                return False
+            update = self._decode(message)
+        except MALFORMED_LIST_ERRORS:
+            return False
+        self._pass_on(update)
+        self._report_first_response()
+        return True
+
     async def _wait_until_poll_due(self) -> None:
         """Wait while another source provides the updates."""
         if self.update_source is not None:
@@ -196,22 +212,6 @@
         if callback is not None:
             callback()
 
-    def apply_shared_update(self, message: EndpointListMessage, since: int | None) -> bool:
-        """Apply a list that another balancer received from the same discovery.
-
-        Returns False where it is malformed, older than ours, or changes to another version than ours: then
-        this balancer polls by itself.
-        """
-        try:
-            if self.closed or not self._follows(message, since):
-                return False
-            update = self._decode(message)
-        except MALFORMED_LIST_ERRORS:
-            return False
-        self._pass_on(update)
-        self._report_first_response()
-        return True
-
     def _follows(self, message: EndpointListMessage, since: int | None) -> bool:
         """Return whether a list is not older than ours and, if it is changes, changes to our version."""
         if self.version is not None and parse_version(message["seq"]) < self.version:
--- a/lotusroute/net/discovery_request.py
+++ b/lotusroute/net/discovery_request.py
@@ -11,8 +11,7 @@
 
 Result = TypeVar("Result")
 
-# By how much the timeout fires late where this process was suspended.
-SUSPENSION_THRESHOLD_S = 0.05
+SUSPENSION_THRESHOLD_S = 0.05  # a timer that is later than this shows that the process was suspended
 
 
 class HttpResponse(NamedTuple):
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -55,10 +55,9 @@
     def may_send(self, now: float, grace: float) -> bool:
         """Return whether the client's line may be sent on the connection that was just opened.
 
-        It may not when the client has left, or when the attempt's time or the deduplication window is over.
-        Nor may it when so much time has passed since the start of the attempt that a drain may have been
-        announced meanwhile, which a balancer that was stalled has not read yet. `grace` is for how long a
-        draining server accepts lines after the announcement.
+        It may not when the client has left, or when the attempt's deadline or the deduplication window is
+        over. Nor may it when the attempt was started more than `grace` ago, the time for which a draining
+        server still accepts lines: a balancer that was stalled may not have read yet that the server drains.
         """
         if now >= self.attempt_deadline or self.downstream.has_disconnected():
             return False
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -19,7 +19,7 @@
 
 
 class AttemptTimedOut(NamedTuple):
-    """The connect timeout, or the whole time, of an attempt has passed."""
+    """The connect timeout or the deadline of an attempt has passed."""
 
     flow_number: int
     attempt: UpstreamAttempt
@@ -105,7 +105,7 @@
             self.connection_ended(flow, event.attempt, event.result, event.reason)
 
     def attempt_timed_out(self, event: AttemptTimedOut) -> None:
-        """End an attempt whose connect timeout, or whole time, has passed.
+        """End an attempt whose connect timeout or deadline has passed.
 
         The event is queued behind whatever the sockets brought while this process was stalled, so that a
         stall of ours does not have healthy servers ejected.
@@ -162,12 +162,12 @@
         flow.log_step("connection ended", server=server, result=result, reason=reason, stage=stage)
         if flow.established:
             self._flow_table.remove(flow)
-            self._decide(events.ConnectionEnded(flow.number, server, True, result))
+            self._decide(events.ConnectionEnded(flow.number, server, final=True, result=result))
             return
         flow.record_attempt_result(result)
         if flow.request.existing_server:
             self.existing.attempt_failed(flow, result)
             return
-        self._decide(events.ConnectionEnded(flow.number, server, False, result))
+        self._decide(events.ConnectionEnded(flow.number, server, final=False, result=result))
         if flow.upstream is None and flow in self._flow_table:
             raise UnansweredFlowError(flow.number)
--- a/lotusroute/net/flow_commands.py
+++ b/lotusroute/net/flow_commands.py
@@ -74,4 +74,4 @@
 
     @staticmethod
     def _subscribe(command: events.Subscribe) -> None:
-        """Do nothing: the discovery client watches by itself."""
+        """Do nothing: the discovery client polls by itself."""
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -17,10 +17,9 @@
 
 CHANGE_DEADLINE_S = 6.0  # by the protocol
 LONG_POLL_HOLD_MS = 2_000  # the longest hold of a poll that has nothing to report
-DEFAULT_DRAIN_GRACE_MS = 2_000.0
+ASSUMED_DRAIN_GRACE_MS = 2_000.0  # by a client without service settings, as in a relay
 TIMING_MARGIN_S = 0.15  # for a busy CPU and the response's way through the network
-# For how long polls of many balancers may wait in discovery's queue.
-QUEUE_TIMEOUT_S = 2.0
+QUEUE_TIMEOUT_S = 2.0  # for which a poll may wait in discovery's queue behind those of other balancers
 # Beyond the hold, for a complete response; less where the last response shows that nothing is queued.
 REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
 UNQUEUED_REQUEST_TIMEOUT_S = 1.0
@@ -30,7 +29,7 @@
 MIN_BACKOFF_S = 0.1  # leaves time within the 200 ms that a watch event may take
 MAX_BACKOFF_S = 1.0
 MAX_AGENT_BACKOFF_S = 0.5
-# Left for the backoff after a rejection, over which polls spread.
+# Reserved for the backoff after a rejection, so that the polls of many balancers spread.
 MIN_REJECTION_BACKOFF_S = 1.2
 MIN_BACKOFF_FRACTION = 0.2  # of a backoff that is always waited; the rest is random
 
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -68,7 +68,7 @@
     def connect(self, address: Address, timeout_shortened: bool) -> None:
         """Start to connect.
 
-        The caller keeps the timeout, so that a suspension of this process does not count as the server's.
+        The caller keeps the timeout, so that a suspension of this process does not look like a slow server.
         """
         self.timeout_shortened = timeout_shortened
         host, port = address
