--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -20,7 +20,7 @@
 from lotusroute.net.flow_manager import FlowManager
 from lotusroute.net.flow_table import FlowTable
 from lotusroute.net.line_protocol import ERR
-from lotusroute.net.poll_schedule import CHANGE_DEADLINE_S
+from lotusroute.net.poll_schedule import MAX_UPDATE_DELAY_S
 from lotusroute.net.shutdown import GracefulShutdown
 from lotusroute.net.structured_log import LOGGER, Counters, log_event
 from lotusroute.net.upstream_events import ReplyTimed
@@ -56,7 +56,7 @@
         director = Director(config.service, config.seed)
         self._admission = AdmissionControl(config, self.loop, self.flow_table)
         self.flow_manager = FlowManager(context, director, self._admission)
-        self._start_times = StartTimes(CHANGE_DEADLINE_S * MS_PER_SECOND)
+        self._start_times = StartTimes(MAX_UPDATE_DELAY_S * MS_PER_SECOND)
         endings = self.flow_manager.endings
         self._monitor = ConnectionMonitor(
             context, endings, self.flow_manager.decide, director.slow_latency_threshold
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -1,6 +1,6 @@
 """When a discovery client polls, how long each poll may take, and how long the client waits after a failure.
 
-One deadline covers all polls. Whether they succeed or not, a change counts as received `CHANGE_DEADLINE_S`
+One deadline covers all polls. Whether they succeed or not, a change counts as received `MAX_UPDATE_DELAY_S`
 after discovery had it, and from then on a draining server may be sent to only for its grace. So each poll,
 its timeout and each backoff have to fit into what is left of both since the last complete response.
 
@@ -15,7 +15,7 @@
 
 from lotusroute.monotonic_clock import MS_PER_SECOND
 
-CHANGE_DEADLINE_S = 6.0  # by the protocol
+MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received, by the protocol
 LONG_POLL_HOLD_MS = 2_000  # the longest hold of a poll that has nothing to report
 ASSUMED_DRAIN_GRACE_MS = 2_000.0  # by a client without service settings, as in a relay
 TIMING_MARGIN_S = 0.15  # for a busy CPU and the response's way through the network
@@ -95,7 +95,7 @@
 
 
 def _update_interval(drain_grace_ms: float) -> float:
-    return CHANGE_DEADLINE_S + drain_grace_ms / MS_PER_SECOND - TIMING_MARGIN_S
+    return MAX_UPDATE_DELAY_S + drain_grace_ms / MS_PER_SECOND - TIMING_MARGIN_S
 
 
 class PollTiming(NamedTuple):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from fake_servers import FakeServer
 from waiting import TIMEOUT_S, wait_until
 
-CHANGE_DEADLINE_S = 6.0  # after which a change counts as received
+MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received
 QUEUE_DELAY_S = 2.0  # for which polls are queued
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
 FAULTS = ["silent", "half", "refuse"]
@@ -66,7 +66,7 @@
             balancer.discovery.entries = [servers[0].entry("DRAINING"), servers[1].entry()]
             balancer.discovery.seq = 2
             after_change(balancer)
-        wait_for_update(balancers, 2, timeout=2 * CHANGE_DEADLINE_S)
+        wait_for_update(balancers, 2, timeout=2 * MAX_UPDATE_DELAY_S)
         return {
             case: received_after(balancer, 2, start)
             for case, balancer, start in zip(cases, balancers, changed, strict=True)
@@ -76,7 +76,7 @@
 def test_two_failed_polls_in_a_row_and_a_queue_after_them_fit_into_one_deadline():
     # One deadline covers all polls and backoffs; limits for each by itself would add up to more.
     delays = measure_delays(CASES)
-    assert max(delays.values()) < CHANGE_DEADLINE_S + 0.5, delays
+    assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
 
 def test_a_process_suspended_during_a_silent_long_poll_and_then_rejected_still_receives_in_time():
@@ -87,7 +87,7 @@
         balancer.resume()
 
     delays = measure_delays([("silent", "refuse")], suspend_for_a_while)
-    assert max(delays.values()) < CHANGE_DEADLINE_S + 0.5, delays
+    assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
 
 @pytest.mark.parametrize("script", [["silent"], ["refuse", "refuse"], ["half", "refuse"]])
@@ -100,7 +100,7 @@
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
         start = time.monotonic()
         wait_until(lambda: new.responses)
-        assert new.responses[0][0] - start < CHANGE_DEADLINE_S + 0.5
+        assert new.responses[0][0] - start < MAX_UPDATE_DELAY_S + 0.5
         # An update that was sent is not yet received.
         wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")
     new.shutdown()
@@ -124,7 +124,7 @@
                     balancer.discovery.entries, balancer.discovery.seq = [servers[1].entry()], 2
             time.sleep(0.01)
         delays = [received_after(balancer, 2, returned[balancer]) for balancer in balancers]
-        assert max(delays) < CHANGE_DEADLINE_S + 0.5, delays
+        assert max(delays) < MAX_UPDATE_DELAY_S + 0.5, delays
 
 
 IDLE_CLIENT_DATA = {
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -5,9 +5,9 @@
 import pytest
 
 from lotusroute.net.poll_schedule import (
-    CHANGE_DEADLINE_S,
     MAX_AGENT_BACKOFF_S,
     MAX_BACKOFF_S,
+    MAX_UPDATE_DELAY_S,
     MIN_BACKOFF_FRACTION,
     MIN_BACKOFF_S,
     MIN_REJECTION_BACKOFF_S,
@@ -64,7 +64,7 @@
 
 
 def test_the_time_that_is_left_counts_from_the_last_complete_response(remote):
-    interval = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
+    interval = MAX_UPDATE_DELAY_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
     assert remote.remaining(START_S) == pytest.approx(interval)
     poll_successfully(remote, START_S + 3.0)
     assert remote.remaining(START_S + 4.0) == pytest.approx(interval - 1.0 + 0.01)
@@ -116,7 +116,7 @@
 def test_a_response_that_is_read_after_its_timeout_is_as_old_as_the_timeout_allows(remote):
     timing = remote.next_poll(START_S, True, MAX_HOLD_S)
     remote.response_received(START_S + 60.0, timing, has_changes=True)
-    fresh = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
+    fresh = MAX_UPDATE_DELAY_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
     assert remote.remaining(START_S + timing.timeout) == pytest.approx(fresh)
 
 
@@ -181,7 +181,7 @@
 
 def test_rejections_without_time_left_wait_for_a_whole_interval_from_the_second_on(remote):
     late = START_S + remote.remaining(START_S) + 1.0
-    interval = CHANGE_DEADLINE_S + GRACE_MS / 1_000 - TIMING_MARGIN_S - QUEUE_TIMEOUT_S
+    interval = MAX_UPDATE_DELAY_S + GRACE_MS / 1_000 - TIMING_MARGIN_S - QUEUE_TIMEOUT_S
     assert remote.next_backoff(late, PollStage.REJECTED) == pytest.approx(interval)
     assert remote.next_backoff(late, PollStage.REJECTED) == pytest.approx(interval)
 
