--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -1,6 +1,6 @@
 """When a discovery client polls, how long each poll may take, and how long the client waits after a failure.
 
-One deadline covers all polls. Whether they succeed or not, a change counts as received `CHANGE_DEADLINE_S`
+One deadline covers all polls. Whether they succeed or not, a change counts as received `MAX_UPDATE_DELAY_S`
 after discovery had it, and from then on a draining server may be sent to only for its grace. So each poll,
 its timeout and each backoff have to fit into what is left of both since the last complete response.
 
@@ -15,12 +15,11 @@
 
 from lotusroute.monotonic_clock import MS_PER_SECOND
 
-CHANGE_DEADLINE_S = 6.0  # by the protocol
+MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received, by the protocol
 LONG_POLL_HOLD_MS = 2_000  # the longest hold of a poll that has nothing to report
-DEFAULT_DRAIN_GRACE_MS = 2_000.0
+ASSUMED_DRAIN_GRACE_MS = 2_000.0  # by a client without service settings, as in a relay
 TIMING_MARGIN_S = 0.15  # for a busy CPU and the response's way through the network
-# For how long polls of many balancers may wait in discovery's queue.
-QUEUE_TIMEOUT_S = 2.0
+QUEUE_TIMEOUT_S = 2.0  # for which a poll may wait in discovery's queue behind those of other balancers
 # Beyond the hold, for a complete response; less where the last response shows that nothing is queued.
 REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
 UNQUEUED_REQUEST_TIMEOUT_S = 1.0
@@ -30,7 +29,7 @@
 MIN_BACKOFF_S = 0.1  # leaves time within the 200 ms that a watch event may take
 MAX_BACKOFF_S = 1.0
 MAX_AGENT_BACKOFF_S = 0.5
-# Left for the backoff after a rejection, over which polls spread.
+# Reserved for the backoff after a rejection, so that the polls of many balancers spread.
 MIN_REJECTION_BACKOFF_S = 1.2
 MIN_BACKOFF_FRACTION = 0.2  # of a backoff that is always waited; the rest is random
 
@@ -96,7 +95,7 @@
 
 
 def _update_interval(drain_grace_ms: float) -> float:
-    return CHANGE_DEADLINE_S + drain_grace_ms / MS_PER_SECOND - TIMING_MARGIN_S
+    return MAX_UPDATE_DELAY_S + drain_grace_ms / MS_PER_SECOND - TIMING_MARGIN_S
 
 
 class PollTiming(NamedTuple):
