--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -14,13 +14,15 @@
 from lotusroute.fleet.process_status import ProcessStatus, decode_status, status_document
 from lotusroute.fleet.status_query import query_status
 from lotusroute.net.reactor import reactor
+from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
 
 
 class PeerStates(NamedTuple):
     """What was queried, by the peer's name."""
 
     statuses: dict[str, ProcessStatus]
-    states: dict[str, dict[str, object]]  # the same as JSON objects, with the sections of further services
+    relay_statuses: dict[str, RelayStatus | None]  # None for a process that is not a relay
+    documents: dict[str, dict[str, object]]  # all of a status as `--json` prints it
     errors: dict[str, str]  # of peers without a usable answer
 
 
@@ -31,7 +33,7 @@
     be done once in a process.
     """
     config = _load_config(file, peers)
-    answers = PeerStates({}, {}, {})
+    answers = PeerStates({}, {}, {}, {})
     query = _query_all(config, peers or tuple(config.peers), answers)
     reactor.callWhenRunning(defer.ensureDeferred, query)
     reactor.run(installSignalHandlers=False)
@@ -56,17 +58,23 @@
     for name, query in zip(names, queries, strict=True):
         try:
             body = await query
-            answers.statuses[name] = decode_status(body)
-            answers.states[name] = status_document(body)
+            status = decode_status(body)
+            document = status_document(body)
+            relay_status = decode_relay_status(document)
+            printed_document = printed_process_status(document)
         except Exception as error:  # whatever fails concerns this peer only
             answers.errors[name] = str(error) or type(error).__name__
+            continue
+        answers.statuses[name] = status
+        answers.relay_statuses[name] = relay_status
+        answers.documents[name] = printed_document
     reactor.stop()
 
 
 def print_and_exit(answers: PeerStates, as_json: bool, lines: Iterable[str]) -> NoReturn:
     """Print the answers as one JSON object, or else `lines` and the peers without an answer, and exit."""
     if as_json:
-        click.echo(json.dumps({"balancers": answers.states, "errors": answers.errors}, indent=1))
+        click.echo(json.dumps({"balancers": answers.documents, "errors": answers.errors}, indent=1))
     else:
         for line in lines:
             click.echo(line)
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -14,7 +14,7 @@
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.net import structured_log
 from lotusroute.net.reactor import reactor
-from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
+from lotusroute.relay.status import RelayStatus
 from lotusroute.relay.versioned_store import Version
 
 SHUTDOWN_DELAY_S = 0.1  # for the release of the lease to be sent
@@ -81,9 +81,8 @@
     Example: lotusroute relay show --fleet deploy/relays.toml
     """
     answers = query_peers(file, peers)
-    lines = [_status_line(name, decode_relay_status(state)) for name, state in answers.states.items()]
-    printed_states = {name: dict(printed_process_status(state)) for name, state in answers.states.items()}
-    print_and_exit(answers._replace(states=printed_states), as_json, lines)
+    lines = [_status_line(name, status) for name, status in answers.relay_statuses.items()]
+    print_and_exit(answers, as_json, lines)
 
 
 def _status_line(name: str, status: RelayStatus | None) -> str:
--- a/lotusroute/relay/status.py
+++ b/lotusroute/relay/status.py
@@ -1,17 +1,18 @@
-"""The status of a relay, as a process sends it to `relay show` and as that command prints it.
+"""The status of a relay, as a process sends it to the `show` commands and as `--json` prints it.
 
 The keys between processes are those of earlier builds, so that commands and processes of two builds
-understand each other. The fields have the terms of the code, and `relay show --json` prints those.
+understand each other. The fields have the terms of the code, and `--json` prints those.
 """
 
 from collections.abc import Mapping
 
 import msgspec
 
+from lotusroute.relay.messages import EncodedVersion
+
 STATUS_SECTION = "news"  # key of a relay's status in the status of its process, between processes
-PRINTED_SECTION = "updates"  # the same key as `relay show --json` prints it
+PRINTED_SECTION = "updates"  # the same key as `--json` prints it
 
-EncodedVersion = tuple[int, int]  # fencing token, sequence number
 ProcessDocument = Mapping[str, object]  # the status of a process as a JSON object
 
 
@@ -47,7 +48,7 @@
     return None if section is None else msgspec.convert(section, RelayStatus)
 
 
-def printed_process_status(process_status: ProcessDocument) -> ProcessDocument:
+def printed_process_status(process_status: ProcessDocument) -> dict[str, object]:
     """Return the status of a process with its relay's status under the terms of the code.
 
     >>> printed_process_status({"name": "n1"})
--- a/tests/test_relay_status.py
+++ b/tests/test_relay_status.py
@@ -1,8 +1,15 @@
-"""Tests of the status of a relay: its keys between processes, and those that `relay show` prints."""
+"""Tests of the status of a relay: its keys between processes, and those that the `show` commands print."""
+
+import json
+from types import SimpleNamespace
 
 import msgspec
 import pytest
+from click.testing import CliRunner
+from twisted.internet import defer
 
+from lotusroute.cli import fleet, leases, peer_query, relay
+from lotusroute.fleet.process_status import ConnectionsStatus, ProcessStatus, encode_status
 from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
 
 SECTION = {
@@ -39,3 +46,45 @@
 def test_a_status_of_another_form_is_rejected():
     with pytest.raises(msgspec.ValidationError, match="lack"):
         decode_relay_status({"news": {**SECTION, "lack": "two"}})
+
+
+# Calls at once what is to be called when the reactor runs.
+IMMEDIATE_REACTOR = SimpleNamespace(
+    callWhenRunning=lambda function, *arguments: function(*arguments),
+    run=lambda **_: None,
+    stop=lambda: None,
+)
+
+
+@pytest.fixture
+def show_json(tmp_path, monkeypatch):
+    """Returns what a `show` command prints with `--json` of one process that is a relay."""
+    file = tmp_path / "fleet.toml"
+    peers = "\n".join(f'{name} = "127.0.0.1:9"' for name in ("r1", "r2", "r3"))
+    file.write_text(f'name = "f"\nkeepers = ["r1", "r2", "r3"]\n[peers]\n{peers}\n')
+
+    def run(command, section):
+        status = ProcessStatus("r1", "f", {}, {}, True, 0, ConnectionsStatus([], []))
+        body = encode_status(status, {"news": section})
+        monkeypatch.setattr(peer_query, "reactor", IMMEDIATE_REACTOR)
+        monkeypatch.setattr(peer_query, "query_status", lambda *_: defer.succeed(body))
+        result = CliRunner().invoke(command, ["--fleet", str(file), "--peer", "r1", "--json"])
+        return json.loads(result.stdout)
+
+    return run
+
+
+@pytest.mark.parametrize("command", [fleet.show, leases.show, relay.show])
+def test_all_show_commands_print_the_terms_of_the_field(command, show_json):
+    printed = show_json(command, SECTION)
+    process = printed["balancers"]["r1"]
+    assert "news" not in process
+    assert (process["updates"]["lagging"], process["updates"]["snapshot_queue"]) == (2, 1)
+    assert process["leases"] == {}
+    assert printed["errors"] == {}
+
+
+def test_a_malformed_relay_status_is_an_error_of_its_process(show_json):
+    printed = show_json(relay.show, {**SECTION, "lack": "two"})
+    assert printed["balancers"] == {}
+    assert "lack" in printed["errors"]["r1"]
