--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -9,14 +9,13 @@
 from lotusroute.relay.fanout import Heartbeat, Message
 from lotusroute.relay.versioned_store import Delta, Snapshot, Update, Version, split_snapshot
 
-# Kinds of calls. The body of the first and the responses to the second are encoded acknowledgements.
-SUBSCRIBE_CALL = "follow"
-UPDATE_CALL = "news"  # carries an UpdateMessage
+# Kinds of calls.
+SUBSCRIBE_CALL = "follow"  # carries an acknowledgement
+UPDATE_CALL = "news"  # carries an UpdateMessage, and is answered with an acknowledgement
 MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes a call
 MAX_SNAPSHOT_ITEMS = 1_000_000  # bounds the memory that a faulty sender can make a receiver use
 MAX_ITEM_OVERHEAD_BYTES = 8  # that the encoding adds to an item
 
-
 EncodedVersion = tuple[int, int]  # fencing token, sequence number
 
 
@@ -63,7 +62,12 @@
     bodies = []
     for part in split_snapshot(snapshot, MAX_PART_BYTES):
         message = UpdateMessage(
-            snapshot.version, age_ms, snapshot.digest, None, part.index, part.count, part.items
+            snapshot.version,
+            age_ms,
+            snapshot.digest,
+            part_index=part.index,
+            part_count=part.count,
+            items=part.items,
         )
         bodies.append(msgspec.msgpack.encode(message))
     return bodies
@@ -121,4 +125,4 @@
 
 def decode_acknowledgement(body: bytes) -> Version:
     """Decode an acknowledgement."""
-    return Version(*msgspec.msgpack.decode(body, type=tuple[int, int]))
+    return Version(*msgspec.msgpack.decode(body, type=EncodedVersion))
--- a/lotusroute/relay/origin_follower.py
+++ b/lotusroute/relay/origin_follower.py
@@ -40,14 +40,12 @@
         return replica.acknowledge(received)
 
     def _check_origin(self, peer: str, fencing_token: int, own_fencing_token: int) -> None:
-        known = peer in self.context.lease_service.config.peers
-        deposed = fencing_token < self.highest_fencing_token or fencing_token <= own_fencing_token
-        if known and not deposed:
-            return
-        self.context.counters["updates_fenced"] += 1
-        if not known:
+        if peer not in self.context.lease_service.config.peers:
+            self.context.counters["updates_fenced"] += 1
             raise UnknownOriginError(peer)
-        raise DeposedError(fencing_token, self.highest_fencing_token)
+        if fencing_token < self.highest_fencing_token or fencing_token <= own_fencing_token:
+            self.context.counters["updates_fenced"] += 1
+            raise DeposedError(fencing_token, self.highest_fencing_token)
 
     def _handle_outcome(self, received: ReceivedUpdate) -> None:
         if received.outcome == UpdateOutcome.APPLIED:
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -16,7 +16,7 @@
 JOIN_TIMEOUT_MS = 600.0  # from the connect until the relay has accepted the subscription
 SILENCE_TIMEOUT_MS = 1_500.0  # without a message; more than two heartbeat intervals
 STALENESS_LIMIT_MS = 1_800.0  # since discovery last answered the origin
-# After all relays have failed once.
+# After all relays have failed; the backoff doubles each time.
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
 MIN_BACKOFF_FRACTION = 0.5  # the rest of a backoff is random
@@ -68,9 +68,10 @@
         self.current = ""  # the relay that has accepted the subscription, if any
         self.failures_in_row = 0
         self.retry_at = -math.inf  # end of the backoff after all relays have failed
-        self.joined_at = -math.inf
+        self.join_started_at = -math.inf  # when the last subscription was asked for
+        self.joined_at = -math.inf  # when the last subscription was accepted
         self.failback_at = math.inf  # when to return to the own zone; infinity if there is no need to
-        self.last_message_at = -math.inf  # of the current relay, or when `joining` was asked
+        self.last_message_at = -math.inf  # of the current relay
         self.confirmed_at = -math.inf  # when discovery last confirmed the list, as far as is known
 
     def tick(self, now: float) -> list[Action]:
@@ -78,7 +79,7 @@
         if self.current:
             return self._check_current(now)
         if self.joining:
-            if now - self.last_message_at >= JOIN_TIMEOUT_MS:
+            if now - self.join_started_at >= JOIN_TIMEOUT_MS:
                 return self.on_lost(now, self.joining)
             return []
         if now >= self.retry_at:
@@ -129,20 +130,26 @@
 
     def _check_current(self, now: float) -> list[Action]:
         silent = now - self.last_message_at >= SILENCE_TIMEOUT_MS
+        # The time is counted from the join at the earliest, so that a new relay can send a fresh list.
         stale_since = max(self.joined_at, self.confirmed_at + STALENESS_LIMIT_MS)
-        if silent or now - stale_since >= SILENCE_TIMEOUT_MS:
+        stale = now - stale_since >= SILENCE_TIMEOUT_MS
+        if silent or stale:
             return self.on_lost(now, self.current)
         if now >= self.failback_at:
-            previous = self.current
-            self.failback_at = math.inf
-            self.current = ""
-            self.index = 0
-            self.failures_in_row = 0
-            return [Leave(previous), self._join(now)]
+            return self._fail_back(now)
         return []
 
+    def _fail_back(self, now: float) -> list[Action]:
+        """Return to the preferred relay of the own zone."""
+        previous = self.current
+        self.failback_at = math.inf
+        self.current = ""
+        self.index = 0
+        self.failures_in_row = 0
+        return [Leave(previous), self._join(now)]
+
     def _back_off(self, now: float) -> None:
-        """Start the backoff before the relays are tried again, which doubles each round."""
+        """Start the backoff before the relays are tried again."""
         rounds = self.failures_in_row // len(self.relays)
         backoff = min(MIN_BACKOFF_MS * 2 ** (rounds - 1), MAX_BACKOFF_MS)
         self.retry_at = now + backoff * self.rng.uniform(MIN_BACKOFF_FRACTION, 1.0)
@@ -150,5 +157,5 @@
 
     def _join(self, now: float) -> Join:
         self.joining = self.relays[self.index]
-        self.last_message_at = now
+        self.join_started_at = now
         return Join(self.joining)
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -32,12 +32,13 @@
 
 
 class Subscription:
-    """One balancer's subscription to one relay after the other."""
+    """The subscription of one balancer, to one relay at a time."""
 
     def __init__(
         self, reactor: ReactorBase, config: RelaysConfig, name: str, counters: "Counter[str]"
     ) -> None:
         self.reactor = reactor
+        self.clock = monotonic_ms
         self.counters = counters
         self.rng = random.Random(os.urandom(16))
         self.replica = Replica(counters)
@@ -46,16 +47,22 @@
         self.update_source = RelayUpdateSource(
             reactor, self.clock, self.rng, counters, self.selector, self.forwarder
         )
-        relays = FleetConfig(config.fleet, "", {**config.local, **config.remote}, (), LeaseTerms(()))
-        process = FleetProcess(reactor=reactor, config=relays, name=name, counters=counters, rng=self.rng)
+        fleet_config = FleetConfig(
+            name=config.fleet,
+            state_dir="",
+            peers={**config.local, **config.remote},
+            tasks=(),
+            terms=LeaseTerms(()),
+        )
+        process = FleetProcess(
+            reactor=reactor, config=fleet_config, name=name, counters=counters, rng=self.rng
+        )
         handlers = PeerHandlers(
             handle_call=self.handle_call, on_connected=self.on_connected, on_disconnected=self._on_lost
         )
         self.transport = PeerTransport(process, handlers)
         self._timer: DelayedCall | None = None  # the next tick
 
-    clock = staticmethod(monotonic_ms)
-
     def start(self) -> None:
         """Start to subscribe, and keep a subscription from then on."""
         self._tick()
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -1,7 +1,7 @@
 """The `UpdateSource` of a balancer that subscribes to a relay: it decides when discovery is polled instead.
 
 The balancer polls discovery once its list has grown stale, and until a relay has a fresh list again. Times
-are in milliseconds, spans of the reactor in seconds.
+are in milliseconds unless a name or a comment says seconds.
 """
 
 import math
@@ -70,6 +70,25 @@
         if self.polling:
             self.counters["relay_fallback_requests"] += 1
 
+    def wake(self) -> None:
+        """Make a pending `wait_until_poll_due` check again whether to poll."""
+        pending_wait = self._pending_wait
+        self._pending_wait = None
+        if pending_wait is not None:
+            pending_wait.callback(None)
+
+    def age(self) -> float:
+        """Return the maximum age of the list in s; infinity if it is of another discovery service."""
+        if self.discovery is None or not self.forwarder.has_list_of(self.discovery):
+            return math.inf
+        return (self.clock() - self.selector.confirmed_at) / 1000
+
+    def on_response(self, message: EndpointListMessage, since: int | None) -> None:
+        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
+
+    def on_failure(self) -> None:
+        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
+
     async def _wait_before_polling(self, discovery: DiscoveryClient) -> None:
         """Wait for a random time, so that balancers that lost their relay together do not poll together.
 
@@ -91,22 +110,3 @@
                 timer.cancel()
 
         return self._pending_wait.addBoth(cancel_timer)
-
-    def wake(self) -> None:
-        """Make a pending `wait_until_poll_due` check again whether to poll."""
-        pending_wait = self._pending_wait
-        self._pending_wait = None
-        if pending_wait is not None:
-            pending_wait.callback(None)
-
-    def age(self) -> float:
-        """Return the maximum age of the list in s; infinity if it is of another discovery service."""
-        if self.discovery is None or not self.forwarder.has_list_of(self.discovery):
-            return math.inf
-        return (self.clock() - self.selector.confirmed_at) / 1000
-
-    def on_response(self, message: EndpointListMessage, since: int | None) -> None:
-        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
-
-    def on_failure(self) -> None:
-        """Do nothing: the balancer continues to poll until a relay has a fresh list."""
