--- a/lotusroute/relay/discovery_forwarder.py
+++ b/lotusroute/relay/discovery_forwarder.py
@@ -8,7 +8,7 @@
 
 
 class DiscoveryForwarder:
-    """The way of the list from the store of one balancer to its discovery client."""
+    """Passes the list in the store of one balancer to the discovery client."""
 
     def __init__(self, store: VersionedStore, counters: "Counter[str]") -> None:
         self.store = store
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -76,7 +76,7 @@
         self.subscribers: dict[str, Subscriber] = {}
         self.snapshot_queue: dict[str, None] = {}  # names of subscribers that wait for a snapshot, in order
         self.snapshots_in_flight = 0
-        self.pending_since = math.inf  # when the oldest change was made that is not sent yet
+        self.pending_since = math.inf  # time of the oldest change that no tick has sent; infinity if none
 
     def join(self, now: float, name: str, version: Version) -> list[Action]:
         """Add a subscriber at a version, or restart its subscription; drop it if there are too many."""
--- a/lotusroute/relay/origin.py
+++ b/lotusroute/relay/origin.py
@@ -16,11 +16,14 @@
 
 ORIGIN_TASK = "origin"  # the leased task
 POLL_HOLD_MS = 500  # short, so that an origin without discovery is noticed soon
-MAX_PUBLISH_DURATION_MS = 50.0  # so much of the lease has to be left
+MAX_PUBLISH_DURATION_MS = 50.0  # an answer is published only if the lease lasts longer
 
 
 class Origin:
-    """The origin's work on one relay: an `UpdateSource` of its discovery client while it holds the lease."""
+    """The work of one relay as the origin.
+
+    It is the `UpdateSource` of the discovery client, which exists while the relay holds the lease.
+    """
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         defer.ensureDeferred(client.follow())
 
     def stop(self) -> None:
-        """Stop to poll discovery."""
+        """Stop polling discovery."""
         self.fencing_token = 0
         if self._client is not None:
             self._client.close()
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -43,7 +43,7 @@
         lease_service.on_peer_disconnected = self.sender.remove
 
     def start(self) -> "defer.Deferred[None]":
-        """Start to serve; the result is that of listening."""
+        """Start to serve; the Deferred fires when the relay listens, or fails if it cannot."""
         self.sender.start()
         return self.context.lease_service.start()
 
--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -105,7 +105,7 @@
     def _join_connected_peers(self, now: float) -> None:
         connected = self.context.lease_service.transport.outbound.keys()
         for peer in connected - self.fanout.subscribers.keys():
-            # The peer's version is unknown until its first acknowledgement.
+            # The peer's version is unknown until its first acknowledgement; this one is assumed until then.
             self.routes[peer] = Route.OUTBOUND
             self.perform(self.fanout.join(now, peer, self.fanout.store.version))
 
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -89,7 +89,7 @@
 
 
 class VersionedStore:
-    """The replica of one process."""
+    """The items that one process has, and what it needs to make updates of them."""
 
     def __init__(self) -> None:
         self.version = Version()
