--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -47,15 +47,14 @@
         self.hosts = hosts
         self.sequence = 1  # version of the list
         self.available_from = available_from
-        self.poll_times: list[float] = []  # of polls received since then
+        self.poll_times: list[float] = []  # of polls from `available_from` on
         self.bytes_sent = 0  # in answers
         self.counters: Counter[str] = Counter()
         self._answer_interval = 1 / answers_per_s
         self._next_answer_at = 0.0
         self._queue: deque[PendingPoll] = deque()
-        self._watches: list[
-            PendingPoll
-        ] = []  # long polls that wait for a change or the end of their hold time
+        # Long polls that wait for a change or the end of their hold time.
+        self._watches: list[PendingPoll] = []
         # Polls that came before `available_from`, until their clients close the connection.
         self._unanswered: set[server.Request] = set()
 
@@ -115,9 +114,10 @@
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
         self.counters["watches" if hold else "answers"] += 1
         if 0 <= known_sequence == self.sequence - 1:
+            # The stub does not remember which hosts the last change concerned.
             self._answer(poll, self.hosts)
         elif known_sequence < self.sequence:
-            self._answer_completely(poll)
+            self._write(poll, self.hosts, complete=True)
         elif hold:
             self._watches.append(poll)
             reactor.callLater(hold, self._end_watch, poll)
@@ -129,9 +129,6 @@
             self._watches.remove(poll)
             self._answer(poll, [])
 
-    def _answer_completely(self, poll: PendingPoll) -> None:
-        self._write(poll, self.hosts, complete=True)
-
     def _answer(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
         self._write(poll, changed, complete=False)
 
--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -47,7 +47,7 @@
     """A series was measured at fewer sizes than a line needs."""
 
     def __init__(self, series: str, points: int) -> None:
-        super().__init__(f"{series}: {points} points at one size make no line")
+        super().__init__(f"{series}: all {points} points are at one size; measure two or more sizes")
         self.series = series
         self.points = points
 
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -217,8 +217,8 @@
         """Have discovery make a burst of changes; return when the last one was made."""
         return self._publish(signal.SIGHUP, last_number)
 
-    def _publish(self, number: signal.Signals, change: int) -> float:
-        line = self.discovery.signal_and_wait(number, f"change={change} ")
+    def _publish(self, request: signal.Signals, number: int) -> float:
+        line = self.discovery.signal_and_wait(request, f"change={number} ")
         return float(log_field(line, "at"))
 
     def collect_reports(self) -> list[SubscriberReport]:
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -14,6 +14,7 @@
 from dataclasses import asdict, dataclass
 from enum import StrEnum
 
+from lotusroute.capacity.member_settings import SubscriberReport
 from lotusroute.capacity.processes import MeasuredProcess
 from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet, RestFigures
 from lotusroute.capacity.stubs import BURST_CHANGES
@@ -186,11 +187,8 @@
     deadline = time.monotonic() + PROPAGATION_TIMEOUT_S
     while True:
         reports = fleet.collect_reports()
-        received = [
-            _first_received(changes, change) for report in reports for changes in report.received.values()
-        ]
-        lagging = received.count(None)
-        if not lagging or time.monotonic() > deadline:
+        received = _times_received(reports, change)
+        if None not in received or time.monotonic() > deadline:
             break
         time.sleep(REPORT_INTERVAL_S)
     balancer_times = fleet.balancer_update_times(change)
@@ -201,13 +199,18 @@
         p99_s=_quantile(durations, 0.99),
         worst_s=round(durations[-1], 3),
         received=len(durations),
-        lagging=lagging,
+        lagging=received.count(None),
         real=len(balancer_times),
         distinct_lists=len({digest for report in reports for digest in report.digests.values()}),
         fallbacks=sum(report.counters.get("relay_stale", 0) for report in reports),
     )
 
 
+def _times_received(reports: Sequence[SubscriberReport], change: int) -> list[float | None]:
+    """Return when each hollow subscriber received a change; None for one that did not."""
+    return [_first_received(changes, change) for report in reports for changes in report.received.values()]
+
+
 def _first_received(changes: dict[int, float], change: int) -> float | None:
     """Return when a change was received, by itself or as part of a later one; None if it was not."""
     return min((timestamp for number, timestamp in changes.items() if number >= change), default=None)
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -79,12 +79,12 @@
 
 @pytest.fixture
 def zone_fanout(origin):
-    """A fan-out with as many places as a zone has balancers."""
+    """A fan-out that accepts as many subscribers as a zone has balancers."""
     return FanOut(origin, ZONE_SIZE)
 
 
 def join_zone(fanout):
-    """Join a whole zone from nothing at once; returns the actions."""
+    """Subscribe a whole zone with empty lists at once; return the actions."""
     return [action for index in range(ZONE_SIZE) for action in fanout.join(0.0, f"n{index}", Version())]
 
 
