--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -3,10 +3,12 @@
 import contextlib
 import pathlib
 import tempfile
+import time
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
 
 from lotusroute.address import Address, parse_address
+from lotusroute.capacity.errors import NoLeaseHolderError
 from lotusroute.capacity.processes import MeasuredProcess
 from lotusroute.capacity.stubs import DISCARD_PORT, EndpointDocument
 from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject, RelaysConfig
@@ -15,6 +17,7 @@
 from lotusroute.process_control.readiness import wait_until_ready
 
 FLEET_NAME = "scale"
+LEASE_CHECK_INTERVAL_S = 0.05
 # Arguments of a discovery stub.
 UNLIMITED_ANSWERS_PER_S = "1e6"
 NO_CHANGES = "0"
@@ -97,6 +100,20 @@
     return FleetConfig(name=FLEET_NAME, acceptors=acceptors, tasks=[lease], peers=peers)
 
 
+def wait_for_lease_holder(members: Mapping[str, MeasuredProcess], lease: str, timeout_s: float) -> str:
+    """Wait until a member has logged that it acquired its lease, and return its name.
+
+    Raises `NoLeaseHolderError`.
+    """
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() <= deadline:
+        for name, member in members.items():
+            if any("lease acquired" in line for line in member.lines):
+                return name
+        time.sleep(LEASE_CHECK_INTERVAL_S)
+    raise NoLeaseHolderError(lease, timeout_s)
+
+
 def write_relays_file(file: pathlib.Path, zone: str, relays: Mapping[str, Mapping[str, str]]) -> str:
     """Write an operator's file that names the relays to a balancer of a zone; return its path.
 
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -21,8 +21,9 @@
     run_discovery,
     run_folder,
     start_balancer,
+    wait_for_lease_holder,
 )
-from lotusroute.capacity.errors import NoLeaseHolderError, NoUpdateSentError
+from lotusroute.capacity.errors import NoUpdateSentError
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import HollowBalancerSettings
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
@@ -35,7 +36,6 @@
 LEASE = "watch"
 HOLLOW_LEASE = "check"  # another one, so that the holder of LEASE is a process of its own
 DISCOVERY = "discovery"  # its name among the measured processes
-CHECK_INTERVAL_S = 0.05
 
 # Units of figures.
 CPU = "% of a core"
@@ -61,7 +61,7 @@
             self.discovery = stack.enter_context(run_discovery(self._hosts))
             for name in self.names[:MAX_REAL_BALANCERS]:
                 self.balancers[name] = stack.enter_context(self._start_balancer(folder, name))
-            self.lease_holder = self._wait_for_lease_holder()
+            self.lease_holder = wait_for_lease_holder(self.balancers, LEASE, TIMEOUT_S)
             hollow = [stack.enter_context(process) for process in self._start_hollow(folder)]
             for process in hollow:
                 process.wait_for_line("event=ready")
@@ -78,15 +78,6 @@
         file = config.write(folder / f"{name}.toml")
         return start_balancer(folder, name, allocate_port(), self.discovery.port, {"LB_FLEET": file})
 
-    def _wait_for_lease_holder(self) -> str:
-        deadline = time.monotonic() + TIMEOUT_S
-        while time.monotonic() <= deadline:
-            for name, balancer in self.balancers.items():
-                if any("lease acquired" in line for line in balancer.lines):
-                    return name
-            time.sleep(CHECK_INTERVAL_S)
-        raise NoLeaseHolderError(LEASE, TIMEOUT_S)
-
     def _start_hollow(self, folder: pathlib.Path) -> Iterable[MeasuredProcess]:
         file = fleet_config(self._ports, self.acceptors, HOLLOW_LEASE).write(folder / "hollow.toml")
         for start in range(MAX_REAL_BALANCERS, len(self.names), HOLLOW_PER_PROCESS):
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -19,9 +19,10 @@
     fleet_config,
     run_folder,
     start_balancer,
+    wait_for_lease_holder,
     write_relays_file,
 )
-from lotusroute.capacity.errors import NoLeaseHolderError, NoReportError
+from lotusroute.capacity.errors import NoReportError
 from lotusroute.capacity.member_settings import HollowSubscriberSettings, SubscriberReport
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 from lotusroute.capacity.stubs import CHANGED_HOST
@@ -36,7 +37,6 @@
 MAX_SUBSCRIBERS = 4_000  # of a relay
 START_TIMEOUT_S = 60.0
 LEASE_TIMEOUT_S = 30.0
-LEASE_CHECK_INTERVAL_S = 0.1
 REPORT_TIMEOUT_S = 20.0
 REPORT_CHECK_INTERVAL_S = 0.05
 SETTLE_DELAY_S = 8.0  # after the last start
@@ -143,14 +143,7 @@
             self.relays[name] = stack.enter_context(process)
         for relay in self.relays.values():
             relay.wait_for_line("relay ready", timeout=START_TIMEOUT_S)
-        self._wait_for_origin()
-
-    def _wait_for_origin(self) -> None:
-        deadline = time.monotonic() + LEASE_TIMEOUT_S
-        while not any("lease acquired" in line for relay in self.relays.values() for line in relay.lines):
-            if time.monotonic() > deadline:
-                raise NoLeaseHolderError(LEASE, LEASE_TIMEOUT_S)
-            time.sleep(LEASE_CHECK_INTERVAL_S)
+        wait_for_lease_holder(self.relays, LEASE, LEASE_TIMEOUT_S)
 
     def _start_balancers(self, folder: pathlib.Path, stack: contextlib.ExitStack) -> None:
         relays = self._relay_addresses()
