--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -31,8 +31,7 @@
     """
     from lotusroute.relay.server import RelayServer
 
-    structured_log.configure_logging("WARNING")
-    structured_log.LOGGER.setLevel("INFO")
+    structured_log.configure_logging("INFO")
     counters = structured_log.Counters()
     try:
         fleet_config = load_fleet_config(file)
