--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -20,10 +20,10 @@
 class NoLeaseHolderError(CapacityError):
     """No process acquired a lease in time."""
 
-    def __init__(self, lease: str, timeout: float) -> None:
-        super().__init__(f"no process has acquired the lease '{lease}' within {timeout:g} s")
+    def __init__(self, lease: str, timeout_s: float) -> None:
+        super().__init__(f"no process has acquired the lease '{lease}' within {timeout_s:g} s")
         self.lease = lease
-        self.timeout = timeout
+        self.timeout_s = timeout_s
 
 
 class NoUpdateSentError(CapacityError):
@@ -37,10 +37,10 @@
 class NoReportError(CapacityError):
     """A process of hollow subscribers did not write its report in time."""
 
-    def __init__(self, file: pathlib.Path, timeout: float) -> None:
-        super().__init__(f"{file.name} was not written within {timeout:g} s")
+    def __init__(self, file: pathlib.Path, timeout_s: float) -> None:
+        super().__init__(f"{file.name} was not written within {timeout_s:g} s")
         self.file = file
-        self.timeout = timeout
+        self.timeout_s = timeout_s
 
 
 class TooFewSizesError(CapacityError):
