--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -14,7 +14,12 @@
 from lotusroute.fleet.process_status import ProcessStatus, decode_status, status_document
 from lotusroute.fleet.status_query import query_status
 from lotusroute.net.reactor import reactor
-from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
+from lotusroute.relay.status import (
+    ProcessDocument,
+    RelayStatus,
+    decode_relay_status,
+    printed_process_status,
+)
 
 
 class PeerStates(NamedTuple):
@@ -22,7 +27,7 @@
 
     statuses: dict[str, ProcessStatus]
     relay_statuses: dict[str, RelayStatus | None]  # None for a process that is not a relay
-    documents: dict[str, dict[str, object]]  # all of a status as `--json` prints it
+    documents: dict[str, ProcessDocument]  # all of a status as `--json` prints it
     errors: dict[str, str]  # of peers without a usable answer
 
 
--- a/lotusroute/relay/status.py
+++ b/lotusroute/relay/status.py
@@ -48,7 +48,7 @@
     return None if section is None else msgspec.convert(section, RelayStatus)
 
 
-def printed_process_status(process_status: ProcessDocument) -> dict[str, object]:
+def printed_process_status(process_status: ProcessDocument) -> ProcessDocument:
     """Return the status of a process with its relay's status under the terms of the code.
 
     >>> printed_process_status({"name": "n1"})
