--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -20,10 +20,10 @@
 class NoLeaseHolderError(CapacityError):
     """No process acquired a lease in time."""
 
-    def __init__(self, lease: str, timeout: float) -> None:
-        super().__init__(f"no process has acquired the lease '{lease}' within {timeout:g} s")
+    def __init__(self, lease: str, timeout_s: float) -> None:
+        super().__init__(f"no process has acquired the lease '{lease}' within {timeout_s:g} s")
         self.lease = lease
-        self.timeout = timeout
+        self.timeout_s = timeout_s
 
 
 class NoUpdateSentError(CapacityError):
@@ -37,17 +37,17 @@
 class NoReportError(CapacityError):
     """A process of hollow subscribers did not write its report in time."""
 
-    def __init__(self, file: pathlib.Path, timeout: float) -> None:
-        super().__init__(f"{file.name} was not written within {timeout:g} s")
+    def __init__(self, file: pathlib.Path, timeout_s: float) -> None:
+        super().__init__(f"{file.name} was not written within {timeout_s:g} s")
         self.file = file
-        self.timeout = timeout
+        self.timeout_s = timeout_s
 
 
 class TooFewSizesError(CapacityError):
     """A series was measured at fewer sizes than a line needs."""
 
     def __init__(self, series: str, points: int) -> None:
-        super().__init__(f"{series}: {points} points at one size make no line")
+        super().__init__(f"{series}: all {points} points are at one size; measure two or more sizes")
         self.series = series
         self.points = points
 
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -14,13 +14,20 @@
 from lotusroute.fleet.process_status import ProcessStatus, decode_status, status_document
 from lotusroute.fleet.status_query import query_status
 from lotusroute.net.reactor import reactor
+from lotusroute.relay.status import (
+    ProcessDocument,
+    RelayStatus,
+    decode_relay_status,
+    printed_process_status,
+)
 
 
 class PeerAnswers(NamedTuple):
     """The answers of the queried peers, by the peer's name."""
 
     statuses: dict[str, ProcessStatus]
-    documents: dict[str, dict[str, object]]  # the statuses as JSON objects, with the sections of services
+    relay_statuses: dict[str, RelayStatus | None]  # None for a process that is not a relay
+    documents: dict[str, ProcessDocument]  # all of a status as `--json` prints it
     errors: dict[str, str]  # the reason, for peers without a usable answer
 
 
@@ -31,7 +38,7 @@
     be done once in a process.
     """
     config = _load_config(file, peers)
-    answers = PeerAnswers({}, {}, {})
+    answers = PeerAnswers({}, {}, {}, {})
     query = _query_all(config, peers or tuple(config.peers), answers)
     reactor.callWhenRunning(defer.ensureDeferred, query)
     reactor.run(installSignalHandlers=False)
@@ -56,10 +63,16 @@
     for name, query in zip(names, queries, strict=True):
         try:
             body = await query
-            answers.statuses[name] = decode_status(body)
-            answers.documents[name] = status_document(body)
+            status = decode_status(body)
+            document = status_document(body)
+            relay_status = decode_relay_status(document)
+            printed_document = printed_process_status(document)
         except Exception as error:  # whatever fails concerns this peer only
             answers.errors[name] = str(error) or type(error).__name__
+            continue
+        answers.statuses[name] = status
+        answers.relay_statuses[name] = relay_status
+        answers.documents[name] = printed_document
     reactor.stop()
 
 
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -14,7 +14,7 @@
 from lotusroute.fleet.lease_service import LeaseService
 from lotusroute.net import structured_log
 from lotusroute.net.reactor import reactor
-from lotusroute.relay.status import RelayStatus, decode_relay_status, printed_process_status
+from lotusroute.relay.status import RelayStatus
 from lotusroute.relay.versioned_store import Version
 
 SHUTDOWN_DELAY_S = 0.1  # for the release of the lease to be sent
@@ -31,8 +31,7 @@
     """
     from lotusroute.relay.server import RelayServer
 
-    structured_log.configure_logging("WARNING")
-    structured_log.LOGGER.setLevel("INFO")
+    structured_log.configure_logging("INFO")
     counters = structured_log.Counters()
     try:
         fleet_config = load_fleet_config(file)
@@ -81,11 +80,8 @@
     Example: lotusroute relay show --fleet deploy/relays.toml
     """
     answers = query_peers(file, peers)
-    lines = [
-        _status_line(name, decode_relay_status(document)) for name, document in answers.documents.items()
-    ]
-    printed = {name: dict(printed_process_status(document)) for name, document in answers.documents.items()}
-    print_and_exit(answers._replace(documents=printed), as_json, lines)
+    lines = [_status_line(name, status) for name, status in answers.relay_statuses.items()]
+    print_and_exit(answers, as_json, lines)
 
 
 def _status_line(name: str, status: RelayStatus | None) -> str:
