--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -112,12 +112,12 @@
         return file
 
     def open_flow(
-        self, key: str = "k", wait: int = 1800, id: str | None = None, **parameters: object
+        self, key: str = "k", timeout_ms: int = 1800, id: str | None = None, **parameters: object
     ) -> ClientConnection:
-        """Request a flow that is to be answered within `wait` ms."""
+        """Request a flow that is to be answered within `timeout_ms`."""
         self.flow_count += 1
         flow_id = id or f"id{self.flow_count}"
-        pairs = {"c": "live", "d": wait, **parameters}
+        pairs = {"c": "live", "d": timeout_ms, **parameters}
         text = ",".join(f"{name}={value}" for name, value in pairs.items())
         return self.connect_and_send(f"OPEN {flow_id} {key} {text}".encode())
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -44,7 +44,7 @@
     # The balancer has to read beyond what the client sent early to notice its FIN or RST.
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
-        client = balancer.open_flow(wait=4_000)
+        client = balancer.open_flow(timeout_ms=4_000)
         client.conn.settimeout(0.2)
         try:
             client.conn.sendall(b"M 1 " + b"x" * early_bytes + b"\r\n")
@@ -65,7 +65,7 @@
 ):
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
-        client = balancer.open_flow(wait=4_000)
+        client = balancer.open_flow(timeout_ms=4_000)
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
@@ -104,7 +104,7 @@
     # Reads are of 8 KiB, so the FIN is still unread when the first attempt fails.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
-        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
         balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
@@ -125,7 +125,7 @@
 def test_hundreds_of_clients_that_disconnect_as_their_attempts_connect_are_not_forwarded(early_bytes):
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
-        clients = [balancer.open_flow(str(index), wait=4_000) for index in range(120)]
+        clients = [balancer.open_flow(str(index), timeout_ms=4_000) for index in range(120)]
         for client in clients:
             client.conn.sendall(b"".join(b"M 1 " + b"x" * 990 + b"\r\n" for _ in range(early_bytes // 1_000)))
         time.sleep(0.3)
@@ -157,7 +157,7 @@
 def test_an_existing_connection_whose_client_disconnects_between_attempts_is_not_retried():
     server = FakeServer("s0", b"BUSY\r\n")
     with Balancer(server, settings=flow_settings(deadline=8_000)) as balancer:
-        client = balancer.open_flow(wait=8_000, at="s0")
+        client = balancer.open_flow(timeout_ms=8_000, at="s0")
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 990 + b"\r\n" for _ in range(15)))
         wait_until(lambda: b"" in server.lines)
         balancer.suspend()
@@ -171,7 +171,7 @@
 def test_early_data_beyond_the_buffer_limit_is_rejected_at_once_and_less_is_served():
     server = FakeServer("s0", None)
     with Balancer(server) as balancer:
-        hasty, flood = balancer.open_flow(wait=1_500), balancer.open_flow(wait=1_500)
+        hasty, flood = balancer.open_flow(timeout_ms=1_500), balancer.open_flow(timeout_ms=1_500)
         lines = [b"M %d " % index + b"x" * 1_000 + b"\r\n" for index in range(10)]
         hasty.conn.sendall(b"".join(lines))
         flood.conn.sendall(b"x" * 40_000)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -46,7 +46,7 @@
 def test_a_flow_is_served_and_lines_are_forwarded_unchanged_both_ways():
     server = FakeServer("s1", b"UP 5cf3\r\nLOAD 12.5\r\n")
     with Balancer(server) as balancer:
-        client = balancer.open_flow(wait=1500, g="yard", x="1")
+        client = balancer.open_flow(timeout_ms=1500, g="yard", x="1")
         assert client.readline() == b"UP 5cf3\r\n" and client.readline() == b"LOAD 12.5\r\n"
         first = server.lines[0].decode()
         timeout = int(first.split("d=")[1].split(",")[0])
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -35,7 +35,7 @@
     with Balancer(*servers[:3]) as balancer:
         for index in range(3):
             assert balancer.open_flow(at=f"s{index}").readline() == f"UP s{index}\r\n".encode()
-        client = balancer.open_flow(wait=9000, at="s3")
+        client = balancer.open_flow(timeout_ms=9000, at="s3")
         time.sleep(0.2)
         balancer.discovery.entries = [server.entry() for server in servers]
         balancer.discovery.seq += 1
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -28,7 +28,7 @@
 def test_an_attempt_that_has_not_connected_is_cancelled_when_its_server_drains(effect):
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(effect)) as balancer:
-        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         time.sleep(0.1)
         balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         start = time.monotonic()
@@ -41,7 +41,7 @@
 def test_an_attempt_that_connected_while_the_balancer_was_stopped_is_not_used_after_the_drain_grace():
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
-        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         time.sleep(0.1)
         balancer.suspend()
         slow.start_accepting()
@@ -56,7 +56,7 @@
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings("idempotency_key", group="all", window=600)
     with Balancer(first, second, settings=settings) as balancer:
-        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=4_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
         wait_until(lambda: is_connecting_to(second))  # accepted earlier, the retry would be in the window
         second.start_accepting()
@@ -83,7 +83,7 @@
     malformed, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
     with Balancer(malformed, sound, settings=flow_settings()) as balancer:
         assert (
-            balancer.open_flow(KEY_OF_FIRST_SERVER, wait=1_000).readline() == b"UP sound\r\n"
+            balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=1_000).readline() == b"UP sound\r\n"
             and malformed.lines
         )
         malformed.reply = b"UP r1\r\n"
@@ -99,7 +99,7 @@
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
         # All at once, because a flow that is requested when most attempts have failed gets no attempt.
         balancer.suspend()
-        clients = [balancer.open_flow(key, wait=1_000) for key in keys]
+        clients = [balancer.open_flow(key, timeout_ms=1_000) for key in keys]
         balancer.resume()
         assert {client.readline() for client in clients} == {b"ERR\r\n"}
         for server in servers:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -23,7 +23,7 @@
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
-        client = balancer.open_flow(KEY_OF_FIRST_SERVER, wait=8_000)
+        client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=8_000)
         wait_until(lambda: first.lines)
         balancer.process.send_signal(signal.SIGTERM)
         assert client.readline().startswith(last) and client.readline() == b""
@@ -32,7 +32,7 @@
 def test_a_receipt_that_arrives_at_the_shutdown_deadline_is_forwarded_and_its_client_migrated():
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings("non_idempotent", deadline=8_000)) as balancer:
-        client = balancer.open_flow(wait=8_000)
+        client = balancer.open_flow(timeout_ms=8_000)
         wait_until(lambda: server.lines)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(3.0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -81,7 +81,7 @@
 def test_with_short_connect_timeouts_all_clients_are_migrated_before_the_kill():
     service_types = [{"name": "live", "setup_target": 100, "deadline": 500}]
     with Balancer(FakeServer("s1"), settings={**SETTINGS, "service_types": service_types}) as balancer:
-        clients = [balancer.open_flow(str(index), wait=500) for index in range(20)]
+        clients = [balancer.open_flow(str(index), timeout_ms=500) for index in range(20)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
         start = time.monotonic()
         balancer.terminate(signal.SIGTERM)
@@ -106,7 +106,7 @@
 def test_a_flow_in_flight_at_shutdown_is_completed_and_then_migrated():
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
-        client = balancer.open_flow(wait=1700)
+        client = balancer.open_flow(timeout_ms=1700)
         wait_until(lambda: server.connections)
         balancer.process.send_signal(signal.SIGTERM)
         time.sleep(0.2)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -29,7 +29,7 @@
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
         start = time.monotonic()
-        client = balancer.open_flow(wait=500)
+        client = balancer.open_flow(timeout_ms=500)
         assert client.readline().startswith(b"BUSY") and client.readline() == b""
         assert time.monotonic() - start < 0.5
         # The attempt is closed, which tells the server that no client waits.
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -43,7 +43,7 @@
     server = FakeServer("s1", None)
     with Balancer(server, env=wall_clock.environment) as balancer:
         requested_at = time.monotonic()
-        client = balancer.open_flow(wait=1_500)
+        client = balancer.open_flow(timeout_ms=1_500)
         while not server.lines:
             time.sleep(0.01)
         wall_clock.step(step)
