--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -9,8 +9,8 @@
 import math
 
 from lotusroute.routing.records import FlowRecord, ServerRecord, SetupTimes
-from lotusroute.routing.slow_start import TICK_INTERVAL_MS, record_timely_setup, start_recovery, warming_up
-from lotusroute.routing.state import RoutingState
+from lotusroute.routing.slow_start import record_timely_setup, start_recovery, warming_up
+from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 from lotusroute.routing.statistics import DecayingMean
 
 OVERLOAD_LATENCY_FACTOR = 3.0  # latency of an overloaded server over that of a slow one
@@ -35,7 +35,7 @@
 STALL_WINDOW_MS = 100.0  # attempts that began within it are one sample
 
 
-def slow_latency(state: RoutingState) -> float:
+def slow_latency_threshold(state: RoutingState) -> float:
     """Return the latency from which a server is slow.
 
     It derives from the latency objective; without latency reports from the shortest set-up target.
@@ -44,9 +44,9 @@
     return (objective or state.min_setup_target) / OVERLOAD_LATENCY_FACTOR
 
 
-def overload_latency(state: RoutingState) -> float:
+def overload_latency_threshold(state: RoutingState) -> float:
     """Return the latency from which a server is overloaded."""
-    return slow_latency(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
+    return slow_latency_threshold(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
 
 
 def record_latency(state: RoutingState, server: ServerRecord, latency: float) -> None:
@@ -56,8 +56,8 @@
     expires_at = state.now + LATENCY_REPORT_TTL_MS
     # A recovered server still holds the connections that overloaded it.
     recovered_until = 0.0 if state.lacks_latency_reports else state.now + RECOVERED_DEPRIORITIZED_MS
-    overload.deprioritized_until = expires_at if latency >= slow_latency(state) else recovered_until
-    overload.overloaded_until = expires_at if latency >= overload_latency(state) else 0.0
+    overload.deprioritized_until = expires_at if latency >= slow_latency_threshold(state) else recovered_until
+    overload.overloaded_until = expires_at if latency >= overload_latency_threshold(state) else 0.0
     if overload.overloaded_until:
         start_recovery(state, server)
     elif overload.deprioritized_until:
@@ -121,7 +121,7 @@
         return
     expected = max(FLEET_SETUP_FRACTION * fleet_mean, reference.value, MIN_SETUP_TIME_MS)
     if sample <= expected * SLOW_SETUP_RATIO:
-        _record_timely_setup(state, server)
+        _record_timely_sample(state, server)
         return
     server.overload.accumulated_delay += sample - expected
     if server.overload.accumulated_delay >= _significant_delay(state):
@@ -139,6 +139,7 @@
         fleet.quickest_first = sorted(state.ready, key=lambda s: (_mean_setup_time(state, s).value, s.id))
         fleet.sorted_at = state.now
     rank = len(fleet.quickest_first) // REFERENCE_RANK_DIVISOR
+    # One more server than the rank needs, as the server itself may be among them.
     others = [other for other in fleet.quickest_first[: rank + 2] if other is not server]
     return _mean_setup_time(state, others[min(rank, len(others) - 1)]) if others else None
 
@@ -153,7 +154,7 @@
     return fleet_mean
 
 
-def _record_timely_setup(state: RoutingState, server: ServerRecord) -> None:
+def _record_timely_sample(state: RoutingState, server: ServerRecord) -> None:
     server.overload.accumulated_delay = 0.0
     if server.overload.deprioritized_until <= state.now:
         server.overload.slow_samples = 0
