--- a/benchmarks/loopback.py
+++ b/benchmarks/loopback.py
@@ -83,7 +83,7 @@
     help="Print the names of the cases and exit.",
 )
 def main(**options: Unpack[Options]) -> None:
-    """Measure the balancer of this checkout on loopback: flows, rejections, migrations, and their cost."""
+    """Measure flows of the balancer of this checkout on loopback: rejections, migrations and costs."""
     names = select_cases(options["chosen"], options["quick"])
     builds = {"other": pathlib.Path(options["against"]).resolve()} if options["against"] else {}
     builds["this"] = CHECKOUT
--- a/benchmarks/loopback_processes.py
+++ b/benchmarks/loopback_processes.py
@@ -12,7 +12,14 @@
 
 import checkout_path  # noqa: F401  lotusroute is imported from this checkout
 import click
-from peer_messages import ClientsResult, EndpointListStarted, FlowsEstablished, ServersStarted, to_json
+from peer_messages import (
+    ClientsResult,
+    EndpointListStarted,
+    FlowsEstablished,
+    ServersStarted,
+    Settings,
+    to_json,
+)
 
 from lotusroute.address import Address
 from lotusroute.process_control.config_files import BalancerConfig, JsonObject, JsonValue
@@ -45,7 +52,7 @@
 class PeerProcess:
     """One process of `peers.py`, which runs the peers of that name."""
 
-    def __init__(self, peers: str, settings: object, cores: set[int]) -> None:
+    def __init__(self, peers: str, settings: Settings, cores: set[int]) -> None:
         command = [sys.executable, str(PEERS_SCRIPT), peers, to_json(settings)]
         options = ProcessOptions(initialize=pin_to(cores), stdin=subprocess.DEVNULL, stdout=subprocess.PIPE)
         self.process = start_process(command, options)
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -21,6 +21,7 @@
     FlowsEstablished,
     ServersSettings,
     ServersStarted,
+    Settings,
 )
 
 from lotusroute.address import parse_address
@@ -64,7 +65,7 @@
     def __exit__(self, *_: object) -> None:
         self._resources.close()
 
-    def start_peer(self, peers: str, settings: object) -> PeerProcess:
+    def start_peer(self, peers: str, settings: Settings) -> PeerProcess:
         """Start a process of peers."""
         peer = PeerProcess(peers, settings, self.peer_cores)
         self._resources.callback(peer.close)
