--- a/benchmarks/regression.py
+++ b/benchmarks/regression.py
@@ -30,10 +30,10 @@
 OUTPUT_TAIL_LENGTH = 300  # characters of output in an error message
 DAY = re.compile(
     r"^(?P<name>\S+)\s+G (?P<g>\d\.\d+)\s+floor \d\.\d+\s+top \d\.\d+.*?score \d\.\d+(?P<violations>.*)$",
-    re.M,
+    re.MULTILINE,
 )
-SCORE = re.compile(r"^score of the real nodes (\d\.\d+)", re.M)
-GATE = re.compile(r"^GATE (passed|failed)(.*)$", re.M)
+SCORE = re.compile(r"^score of the real nodes (\d\.\d+)", re.MULTILINE)
+GATE = re.compile(r"^GATE (passed|failed)(.*)$", re.MULTILINE)
 
 
 class BenchError(Exception):
--- a/benchmarks/sampled_days.py
+++ b/benchmarks/sampled_days.py
@@ -26,9 +26,9 @@
 RESULT_LINE = re.compile(
     r"^(\S+)\s+G (?P<g>\d\.\d+) .*? served (?P<served>\d\.\d+) \(gate (?P<required>\d\.\d+)\)"
     r".*?score \d\.\d+(?P<violations>.*)$",
-    re.M,
+    re.MULTILINE,
 )
-BROKEN_RULE = re.compile(r"^RULE BROKEN .*$", re.M)
+BROKEN_RULE = re.compile(r"^RULE BROKEN .*$", re.MULTILINE)
 
 
 class Day(NamedTuple):
--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -26,7 +26,7 @@
 monotonic_reactor.install()
 
 # The signals and the reactor have to be installed before the other modules are imported.
-# ruff: noqa: E402, I001
+# ruff: noqa: E402
 import gc
 import logging
 import os
--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -63,5 +63,9 @@
         reset_on_close(conn)
         conn.close()
 
-    server.serve_connection = lambda conn: (serve if server.reply else broken)(conn)
+    def serve_connection(conn):
+        handler = serve if server.reply else broken
+        handler(conn)
+
+    server.serve_connection = serve_connection
     return server
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "role, size, messages, size_bytes",
+    ("role", "size", "messages", "size_bytes"),
     [
         (deterministic_counts.relay, 10, 140, 24_440),
         (deterministic_counts.relay, 20, 280, 48_880),
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, message",
+    ("arguments", "message"),
     [
         (("measure", "list", "--sizes", "50"), "give two or more"),
         (("measure", "list", "--sizes", "many"), "give whole numbers"),
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -13,7 +13,7 @@
 PAGE = pathlib.Path(__file__).parents[1] / "docs" / "CAPACITY.md"
 OPERATORS = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
 ORIGINS = "target|measured|worked out|guessed"
-ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.M)
+ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.MULTILINE)
 ROUNDING_FRACTION = 0.006  # figures on the page have three digits
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "group, commands",
+    ("group", "commands"),
     [("fault-injection", ["run"]), ("fleet", ["show"]), ("leases", ["show"]), ("relay", ["run", "show"])],
 )
 def test_group_help_lists_its_commands(invoke, group, commands):
@@ -71,7 +71,7 @@
     assert shown_commands(result.stdout) == commands
 
 
-@pytest.mark.parametrize("older, current", OLDER_NAMES.items(), ids=" ".join)
+@pytest.mark.parametrize(("older", "current"), OLDER_NAMES.items(), ids=" ".join)
 def test_older_name_runs_the_same_command(older, current):
     commands = []
     for group_name, command_name in (older, current):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, early_bytes, disconnect",
+    ("effect", "early_bytes", "disconnect"),
     [
         ("read_like", 0, close_connection),
         ("read_like", 6_000, reset_connection),
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, keys",
+    ("changes", "keys"),
     [
         ({}, []),
         ({"name": "n2", "listen": "127.0.0.1:3"}, ["name", "listen"]),
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, changes",
+    ("key", "changes"),
     [
         ("LB_CONFIG", None),
         ("LB_LISTEN", {"listen": "here"}),
--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         (None, "No such file"),
         ("{", "line 1"),
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value",
+    ("path", "value"),
     [
         ("settings.siblings", 0),
         ("settings.siblings", "four"),
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, message",
+    ("change", "message"),
     [
         ({"keepers": ["a", "b"]}, "keepers: 2 named"),
         ({"keepers": ["a", "b", "d"]}, "add its address there"),
--- a/tests/test_golden_bytes_clients.py
+++ b/tests/test_golden_bytes_clients.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "ready, sent, answer",
+    ("ready", "sent", "answer"),
     [
         (True, b"PING\r\n", b"PONG\r\n"),
         (False, b"PING\r\n", b"BUSY\r\n"),
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(
-    "calls, answer",
+    ("calls", "answer"),
     [
         ([PREPARES], b"\xa7prepare" + GRANTED),
         ([PROPOSES], b"\xa7propose" + GRANTED),
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(
-    "response, since, body", [(CHANGES, 12, CHANGES_UPDATE), (COMPLETE, None, COMPLETE_UPDATE)]
+    ("response", "since", "body"), [(CHANGES, 12, CHANGES_UPDATE), (COMPLETE, None, COMPLETE_UPDATE)]
 )
 def test_the_lease_holder_sends_these_updates_and_another_process_reads_them(response, since, body, tmp_path):
     holder = _shared_discovery(tmp_path)
--- a/tests/test_golden_bytes_simulator.py
+++ b/tests/test_golden_bytes_simulator.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "action, line",
+    ("action", "line"),
     [
         (events.Connect(7, "s:80", 80.0), "pass_on 7 s:80 80.000"),
         (events.Reject(7, 2.5, events.RejectReason.THROTTLED), "not_now 7 2.500"),
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, kind, values",
+    ("line", "kind", "values"),
     [
         ("ask 7 live t g 0 k 3 1800.5", events.FlowRequest, (7, "live", "t", "g", "k", 1800.5, False, False)),
         ("ask 7 live - - 8 - 3 9", events.FlowRequest, (7, "live", None, None, None, 9.0, True, False)),
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, group, last",
+    ("effect", "group", "last"),
     [
         ("read_like", "all", b"BUSY"),
         ("idempotency_key", "all", b"BUSY"),
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    "mutate, options",
+    ("mutate", "options"),
     [
         pytest.param(count_lease_from_reply, {}, id="lease counted from the reply"),
         pytest.param(serve_right_after_restart, {}, id="no silence after a restart"),
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "call, error, message",
+    ("call", "error", "message"),
     [
         (("-", "propose", PROPOSE_B), ObserverCallError, "observers may only call 'show'"),
         (("b", "dance", b""), UnknownCallError, "unknown call 'dance'"),
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -87,8 +87,8 @@
         elif cells[0] in ("event", "counter"):
             column = cells.index("where") if cells[0] == kind else None
         elif column is not None and not cells[0].startswith("---"):
-            for name in re.findall(r"`([^`]+)`", cells[0]):
-                name = re.sub(r"[A-Z]+", PLACEHOLDER, name)
+            for written in re.findall(r"`([^`]+)`", cells[0]):
+                name = re.sub(r"[A-Z]+", PLACEHOLDER, written)
                 found.setdefault(name, set()).update(re.findall(r"`([^`]+)`", cells[column]))
     return found
 
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -18,8 +18,8 @@
 def amp_box(**pairs):
     """Return an AMP box as it is on the wire; AMP's own keys start with an underscore."""
     box = b""
-    for key, value in pairs.items():
-        key = f"_{key}" if key in ("ask", "command") else key
+    for name, value in pairs.items():
+        key = f"_{name}" if name in ("ask", "command") else name
         box += len(key).to_bytes(2, "big") + key.encode() + len(value).to_bytes(2, "big") + value
     return box + b"\0\0"
 
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, value, message",
+    ("key", "value", "message"),
     [
         ("name", "", "name: not set"),
         ("zone", 3, "zone: give"),
@@ -32,7 +32,7 @@
 
 
 def test_an_unreadable_file_is_named_with_its_variable(tmp_path):
-    with pytest.raises(ConfigError, match="LB_RELAYS: .*gone.toml"):
+    with pytest.raises(ConfigError, match=r"LB_RELAYS: .*gone\.toml"):
         load_relays_config(tmp_path / "gone.toml")
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -129,9 +129,9 @@
             on_server.append((host, answer, client))
             if len(on_server) > 20:
                 for _ in range(7):
-                    host, connect, client = on_server.pop(rng.randrange(len(on_server)))
-                    host.end(connect, events.ConnectionResult.RESET, final=True)
-                    next_due.append((now + 0.1, client, True))
+                    owner, connect, reset_client = on_server.pop(rng.randrange(len(on_server)))
+                    owner.end(connect, events.ConnectionResult.RESET, final=True)
+                    next_due.append((now + 0.1, reset_client, True))
                     resets += 1
         due_requests = next_due
         connections += sum(map(len, established.values()))
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, scope",
+    ("text", "scope"),
     [("all", DedupScope.ALL), ("zone", DedupScope.ZONE), ("cell", DedupScope.CELL), ("x", DedupScope.NONE)],
 )
 def test_the_servers_that_recognize_an_idempotency_key_are_a_closed_set(text, scope):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, message",
+    ("path", "value", "message"),
     [
         (
             "service_types.0.effect",
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "directors, groups, seed",
+    ("directors", "groups", "seed"),
     [
         (20, 36, 1),
         (20, 36, 11),
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -71,7 +71,7 @@
     assert log.count("result=cancelled") == 2 and "result=reset" not in log
 
 
-@pytest.mark.parametrize("level, attempts", [("debug", 2), ("info", 0)])
+@pytest.mark.parametrize(("level", "attempts"), [("debug", 2), ("info", 0)])
 def test_a_flow_is_logged_under_its_client_id_at_debug_level_only(level, attempts):
     servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n")]
     with Balancer(*servers, env={"LB_LOG": level}.items()) as balancer:
