--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -122,17 +122,17 @@
     connections = len(busiest.connections)
     if connections < MIN_CONNECTIONS_TO_REBALANCE or idlest.usage >= REBALANCE_RATIO * busiest.usage:
         return
-    connections_to_move = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
+    connections_to_migrate = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
     replicas = {(flow.segment, flow.replica) for flow in busiest.connections.values()}
     assigned = [replica for replica in replicas if assigned_server(state, *replica) is busiest]
     if not assigned:
         return
-    moved = min(
-        assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - connections_to_move), replica)
+    reassigned = min(
+        assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - connections_to_migrate), replica)
     )
-    state.overrides.pop(moved, None)
-    if assigned_server(state, *moved) is not idlest:
-        state.overrides[moved] = idlest
+    state.overrides.pop(reassigned, None)
+    if assigned_server(state, *reassigned) is not idlest:
+        state.overrides[reassigned] = idlest
 
 
 def _can_rebalance(state: RoutingState, server: ServerRecord) -> bool:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -129,8 +129,8 @@
             on_server.append((host, answer, client))
             if len(on_server) > 20:
                 for _ in range(7):
-                    owner, connect, reset_client = on_server.pop(rng.randrange(len(on_server)))
-                    owner.end(connect, events.ConnectionResult.RESET, final=True)
+                    connected_host, connect, reset_client = on_server.pop(rng.randrange(len(on_server)))
+                    connected_host.end(connect, events.ConnectionResult.RESET, final=True)
                     next_due.append((now + 0.1, reset_client, True))
                     resets += 1
         due_requests = next_due
