--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -25,7 +25,7 @@
 from lotusroute.fault_injection.network_proxy import Link, NetworkProxy
 from lotusroute.process_control.config_files import BalancerConfig, FleetConfig, JsonObject
 from lotusroute.process_control.errors import LogTimeoutError
-from lotusroute.process_control.free_ports import LOOPBACK, system_assigned_port
+from lotusroute.process_control.free_ports import LOOPBACK, PortAllocator
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
 
@@ -38,6 +38,8 @@
 
 Result = TypeVar("Result")
 
+_port_allocator = PortAllocator()
+
 
 class RunningProcess(NamedTuple):
     """A balancer that runs."""
@@ -68,12 +70,12 @@
         self.names = [f"n{number + 1}" for number in range(count)]
         self.acceptors = self.names[:acceptor_count]
         self.lease_ms = lease_ms
-        self.discovery_port = discovery_port or system_assigned_port()
+        self.discovery_port = discovery_port or _port_allocator.allocate()
         self.log_level = log_level
         self.environments = environments or {}
         self._records: WaitableList[LogRecord] = WaitableList()
         self._folder = tempfile.TemporaryDirectory(prefix="lotusroute-fault-injection-")
-        self._ports = {name: system_assigned_port() for name in self.names}
+        self._ports = {name: _port_allocator.allocate() for name in self.names}
         self._running: dict[str, RunningProcess] = {}
         self.proxy = NetworkProxy(self.names, self._ports)
 
@@ -120,7 +122,7 @@
     def _config(self, name: str) -> BalancerConfig:
         return BalancerConfig(
             name=name,
-            listen=Address(LOOPBACK, system_assigned_port()),
+            listen=Address(LOOPBACK, _port_allocator.allocate()),
             discovery=Address(LOOPBACK, self.discovery_port),
             settings=SETTINGS,
             seed=name,
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,9 @@
 """Leases of several real processes with faults between them."""
 
 import json
+import pathlib
 import time
+import tomllib
 
 import pytest
 from fleet_support import first_record, other_processes, run_program
@@ -9,6 +11,7 @@
 from lotusroute.fault_injection.invariants import find_violations
 from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.fault_injection.random_scenarios import run_scenario
+from lotusroute.process_control.free_ports import ALLOCATED_PORTS
 
 
 def show_leases(fleet):
@@ -19,6 +22,16 @@
     return json.loads(result.stdout)["balancers"]
 
 
+def test_balancers_listen_on_ports_that_the_system_assigns_to_nobody():
+    with ProcessFleet(1, acceptor_count=1) as fleet:
+        fleet_file = pathlib.Path(fleet.fleet_file("n1"))
+        addresses = [
+            json.loads((fleet_file.parent / "config.json").read_text())["listen"],
+            tomllib.loads(fleet_file.read_text())["peers"]["n1"],
+        ]
+    assert {int(address.rpartition(":")[2]) in ALLOCATED_PORTS for address in addresses} == {True}
+
+
 def test_a_lease_moves_on_when_its_holder_is_terminated_killed_or_paused():
     with ProcessFleet(3, lease_ms=1_000.0) as fleet:
         first = fleet.wait_for_holder()
