--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -14,6 +14,7 @@
 from lotusroute.service_config import look_up, parse_number, parse_service_config
 
 ABSENT = "-"
+NO_FLAGS = "0"
 UNSET_SETTINGS = ("null", ABSENT)
 SERVER_VALUE_COUNT = 7
 STATES: dict[str, events.EndpointState] = {
@@ -118,14 +119,7 @@
 
 def _parse_existing_connection(values: list[str]) -> events.ExistingConnection:
     flow, service_type, tenant, key, deadline, _hint, group, _flags, server = values
-    request = events.FlowRequest(
-        parse_integer(flow),
-        service_type,
-        parse_optional(tenant),
-        parse_optional(group),
-        parse_optional(key),
-        parse_number(deadline),
-    )
+    request = _parse_flow([flow, service_type, tenant, group, NO_FLAGS, key, ABSENT, deadline])
     return events.ExistingConnection(request, server)
 
 
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 import msgspec
-from twisted.internet import defer
 from twisted.python.failure import Failure
 
 from lotusroute.fleet.errors import CallError, DeposedHolderError, UpdateNotFollowedError
@@ -18,6 +17,7 @@
 from lotusroute.fleet.peer_connection import MAX_BODY_BYTES
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.endpoint_list import EndpointListMessage
+from lotusroute.net.interruptible_wait import InterruptibleWait
 from lotusroute.net.poll_schedule import LONG_POLL_HOLD_MS
 from lotusroute.net.structured_log import log_event
 
@@ -55,7 +55,7 @@
         self.last_update_at = NEVER_MS  # ms, when a message was last accepted
         self.holder_seq = NO_SEQ  # the version that the holder had at its last message
         self.last_response_at = NEVER_MS  # ms, when discovery last responded to this balancer
-        self._pending_wait: defer.Deferred[None] | None = None  # of `wait_until_poll_due`
+        self._wait = InterruptibleWait(self.reactor)  # of `wait_until_poll_due`
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
@@ -67,19 +67,12 @@
             remaining = self.last_update_at + HOLDER_TIMEOUT_MS - self.lease_service.clock()
             if remaining <= 0:
                 break
-            self._pending_wait = defer.Deferred()
-            timer = self.reactor.callLater(remaining / 1000, self.wake)
-            await self._pending_wait
-            if timer.active():
-                timer.cancel()
+            await self._wait.wait(remaining / 1000)
         self.counters["shared_discovery_fallback_requests"] += 1
 
     def wake(self) -> None:
         """Make a pending `wait_until_poll_due` evaluate its condition again."""
-        pending_wait = self._pending_wait
-        self._pending_wait = None
-        if pending_wait is not None:
-            pending_wait.callback(None)
+        self._wait.wake()
 
     def age(self) -> float:
         """Return the maximum age of the endpoint list in s: the time since the holder's last message."""
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -9,11 +9,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from twisted.internet import defer
 from twisted.internet.base import ReactorBase
 
 from lotusroute.net.discovery_source import DiscoveryClient
 from lotusroute.net.endpoint_list import EndpointListMessage
+from lotusroute.net.interruptible_wait import InterruptibleWait
 from lotusroute.net.poll_schedule import MIN_REJECTION_BACKOFF_S, QUEUE_TIMEOUT_S
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
 from lotusroute.relay.relay_selector import RelaySelector
@@ -34,7 +34,6 @@
         selector: RelaySelector,
         forwarder: DiscoveryForwarder,
     ) -> None:
-        self.reactor = reactor
         self.clock = clock
         self.rng = rng
         self.counters = counters
@@ -43,7 +42,7 @@
         self.discovery: DiscoveryClient | None = None  # the current client; a reload replaces it
         self.started_at = clock()
         self.polling = False  # the list is stale, and discovery is polled
-        self._pending_wait: defer.Deferred[None] | None = None
+        self._wait = InterruptibleWait(reactor)
 
     def on_list_confirmed(self, now: float) -> None:
         """End the polling of discovery if the list is fresh again."""
@@ -64,7 +63,7 @@
             if starting or self.selector.is_fresh(now):
                 if has_list and discovery.version is None:
                     self.forwarder.forward_complete_list(discovery)
-                await self._wait(CHECK_INTERVAL_S)
+                await self._wait.wait(CHECK_INTERVAL_S)
                 continue
             await self._wait_before_polling(discovery)
         if self.polling:
@@ -72,10 +71,7 @@
 
     def wake(self) -> None:
         """Make a pending `wait_until_poll_due` check again whether to poll."""
-        pending_wait = self._pending_wait
-        self._pending_wait = None
-        if pending_wait is not None:
-            pending_wait.callback(None)
+        self._wait.wake()
 
     def age(self) -> float:
         """Return the maximum age of the list in s; infinity if it is of another discovery service."""
@@ -95,18 +91,7 @@
         The wait leaves enough of the time in which a change has to be in force for the poll itself.
         """
         max_delay = max(0.0, min(MIN_REJECTION_BACKOFF_S, discovery.remaining() - QUEUE_TIMEOUT_S))
-        await self._wait(max_delay * self.rng.random())
+        await self._wait.wait(max_delay * self.rng.random())
         if not self.selector.is_fresh(self.clock()):
             self.polling = True
             self.counters["relay_stale"] += 1
-
-    def _wait(self, seconds: float) -> "defer.Deferred[None]":
-        """Return a Deferred that fires after so many seconds, or when woken."""
-        self._pending_wait = defer.Deferred()
-        timer = self.reactor.callLater(seconds, self.wake)
-
-        def cancel_timer(_: object) -> None:
-            if timer.active():
-                timer.cancel()
-
-        return self._pending_wait.addBoth(cancel_timer)
