--- a/benchmarks/loopback_cases.py
+++ b/benchmarks/loopback_cases.py
@@ -9,7 +9,7 @@
 
 
 class Case(NamedTuple):
-    """One fleet of servers, and the flows that clients open."""
+    """One set of servers, and the flows that clients open."""
 
     name: str
     setups_ms: tuple[float, ...]  # median set-up time of each server
@@ -23,7 +23,7 @@
 
 
 def all_cases() -> dict[str, Case]:
-    """Return all cases by name; long set-ups have fewer flows, so that none takes over some 20 s."""
+    """Return all cases by name. Cases of long set-ups have fewer flows, so that none takes much over 20 s."""
     cases = [
         *_idle_cases(),
         *_setup_cases(),
@@ -65,8 +65,8 @@
                 flows = max(100, min(2_000, int(8_000 * concurrency / (setup_ms + 2))))
                 cases.append(Case(name, (setup_ms,) * 8, spread, concurrency, flows))
     cases.append(Case("100ms-wild-16", (100.0,) * 8, "wild", 16, 1_200))
-    # The generator is seeded anew for each server, so that all have the same set-up time: the figures kept in
-    # docs/performance.md are of this case.
+    # The generator is seeded anew for each server, so that all have the same set-up time. It stays so because
+    # the figures in docs/performance.md are of this case.
     mixed = tuple(random.Random(1).choice((0.0, 1.0, 5.0, 20.0, 100.0)) for _ in range(8))
     for concurrency in (1, 16, 64):
         flows = 300 if concurrency == 1 else 1_500
