--- a/lotusroute/relay/__init__.py
+++ b/lotusroute/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Replication of the endpoint list from one origin over relays to balancers; off unless configured."""
+"""Replication of the endpoint list from one origin through relays to balancers; disabled by default."""
--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -1,4 +1,4 @@
-"""The file that names the relays to a balancer (`LB_RELAYS`)."""
+"""The configuration file with the relays that a balancer may subscribe to (`LB_RELAYS`)."""
 
 import os
 from typing import Any, NamedTuple
@@ -14,24 +14,24 @@
 
 KEYS = {"name", "zone", "relays"}
 
-ZoneTables = dict[str, dict[str, object]]  # by zone, a table of unchecked addresses by relay
+ZoneTables = dict[str, dict[str, object]]  # by zone: unvalidated addresses by relay name
 
 
 class RelaysConfig(NamedTuple):
-    """The relays, by name, grouped by whether they are in the balancer's own zone."""
+    """The addresses of the relays by name, those in the balancer's zone separate from all others."""
 
-    fleet: str  # name of the fleet, which processes compare when they connect
+    fleet: str  # a connection between processes of different fleets is rejected
     local: dict[str, Address]
     remote: dict[str, Address]
 
 
 def load_relays_config(path: str | os.PathLike[str]) -> RelaysConfig:
-    """Read the file; raises `ConfigError`, which names the file, the key and the correction."""
+    """Read and validate the file; raises `ConfigError`, which names the file, the key and the correction."""
     return load_toml_config("LB_RELAYS", path, parse_relays_config)
 
 
 def parse_relays_config(settings: dict[str, Any]) -> RelaysConfig:
-    """Validate the parsed file; raises `ConfigError`.
+    """Validate the parsed file; raises `ConfigError`, which names the key and the correction.
 
     >>> tables = {"a": {"r1": "127.0.0.1:1"}, "b": {"r2": "127.0.0.1:2"}}
     >>> parse_relays_config({"name": "f", "zone": "a", "relays": tables}).local
--- a/lotusroute/relay/discovery_forwarder.py
+++ b/lotusroute/relay/discovery_forwarder.py
@@ -8,7 +8,7 @@
 
 
 class DiscoveryForwarder:
-    """Passes the list in the store of one balancer to the discovery client."""
+    """Passes the endpoint list in a balancer's store to its discovery client."""
 
     def __init__(self, store: VersionedStore, counters: "Counter[str]") -> None:
         self.store = store
@@ -20,12 +20,13 @@
         return client.list_url.startswith(f"http://{address}/")
 
     def list_seq(self) -> int | None:
-        """Return discovery's version of the list in the store."""
+        """Return the version that discovery gave the list in the store, if any."""
         return endpoint_items.list_metadata(self.store).seq
 
     def forward(self, client: DiscoveryClient | None, update: Update, previous_seq: int | None) -> None:
-        """Pass an applied update to the client, or the complete list if the client rejects the update.
+        """Pass an applied update to the client, unless the client polls another discovery service.
 
+        A delta is passed as changes; a snapshot, or a delta that the client rejects, as the complete list.
         `previous_seq` is discovery's version of the list before the update.
         """
         if client is None or not self.has_list_of(client):
--- a/lotusroute/relay/endpoint_items.py
+++ b/lotusroute/relay/endpoint_items.py
@@ -1,8 +1,8 @@
 """Conversion between endpoint lists and the items of a versioned store: one item for each endpoint.
 
-A further item holds the metadata of the list: the discovery service that it is from, and its version there.
-Endpoints are carried as discovery describes them: each balancer validates them as if discovery itself had
-answered.
+One more item holds the metadata of the list: the address of the discovery service that sent it, and the
+version that this service gave it. Endpoints are stored as discovery describes them, without validation: each
+balancer validates them in the same way as a response of discovery itself.
 """
 
 import json
@@ -12,13 +12,13 @@
 from lotusroute.relay.versioned_store import Changes, VersionedStore
 
 LIST_METADATA_KEY = "#list"
-REMOVED_HEALTH = "DELETED"  # health of an endpoint that has left the list, in changes to a list
+REMOVED_HEALTH = "DELETED"  # the `health` of a removed endpoint in a list of changes
 
 EndpointDocument = dict[str, Any]  # an endpoint as discovery describes it
 
 
 class EndpointListUpdate(NamedTuple):
-    """An answer of discovery: the complete endpoint list, or the endpoints that have changed."""
+    """A response of discovery: the complete endpoint list, or the endpoints that have changed."""
 
     seq: int | None  # discovery's version of the list
     complete: bool
@@ -26,7 +26,7 @@
 
     @classmethod
     def from_message(cls, message: EndpointListMessage) -> "EndpointListUpdate":
-        """Convert an answer of discovery.
+        """Convert a response of discovery.
 
         >>> EndpointListUpdate.from_message({"seq": 4, "whole": True, "hosts": []})
         EndpointListUpdate(seq=4, complete=True, entries=[])
@@ -34,19 +34,19 @@
         return cls(message["seq"], message["whole"], message["hosts"])
 
     def to_message(self) -> EndpointListMessage:
-        """Convert to the form of an answer of discovery."""
+        """Convert to the form of a response of discovery."""
         return {"seq": self.seq, "whole": self.complete, "hosts": self.entries}
 
 
 class ListMetadata(NamedTuple):
-    """Where an endpoint list is from."""
+    """The discovery service that sent an endpoint list, and the list's version there."""
 
     discovery_address: str  # HOST:PORT; empty if the store is empty
     seq: int | None  # discovery's version of the list
 
 
 def item_changes(store: VersionedStore, update: EndpointListUpdate, discovery_address: str) -> Changes:
-    """Return the changes to the store's items that an update of the endpoint list makes.
+    """Return the changes that bring the store's items up to date with an update of the endpoint list.
 
     >>> store = VersionedStore()
     >>> update = EndpointListUpdate(4, True, [{"host": "a"}, {"host": "b"}])
@@ -68,7 +68,7 @@
 
 
 def list_metadata(store: VersionedStore) -> ListMetadata:
-    """Return where the list in the store is from."""
+    """Return the metadata of the list in the store."""
     if LIST_METADATA_KEY not in store.items:
         return ListMetadata("", None)
     document = json.loads(store.items[LIST_METADATA_KEY])
@@ -82,7 +82,7 @@
 
 
 def list_changes(store: VersionedStore, changes: Changes) -> EndpointListUpdate:
-    """Return the endpoints that the last update of the store changed."""
+    """Return changes that have been applied to the store as an update of the endpoint list."""
     entries = [_changed_entry(name, value) for name, value in changes.items() if name != LIST_METADATA_KEY]
     return EndpointListUpdate(list_metadata(store).seq, False, entries)
 
--- a/lotusroute/relay/errors.py
+++ b/lotusroute/relay/errors.py
@@ -1,7 +1,7 @@
-"""The errors of relays and their subscribers.
+"""Errors with which relays and their subscribers reject calls.
 
-A call that fails with one of them is rejected: its message is sent to the caller and may be shown to an
-operator. No program compares these texts.
+The message of an error is sent to the caller of the rejected call and may be shown to an operator. No
+program matches these texts.
 """
 
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
 
 
 class RelayError(LotusrouteError):
-    """Base class of the errors of relays and their subscribers."""
+    """Base class of the errors of relays and subscribers."""
 
 
 class DeposedError(RelayError):
@@ -26,7 +26,7 @@
 
 
 class UnknownOriginError(RelayError):
-    """A process that is not among the peers of the relay sent an update."""
+    """A relay received an update from a process that is not one of its peers."""
 
     def __init__(self, process: str) -> None:
         super().__init__(f"'{process}' is not among the peers of this relay")
@@ -34,7 +34,7 @@
 
 
 class StaleUpdateError(RelayError):
-    """An update is older than what the relay has."""
+    """A relay received an update to an older version than its own."""
 
     def __init__(self, version: "Version", current_version: "Version") -> None:
         super().__init__(f"stale: version {version} is older than {current_version}")
@@ -43,14 +43,14 @@
 
 
 class NoSnapshotError(RelayError):
-    """A relay that has received nothing yet was asked for a subscription."""
+    """A process tried to subscribe to a relay that has not received an endpoint list yet."""
 
     def __init__(self) -> None:
         super().__init__("no snapshot available yet")
 
 
 class SubscriberLimitError(RelayError):
-    """A relay has as many subscribers as it may have."""
+    """A process tried to subscribe to a relay that has reached its maximum number of subscribers."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(f"full: the relay has {limit} subscribers, its maximum")
@@ -58,7 +58,7 @@
 
 
 class NotSubscribedError(RelayError):
-    """A relay sent an update to a process that is not subscribed to it, or not any more."""
+    """A relay sent an update to a process that is not, or no longer, subscribed to it."""
 
     def __init__(self, relay: str) -> None:
         super().__init__(f"not subscribed to relay '{relay}'")
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -1,8 +1,8 @@
-"""The subscribers of one process, and the next message to each of them.
+"""Fan-out of a versioned store: which message is sent to which subscriber, and when.
 
 Each subscriber has at most one message in flight, and is sent the update from the version that it last
-acknowledged. Nothing is queued for a slow subscriber: all changes that were made while it was busy are sent
-as a single delta, and the other subscribers are not delayed.
+acknowledged to the current one. Nothing is queued for a slow subscriber: all changes made while it was busy
+are sent as a single delta. It does not delay the other subscribers.
 
 This module is pure: it does no I/O and reads no clock. Times are in milliseconds of the caller's clock.
 """
@@ -15,15 +15,15 @@
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
 HEARTBEAT_INTERVAL_MS = 600.0
-TICKS_PER_HEARTBEAT = 4  # at least
-ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # after which a subscriber is dropped
-COALESCE_DELAY_MS = 50.0  # that a change waits for further ones
-MIN_UPDATE_INTERVAL_MS = 250.0  # between updates to one subscriber
+TICKS_PER_HEARTBEAT = 4  # the minimum; ticks are more frequent while a change is pending
+ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # a subscriber that takes longer is dropped
+COALESCE_DELAY_MS = 50.0  # for which a change waits, so that later ones are sent with it
+MIN_UPDATE_INTERVAL_MS = 250.0  # between two updates to the same subscriber
 MAX_SNAPSHOTS_IN_FLIGHT = 8  # bounds the load when a whole zone reconnects
 
 
 class Heartbeat(NamedTuple):
-    """Says that nothing has changed since a version, which discovery confirmed `age_ms` ago."""
+    """States the current version of the store, which discovery confirmed `age_ms` ago."""
 
     version: Version
     age_ms: float
@@ -33,21 +33,21 @@
 
 
 class DropReason(StrEnum):
-    """Why a subscriber is dropped; the values are part of the names of counters."""
+    """Why a subscriber is dropped; the values are part of counter names."""
 
     FULL = "full"
     SLOW = "slow"
 
 
 class Send(NamedTuple):
-    """Send a message to a subscriber, and report its acknowledgement."""
+    """Send a message to a subscriber, and pass its acknowledgement to `FanOut.on_acknowledgement`."""
 
     subscriber: str
     message: Message
 
 
 class Drop(NamedTuple):
-    """End a subscription."""
+    """End or reject a subscription."""
 
     subscriber: str
     reason: DropReason
@@ -60,26 +60,26 @@
 class Subscriber:
     """The state of one subscriber."""
 
-    version: Version  # last acknowledged
-    sent_at: float = math.inf  # of the message in flight; infinity if there is none
-    snapshot_in_flight: bool = False  # that message is a snapshot
+    version: Version  # that it last acknowledged
+    sent_at: float = math.inf  # time of the message in flight; infinity if there is none
+    snapshot_in_flight: bool = False  # whether the message in flight is a snapshot
     last_message_at: float = -math.inf
-    last_update_at: float = -math.inf  # of the last message other than a heartbeat
+    last_update_at: float = -math.inf  # of the last delta or snapshot
 
 
 class FanOut:
-    """All subscribers of one process; decides which message is sent to whom."""
+    """The subscribers of one process, and the messages that are due to each."""
 
     def __init__(self, store: VersionedStore, max_subscribers: int) -> None:
         self.store = store
         self.max_subscribers = max_subscribers
         self.subscribers: dict[str, Subscriber] = {}
-        self.snapshot_queue: dict[str, None] = {}  # names of subscribers that wait for a snapshot, in order
+        self.snapshot_queue: dict[str, None] = {}  # subscribers that wait for a snapshot, in order
         self.snapshots_in_flight = 0
         self.pending_since = math.inf  # time of the oldest change that no tick has sent; infinity if none
 
     def join(self, now: float, name: str, version: Version) -> list[Action]:
-        """Add a subscriber at a version, or restart its subscription; drop it if there are too many."""
+        """Add a subscriber that has `version`, or restart its subscription; reject it above the limit."""
         if name not in self.subscribers and len(self.subscribers) >= self.max_subscribers:
             return [Drop(name, DropReason.FULL)]
         self.remove(name)
@@ -94,7 +94,7 @@
             self.snapshots_in_flight -= 1
 
     def on_acknowledgement(self, now: float, name: str, version: Version, age_ms: float) -> list[Action]:
-        """Handle the acknowledgement of the message in flight: the subscriber has this version now."""
+        """Handle the acknowledgement of the message in flight: the subscriber now has `version`."""
         subscriber = self.subscribers.get(name)
         if subscriber is None:
             return []
@@ -109,7 +109,7 @@
         return actions
 
     def on_store_changed(self, now: float) -> None:
-        """Note a change of the store; the first tick after COALESCE_DELAY_MS sends it."""
+        """Record a change of the store; the first tick after COALESCE_DELAY_MS sends it."""
         self.pending_since = min(self.pending_since, now)
 
     def tick(self, now: float, age_ms: float) -> list[Action]:
@@ -129,7 +129,7 @@
         return actions
 
     def next_tick_in(self, now: float) -> float:
-        """Return in how many ms the next tick is due."""
+        """Return the time in ms until the next tick is due."""
         return min(
             HEARTBEAT_INTERVAL_MS / TICKS_PER_HEARTBEAT,
             max(0.0, self.pending_since + COALESCE_DELAY_MS - now),
@@ -144,7 +144,7 @@
         return actions
 
     def _serve_snapshot_queue(self, now: float) -> list[Action]:
-        """Send queued snapshots, as far as MAX_SNAPSHOTS_IN_FLIGHT allows."""
+        """Send queued snapshots until MAX_SNAPSHOTS_IN_FLIGHT are in flight."""
         actions: list[Action] = []
         while self.snapshot_queue and self.snapshots_in_flight < MAX_SNAPSHOTS_IN_FLIGHT:
             name = next(iter(self.snapshot_queue))
@@ -153,7 +153,7 @@
         return actions
 
     def _next_message(self, now: float, name: str, age_ms: float) -> list[Action]:
-        """Send a subscriber an update if it lags, or else a heartbeat if one is due.
+        """Start to send a subscriber an update if it lags, or else a heartbeat if one is due.
 
         Nothing is sent while the subscriber waits for a snapshot or has a message in flight.
         """
@@ -166,7 +166,7 @@
                 return []
             return [self._send(now, name, Heartbeat(self.store.version, age_ms))]
         if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL_MS:
-            return []  # a later tick sends it, together with changes made until then
+            return []  # a later tick sends it, together with the changes made until then
         if isinstance(update, Snapshot):
             if self.snapshots_in_flight >= MAX_SNAPSHOTS_IN_FLIGHT:
                 self.snapshot_queue[name] = None
