--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -9,12 +9,12 @@
 from lotusroute.relay.fanout import Heartbeat, Message
 from lotusroute.relay.versioned_store import Delta, Snapshot, Update, Version, split_snapshot
 
-# Kinds of calls.
-SUBSCRIBE_CALL = "follow"  # carries an acknowledgement
+# Call kinds.
+SUBSCRIBE_CALL = "follow"  # carries the subscriber's version, encoded as an acknowledgement
 UPDATE_CALL = "news"  # carries an UpdateMessage, and is answered with an acknowledgement
-MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes a call
+MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes per call
 MAX_SNAPSHOT_ITEMS = 1_000_000  # bounds the memory that a faulty sender can make a receiver use
-MAX_ITEM_OVERHEAD_BYTES = 8  # that the encoding adds to an item
+MAX_ITEM_OVERHEAD_BYTES = 8  # upper bound of what the encoding adds to an item
 
 EncodedVersion = tuple[int, int]  # fencing token, sequence number
 
@@ -39,7 +39,7 @@
 def encode_update(message: Message, age_ms: float) -> list[bytes]:
     """Return the bodies of the calls that carry a message, in order.
 
-    The result is empty if a delta is too large for one call: the caller has to send a snapshot instead.
+    Returns an empty list for a delta that is too large for one call: the caller has to send a snapshot.
     """
     match message:
         case Heartbeat(version):
@@ -87,7 +87,7 @@
         self.next_index = 0
 
     def add(self, message: UpdateMessage) -> Update | None:
-        """Return the update that is complete with this message; a delta is always complete.
+        """Add a message and return the update that it completes; a delta is complete by itself.
 
         Returns None if parts are still missing, or if this part does not follow the previous one.
         """
@@ -119,10 +119,10 @@
 
 
 def encode_acknowledgement(version: Version) -> bytes:
-    """Encode an acknowledgement, which is the version that a subscriber has."""
+    """Encode an acknowledgement, which consists of the version that the subscriber has."""
     return msgspec.msgpack.encode(version)
 
 
 def decode_acknowledgement(body: bytes) -> Version:
-    """Decode an acknowledgement."""
+    """Decode an acknowledgement and return the version that the subscriber has."""
     return Version(*msgspec.msgpack.decode(body, type=EncodedVersion))
--- a/lotusroute/relay/origin.py
+++ b/lotusroute/relay/origin.py
@@ -1,4 +1,4 @@
-"""The origin: the relay that polls discovery and publishes the answers under the lease `origin`."""
+"""The origin: the relay that holds the lease `origin`, polls discovery and publishes its responses."""
 
 import math
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 from lotusroute.relay.context import RelayContext
 from lotusroute.relay.errors import DeposedError
 
-ORIGIN_TASK = "origin"  # the leased task
-POLL_HOLD_MS = 500  # short, so that an origin without discovery is noticed soon
-MAX_PUBLISH_DURATION_MS = 50.0  # an answer is published only if the lease lasts longer
+ORIGIN_TASK = "origin"  # the task that the lease is for
+POLL_HOLD_MS = 500  # short, so that an origin that cannot reach discovery is noticed soon
+MAX_PUBLISH_DURATION_MS = 50.0  # a response is published only if the lease is valid for longer
 
 
 class Origin:
-    """The work of one relay as the origin.
+    """Polls discovery and publishes its responses while this relay is the origin.
 
-    It is the `UpdateSource` of the discovery client, which exists while the relay holds the lease.
+    It is the `UpdateSource` of its discovery client, which exists while the relay holds the lease.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         seed: int,
         on_store_changed: Callable[[], None],
     ) -> None:
-        """`seed` is that of the discovery client's random backoff."""
+        """`seed` initializes the random backoff of the discovery client."""
         self.context = context
         self.discovery_address = discovery_address
         self.seed = seed
@@ -42,7 +42,7 @@
         self._client: Discovery | None = None
 
     def start(self, fencing_token: int) -> None:
-        """Poll discovery from the list version that this relay has."""
+        """Start to poll discovery for changes since the list version that this relay has."""
         self.fencing_token = fencing_token
         client = Discovery(
             self.discovery_address,
@@ -64,14 +64,14 @@
         self.discovery = self._client = None
 
     def _known_seq(self) -> int | None:
-        """Return the version of the list in the store; None if the list is of another discovery service."""
+        """Return the version of the list in the store; None if it is from another discovery service."""
         metadata = endpoint_items.list_metadata(self.context.replica.store)
         return metadata.seq if metadata.discovery_address == str(self.discovery_address) else None
 
     def _ignore_endpoint_update(self, update: object) -> None:
-        """Do nothing: `on_response` publishes the answers of discovery."""
+        """Do nothing: `on_response` publishes the responses of discovery."""
 
-    # UpdateSource
+    # `UpdateSource` interface
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Return at once: the origin always polls."""
@@ -81,7 +81,7 @@
         return math.inf
 
     def on_response(self, message: EndpointListMessage, since: int | None) -> None:
-        """Publish an answer of discovery, if enough of the lease is left."""
+        """Publish a response of discovery, if the lease is still valid for long enough."""
         if not self.context.lease_service.fencing_token(ORIGIN_TASK, MAX_PUBLISH_DURATION_MS):
             return
         received_at = self.context.now()
@@ -100,7 +100,7 @@
             self.on_store_changed()
 
     def on_failure(self) -> None:
-        """Do nothing: the age that subscribers are sent grows."""
+        """Do nothing: subscribers notice the failure by the growing age of the list."""
 
     def wake(self) -> None:
         """Do nothing: `wait_until_poll_due` never waits."""
--- a/lotusroute/relay/origin_follower.py
+++ b/lotusroute/relay/origin_follower.py
@@ -1,4 +1,4 @@
-"""A relay that follows the origin: it applies the origin's updates and rejects those of deposed origins."""
+"""The receiving side of a relay: applies the origin's updates and rejects those of deposed origins."""
 
 from collections.abc import Callable
 
@@ -11,18 +11,18 @@
 
 
 class OriginFollower:
-    """The updates that one relay receives."""
+    """Applies the updates that one relay receives from the origin."""
 
     def __init__(self, context: RelayContext, on_store_changed: Callable[[], None]) -> None:
         self.context = context
         self.on_store_changed = on_store_changed
-        self.highest_fencing_token = 0  # of all origins, this relay included
+        self.highest_fencing_token = 0  # of all known origins, including this relay
 
     def on_update(self, peer: str, body: bytes, own_fencing_token: int) -> bytes:
         """Apply an update and return the acknowledgement.
 
-        `own_fencing_token` is that of this relay while it is the origin, else 0. Raises a `RelayError` for
-        an update that a relay has to reject.
+        `own_fencing_token` is that of this relay while it is the origin, else 0. Raises a `RelayError` to
+        reject an update.
         """
         message = messages.decode_update(body)
         fencing_token, _ = message.version
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -1,11 +1,11 @@
-"""The choice of the relay that a process subscribes to.
+"""Selection of the relay that a process subscribes to.
 
-Relays of the own zone are tried first. A relay is left when it is silent, when it does not accept the
-subscription in time, and when its list grows stale: it may have lost its connection to the origin while
-another relay has not.
+Relays in the process's own zone are tried first. The process leaves a relay that does not accept the
+subscription in time, is silent, or has a stale list: such a relay may have lost its connection to the origin
+while other relays have not.
 
 This module is pure: it does no I/O, reads no clock, and takes its randomness from the given `random.Random`.
-Times are in milliseconds of the caller's clock. The caller decides whether to poll discovery meanwhile.
+Times are in milliseconds of the caller's clock. The caller decides whether to poll discovery in the meantime.
 """
 
 import math
@@ -13,20 +13,20 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-JOIN_TIMEOUT_MS = 600.0  # from the connect until the relay has accepted the subscription
+JOIN_TIMEOUT_MS = 600.0  # from the connection attempt until the subscription is accepted
 SILENCE_TIMEOUT_MS = 1_500.0  # without a message; more than two heartbeat intervals
 STALENESS_LIMIT_MS = 1_800.0  # since discovery last answered the origin
-# After all relays have failed; the backoff doubles each time.
+# The backoff after all relays have failed; it doubles with each round of failures.
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
-MIN_BACKOFF_FRACTION = 0.5  # the rest of a backoff is random
-# The delay is random, so that subscribers do not return to their zone all at once.
+MIN_BACKOFF_FRACTION = 0.5  # minimum part of a backoff; the rest is random
+# The delay before a return to the own zone is random, so that subscribers do not return all at once.
 MIN_FAILBACK_DELAY_MS = 20_000.0
 MAX_FAILBACK_DELAY_MS = 60_000.0
 
 
 class Join(NamedTuple):
-    """Connect to a relay and subscribe."""
+    """Connect to a relay and subscribe to it."""
 
     relay: str
 
@@ -41,10 +41,10 @@
 
 
 def preference_order(name: str, local: list[str], remote: list[str]) -> list[str]:
-    """Return the relays in the order in which a process tries them, those of its own zone first.
+    """Return the relays in the order in which a process tries them, those in its own zone first.
 
-    Within each group they are in rendezvous hash order, which spreads the subscribers of a failed relay over
-    all others.
+    Within each group they are ordered by rendezvous hashing, which spreads the subscribers of a failed relay
+    over all others.
 
     >>> preference_order("n1", ["a", "b"], ["c"])[-1], sorted(preference_order("n1", ["a", "b"], ["c"]))
     ('c', ['a', 'b', 'c'])
@@ -57,22 +57,22 @@
 
 
 class RelaySelector:
-    """The choice of a relay by one process."""
+    """Selects the relay that one process subscribes to."""
 
     def __init__(self, name: str, local: list[str], remote: list[str], rng: random.Random) -> None:
         self.relays = preference_order(name, local, remote)
         self.local_relays = frozenset(local)
         self.rng = rng
-        self.index = 0  # in `relays`, of the current relay or the one being joined
-        self.joining = ""  # the relay that has been asked for a subscription, if any
-        self.current = ""  # the relay that has accepted the subscription, if any
+        self.index = 0  # in `relays`: position of the current relay or the one being joined
+        self.joining = ""  # relay that has been asked for a subscription; empty if none
+        self.current = ""  # relay that has accepted the subscription; empty if none
         self.failures_in_row = 0
         self.retry_at = -math.inf  # end of the backoff after all relays have failed
-        self.join_started_at = -math.inf  # when the last subscription was asked for
-        self.joined_at = -math.inf  # when the last subscription was accepted
-        self.failback_at = math.inf  # when to return to the own zone; infinity if there is no need to
-        self.last_message_at = -math.inf  # of the current relay
-        self.confirmed_at = -math.inf  # when discovery last confirmed the list, as far as is known
+        self.join_started_at = -math.inf  # when a subscription was last requested
+        self.joined_at = -math.inf  # when a subscription was last accepted
+        self.failback_at = math.inf  # when to return to the own zone; infinity if no return is planned
+        self.last_message_at = -math.inf  # when the current relay last sent a message
+        self.confirmed_at = -math.inf  # latest known time at which discovery confirmed the list
 
     def tick(self, now: float) -> list[Action]:
         """Check the timeouts and return the actions that are due."""
@@ -87,7 +87,7 @@
         return []
 
     def on_joined(self, now: float, relay: str) -> None:
-        """Handle that a relay has accepted the subscription."""
+        """Handle the acceptance of the subscription by a relay."""
         if relay != self.joining:
             return
         self.current = relay
@@ -99,20 +99,20 @@
             self.failback_at = now + self.rng.uniform(MIN_FAILBACK_DELAY_MS, MAX_FAILBACK_DELAY_MS)
 
     def on_message(self, now: float, relay: str) -> bool:
-        """Note a message of a relay; return whether to use it, which holds for the current relay only."""
+        """Record a message of a relay; return whether to use it: only if it is from the current relay."""
         if relay != self.current:
             return False
         self.last_message_at = now
         return True
 
     def on_confirmed(self, now: float, age_ms: float) -> None:
-        """Note that discovery confirmed the list to the origin `age_ms` ago."""
+        """Record that discovery confirmed the list to the origin `age_ms` ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_ms)
         if age_ms < STALENESS_LIMIT_MS:
             self.failures_in_row = 0
 
     def on_lost(self, now: float, relay: str) -> list[Action]:
-        """Change to the next relay: this one disconnected, timed out or rejected the subscription."""
+        """Change to the next relay, after this one disconnected, timed out or rejected the subscription."""
         if relay not in (self.current, self.joining):
             return []
         self.current = ""
@@ -125,12 +125,12 @@
         return [Leave(relay), self._join(now)]
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the list is current enough to be used without polling discovery."""
+        """Return whether the list is recent enough to be used without polling discovery."""
         return now - self.confirmed_at < STALENESS_LIMIT_MS
 
     def _check_current(self, now: float) -> list[Action]:
         silent = now - self.last_message_at >= SILENCE_TIMEOUT_MS
-        # The time is counted from the join at the earliest, so that a new relay can send a fresh list.
+        # Counted from the join at the earliest: a newly joined relay needs time to send a fresh list.
         stale_since = max(self.joined_at, self.confirmed_at + STALENESS_LIMIT_MS)
         stale = now - stale_since >= SILENCE_TIMEOUT_MS
         if silent or stale:
@@ -140,7 +140,7 @@
         return []
 
     def _fail_back(self, now: float) -> list[Action]:
-        """Return to the preferred relay of the own zone."""
+        """Return to the first relay in preference order."""
         previous = self.current
         self.failback_at = math.inf
         self.current = ""
@@ -149,7 +149,7 @@
         return [Leave(previous), self._join(now)]
 
     def _back_off(self, now: float) -> None:
-        """Start the backoff before the relays are tried again."""
+        """Start the backoff, after which the relays are tried again from the first."""
         rounds = self.failures_in_row // len(self.relays)
         backoff = min(MIN_BACKOFF_MS * 2 ** (rounds - 1), MAX_BACKOFF_MS)
         self.retry_at = now + backoff * self.rng.uniform(MIN_BACKOFF_FRACTION, 1.0)
--- a/lotusroute/relay/replica.py
+++ b/lotusroute/relay/replica.py
@@ -9,18 +9,18 @@
 from lotusroute.relay import messages
 from lotusroute.relay.versioned_store import Update, UpdateOutcome, Version, VersionedStore
 
-UNKNOWN_AGE_MS = 1e9  # nothing has been received from discovery or an origin
+UNKNOWN_AGE_MS = 1e9  # before anything has been received from discovery or an origin
 
 
 class ReceivedUpdate(NamedTuple):
-    """An update that has been received completely, and whether it was applied."""
+    """A completely received update, and the outcome of applying it."""
 
     update: Update
     outcome: UpdateOutcome
 
 
 class Replica:
-    """The store of one process and the snapshot that is being received."""
+    """The store of one process, and the parts of a snapshot that is being received."""
 
     def __init__(self, counters: "Counter[str]") -> None:
         self.store = VersionedStore()
@@ -28,9 +28,9 @@
         self._assembler = messages.SnapshotAssembler()
 
     def receive(self, message: messages.UpdateMessage) -> ReceivedUpdate | None:
-        """Apply the update that is complete with this message.
+        """Apply the update that this message completes.
 
-        Returns None for a heartbeat, and for a part of a snapshot that other parts are to follow.
+        Returns None for a heartbeat, and for a snapshot part that does not complete the snapshot.
         """
         if message.is_heartbeat:
             return None
@@ -52,18 +52,18 @@
 
 
 class RelayReplica(Replica):
-    """The replica of a relay, which reports its age to subscribers."""
+    """The replica of a relay, which tells its subscribers the age of the list."""
 
     def __init__(self, counters: "Counter[str]") -> None:
         super().__init__(counters)
-        self.confirmed_at = -UNKNOWN_AGE_MS  # when discovery last confirmed the list, as far as is known
+        self.confirmed_at = -UNKNOWN_AGE_MS  # latest known time at which discovery confirmed the list
 
     def confirm(self, now: float, age_ms: float) -> None:
-        """Note that discovery confirmed the list `age_ms` ago."""
+        """Record that discovery confirmed the list `age_ms` ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_ms)
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago discovery confirmed the list; at most UNKNOWN_AGE_MS."""
+        """Return how many ms ago discovery last confirmed the list; at most UNKNOWN_AGE_MS."""
         return min(UNKNOWN_AGE_MS, now - self.confirmed_at)
 
     def has_list(self, now: float) -> bool:
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -1,8 +1,8 @@
 """A relay process: it replicates the endpoint list from the origin to its subscribers.
 
-The relay that holds the lease `origin` is the origin: it polls discovery, publishes the answers under the
-fencing token of the lease, and sends them to the other relays. The other relays verify each update by its
-digest before they pass it on. Times are in milliseconds.
+The relay that holds the lease `origin` is the origin: it polls discovery, publishes the responses under the
+fencing token of the lease, and sends them to the other relays. The other relays verify the digest of each
+update before they send it to their subscribers. Times are in milliseconds.
 """
 
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 class RelayServer:
-    """One relay: connects its components to the calls of peers and to the lease."""
+    """One relay: dispatches calls of peers and changes of the lease to its components."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         counters: "Counter[str]",
         seed: int = 0,
     ) -> None:
-        """`discovery_address` is polled while this relay is the origin."""
+        """`discovery_address` is polled while this relay is the origin; `seed` is for random backoff."""
         self.context = RelayContext(lease_service, RelayReplica(counters), counters)
         self.sender = UpdateSender(self.context)
         self.follower = OriginFollower(self.context, self.sender.on_store_changed)
@@ -48,7 +48,7 @@
         return self.context.lease_service.start()
 
     def status(self) -> RelayStatus:
-        """Return the status for `relay show`."""
+        """Return the status that `relay show` prints."""
         store = self.context.replica.store
         fanout = self.sender.fanout
         versions = [subscriber.version for subscriber in fanout.subscribers.values()]
@@ -65,7 +65,7 @@
         )
 
     def _on_subscribe(self, peer: str, body: bytes) -> bytes:
-        """Accept a subscriber; the body of its call names the version that it has."""
+        """Add a subscriber; the body of its call holds the version that it has."""
         if not self.context.replica.has_list(self.context.now()):
             raise NoSnapshotError
         if not self.sender.has_capacity_for(peer):
@@ -78,7 +78,7 @@
         return self.follower.on_update(peer, body, self.origin.fencing_token)
 
     def _on_lease_changed(self, task: str, fencing_token: int) -> None:
-        """Become the origin, or cease to be it if the fencing token is 0."""
+        """Become the origin, or stop being the origin if the fencing token is 0."""
         if task != ORIGIN_TASK:
             return
         if fencing_token:
--- a/lotusroute/relay/status.py
+++ b/lotusroute/relay/status.py
@@ -1,7 +1,7 @@
 """The status of a relay, as a process sends it to the `show` commands and as `--json` prints it.
 
-The keys between processes are those of earlier builds, so that commands and processes of two builds
-understand each other. The fields have the terms of the code, and `--json` prints those.
+Between processes, the status keeps the keys of earlier builds, so that commands and processes of different
+builds work together. `--json` prints the field names of `RelayStatus` instead.
 """
 
 from collections.abc import Mapping
@@ -10,8 +10,8 @@
 
 from lotusroute.relay.messages import EncodedVersion
 
-STATUS_SECTION = "news"  # key of a relay's status in the status of its process, between processes
-PRINTED_SECTION = "updates"  # the same key as `--json` prints it
+STATUS_SECTION = "news"  # key of the relay's status in the status that its process sends
+PRINTED_SECTION = "updates"  # replaces STATUS_SECTION in the output of `--json`
 
 ProcessDocument = Mapping[str, object]  # the status of a process as a JSON object
 
@@ -26,7 +26,7 @@
         "oldest_version": "oldest",
     },
 ):
-    """What a relay has, and how far its subscribers are."""
+    """The version of the list that a relay has, and the progress of its subscribers."""
 
     version: EncodedVersion
     digest: str
@@ -36,20 +36,20 @@
     subscribers: int
     lagging: int  # subscribers with an older version
     snapshot_queue: int  # subscribers that wait for a snapshot
-    oldest_version: EncodedVersion  # of all subscribers
+    oldest_version: EncodedVersion  # that a subscriber has; the version of the relay if it has no subscribers
 
 
 def decode_relay_status(process_status: ProcessDocument) -> RelayStatus | None:
     """Return the status of the relay in the status of a process; None if the process is not a relay.
 
-    Raises `msgspec.ValidationError` for a status of another form.
+    Raises `msgspec.ValidationError` for a malformed status.
     """
     section = process_status.get(STATUS_SECTION)
     return None if section is None else msgspec.convert(section, RelayStatus)
 
 
 def printed_process_status(process_status: ProcessDocument) -> ProcessDocument:
-    """Return the status of a process with its relay's status under the terms of the code.
+    """Return the status of a process as `--json` prints it: its relay's status has the keys of the fields.
 
     >>> printed_process_status({"name": "n1"})
     {'name': 'n1'}
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -1,6 +1,6 @@
-"""A balancer's subscription to a relay: the connection to it, and the messages that it sends.
+"""A balancer's subscription to a relay: connects to the relay and handles its messages.
 
-Times are in milliseconds, timers of the reactor in seconds.
+Times are in milliseconds, delays of the reactor's timers in seconds.
 """
 
 import os
@@ -28,7 +28,7 @@
 from lotusroute.relay.versioned_store import UpdateOutcome
 
 TICK_INTERVAL_S = 0.1
-TICK_JITTER_FRACTION = 0.2  # of the interval, up or down
+TICK_JITTER_FRACTION = 0.2  # maximum random change of the interval, in either direction
 
 
 class Subscription:
@@ -64,7 +64,7 @@
         self._timer: DelayedCall | None = None  # the next tick
 
     def start(self) -> None:
-        """Start to subscribe, and keep a subscription from then on."""
+        """Subscribe to a relay, and change to another whenever the subscription is lost."""
         self._tick()
 
     def stop(self) -> None:
@@ -92,7 +92,7 @@
                     self.transport.connect(relay)
 
     def on_connected(self, relay: str) -> None:
-        """Subscribe to a relay that has been connected, if it is the one to be joined."""
+        """Subscribe to a connected relay, if it is the one that the selector is joining."""
         if relay != self.selector.joining:
             return
         acknowledgement = messages.encode_acknowledgement(self.replica.store.version)
@@ -117,7 +117,8 @@
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
         """Apply an update of the relay and return the acknowledgement.
 
-        Raises `UnknownCallError` for any other call, `NotSubscribedError` for an update of another process.
+        Raises `UnknownCallError` for any other call, and `NotSubscribedError` for an update from a process
+        other than the current relay.
         """
         if kind != messages.UPDATE_CALL:
             raise UnknownCallError(kind)
@@ -132,7 +133,7 @@
         return self.replica.acknowledge(received)
 
     def _receive(self, message: messages.UpdateMessage) -> ReceivedUpdate | None:
-        """Apply the update that is complete with this message, and pass it to the discovery client."""
+        """Apply the update that this message completes, if any, and pass it to the discovery client."""
         self.counters["updates_received"] += 1
         previous_seq = self.forwarder.list_seq()
         received = self.replica.receive(message)
--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -1,7 +1,7 @@
-"""Sends the endpoint list to the subscribers of a relay, as its fan-out decides.
+"""Sends the endpoint list to the subscribers of a relay, as its `FanOut` decides.
 
-Subscribers are processes that have connected to the relay and subscribed; while the relay is the origin, the
-other relays are subscribers as well. Times are in milliseconds.
+Subscribers are the processes that have connected to the relay and subscribed. While the relay is the origin,
+the other relays are subscribers too. Times are in milliseconds.
 """
 
 from enum import Enum
@@ -26,57 +26,57 @@
 
 
 class Route(Enum):
-    """The connection on which a subscriber is called."""
+    """The direction of the connection on which a subscriber is called."""
 
-    INBOUND = "inbound"  # the subscriber opened it
-    OUTBOUND = "outbound"  # this relay opened it: the subscriber is a relay, and this one the origin
+    INBOUND = "inbound"  # opened by the subscriber
+    OUTBOUND = "outbound"  # opened by this relay as the origin, to another relay
 
 
 class UpdateSender:
-    """The subscribers of one relay, and the messages to them."""
+    """Sends messages to the subscribers of one relay and handles their acknowledgements."""
 
     def __init__(self, context: RelayContext) -> None:
         self.context = context
         config = context.lease_service.config
         self.fanout = FanOut(context.replica.store, config.max_subscribers + len(config.peers))
-        self.serves_peers = False  # this relay is the origin: the other relays are its subscribers
+        self.serves_peers = False  # whether this relay is the origin, with the other relays as subscribers
         self.routes: dict[str, Route] = {}  # by the subscriber's name
         self._timer: DelayedCall | None = None  # the next tick
 
     def start(self) -> None:
-        """Start to send what is due."""
+        """Start to send messages when they are due."""
         self._tick()
 
     def subscribe(self, peer: str, version: Version) -> None:
-        """Add a process that has connected to this relay as a subscriber at a version."""
+        """Add a process that has connected to this relay as a subscriber that has `version`."""
         self.routes[peer] = Route.INBOUND
-        # The call that subscribes is answered first: the subscriber has to know that it was accepted when the
-        # first update arrives.
+        # The subscribe call is answered before the first update is sent: a subscriber rejects updates until
+        # it knows that it has been accepted.
         self.context.lease_service.reactor.callLater(0, self._join, peer, version)
 
     def has_capacity_for(self, peer: str) -> bool:
-        """Return whether a process may subscribe: it is a subscriber, or one more is allowed."""
+        """Return whether a process may subscribe: it already has, or the limit has not been reached."""
         return peer in self.routes or len(self.fanout.subscribers) < self.fanout.max_subscribers
 
     def remove(self, peer: str) -> None:
-        """Remove a subscriber, if the process is one."""
+        """Remove a subscriber; do nothing if the process is not subscribed."""
         if self.routes.pop(peer, None) is not None:
             self.fanout.remove(peer)
 
     def start_serving_peers(self) -> None:
-        """Make the other relays subscribers, each as soon as this relay is connected to it."""
+        """Connect to the other relays, and make each a subscriber once it is connected."""
         self.serves_peers = True
         for peer in self.context.lease_service.other_peers():
             self.context.lease_service.transport.connect(peer)
 
     def stop_serving_peers(self) -> None:
-        """Remove the subscribers that this relay has connected to."""
+        """Remove the other relays to which this relay connected as the origin."""
         self.serves_peers = False
         for peer in [peer for peer, route in self.routes.items() if route is Route.OUTBOUND]:
             self.remove(peer)
 
     def on_store_changed(self) -> None:
-        """Have a change of the store sent when it is due."""
+        """Schedule a tick for when the change of the store is due to be sent."""
         now = self.context.now()
         self.fanout.on_store_changed(now)
         self._schedule_tick(now)
@@ -105,7 +105,7 @@
     def _join_connected_peers(self, now: float) -> None:
         connected = self.context.lease_service.transport.outbound.keys()
         for peer in connected - self.fanout.subscribers.keys():
-            # The peer's version is unknown until its first acknowledgement; this one is assumed until then.
+            # Until its first acknowledgement, the peer is assumed to have the version of this relay.
             self.routes[peer] = Route.OUTBOUND
             self.perform(self.fanout.join(now, peer, self.fanout.store.version))
 
@@ -116,7 +116,7 @@
         self._timer = self.context.lease_service.reactor.callLater(delay / 1000, self._tick)
 
     def _encode(self, message: Message) -> list[bytes]:
-        """Return the bodies of the calls that carry a message; a snapshot replaces too large a delta."""
+        """Return the bodies of the calls for a message; a delta too large for a call becomes a snapshot."""
         bodies = messages.encode_update(message, self.context.age_ms())
         if bodies:
             return bodies
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -1,7 +1,7 @@
-"""The `UpdateSource` of a balancer that subscribes to a relay: it decides when discovery is polled instead.
+"""The `UpdateSource` of a balancer that subscribes to a relay: decides when to poll discovery instead.
 
-The balancer polls discovery once its list has grown stale, and until a relay has a fresh list again. Times
-are in milliseconds unless a name or a comment says seconds.
+The balancer polls discovery once its list is stale, and until a relay has sent a fresh list again. Times are
+in milliseconds unless a name or a comment says seconds.
 """
 
 import math
@@ -19,11 +19,11 @@
 from lotusroute.relay.relay_selector import RelaySelector
 
 CHECK_INTERVAL_S = 0.1
-FIRST_UPDATE_TIMEOUT_S = 0.8  # after the start, before discovery is polled instead
+FIRST_UPDATE_TIMEOUT_S = 0.8  # from the start; without a list by then, discovery is polled
 
 
 class RelayUpdateSource:
-    """Has the discovery client wait while the list of a relay is fresh."""
+    """Keeps the discovery client from polling while the list received from a relay is fresh."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         self.counters = counters
         self.selector = selector
         self.forwarder = forwarder
-        self.discovery: DiscoveryClient | None = None  # the current client; a reload replaces it
+        self.discovery: DiscoveryClient | None = None  # the current client; a config reload replaces it
         self.started_at = clock()
-        self.polling = False  # the list is stale, and discovery is polled
+        self.polling = False  # whether discovery is polled because the list is stale
         self._wait = InterruptibleWait(reactor)
 
     def on_list_confirmed(self, now: float) -> None:
-        """End the polling of discovery if the list is fresh again."""
+        """Stop polling discovery if the list is fresh again."""
         if self.selector.is_fresh(now):
             self.polling = False
 
@@ -70,11 +70,11 @@
             self.counters["relay_fallback_requests"] += 1
 
     def wake(self) -> None:
-        """Make a pending `wait_until_poll_due` check again whether to poll."""
+        """Make a pending `wait_until_poll_due` check at once whether to poll."""
         self._wait.wake()
 
     def age(self) -> float:
-        """Return the maximum age of the list in s; infinity if it is of another discovery service."""
+        """Return the maximum age of the list in seconds; infinity if it is from another discovery service."""
         if self.discovery is None or not self.forwarder.has_list_of(self.discovery):
             return math.inf
         return (self.clock() - self.selector.confirmed_at) / 1000
@@ -86,9 +86,9 @@
         """Do nothing: the balancer continues to poll until a relay has a fresh list."""
 
     async def _wait_before_polling(self, discovery: DiscoveryClient) -> None:
-        """Wait for a random time, so that balancers that lost their relay together do not poll together.
+        """Wait for a random time, so that balancers that lose their relay together do not all poll together.
 
-        The wait leaves enough of the time in which a change has to be in force for the poll itself.
+        The wait ends early enough for the poll to wait in discovery's queue and still meet its deadline.
         """
         max_delay = max(0.0, min(MIN_REJECTION_BACKOFF_S, discovery.remaining() - QUEUE_TIMEOUT_S))
         await self._wait.wait(max_delay * self.rng.random())
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -18,21 +18,21 @@
 
 from lotusroute.relay.errors import DeposedError
 
-HISTORY_LIMIT = 512  # versions; a subscriber that is further behind gets a snapshot
-TOMBSTONE_LIMIT = 4_096  # removed keys
+HISTORY_LIMIT = 512  # versions; a subscriber that lags further behind is sent a snapshot
+TOMBSTONE_LIMIT = 4_096  # removed keys that deltas can still report
 DIGEST_MASK = (1 << 64) - 1
 
 Changes = dict[str, bytes | None]  # new values by key; None if the key was removed
 
 
 class UpdateOutcome(StrEnum):
-    """The result of applying an update; the values are part of the names of counters."""
+    """The result of applying an update; the values are part of counter names."""
 
     APPLIED = "applied"
-    DUPLICATE = "duplicate"  # the store has this version already
+    DUPLICATE = "duplicate"  # the store already has this version
     STALE = "stale"  # the store has a later version
-    GAP = "gap"  # a delta from another version than the store's
-    CORRUPT = "corrupt"  # the digest does not match
+    GAP = "gap"  # the base version of the delta is not the store's version
+    CORRUPT = "corrupt"  # the digest does not match the items
 
 
 class Version(NamedTuple):
@@ -79,7 +79,9 @@
 
 
 def item_hash(key: str, value: bytes) -> int:
-    """Return an item's summand in the digest, modulo 2^64; the order of items does not matter.
+    """Return the 64-bit hash of an item.
+
+    A digest is the sum of the hashes of all items modulo 2^64, so it does not depend on their order.
 
     >>> item_hash("a", b"1") == item_hash("a", b"1") != item_hash("a", b"2")
     True
@@ -89,22 +91,22 @@
 
 
 class VersionedStore:
-    """The items that one process has, and what it needs to make updates of them."""
+    """The items of one process, and the history that it needs to make updates for other processes."""
 
     def __init__(self) -> None:
         self.version = Version()
         self.digest = 0
         self.items: dict[str, bytes] = {}
         self.item_versions: dict[str, Version] = {}  # the version in which each item last changed
-        self.tombstones: dict[str, Version] = {}  # when each key was removed, oldest first
-        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # newest last
+        self.tombstones: dict[str, Version] = {}  # the version in which each key was removed, oldest first
+        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # bases of possible deltas, newest last
 
     def publish(self, fencing_token: int, changes: Changes) -> bool:
-        """Make a new version of the changes that differ from the items; return whether there is one.
+        """Make a new version of those changes that have an effect; return whether there is a new version.
 
-        Only the origin may call this. A new fencing token makes a version even without a change, because its
-        holder confirms that the items are current. Raises `DeposedError` if the store has a version under a
-        higher fencing token.
+        Only the origin may call this. The first call with a new fencing token makes a version even without a
+        change, because the new origin confirms that the items are current. Raises `DeposedError` if the store
+        has a version with a higher fencing token.
         """
         if fencing_token < self.version.fencing_token:
             raise DeposedError(fencing_token, self.version.fencing_token)
@@ -130,7 +132,7 @@
         if self.digest_after(changes) != update.digest:
             return UpdateOutcome.CORRUPT
         if isinstance(update, Snapshot):
-            # The versions in between are unknown, so no delta can be made from an earlier version.
+            # The versions that a snapshot skips are unknown, so no delta can be made from an earlier version.
             self.history.clear()
             self.tombstones.clear()
         self._commit(update.version, changes, update.digest)
@@ -185,7 +187,7 @@
         self.history.append(version)
 
     def _trim_tombstones(self) -> None:
-        """Drop the oldest tombstones, and the versions from which a delta would need them."""
+        """Discard the oldest tombstones, and the versions from which a delta would need them."""
         while len(self.tombstones) > TOMBSTONE_LIMIT:
             removed = self.tombstones.pop(next(iter(self.tombstones)))
             while self.history and self.history[0] < removed:
@@ -193,7 +195,9 @@
 
 
 def split_snapshot(snapshot: Snapshot, max_bytes: int) -> Iterator[SnapshotPart]:
-    """Split a snapshot into parts of at most about `max_bytes` of items each.
+    """Split a snapshot into parts of at most `max_bytes` of items each.
+
+    The size of a key is its number of characters. A larger item than `max_bytes` is a part of its own.
 
     >>> snapshot = Snapshot(Version(1, 1), 0, {"a": b"12", "b": b"3"})
     >>> [(part.index, part.count, list(part.items)) for part in split_snapshot(snapshot, 3)]
