--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -25,7 +25,7 @@
 }
 
 
-class Route(Enum):
+class ConnectionDirection(Enum):
     """The direction of the connection on which a subscriber is called."""
 
     INBOUND = "inbound"  # opened by the subscriber
@@ -40,7 +40,7 @@
         config = context.lease_service.config
         self.fanout = FanOut(context.replica.store, config.max_subscribers + len(config.peers))
         self.serves_peers = False  # whether this relay is the origin, with the other relays as subscribers
-        self.routes: dict[str, Route] = {}  # by the subscriber's name
+        self.directions: dict[str, ConnectionDirection] = {}  # by the subscriber's name
         self._timer: DelayedCall | None = None  # the next tick
 
     def start(self) -> None:
@@ -49,18 +49,18 @@
 
     def subscribe(self, peer: str, version: Version) -> None:
         """Add a process that has connected to this relay as a subscriber that has `version`."""
-        self.routes[peer] = Route.INBOUND
+        self.directions[peer] = ConnectionDirection.INBOUND
         # The subscribe call is answered before the first update is sent: a subscriber rejects updates until
         # it knows that it has been accepted.
         self.context.lease_service.reactor.callLater(0, self._join, peer, version)
 
     def has_capacity_for(self, peer: str) -> bool:
         """Return whether a process may subscribe: it already has, or the limit has not been reached."""
-        return peer in self.routes or len(self.fanout.subscribers) < self.fanout.max_subscribers
+        return peer in self.directions or len(self.fanout.subscribers) < self.fanout.max_subscribers
 
     def remove(self, peer: str) -> None:
         """Remove a subscriber; do nothing if the process is not subscribed."""
-        if self.routes.pop(peer, None) is not None:
+        if self.directions.pop(peer, None) is not None:
             self.fanout.remove(peer)
 
     def start_serving_peers(self) -> None:
@@ -72,7 +72,9 @@
     def stop_serving_peers(self) -> None:
         """Remove the other relays to which this relay connected as the origin."""
         self.serves_peers = False
-        for peer in [peer for peer, route in self.routes.items() if route is Route.OUTBOUND]:
+        for peer in [
+            peer for peer, direction in self.directions.items() if direction is ConnectionDirection.OUTBOUND
+        ]:
             self.remove(peer)
 
     def on_store_changed(self) -> None:
@@ -106,7 +108,7 @@
         connected = self.context.lease_service.transport.outbound.keys()
         for peer in connected - self.fanout.subscribers.keys():
             # Until its first acknowledgement, the peer is assumed to have the version of this relay.
-            self.routes[peer] = Route.OUTBOUND
+            self.directions[peer] = ConnectionDirection.OUTBOUND
             self.perform(self.fanout.join(now, peer, self.fanout.store.version))
 
     def _schedule_tick(self, now: float) -> None:
@@ -125,7 +127,7 @@
     async def _send(self, subscriber: str, bodies: list[bytes]) -> None:
         """Send the calls of one message and handle the acknowledgement of the last one."""
         transport = self.context.lease_service.transport
-        outbound = self.routes.get(subscriber) is Route.OUTBOUND
+        outbound = self.directions.get(subscriber) is ConnectionDirection.OUTBOUND
         call = transport.call if outbound else transport.call_inbound
         acknowledgement = b""
         try:
