--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -15,7 +15,7 @@
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
 HEARTBEAT_INTERVAL_MS = 600.0
-TICKS_PER_HEARTBEAT = 4  # the minimum; ticks are more frequent while a change is pending
+MIN_TICKS_PER_HEARTBEAT = 4  # ticks are more frequent while a change is pending
 ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # a subscriber that takes longer is dropped
 COALESCE_DELAY_MS = 50.0  # for which a change waits, so that later ones are sent with it
 MIN_UPDATE_INTERVAL_MS = 250.0  # between two updates to the same subscriber
@@ -131,7 +131,7 @@
     def next_tick_in(self, now: float) -> float:
         """Return the time in ms until the next tick is due."""
         return min(
-            HEARTBEAT_INTERVAL_MS / TICKS_PER_HEARTBEAT,
+            HEARTBEAT_INTERVAL_MS / MIN_TICKS_PER_HEARTBEAT,
             max(0.0, self.pending_since + COALESCE_DELAY_MS - now),
         )
 
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -66,7 +66,7 @@
         self.index = 0  # in `relays`: position of the current relay or the one being joined
         self.joining = ""  # relay that has been asked for a subscription; empty if none
         self.current = ""  # relay that has accepted the subscription; empty if none
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         self.retry_at = -math.inf  # end of the backoff after all relays have failed
         self.join_started_at = -math.inf  # when a subscription was last requested
         self.joined_at = -math.inf  # when a subscription was last accepted
@@ -109,7 +109,7 @@
         """Record that discovery confirmed the list to the origin `age_ms` ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_ms)
         if age_ms < STALENESS_LIMIT_MS:
-            self.failures_in_row = 0
+            self.consecutive_failures = 0
 
     def on_lost(self, now: float, relay: str) -> list[Action]:
         """Change to the next relay, after this one disconnected, timed out or rejected the subscription."""
@@ -118,8 +118,8 @@
         self.current = ""
         self.joining = ""
         self.index = (self.index + 1) % len(self.relays)
-        self.failures_in_row += 1
-        if self.failures_in_row % len(self.relays) == 0:
+        self.consecutive_failures += 1
+        if self.consecutive_failures % len(self.relays) == 0:
             self._back_off(now)
             return [Leave(relay)]
         return [Leave(relay), self._join(now)]
@@ -145,12 +145,12 @@
         self.failback_at = math.inf
         self.current = ""
         self.index = 0
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         return [Leave(previous), self._join(now)]
 
     def _back_off(self, now: float) -> None:
         """Start the backoff, after which the relays are tried again from the first."""
-        rounds = self.failures_in_row // len(self.relays)
+        rounds = self.consecutive_failures // len(self.relays)
         backoff = min(MIN_BACKOFF_MS * 2 ** (rounds - 1), MAX_BACKOFF_MS)
         self.retry_at = now + backoff * self.rng.uniform(MIN_BACKOFF_FRACTION, 1.0)
         self.index = 0
