--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -86,8 +86,8 @@
     >>> item_hash("a", b"1") == item_hash("a", b"1") != item_hash("a", b"2")
     True
     """
-    name = key.encode()
-    return int.from_bytes(blake2b(b"%d:%b%b" % (len(name), name, value), digest_size=8).digest())
+    encoded = key.encode()
+    return int.from_bytes(blake2b(b"%d:%b%b" % (len(encoded), encoded, value), digest_size=8).digest())
 
 
 class VersionedStore:
@@ -144,9 +144,9 @@
             return None
         if version not in self.history:
             return self.snapshot()
-        changes: Changes = {key: None for key, removed in self.tombstones.items() if removed > version}
-        for key, changed in self.item_versions.items():
-            if changed > version:
+        changes: Changes = {key: None for key, removed_in in self.tombstones.items() if removed_in > version}
+        for key, changed_in in self.item_versions.items():
+            if changed_in > version:
                 changes[key] = self.items[key]
         return Delta(version, self.version, self.digest, changes)
 
@@ -158,9 +158,9 @@
         """Return the digest of the items as they would be after these changes."""
         digest = self.digest
         for key, value in changes.items():
-            old = self.items.get(key)
-            if old is not None:
-                digest -= item_hash(key, old)
+            old_value = self.items.get(key)
+            if old_value is not None:
+                digest -= item_hash(key, old_value)
             if value is not None:
                 digest += item_hash(key, value)
         return digest & DIGEST_MASK
@@ -189,8 +189,8 @@
     def _trim_tombstones(self) -> None:
         """Discard the oldest tombstones, and the versions from which a delta would need them."""
         while len(self.tombstones) > TOMBSTONE_LIMIT:
-            removed = self.tombstones.pop(next(iter(self.tombstones)))
-            while self.history and self.history[0] < removed:
+            removed_in = self.tombstones.pop(next(iter(self.tombstones)))
+            while self.history and self.history[0] < removed_in:
                 self.history.popleft()
 
 
