--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -1,4 +1,4 @@
-"""A cluster of relay processes with discovery and balancers, for the tests of relays."""
+"""Relay processes with a fake discovery service, fake servers and balancers, for tests of relays."""
 
 import contextlib
 import json
@@ -26,14 +26,14 @@
 LEASE_MS = 1_500
 MAX_SUBSCRIBERS = 50
 SHOW_TIMEOUT_S = 30.0  # for the status command
-RELAYS = ["r1", "r2", "r3"]  # all of them are acceptors of the lease
+RELAYS = ["r1", "r2", "r3"]  # all are acceptors of the lease
 ZONES = ["a", "b"]
 SERVERS = 4
 BALANCERS = 2
-DRAIN_CHECK_CLIENTS = 4  # that have a draining server as their default
+DRAIN_CHECK_CLIENTS = 4  # clients tested per draining server, which is their default server
 DRAIN_CHECK_INTERVAL_S = 0.1
 
-# Client keys by their default server: a balancer sends them there until it knows that the server drains.
+# Client keys by default server: a balancer sends these clients there until it knows that the server drains.
 KEYS_BY_SERVER = {
     f"s{index}": [
         key for key in map(str, range(200)) if FakeHost(servers=SERVERS).default_server(key) == f"s{index}"
@@ -43,13 +43,13 @@
 
 
 class RelayCluster:
-    """Relay processes of the real program, by name, with a log file each."""
+    """Relays that run as processes of the actual program, each with a log file."""
 
     def __init__(self, directory: pathlib.Path, discovery: Address) -> None:
         self.directory = directory
         self.discovery = discovery
         self.addresses = {name: Address(LOOPBACK, free_port()) for name in RELAYS}
-        self.processes: dict[str, subprocess.Popen[str]] = {}  # the running ones
+        self.processes: dict[str, subprocess.Popen[str]] = {}  # the running processes by relay
 
     def __enter__(self) -> Self:
         for name in RELAYS:
@@ -81,13 +81,13 @@
             self.processes[name] = start_process(command, ProcessOptions(stderr=log))
 
     def send_signal(self, name: str, number: int) -> None:
-        """Send a signal to a relay; one that is killed has ended when this returns."""
+        """Send a signal to a relay; after SIGKILL, wait until the process has ended."""
         self.processes[name].send_signal(number)
         if number == signal.SIGKILL:
             self.processes.pop(name).wait()
 
     def origin(self) -> str | None:
-        """Return the relay that holds the lease, by the logs; None while there is none."""
+        """Return the relay that holds the lease according to the logs; None if no relay holds it."""
         acquired = []
         for name in self.processes:
             events = [
@@ -100,7 +100,10 @@
         return max(acquired)[1] if acquired else None
 
     def balancer_file(self, zone: str) -> str:
-        """Write a balancer's file, which assigns the relays to the zones in turn; returns its path."""
+        """Write the relays' configuration file for balancers in a zone and return its path.
+
+        The relays are assigned to the zones in turn.
+        """
         relays = {
             relay_zone: {name: self.addresses[name] for name in RELAYS[offset :: len(ZONES)]}
             for offset, relay_zone in enumerate(ZONES)
@@ -109,14 +112,14 @@
         return config.write(self.directory / f"balancer-{zone}.toml")
 
     def status(self) -> dict[str, Any]:
-        """Return the status of each relay, as `relay show` prints it."""
+        """Return the status of each relay by name, as `relay show` prints it."""
         name = next(iter(self.processes))
         command = _relay_command("show", "--fleet", str(self._fleet_file(name)), "--json")
         done = subprocess.run(command, capture_output=True, timeout=SHOW_TIMEOUT_S, check=False)
         return {name: state["updates"] for name, state in json.loads(done.stdout)["balancers"].items()}
 
     def subscriber_count(self) -> int:
-        """Return how many subscribers all relays have; the other relays are subscribers of the origin."""
+        """Return the total number of subscribers of all relays; the origin counts the other relays."""
         return sum(state["subscribers"] for state in self.status().values())
 
     def _fleet_file(self, name: str) -> pathlib.Path:
@@ -140,7 +143,7 @@
     balancers: list[Balancer]
 
     def drain(self, count: int) -> float:
-        """Make the first servers drain; returns when the change was made."""
+        """Make the first `count` servers drain and return the time of the change."""
         self.discovery.publish(
             [
                 server.entry("DRAINING" if index < count else "SERVING")
@@ -152,29 +155,30 @@
     def wait_until_drained(
         self, count: int, changed_at: float, balancers: Sequence[Balancer] | None = None
     ) -> float:
-        """Wait until balancers send nothing to the last of the draining servers.
+        """Wait until balancers no longer send flows to the last of the draining servers.
 
-        Return the s since the change.
+        Returns the seconds since the change. By default, all balancers are checked.
         """
+        server = f"s{count - 1}"
         for balancer in self.balancers if balancers is None else balancers:
-            while not _avoids(balancer, f"s{count - 1}"):
-                assert time.monotonic() < changed_at + TIMEOUT_S, "the change was never in force"
+            while not _avoids(balancer, server):
+                assert time.monotonic() < changed_at + TIMEOUT_S, f"a balancer still sends flows to {server}"
                 time.sleep(DRAIN_CHECK_INTERVAL_S)
         return time.monotonic() - changed_at
 
     def poll_count(self) -> int:
-        """Return how often discovery has been polled."""
+        """Return how many polls discovery has received."""
         return len(self.discovery.polls)
 
     def wait_until_subscribed(self) -> None:
-        """Wait until all balancers are subscribed, and all relays but the origin."""
+        """Wait until all balancers, and all relays except the origin, are subscribed."""
         wait_until(lambda: self.relays.subscriber_count() >= len(self.balancers) + len(RELAYS) - 1)
 
 
 def _avoids(balancer: Balancer, server: str) -> bool:
-    """Return whether clients whose default server this is are all sent elsewhere.
+    """Return whether the tested clients with this default server are all sent to other servers.
 
-    Several clients are tried, since a single one may be sent elsewhere by chance.
+    Several clients are tested, since a single one may be sent to another server by chance.
     """
     replies = [balancer.open_flow(key).readline() for key in KEYS_BY_SERVER[server][:DRAIN_CHECK_CLIENTS]]
     return all(reply.startswith(b"UP ") and reply != f"UP {server}\r\n".encode() for reply in replies)
@@ -182,7 +186,7 @@
 
 @contextlib.contextmanager
 def running_deployment(directory: pathlib.Path) -> Iterator[Deployment]:
-    """Start everything and wait until it is connected."""
+    """Run a deployment, entered once its balancers and relays are subscribed."""
     servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(SERVERS)]
     with contextlib.ExitStack() as stack:
         fake_discovery = FakeDiscovery(*servers)
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -1,4 +1,4 @@
-"""Tests of the fan-out: coalescing, slow subscribers, and the limits of snapshots and subscribers."""
+"""Tests of the fan-out: coalescing, slow subscribers, and the limits on snapshots and subscribers."""
 
 import pytest
 from versioned_store_helpers import origin_store
@@ -22,7 +22,7 @@
 
 
 def join_current(fanout, name):
-    """Join a subscriber that has the current version."""
+    """Add a subscriber that has the current version and has acknowledged a heartbeat."""
     fanout.join(0.0, name, fanout.store.version)
     fanout.on_acknowledgement(1.0, name, fanout.store.version, 0.0)
 
@@ -33,7 +33,7 @@
     join_current(fanout, "slow")
     sent = {"fast": [], "slow": []}
     now = 1_000.0
-    for action in fanout.tick(now, 0.0):  # heartbeats; "slow" does not acknowledge its own
+    for action in fanout.tick(now, 0.0):  # heartbeats, of which "slow" does not acknowledge its own
         if action.subscriber == "fast":
             fanout.on_acknowledgement(now, "fast", origin.version, 0.0)
     for number in range(50):
@@ -74,17 +74,17 @@
     assert list(fanout.subscribers) == ["healthy"]
 
 
-ZONE_SIZE = 326
+ZONE_SIZE = 326  # balancers
 
 
 @pytest.fixture
 def zone_fanout(origin):
-    """A fan-out that accepts as many subscribers as a zone has balancers."""
+    """A fan-out whose limit is the number of balancers in a zone."""
     return FanOut(origin, ZONE_SIZE)
 
 
 def join_zone(fanout):
-    """Subscribe a whole zone with empty lists at once; return the actions."""
+    """Subscribe all balancers of a zone, which have empty lists, at once; return the actions."""
     return [action for index in range(ZONE_SIZE) for action in fanout.join(0.0, f"n{index}", Version())]
 
 
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -1,7 +1,8 @@
-"""Golden bytes of relays and of the status of a process, written literally.
+"""Golden bytes of the messages of relays and of the status of a process, written as literals.
 
-A rename of types or modules must leave all of this as it is: processes of two builds exchange these bytes,
-and a new build reads the files of the old one. Expected bytes use no name of the project.
+A rename of types or modules must not change them: processes of different builds exchange these bytes, and a
+new build reads the files of an earlier one. The expected bytes refer to no name of the project, so that they
+do not change with it.
 """
 
 import json
@@ -45,7 +46,7 @@
 
 
 def _relay(state):
-    """A relay that is the origin with fencing token 3 and has published 250 ms ago."""
+    """Return a relay that is the origin with fencing token 3 and published a list 250 ms ago."""
     service = lease_service_at_fixed_clock("a", state)
     relay = RelayServer(service, Address("10.0.0.9", 8500), Counter())
     relay.origin.fencing_token, service.fencing_token = 3, lambda *_: 3
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -1,4 +1,4 @@
-"""Tests of the file that names the relays, and of a program that runs without it."""
+"""Tests of the configuration file of the relays, and of the program's imports without that file."""
 
 import subprocess
 import sys
--- a/tests/test_relay_messages.py
+++ b/tests/test_relay_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between relays and subscribers: splitting snapshots and assembling them."""
+"""Tests of the messages between relays and subscribers: splitting and assembling of snapshots."""
 
 import msgspec
 import pytest
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -1,4 +1,4 @@
-"""Tests of relays as processes: changes of the endpoint list while relays and the origin fail."""
+"""Tests with relay processes: changes of the endpoint list, also while relays or the origin fail."""
 
 import signal
 import time
@@ -17,12 +17,12 @@
 
 
 def test_a_change_is_in_force_by_the_relays_and_only_the_origin_polls_discovery(deployment):
-    time.sleep(1.0)  # a window without changes
+    time.sleep(1.0)  # a period without changes
     polls = deployment.poll_count()
     changed_at = deployment.drain(1)
     assert deployment.wait_until_drained(1, changed_at) < 1.5
     time.sleep(2.0)
-    # Only the origin polls, and its polls are held for 0.5 s.
+    # Only the origin polls, and discovery holds each of its polls for 0.5 s.
     elapsed = time.monotonic() - changed_at
     assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
     states = deployment.relays.status().values()
@@ -41,7 +41,7 @@
     assert deployment.wait_until_drained(1, changed_at) < 4.0
     if fault == signal.SIGSTOP:
         relays.send_signal(name, signal.SIGCONT)
-        # The updates that it sends now are older than what all other processes have: none applies them.
+        # The resumed relay sends updates older than the list of all other processes; none applies them.
         changed_at = deployment.drain(2)
         assert deployment.wait_until_drained(2, changed_at) < 4.0
     for balancer in deployment.balancers:
--- a/tests/test_relay_selector.py
+++ b/tests/test_relay_selector.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a relay: order, timeouts, failback and backoff."""
+"""Tests of the relay selector: preference order, timeouts, failback and backoff."""
 
 import random
 from collections import Counter
@@ -55,7 +55,7 @@
     while not (actions := selector.tick(now)):
         now += 100.0
         selector.on_message(now, "a1")
-        selector.on_confirmed(now, 50.0 + now)  # its list grows stale
+        selector.on_confirmed(now, 50.0 + now)  # the age of the list grows with the time
     assert actions == [Leave("a1"), Join("b1")]
     assert now <= STALENESS_LIMIT_MS + SILENCE_TIMEOUT_MS + 200.0
 
@@ -72,7 +72,7 @@
         else:
             now += 50.0
             actions = selector.tick(now)
-    assert 20 <= attempts <= 60  # two a round, one round each 1 to 2 s
+    assert 20 <= attempts <= 60  # two per round, and a round every 1 to 2 s
 
 
 def test_subscribers_of_a_failed_relay_spread_over_the_others():
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,4 +1,4 @@
-"""Tests of the calls that a relay and a subscriber reject, and of the errors that say why."""
+"""Tests of the calls that relays and subscribers reject, and of the errors that state the reason."""
 
 from collections import Counter
 
@@ -24,7 +24,7 @@
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
 EMPTY_VERSION = messages.encode_acknowledgement(Version())
-PEERS = 4  # of the fleet, which may subscribe beside `max_subscribers`
+PEERS = 4  # processes of the fleet: they may subscribe in addition to `max_subscribers`, here 0
 
 
 @pytest.fixture
--- a/tests/test_relay_status.py
+++ b/tests/test_relay_status.py
@@ -1,4 +1,4 @@
-"""Tests of the status of a relay: its keys between processes, and those that the `show` commands print."""
+"""Tests of the status of a relay: its keys on the wire, and those that the `show` commands print."""
 
 import json
 from types import SimpleNamespace
@@ -48,7 +48,7 @@
         decode_relay_status({"news": {**SECTION, "lack": "two"}})
 
 
-# Calls at once what is to be called when the reactor runs.
+# Calls functions at once that a reactor calls when it starts to run.
 IMMEDIATE_REACTOR = SimpleNamespace(
     callWhenRunning=lambda function, *arguments: function(*arguments),
     run=lambda **_: None,
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def show_json(tmp_path, monkeypatch):
-    """Returns what a `show` command prints with `--json` of one process that is a relay."""
+    """Return a function that runs a `show` command for one relay and returns its `--json` output."""
     file = tmp_path / "fleet.toml"
     peers = "\n".join(f'{name} = "127.0.0.1:9"' for name in ("r1", "r2", "r3"))
     file.write_text(f'name = "f"\nkeepers = ["r1", "r2", "r3"]\n[peers]\n{peers}\n')
--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -1,4 +1,4 @@
-"""Tests of when a balancer that subscribes to a relay polls discovery."""
+"""Tests of the conditions under which a balancer that subscribes to a relay polls discovery."""
 
 import math
 import random
@@ -16,11 +16,11 @@
 from lotusroute.relay.versioned_store import VersionedStore
 
 LIST = EndpointListUpdate(12, True, [{"host": "s-1"}])
-ADDRESS = "10.0.0.9:8500"  # of RecordingDiscovery
+ADDRESS = "10.0.0.9:8500"  # of the discovery service that RecordingDiscovery polls
 
 
 class PolledDiscovery(RecordingDiscovery):
-    """A discovery client with 6 s until its next response has to be in."""
+    """A discovery client whose next response has to arrive within 6 s."""
 
     def remaining(self):
         return 6.0
@@ -51,7 +51,7 @@
 
 
 def advance(reactor, seconds):
-    """Advance the clock in small steps."""
+    """Advance the clock in steps of CHECK_INTERVAL_S, so that each check runs."""
     for _ in range(round(seconds / CHECK_INTERVAL_S)):
         reactor.advance(CHECK_INTERVAL_S)
 
--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -1,4 +1,4 @@
-"""Tests of the versioned store: publishing, snapshots, deltas, and what becomes of an update."""
+"""Tests of the versioned store: publishing, snapshots, deltas, and the outcomes of updates."""
 
 import pytest
 from versioned_store_helpers import origin_store
@@ -71,11 +71,11 @@
     deposed = origin_store(fencing_token=3)
     successor = VersionedStore()
     successor.apply(deposed.update_since(Version()))
-    successor.publish(4, {})  # has acquired the lease
+    successor.publish(4, {})  # the successor has acquired the lease
     deposed.publish(3, {"a": b"too late"})
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.APPLIED
     update = successor.update_since(replica.version)
-    assert isinstance(update, Snapshot)  # the successor never had the replica's version
+    assert isinstance(update, Snapshot)  # the replica's version is not in the history of the successor
     assert replica.apply(update) == UpdateOutcome.APPLIED
     assert replica.items == successor.items
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.STALE
