--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -27,7 +27,7 @@
     fanout.on_acknowledgement(1.0, name, fanout.store.version, 0.0)
 
 
-def test_a_burst_of_changes_is_few_messages_and_one_to_a_busy_subscriber(origin):
+def test_a_burst_of_changes_is_coalesced_and_a_busy_subscriber_gets_a_single_delta(origin):
     fanout = FanOut(origin, 10)
     join_current(fanout, "fast")
     join_current(fanout, "slow")
@@ -51,7 +51,7 @@
     assert len(late[0].message.changes) == 51
 
 
-def test_an_unresponsive_subscriber_is_dropped_and_costs_the_others_nothing(origin):
+def test_an_unresponsive_subscriber_is_dropped_without_delaying_the_others(origin):
     fanout = FanOut(origin, 10)
     fanout.join(0.0, "unresponsive", origin.version)
     join_current(fanout, "healthy")
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -55,7 +55,7 @@
     return relay
 
 
-def test_a_relay_sends_these_bytes_and_a_balancer_reads_them(tmp_path):
+def test_relays_and_balancers_exchange_these_bytes(tmp_path):
     relay = _relay(tmp_path)
     service, transport = relay.context.lease_service, relay.context.lease_service.transport
     assert relay.context.replica.store.items == ITEMS
@@ -103,7 +103,7 @@
     assert messages.decode_acknowledgement(b"\x92\x03\x02") == (3, 2)
 
 
-def test_the_status_has_these_keys(tmp_path):
+def test_the_status_of_a_process_has_these_keys(tmp_path):
     service = _relay(tmp_path).context.lease_service
     service.handle_event(RequestLease("watch"))
     service.handle_call("b", "propose", PROPOSE_B)
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -25,18 +25,18 @@
         ("relay", 1, "relay: no such key"),
     ],
 )
-def test_an_invalid_key_is_named_with_its_correction(key, value, message):
+def test_the_error_for_an_invalid_key_names_the_key_and_the_correction(key, value, message):
     valid = {"name": "f", "zone": "a", "relays": {"a": {"r1": "127.0.0.1:1"}}}
     with pytest.raises(ConfigError, match=message):
         parse_relays_config({**valid, key: value})
 
 
-def test_an_unreadable_file_is_named_with_its_variable(tmp_path):
+def test_the_error_for_an_unreadable_file_names_the_file_and_the_variable(tmp_path):
     with pytest.raises(ConfigError, match=r"LB_RELAYS: .*gone\.toml"):
         load_relays_config(tmp_path / "gone.toml")
 
 
-def test_without_the_file_the_program_imports_nothing_of_relays_or_of_the_capacity_runs():
+def test_without_a_relay_configuration_the_program_imports_no_relay_or_capacity_modules():
     program = (
         "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'capacity' in m "
         "or m in ('msgspec', 'numpy', 'click')])"
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -16,7 +16,7 @@
         yield deployment
 
 
-def test_a_change_is_in_force_by_the_relays_and_only_the_origin_polls_discovery(deployment):
+def test_a_change_takes_effect_through_the_relays_and_only_the_origin_polls_discovery(deployment):
     time.sleep(1.0)  # a period without changes
     polls = deployment.poll_count()
     changed_at = deployment.drain(1)
@@ -64,7 +64,7 @@
     assert deployment.wait_until_drained(2, changed_at) < 4.0
 
 
-def test_after_a_reload_to_another_discovery_the_relays_list_is_ignored(deployment):
+def test_after_a_reload_to_another_discovery_service_the_list_of_the_relays_is_ignored(deployment):
     reloaded, *others = deployment.balancers
     other_discovery = FakeDiscovery(FakeServer("s9", b"UP s9\r\n"))
     other_discovery.seq = 7
--- a/tests/test_relay_selector.py
+++ b/tests/test_relay_selector.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_a_silent_relay_is_left_in_time_for_the_next_in_order():
+def test_a_silent_relay_is_replaced_by_the_next_in_preference_order():
     first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
     selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
     assert third == "b1"
@@ -31,7 +31,7 @@
     assert selector.tick(20.0 + SILENCE_TIMEOUT_MS + JOIN_TIMEOUT_MS) == [Leave(second), Join(third)]
 
 
-def test_a_subscriber_in_another_zone_returns_to_its_own():
+def test_a_subscriber_of_a_remote_relay_fails_back_to_its_own_zone():
     first, second, third = preference_order("n1", ["a1", "a2"], ["b1"])
     selector = RelaySelector("n1", ["a1", "a2"], ["b1"], random.Random(1))
     selector.tick(0.0)
@@ -47,7 +47,7 @@
     assert now > 5_000.0 + MIN_FAILBACK_DELAY_MS
 
 
-def test_a_relay_that_is_cut_off_from_the_origin_is_left_though_it_sends_heartbeats():
+def test_a_relay_with_a_stale_list_is_left_even_if_it_sends_heartbeats():
     selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     selector.tick(0.0)
     selector.on_joined(0.0, "a1")
@@ -60,7 +60,7 @@
     assert now <= STALENESS_LIMIT_MS + SILENCE_TIMEOUT_MS + 200.0
 
 
-def test_attempts_are_paced_by_a_backoff_where_all_relays_are_unreachable():
+def test_join_attempts_back_off_while_all_relays_are_unreachable():
     selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     attempts = 0
     now = 0.0
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -74,7 +74,7 @@
     assert relay.context.counters["updates_fenced"] == 1
 
 
-def test_an_update_of_a_process_that_is_no_peer_is_rejected(relay):
+def test_an_update_from_a_process_that_is_not_a_peer_is_rejected(relay):
     with pytest.raises(UnknownOriginError, match="'n1'"):
         call(relay, "n1", messages.UPDATE_CALL, heartbeat(9))
     assert relay.context.counters["updates_fenced"] == 1
@@ -86,7 +86,7 @@
         call(relay, "b", messages.UPDATE_CALL, snapshot(9, versions=1))
 
 
-def test_a_subscriber_accepts_only_updates_and_only_of_its_relay():
+def test_a_subscriber_accepts_only_updates_and_only_from_its_relay():
     relays = RelaysConfig("f", {"r1": Address("10.0.0.1", 1)}, {})
     subscription = Subscription(task.Clock(), relays, "n1", Counter())
     with pytest.raises(NotSubscribedError, match="'r1'"):
--- a/tests/test_relay_status.py
+++ b/tests/test_relay_status.py
@@ -31,7 +31,7 @@
     assert msgspec.json.decode(msgspec.json.encode(status)) == SECTION
 
 
-def test_the_status_is_printed_with_the_terms_of_the_field():
+def test_the_status_is_printed_with_the_field_names():
     printed = printed_process_status({"name": "r1", "news": SECTION})
     assert list(printed) == ["name", "updates"]
     renamed = {"origin_fencing_token": 7, "lagging": 2, "snapshot_queue": 1, "oldest_version": (6, 30)}
@@ -39,11 +39,11 @@
     assert printed["updates"] == {"version": (7, 31), **unchanged, **renamed}
 
 
-def test_a_process_that_is_no_relay_has_no_relay_status():
+def test_a_process_that_is_not_a_relay_has_no_relay_status():
     assert decode_relay_status({"name": "n1"}) is None
 
 
-def test_a_status_of_another_form_is_rejected():
+def test_a_malformed_status_is_rejected():
     with pytest.raises(msgspec.ValidationError, match="lack"):
         decode_relay_status({"news": {**SECTION, "lack": "two"}})
 
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("command", [fleet.show, leases.show, relay.show])
-def test_all_show_commands_print_the_terms_of_the_field(command, show_json):
+def test_all_show_commands_print_the_field_names(command, show_json):
     printed = show_json(command, SECTION)
     process = printed["balancers"]["r1"]
     assert "news" not in process
@@ -84,7 +84,7 @@
     assert printed["errors"] == {}
 
 
-def test_a_malformed_relay_status_is_an_error_of_its_process(show_json):
+def test_show_reports_a_malformed_relay_status_as_an_error_of_its_process(show_json):
     printed = show_json(relay.show, {**SECTION, "lack": "two"})
     assert printed["balancers"] == {}
     assert "lack" in printed["errors"]["r1"]
--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -92,7 +92,7 @@
     assert discovery.taken == [({"seq": 12, "whole": True, "hosts": [{"host": "s-1"}]}, None)]
 
 
-def test_the_list_of_another_discovery_service_does_not_count(reactor, source):
+def test_the_list_of_another_discovery_service_is_not_used(reactor, source):
     receive_list(source)
     source.discovery = PolledDiscovery()
     advance(reactor, FIRST_UPDATE_TIMEOUT_S + CHECK_INTERVAL_S)
@@ -102,7 +102,7 @@
     assert wait_for_poll(source, source.discovery).called
 
 
-def test_a_closed_client_is_not_kept_waiting(reactor, source):
+def test_closing_the_client_ends_the_wait(reactor, source):
     receive_list(source)
     discovery = PolledDiscovery()
     due = wait_for_poll(source, discovery)
--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -67,7 +67,7 @@
     assert replica.apply(update) == UpdateOutcome.APPLIED
 
 
-def test_versions_of_a_deposed_origin_are_replaced_and_it_can_publish_no_more(replica):
+def test_a_deposed_origin_cannot_publish_and_its_versions_are_replaced(replica):
     deposed = origin_store(fencing_token=3)
     successor = VersionedStore()
     successor.apply(deposed.update_since(Version()))
@@ -84,7 +84,7 @@
         deposed.publish(3, {"a": b"still"})
 
 
-def test_a_delta_carries_removals_only_as_far_back_as_tombstones_go(origin, monkeypatch):
+def test_a_version_older_than_the_tombstones_is_updated_by_a_snapshot(origin, monkeypatch):
     monkeypatch.setattr(versioned_store, "TOMBSTONE_LIMIT", 3)
     keys = [f"g{index}" for index in range(9)]
     origin.publish(1, dict.fromkeys(keys, b"x"))
