--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -99,7 +99,7 @@
                 acquired.append((float(log_field(events[-1], "mono")), name))
         return max(acquired)[1] if acquired else None
 
-    def balancer_file(self, zone: str) -> str:
+    def write_balancer_config(self, zone: str) -> str:
         """Write the relays' configuration file for balancers in a zone and return its path.
 
         The relays are assigned to the zones in turn.
@@ -115,12 +115,13 @@
         """Return the status of each relay by name, as `relay show` prints it."""
         name = next(iter(self.processes))
         command = _relay_command("show", "--fleet", str(self._fleet_file(name)), "--json")
-        done = subprocess.run(command, capture_output=True, timeout=SHOW_TIMEOUT_S, check=False)
-        return {name: state["updates"] for name, state in json.loads(done.stdout)["balancers"].items()}
+        completed = subprocess.run(command, capture_output=True, timeout=SHOW_TIMEOUT_S, check=False)
+        processes = json.loads(completed.stdout)["balancers"]
+        return {name: process_status["updates"] for name, process_status in processes.items()}
 
     def subscriber_count(self) -> int:
         """Return the total number of subscribers of all relays; the origin counts the other relays."""
-        return sum(state["subscribers"] for state in self.status().values())
+        return sum(status["subscribers"] for status in self.status().values())
 
     def _fleet_file(self, name: str) -> pathlib.Path:
         return self.directory / f"{name}.toml"
@@ -196,7 +197,7 @@
         balancers = []
         for index in range(BALANCERS):
             environment = {
-                "LB_RELAYS": relays.balancer_file(ZONES[index % len(ZONES)]),
+                "LB_RELAYS": relays.write_balancer_config(ZONES[index % len(ZONES)]),
                 "LB_DISCOVERY": str(fake_discovery.address),
                 "LB_NAME": f"n{index}",
             }
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -46,9 +46,9 @@
                 fanout.on_acknowledgement(now, "fast", action.message.version, 0.0)
     assert 3 <= len(sent["fast"]) <= 1_000 / MIN_UPDATE_INTERVAL_MS + 1
     assert sent["slow"] == []
-    late = fanout.on_acknowledgement(now + COALESCE_DELAY_MS, "slow", Version(1, 3), 0.0)
-    assert len(late) == 1
-    assert len(late[0].message.changes) == 51
+    actions = fanout.on_acknowledgement(now + COALESCE_DELAY_MS, "slow", Version(1, 3), 0.0)
+    assert len(actions) == 1
+    assert len(actions[0].message.changes) == 51
 
 
 def test_an_unresponsive_subscriber_is_dropped_without_delaying_the_others(origin):
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -45,9 +45,9 @@
 HOSTS = [{"host": "s-1", "dial": "10.0.0.1:80"}, {"host": "s-2", "share": 0.5}]
 
 
-def _relay(state):
+def _origin_relay(state_dir):
     """Return a relay that is the origin with fencing token 3 and published a list 250 ms ago."""
-    service = lease_service_at_fixed_clock("a", state)
+    service = lease_service_at_fixed_clock("a", state_dir)
     relay = RelayServer(service, Address("10.0.0.9", 8500), Counter())
     relay.origin.fencing_token, service.fencing_token = 3, lambda *_: 3
     relay.origin.on_response({"seq": 4, "whole": True, "hosts": HOSTS}, None)
@@ -56,7 +56,7 @@
 
 
 def test_relays_and_balancers_exchange_these_bytes(tmp_path):
-    relay = _relay(tmp_path)
+    relay = _origin_relay(tmp_path)
     service, transport = relay.context.lease_service, relay.context.lease_service.transport
     assert relay.context.replica.store.items == ITEMS
     assert service.handle_call("n1", "follow", b"\x92\x00\x00") == b""
@@ -104,14 +104,14 @@
 
 
 def test_the_status_of_a_process_has_these_keys(tmp_path):
-    service = _relay(tmp_path).context.lease_service
+    service = _origin_relay(tmp_path).context.lease_service
     service.handle_event(RequestLease("watch"))
     service.handle_call("b", "propose", PROPOSE_B)
-    shown = json.loads(service.handle_call("-", "show", b""))
-    assert " ".join(shown) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
-    assert " ".join(shown["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
+    status = json.loads(service.handle_call("-", "show", b""))
+    assert " ".join(status) == "name fleet tasks keeps keeper keeper_silent_ms connections news"
+    assert " ".join(status["tasks"]["watch"]) == "holds fence left_ms step asks_in_ms highest_seen"
     grant = {"holder": "b#0a1b2c3d", "fence": 2049, "promised": 2049, "left_ms": 3000}
-    assert shown["keeps"] == {"watch": grant}
-    assert shown["connections"] == {"out": [], "in": []}
+    assert status["keeps"] == {"watch": grant}
+    assert status["connections"] == {"out": [], "in": []}
     section = {"version": [3, 1], "digest": "8a86d8c31d5bf2fe", "items": 3, "age_ms": 250, "origin": 3}
-    assert shown["news"] == {**section, "subscribers": 0, "lack": 0, "in_line": 0, "oldest": [3, 1]}
+    assert status["news"] == {**section, "subscribers": 0, "lack": 0, "in_line": 0, "oldest": [3, 1]}
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -41,6 +41,6 @@
         "import sys, lotusroute.__main__; print([m for m in sys.modules if 'relay' in m or 'capacity' in m "
         "or m in ('msgspec', 'numpy', 'click')])"
     )
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]"
     assert root_group.get_command(None, "relay") is not None
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -25,9 +25,9 @@
     # Only the origin polls, and discovery holds each of its polls for 0.5 s.
     elapsed = time.monotonic() - changed_at
     assert deployment.poll_count() - polls <= 1.5 * elapsed / 0.5 + 3
-    states = deployment.relays.status().values()
-    assert len({(tuple(state["version"]), state["digest"]) for state in states}) == 1
-    assert not any(state["lagging"] for state in states)
+    statuses = deployment.relays.status().values()
+    assert len({(tuple(status["version"]), status["digest"]) for status in statuses}) == 1
+    assert not any(status["lagging"] for status in statuses)
 
 
 @pytest.mark.parametrize("victim", ["relay", "origin"])
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -24,7 +24,7 @@
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
 EMPTY_VERSION = messages.encode_acknowledgement(Version())
-PEERS = 4  # processes of the fleet: they may subscribe in addition to `max_subscribers`, here 0
+PEER_COUNT = 4  # processes of the fleet: they may subscribe in addition to `max_subscribers`, here 0
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
 def test_a_relay_accepts_subscribers_up_to_its_limit(relay):
     relay.context.replica.confirm(NOW, 0.0)
     reactor = relay.context.lease_service.reactor
-    for index in range(PEERS):
+    for index in range(PEER_COUNT):
         assert call(relay, f"n{index}", messages.SUBSCRIBE_CALL, EMPTY_VERSION) == b""
         reactor.advance(0)
     with pytest.raises(SubscriberLimitError, match="4 subscribers"):
