--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -20,7 +20,7 @@
 class RelaysConfig(NamedTuple):
     """The addresses of the relays by name, those in the balancer's zone separate from all others."""
 
-    fleet: str  # a connection between processes of different fleets is rejected
+    fleet: str  # name of the fleet; processes of different fleets do not connect to each other
     local: dict[str, Address]
     remote: dict[str, Address]
 
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -15,7 +15,7 @@
 
 JOIN_TIMEOUT_MS = 600.0  # from the connection attempt until the subscription is accepted
 SILENCE_TIMEOUT_MS = 1_500.0  # without a message; more than two heartbeat intervals
-STALENESS_LIMIT_MS = 1_800.0  # since discovery last answered the origin
+STALENESS_LIMIT_MS = 1_800.0  # since discovery last confirmed the list to the origin
 # The backoff after all relays have failed; it doubles with each round of failures.
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
@@ -68,10 +68,10 @@
         self.current = ""  # relay that has accepted the subscription; empty if none
         self.consecutive_failures = 0
         self.retry_at = -math.inf  # end of the backoff after all relays have failed
-        self.join_started_at = -math.inf  # when a subscription was last requested
+        self.join_started_at = -math.inf  # when the last join was started
         self.joined_at = -math.inf  # when a subscription was last accepted
         self.failback_at = math.inf  # when to return to the own zone; infinity if no return is planned
-        self.last_message_at = -math.inf  # when the current relay last sent a message
+        self.last_message_at = -math.inf  # when the current relay was joined or last sent a message
         self.confirmed_at = -math.inf  # latest known time at which discovery confirmed the list
 
     def tick(self, now: float) -> list[Action]:
