--- a/lotusroute/relay/errors.py
+++ b/lotusroute/relay/errors.py
@@ -1,7 +1,7 @@
-"""Errors with which relays and their subscribers reject calls.
+"""Errors of relays and their subscribers.
 
-The message of an error is sent to the caller of the rejected call and may be shown to an operator. No
-program matches these texts.
+A call that raises one of them is rejected: the message of the error is sent to the caller and may be shown to
+an operator. No program matches these texts.
 """
 
 from typing import TYPE_CHECKING
