--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -1,4 +1,4 @@
-"""Tests of the fan-out: coalescing, slow subscribers, and the limits of snapshots and subscribers."""
+"""Tests of the fan-out: coalescing, slow subscribers, and the limits on snapshots and subscribers."""
 
 import pytest
 from versioned_store_helpers import origin_store
@@ -22,18 +22,18 @@
 
 
 def join_current(fanout, name):
-    """Join a subscriber that has the current version."""
+    """Add a subscriber that has the current version and has acknowledged a heartbeat."""
     fanout.join(0.0, name, fanout.store.version)
     fanout.on_acknowledgement(1.0, name, fanout.store.version, 0.0)
 
 
-def test_a_burst_of_changes_is_few_messages_and_one_to_a_busy_subscriber(origin):
+def test_a_burst_of_changes_is_coalesced_and_a_busy_subscriber_gets_a_single_delta(origin):
     fanout = FanOut(origin, 10)
     join_current(fanout, "fast")
     join_current(fanout, "slow")
     sent = {"fast": [], "slow": []}
     now = 1_000.0
-    for action in fanout.tick(now, 0.0):  # heartbeats; "slow" does not acknowledge its own
+    for action in fanout.tick(now, 0.0):  # heartbeats, of which "slow" does not acknowledge its own
         if action.subscriber == "fast":
             fanout.on_acknowledgement(now, "fast", origin.version, 0.0)
     for number in range(50):
@@ -46,12 +46,12 @@
                 fanout.on_acknowledgement(now, "fast", action.message.version, 0.0)
     assert 3 <= len(sent["fast"]) <= 1_000 / MIN_UPDATE_INTERVAL_MS + 1
     assert sent["slow"] == []
-    late = fanout.on_acknowledgement(now + COALESCE_DELAY_MS, "slow", Version(1, 3), 0.0)
-    assert len(late) == 1
-    assert len(late[0].message.changes) == 51
+    actions = fanout.on_acknowledgement(now + COALESCE_DELAY_MS, "slow", Version(1, 3), 0.0)
+    assert len(actions) == 1
+    assert len(actions[0].message.changes) == 51
 
 
-def test_an_unresponsive_subscriber_is_dropped_and_costs_the_others_nothing(origin):
+def test_an_unresponsive_subscriber_is_dropped_without_delaying_the_others(origin):
     fanout = FanOut(origin, 10)
     fanout.join(0.0, "unresponsive", origin.version)
     join_current(fanout, "healthy")
@@ -74,17 +74,17 @@
     assert list(fanout.subscribers) == ["healthy"]
 
 
-ZONE_SIZE = 326
+ZONE_SIZE = 326  # balancers
 
 
 @pytest.fixture
 def zone_fanout(origin):
-    """A fan-out that accepts as many subscribers as a zone has balancers."""
+    """A fan-out whose limit is the number of balancers in a zone."""
     return FanOut(origin, ZONE_SIZE)
 
 
 def join_zone(fanout):
-    """Subscribe a whole zone with empty lists at once; return the actions."""
+    """Subscribe all balancers of a zone, which have empty lists, at once; return the actions."""
     return [action for index in range(ZONE_SIZE) for action in fanout.join(0.0, f"n{index}", Version())]
 
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,4 +1,4 @@
-"""Tests of the calls that a relay and a subscriber reject, and of the errors that say why."""
+"""Tests of the calls that relays and subscribers reject, and of the errors that state the reason."""
 
 from collections import Counter
 
@@ -24,7 +24,7 @@
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
 EMPTY_VERSION = messages.encode_acknowledgement(Version())
-PEERS = 4  # of the fleet, which may subscribe beside `max_subscribers`
+PEER_COUNT = 4  # processes of the fleet: they may subscribe in addition to `max_subscribers`, here 0
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
 def test_a_relay_accepts_subscribers_up_to_its_limit(relay):
     relay.context.replica.confirm(NOW, 0.0)
     reactor = relay.context.lease_service.reactor
-    for index in range(PEERS):
+    for index in range(PEER_COUNT):
         assert call(relay, f"n{index}", messages.SUBSCRIBE_CALL, EMPTY_VERSION) == b""
         reactor.advance(0)
     with pytest.raises(SubscriberLimitError, match="4 subscribers"):
@@ -74,7 +74,7 @@
     assert relay.context.counters["updates_fenced"] == 1
 
 
-def test_an_update_of_a_process_that_is_no_peer_is_rejected(relay):
+def test_an_update_from_a_process_that_is_not_a_peer_is_rejected(relay):
     with pytest.raises(UnknownOriginError, match="'n1'"):
         call(relay, "n1", messages.UPDATE_CALL, heartbeat(9))
     assert relay.context.counters["updates_fenced"] == 1
@@ -86,7 +86,7 @@
         call(relay, "b", messages.UPDATE_CALL, snapshot(9, versions=1))
 
 
-def test_a_subscriber_accepts_only_updates_and_only_of_its_relay():
+def test_a_subscriber_accepts_only_updates_and_only_from_its_relay():
     relays = RelaysConfig("f", {"r1": Address("10.0.0.1", 1)}, {})
     subscription = Subscription(task.Clock(), relays, "n1", Counter())
     with pytest.raises(NotSubscribedError, match="'r1'"):
--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -1,4 +1,4 @@
-"""Tests of the versioned store: publishing, snapshots, deltas, and what becomes of an update."""
+"""Tests of the versioned store: publishing, snapshots, deltas, and the outcomes of updates."""
 
 import pytest
 from versioned_store_helpers import origin_store
@@ -67,15 +67,15 @@
     assert replica.apply(update) == UpdateOutcome.APPLIED
 
 
-def test_versions_of_a_deposed_origin_are_replaced_and_it_can_publish_no_more(replica):
+def test_a_deposed_origin_cannot_publish_and_its_versions_are_replaced(replica):
     deposed = origin_store(fencing_token=3)
     successor = VersionedStore()
     successor.apply(deposed.update_since(Version()))
-    successor.publish(4, {})  # has acquired the lease
+    successor.publish(4, {})  # the successor has acquired the lease
     deposed.publish(3, {"a": b"too late"})
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.APPLIED
     update = successor.update_since(replica.version)
-    assert isinstance(update, Snapshot)  # the successor never had the replica's version
+    assert isinstance(update, Snapshot)  # the replica's version is not in the history of the successor
     assert replica.apply(update) == UpdateOutcome.APPLIED
     assert replica.items == successor.items
     assert replica.apply(deposed.update_since(Version())) == UpdateOutcome.STALE
@@ -84,7 +84,7 @@
         deposed.publish(3, {"a": b"still"})
 
 
-def test_a_delta_carries_removals_only_as_far_back_as_tombstones_go(origin, monkeypatch):
+def test_a_version_older_than_the_tombstones_is_updated_by_a_snapshot(origin, monkeypatch):
     monkeypatch.setattr(versioned_store, "TOMBSTONE_LIMIT", 3)
     keys = [f"g{index}" for index in range(9)]
     origin.publish(1, dict.fromkeys(keys, b"x"))
