--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -1,6 +1,6 @@
-"""Admission control: whether a new flow is accepted, and the answer where it is not.
+"""Admission control: decides whether a new flow is accepted and formats the rejection if it is not.
 
-Owns the balancer's capacity and whether it still accepts flows. Times are milliseconds.
+Owns the balancer's capacity and the flag that closes admission at shutdown. Times are milliseconds.
 """
 
 from enum import Enum, auto
@@ -11,18 +11,21 @@
 from lotusroute.net.line_protocol import BUSY
 from lotusroute.net.open_request import OpenRequest
 
-# Descriptors kept for the process and for connections without a flow.
+# Descriptors reserved for the process itself and for connections without a flow: the process's limit divided
+# by the divisor, but at least the minimum.
 RESERVED_SOCKETS_DIVISOR = 8
 MIN_RESERVED_SOCKETS = 64
-SOCKETS_PER_FLOW = 2
-BASE_MEMORY_MB = 32  # of the process without flows
+SOCKETS_PER_FLOW = 2  # the client's connection and the server's
+BASE_MEMORY_MB = 32  # used by the process without flows
 MEMORY_PER_FLOW_MB = 1 / 16  # for the data buffered on both sides and the flow's objects
-MAX_BACKLOG = 4096  # queued events
-EXISTING_ACCEPT_WINDOW_MS = 60_000.0  # after the start; later claims to be one are forged
+MAX_BACKLOG = 4096  # queued events above which new flows are rejected
+# How long after the balancer's start existing connections are accepted; a later request that claims to be one
+# is forged.
+EXISTING_ACCEPT_WINDOW_MS = 60_000.0
 
 
 class AdmissionResult(Enum):
-    """What becomes of a new flow."""
+    """The decision on a client's request."""
 
     ACCEPTED = auto()
     MALFORMED = auto()
@@ -31,7 +34,7 @@
 
 
 def busy_line(retry_after: float, max_retry_after: float) -> bytes:
-    """Return a rejection with its Retry-After, or without one where the settings allow none.
+    """Return the line that rejects a flow, with a Retry-After unless the settings allow none.
 
     >>> busy_line(250.4, 1000.0), busy_line(250.4, 0.0)
     (b'BUSY 250', b'BUSY')
@@ -41,7 +44,7 @@
 
 
 class AdmissionControl:
-    """Accepts usable requests while there is capacity and the balancer is not shutting down."""
+    """Accepts valid requests while there is capacity and the balancer is not shutting down."""
 
     def __init__(self, config: BalancerConfig, loop: EventLoop, table: FlowTable) -> None:
         self._config = config
@@ -53,7 +56,7 @@
         self.resize(config)
 
     def resize(self, config: BalancerConfig) -> None:
-        """Derive the capacity from the descriptors and the memory of a configuration."""
+        """Compute the capacity from the limits on descriptors and memory in a configuration."""
         reserved = max(MIN_RESERVED_SOCKETS, config.sockets // RESERVED_SOCKETS_DIVISOR)
         by_sockets = (config.sockets - reserved) // SOCKETS_PER_FLOW
         by_memory = int((config.memory_mb - BASE_MEMORY_MB) / MEMORY_PER_FLOW_MB)
@@ -64,7 +67,7 @@
         self._closed = True
 
     def evaluate(self, request: OpenRequest) -> AdmissionResult:
-        """Decide on a client's request; existing connections are accepted beyond the capacity."""
+        """Decide whether to accept a request; existing connections are accepted even at capacity."""
         if not self._usable(request):
             return AdmissionResult.MALFORMED
         if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW_MS:
@@ -77,10 +80,10 @@
         return AdmissionResult.ACCEPTED
 
     def _usable(self, request: OpenRequest) -> bool:
-        """Return whether a server could use the request.
+        """Return whether a server could serve the request.
 
-        An id that is in use is not usable: a server would answer ERR to the healthy flow of the same id, and
-        the answer would count as the server's failure.
+        An id that is already in use is rejected here: a server would answer ERR to the healthy flow with the
+        same id, and that answer would count as a failure of the server.
         """
         tenants = self._config.tenants
         if request.service_type not in self._config.service.service_types:
--- a/lotusroute/net/balancer_context.py
+++ b/lotusroute/net/balancer_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one balancer share."""
+"""The objects that the components of one balancer share."""
 
 from dataclasses import dataclass
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerContext:
-    """The configuration, the event loop and the state that several parts of a balancer read."""
+    """The configuration, the event loop and the state that several components of a balancer use."""
 
-    config: BalancerConfig  # as at the start; see `DiscoverySession` for a reloaded one
+    config: BalancerConfig  # as loaded at startup; `DiscoverySession` applies a reloaded one
     counters: Counters
     loop: EventLoop
     flow_table: FlowTable
     endpoints: EndpointRegistry
-    drain_timer: CoalescedTimer  # fires for the next batch of migrations
+    drain_timer: CoalescedTimer  # fires when the next batch of migrations is due
--- a/lotusroute/net/connection_monitor.py
+++ b/lotusroute/net/connection_monitor.py
@@ -1,7 +1,7 @@
 """The periodic check of open connections: slow servers, unresponsive servers and idle clients.
 
-Owns the reply delays measured since the last check and the set of servers reported as slow. Times are
-milliseconds.
+Owns the reply delays measured since the last check and the set of servers that were reported as slow. Times
+are milliseconds.
 """
 
 import logging
@@ -18,13 +18,14 @@
 from lotusroute.routing import events
 
 CHECK_INTERVAL_MS = 1_000.0
-# A server with an unanswered line is unresponsive after this silence.
+# A server that owes a reply counts as unresponsive once it has sent nothing for this long.
 UNRESPONSIVE_TIMEOUT_MS = 2_500.0
-IDLE_CLIENT_TIMEOUT_MS = 60_000.0  # without a line from a client that has sent some
+# A client that has sent lines before counts as idle once it has sent none for this long.
+IDLE_CLIENT_TIMEOUT_MS = 60_000.0
 
 
 class PeriodicCheck(NamedTuple):
-    """It is time to check the open connections."""
+    """The next check of the open connections is due."""
 
 
 class ConnectionMonitor:
@@ -37,14 +38,14 @@
         decide: Callable[[events.Event], None],
         slow_latency_threshold: float,
     ) -> None:
-        """`slow_latency_threshold` is the delay from which the Director takes a server as slow."""
+        """`slow_latency_threshold` is the reply delay from which on the Director considers a server slow."""
         self._counters = context.counters
         self._loop = context.loop
         self._flow_table = context.flow_table
         self._endings = endings
         self._decide = decide
         self._slow_latency_threshold = slow_latency_threshold
-        self._reply_delays: dict[str, list[float]] = {}  # by server, since the last check
+        self._reply_delays: dict[str, list[float]] = {}  # by server; measured since the last check
         self._slow_servers: set[str] = set()  # reported as slow, and not yet as recovered
 
     def start(self) -> None:
@@ -57,7 +58,7 @@
         self._reply_delays.setdefault(event.server, []).append(event.delay)
 
     def retain_servers(self, servers: Set[str]) -> None:
-        """Forget servers that are no longer in the endpoint list."""
+        """Forget slow servers that are no longer in the endpoint list."""
         self._slow_servers &= servers
 
     def check(self, _: PeriodicCheck) -> None:
@@ -90,11 +91,11 @@
         for flow in idle:
             self._endings.migrate(flow.number, MigrationReason.IDLE_CLIENT)
         for flow in unresponsive:
-            # TCP does not notice that a machine has vanished.
+            # TCP does not detect that a machine has disappeared, so the connection would stay open.
             self._endings.disconnect_unresponsive(flow, now)
 
     def _report_latencies(self) -> None:
-        """Report slow servers to the Director: at each check while they are slow, and once after."""
+        """Report slow servers to the Director at each check, and once more when they have recovered."""
         for server, delays in self._reply_delays.items():
             delay = median(delays)
             if delay >= self._slow_latency_threshold:
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -1,10 +1,11 @@
-"""Downstream connections: those that clients, or the front, open to this balancer.
+"""Downstream connections: those opened to this balancer by clients, or by the front-end load balancer.
 
-A `DownstreamConnection` reads the client's first line and reports it as `RequestReceived`. It writes the one
-final answer or, when the flow is established, forwards lines to the server's connection. It chooses no
-server, and the handler of a reported request decides on the answer.
+The front end sends clients to the balancers and checks their health. A `DownstreamConnection` reads the first
+line of a client and reports it as `RequestReceived`. It then writes the flow's final answer or, once the flow
+is established, forwards lines to the server's connection. It neither chooses a server nor decides on the
+answer: the handler of `RequestReceived` does.
 
-Twisted's timeouts are in seconds, all other times in milliseconds.
+Timeouts are in seconds, as Twisted expects them; all other times are in milliseconds.
 """
 
 import logging
@@ -22,9 +23,9 @@
 from lotusroute.net.upstream_attempt import UpstreamAttempt
 
 FIRST_LINE_TIMEOUT_S = 2.0  # from connecting to a complete first line; the protocol allows 3 s
-MAX_HEALTH_CHECKS = 16  # on one connection; the front sends one
-LINGER_TIMEOUT_S = 1.0  # for the client to close after its last line, by the protocol
-MAX_DISCARDED_BYTES = 16_384  # read and discarded after our last line; then reading stops
+MAX_HEALTH_CHECKS = 16  # on one connection; the front end sends one
+LINGER_TIMEOUT_S = 1.0  # the time that the protocol gives a client to close after its last line
+MAX_DISCARDED_BYTES = 16_384  # read and discarded after our last line; beyond it, reading stops
 
 
 class RequestReceived(NamedTuple):
@@ -41,17 +42,17 @@
 
 
 class DownstreamClosed(NamedTuple):
-    """A client has closed its connection, or its sending half."""
+    """A client has closed its connection, or the sending half of it."""
 
     flow_number: int
 
 
 class ConnectionManager(Protocol):
-    """What a connection needs from the factory that accepted it."""
+    """What a connection uses of the factory that accepted it."""
 
-    enqueue: Callable[[object], None]  # takes the events of this module
+    enqueue: Callable[[object], None]  # accepts the events defined in this module
     clock: Callable[[], float]
-    ready: Callable[[], bool]  # returns whether flows can be served: the answer to a health check
+    ready: Callable[[], bool]  # returns whether flows can be served, which answers a health check
     counters: Counter[str]
 
     def admit(self, connection: "DownstreamConnection") -> None:
@@ -61,7 +62,7 @@
         """Record that the connection has requested a flow."""
 
     def mark_lingering(self, connection: "DownstreamConnection") -> None:
-        """Record that the connection was sent its last line."""
+        """Record that the last line was sent and the connection waits for the client to close."""
 
     def is_idle(self, connection: "DownstreamConnection") -> bool:
         """Return whether the connection has no flow."""
@@ -71,15 +72,16 @@
 
 
 class DownstreamConnection(LineProtocol):
-    """One connection from a client or from the front."""
+    """One connection from a client or from the front end."""
 
     factory: ConnectionManager  # type: ignore[assignment]  # Twisted declares any factory, or none
-    # The protocol has clients wait for their answer; unread data would hide that a client disconnects.
+    # The protocol has clients wait for their answer. Data that they send before is read all the same, since a
+    # disconnect goes unnoticed behind unread data.
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
         self.flow_number = 0  # 0 while there is no flow
-        self.upstream: UpstreamAttempt | None = None  # while the flow is established
+        self.upstream: UpstreamAttempt | None = None  # set while the flow is established
         self.answered = False
         self.disconnected = False
         self.health_checks = 0
@@ -89,7 +91,7 @@
     def connectionMade(self) -> None:
         """Start the timeout of the first line."""
         super().connectionMade()
-        # Data does not restart it: a client that sends byte by byte must not keep its descriptor.
+        # Received data does not restart it: a client that sends byte by byte must not hold its descriptor.
         self.setTimeout(FIRST_LINE_TIMEOUT_S)
         self.factory.admit(self)
 
@@ -97,7 +99,7 @@
         """Read lines, or discard what arrives after the final answer."""
         self.reads += 1
         if self.upstream is None and self.answered:
-            # A buffer would grow without limit.
+            # If this data were buffered, the buffer would grow without limit.
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.transport.pauseProducing()
@@ -131,15 +133,15 @@
         self.factory.enqueue(RequestReceived(self, request, now))
 
     def reject_malformed(self) -> None:
-        """Answer a line that cannot be parsed or used."""
+        """Answer a line that cannot be parsed, or a request that no server could serve."""
         self.factory.counters["malformed_lines"] += 1
         self.send_final_answer(ERR)
 
     def buffer_overflowed(self) -> None:
-        """Reject a client that sends without waiting for its answer, against the protocol.
+        """Reject a client that violates the protocol by sending too much before its answer.
 
-        If reading stopped, its disconnect would go unnoticed and its flow would be forwarded; if reading went
-        on, the buffer would fill the memory.
+        If reading stopped instead, the client's disconnect would go unnoticed and its flow would still be
+        forwarded; if reading went on, the buffer would fill the memory.
         """
         if self.answered:
             super().buffer_overflowed()
@@ -150,7 +152,7 @@
         self._report_closed()
 
     def read_pending(self) -> bool:
-        """Read what the socket holds, up to a limit; return whether the client may still be connected."""
+        """Read what the socket holds, within the limits; return whether the client may still be connected."""
         reads = -1
         while self.transport.connected and not self.read_closed and not self.answered and reads != self.reads:
             reads = self.reads
@@ -167,7 +169,8 @@
         if self.read_pending():
             return False
         if not self.answered:
-            # A client rejected over what was just read lingers, so that no reset overtakes its answer.
+            # A client that was rejected for what was just read lingers instead: closing its connection now
+            # could send a reset that overtakes the answer.
             self._handle_disconnect()
         return True
 
@@ -187,11 +190,11 @@
             self.factory.enqueue(DownstreamClosed(self.flow_number))
 
     def has_pending_answer(self) -> bool:
-        """Return whether a request, or a part of one, is unanswered or the last line is not written yet."""
+        """Return whether a request, or part of one, is unanswered or data is still to be written."""
         return self.has_unsent_data() or (not self.answered and self.has_buffered_data())
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Close over a line that is too long."""
+        """Reject the client, or reset its established connection, because a line is too long."""
         if self.upstream is not None:
             self.factory.counters["malformed_lines"] += 1
             self.transport.abortConnection()
@@ -199,7 +202,7 @@
             self.reject_malformed()
 
     def send_final_answer(self, answer: bytes) -> None:
-        """Write the one answer of a flow that is not established, and close."""
+        """Write the only answer of a flow that is not established, and close."""
         if self.answered:
             return
         self.answered = True
@@ -208,7 +211,7 @@
         self.half_close()
 
     def attach_upstream(self, attempt: UpstreamAttempt, receipt: memoryview) -> None:
-        """Forward the server's receipt and from now on all lines."""
+        """Forward the server's receipt and, from now on, all lines."""
         self.answered = True
         self.send_line(receipt)
         self.upstream = attempt
@@ -218,7 +221,7 @@
             attempt.downstream_half_closed(self.clearLineBuffer())
 
     def send_migrate(self) -> None:
-        """Ask the client to reconnect, after the last complete line, and close."""
+        """Ask the client to reconnect, once the last complete line is sent, and close."""
         self.upstream = None
         self.write_all(MOVE + LINE_END)
         self.half_close()
@@ -228,7 +231,7 @@
         super().half_close()
         self.clearLineBuffer()
         self.factory.mark_lingering(self)
-        # What a client sends now is read and discarded: with unread data, our close would become a reset,
+        # What the client still sends is read and discarded: closing a socket with unread data sends a reset,
         # which overtakes the last line.
         self.setTimeout(LINGER_TIMEOUT_S)
         if self.read_closed:
@@ -237,7 +240,7 @@
             self.transport.resumeProducing()
 
     def peer_half_closed(self) -> None:
-        """Handle that the client has stopped sending."""
+        """Pass the client's half-close on to the server, or handle it as a disconnect."""
         if self.upstream is not None:
             self.upstream.downstream_half_closed(self.clearLineBuffer())
             self._report_closed()
@@ -245,7 +248,7 @@
             self._handle_disconnect()
 
     def timeoutConnection(self) -> None:
-        """Close a connection without a first line, or one that lingers too long."""
+        """Close a connection that has sent no first line in time, or that lingers too long."""
         if not self.answered and self._has_requested_flow():
             return
         if self.answered:
@@ -258,19 +261,19 @@
         self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Close at once, to free the descriptor within this iteration of the reactor."""
+        """Close an idle connection, freeing its descriptor within this iteration of the reactor."""
         if not self.answered:
             if self._has_requested_flow():
                 return
             self.transport.writeSomeData(BUSY + LINE_END)
         elif self.has_unsent_data():
-            # The last line, perhaps a MOVE, is not written yet; the connection lingers only briefly.
+            # The last line, perhaps a MOVE, is still to be written; the connection lingers only briefly.
             return
         self.factory.counters["idle_connections_evicted"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
 
     def connection_lost(self) -> None:
-        """Handle that the connection is closed or broken."""
+        """Handle the closed or broken connection."""
         self.disconnected = True
         self.factory.discard(self)
         if self.upstream is not None and not self.read_closed:
