--- a/lotusroute/net/draining.py
+++ b/lotusroute/net/draining.py
@@ -1,7 +1,7 @@
-"""Migrating clients in small batches, so that other servers and balancers see no connection storm.
+"""Migrates clients in small batches, so that other servers and balancers see no connection storm.
 
-Used for the clients of draining servers, here, and for all clients at the balancer's own shutdown. Times are
-milliseconds.
+`ServerDraining` does so for the clients of draining servers, `GracefulShutdown` for all clients when the
+balancer itself shuts down. Times are milliseconds.
 """
 
 import random
@@ -16,11 +16,11 @@
 
 
 class DrainStep(NamedTuple):
-    """It is time for the next batch, at a draining server or at the balancer's shutdown."""
+    """The next batch of migrations is due, for a draining server or the balancer's shutdown."""
 
 
 class BatchMigrator:
-    """Migrates clients in batches; owns the generator that rounds the size of a batch."""
+    """Migrates clients in batches; owns the random generator that rounds the size of a batch."""
 
     def __init__(self, migrate: Callable[[int, MigrationReason], None], rng: random.Random) -> None:
         """`migrate` takes the number of a flow."""
@@ -28,10 +28,10 @@
         self._rng = rng
 
     def migrate_batch(self, candidates: list[ActiveFlow], time_left: float, reason: MigrationReason) -> None:
-        """Migrate as many flows as is needed to have migrated all after `time_left`.
+        """Migrate the share of the candidates that is needed to migrate all of them within `time_left`.
 
-        A fraction of a flow is rounded at random: if each of hundreds of balancers rounded it up, they would
-        migrate most clients in the first step.
+        A fractional batch size is rounded up or down at random: if each of hundreds of balancers rounded it
+        up, they would migrate most clients in the first step.
         """
         batch_size = len(candidates) / max(1.0, time_left / MIGRATION_INTERVAL_MS)
         for flow in candidates[: int(batch_size + self._rng.random())]:
@@ -41,8 +41,8 @@
 class ServerDraining:
     """Migrates the clients of draining servers.
 
-    Not every server asks its clients to reconnect elsewhere; those that it still serves when it stops are cut
-    off.
+    Not every server asks its clients to reconnect elsewhere, and clients that are still connected to it when
+    it stops are cut off.
     """
 
     def __init__(self, context: BalancerContext, migrator: BatchMigrator) -> None:
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -1,7 +1,7 @@
-"""Re-establishing connections that were open before this process started.
+"""Re-establishes connections that were open before this process started.
 
-Such a connection returns to the server that it was connected to, without a routing decision, and is retried
-with a growing backoff until it is given up. Times are milliseconds of Unix time.
+Such a connection returns to the server that it was connected to, without a routing decision. A failed attempt
+is retried with an increasing backoff until the connection is given up. Times are milliseconds of Unix time.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 from lotusroute.net.reasons import AnswerReason
 from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Effect
 
-# By the protocol a connection is lost 40 s after its request.
+# Below the 40 s after its request at which the protocol counts an existing connection as lost.
 EXISTING_TIMEOUT_MS = 35_000.0
-EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0  # servers are busiest just after a balancer's start
-EXISTING_RETRY_BACKOFF_MS = 1_000.0  # times the attempts so far
+EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0  # long, as servers are busiest just after a balancer's start
+EXISTING_RETRY_BACKOFF_MS = 1_000.0  # multiplied by the number of attempts so far
 
 
 class RetryExisting(NamedTuple):
-    """The backoff of an existing connection is over."""
+    """The backoff before the next attempt of an existing connection has expired."""
 
     flow_number: int
 
 
 class ExistingConnections:
-    """Connects existing connections to their servers and decides on retries."""
+    """Reconnects existing connections to their servers and decides on retries."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._answer = answer
 
     def reconnect(self, flow: ActiveFlow) -> None:
-        """Start an attempt at the flow's server, or wait for a list that names it."""
+        """Start an attempt at the flow's server, or retry later if the endpoint list lacks it."""
         server = flow.request.existing_server
         if server is not None and self._endpoints.has_address(server):
             flow.reconnect_attempts += 1
@@ -54,7 +54,7 @@
             self._retry_later(flow)
 
     def retry(self, event: RetryExisting) -> None:
-        """Connect again after the backoff."""
+        """Start the next attempt when the backoff has expired."""
         flow = self._flow_table.get(event.flow_number)
         if flow is not None and not flow.established:
             self.reconnect(flow)
--- a/lotusroute/net/final_answers.py
+++ b/lotusroute/net/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of a flow that is not established. Times are milliseconds."""
+"""Sends the only answer of a flow that is not established. Times are milliseconds."""
 
 from lotusroute.net.admission import busy_line
 from lotusroute.net.balancer_context import BalancerContext
@@ -15,11 +15,11 @@
         self._max_retry_after = context.config.service.max_retry_after
 
     def busy_line(self, retry_after: float) -> bytes:
-        """Return a rejection with a Retry-After, as far as the settings allow one."""
+        """Return the line that rejects a flow, with a Retry-After unless the settings allow none."""
         return busy_line(retry_after, self._max_retry_after)
 
     def answer(self, flow: ActiveFlow, line: bytes, reason: AnswerReason | RejectReason) -> None:
-        """Take the flow out of the flow table, end its attempt and send the line to its client."""
+        """Remove the flow from the flow table, abort its attempt and send the line to its client."""
         self._flow_table.remove(flow)
         flow.abort_attempt()
         flow.log_step("answered", answer=line.decode(), reason=reason)
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -1,8 +1,8 @@
-"""One flow in flight: its client, its current connection attempt and what earlier attempts may have done.
+"""One flow in flight: its client, its current attempt, and whether an earlier attempt may have run it.
 
-A flow lives from a client's first line to its final answer or to the end of its connection. Whatever ends a
-flow, the decisions on what may be answered and on whether the client's line may still be sent are made here,
-so that two ends that coincide agree. Times are milliseconds of Unix time.
+A flow lasts from a client's first line to its final answer or to the end of its connection. Which answer may
+be given, and whether the client's line may still be sent, is decided here for every way in which a flow can
+end, so that two of them that coincide lead to the same result. Times are milliseconds of Unix time.
 """
 
 import logging
@@ -31,10 +31,10 @@
     deadline: float  # by which the client has to be answered
     downstream: DownstreamConnection
     upstream: UpstreamAttempt | None = None  # the attempt in flight, or the established one
-    timer: DelayedCall | None = None  # of the attempt, or of the grace after the client has left
+    timer: DelayedCall | None = None  # of the attempt, or of the close grace after the client has left
     established: bool = False
     client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is connected
-    reconnect_attempts: int = 0  # of an existing connection
+    reconnect_attempts: int = 0  # attempts of an existing connection
     attempt_started_at: float = 0.0
     attempt_deadline: float = 0.0
     may_have_run_since: float | None = None  # start of the first attempt that may have run on a server
@@ -42,21 +42,21 @@
     def record_attempt_result(self, result: events.ConnectionResult) -> None:
         """Record how an attempt ended.
 
-        A flow that may have run is not made harmless to retry by the results of later attempts.
+        Once an attempt may have run the flow, the results of later attempts do not make a retry safe again.
         """
         if result not in events.NEVER_RAN and self.may_have_run_since is None:
             self.may_have_run_since = self.attempt_started_at
 
     def final_rejection(self, busy: bytes) -> bytes:
-        """Return the final answer when no attempt is left: `busy` where a retry is harmless, else ERR."""
+        """Return the final answer when no attempt is left: `busy` if a retry is safe, else ERR."""
         may_have_run = self.may_have_run_since is not None
         return busy if self.service_type.safe_to_retry(may_have_run) else ERR
 
     def may_send(self, now: float, grace: float) -> bool:
         """Return whether the client's line may be sent on the connection that was just opened.
 
-        It may not when the client has left, or when the attempt's deadline or the deduplication window is
-        over. Nor may it when the attempt was started more than `grace` ago, the time for which a draining
+        It may not if the client has disconnected, or if the attempt's deadline or the deduplication window is
+        over. Nor may it if the attempt was started more than `grace` ago, the time for which a draining
         server still accepts lines: a balancer that was stalled may not have read yet that the server drains.
         """
         if now >= self.attempt_deadline or self.downstream.has_disconnected():
@@ -74,7 +74,7 @@
         return now < self.attempt_started_at + max(grace, MIN_SEND_GRACE_MS)
 
     def routing_request(self) -> events.FlowRequest:
-        """Return the event with which the flow asks the Director for a server."""
+        """Return the event that requests a server for the flow from the Director."""
         request = self.request
         return events.FlowRequest(
             self.number,
@@ -88,7 +88,7 @@
 
     @property
     def established_upstream(self) -> UpstreamAttempt:
-        """The attempt that established the flow; raises NoUpstreamError if there is none."""
+        """The attempt that established the flow; raises NoUpstreamError without one."""
         if self.upstream is None:
             raise NoUpstreamError(self.number)
         return self.upstream
@@ -100,12 +100,12 @@
         self.timer = None
 
     def abort_attempt(self) -> None:
-        """Cancel the timer and close the attempt or its connection, if there is one."""
+        """Cancel the timer and abort the attempt or its connection, if there is one."""
         self.cancel_timer()
         if self.upstream is not None:
             self.upstream.abort()
 
     def log_step(self, event: str, **fields: object) -> None:
-        """Log a step at debug level under the client's id, which is the same at every balancer."""
+        """Log a step at debug level with the client's id of the flow, which all balancers share."""
         if LOGGER.isEnabledFor(logging.DEBUG):
             log_event(event, logging.DEBUG, id=self.request.id, flow=self.number, **fields)
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -1,4 +1,4 @@
-"""The life of a flow's connection attempts, from the connect to the end of the established connection.
+"""The lifecycle of a flow's attempts, from the connect to the end of the established connection.
 
 Owns the attempt and the timer of each flow. Times are milliseconds of Unix time.
 """
@@ -44,9 +44,9 @@
         self._decide = decide
 
     def start(self, flow: ActiveFlow, server: str, deadline: float) -> None:
-        """Start an attempt that has until `deadline` to be established."""
+        """Start an attempt that must be established by `deadline`."""
         if flow.downstream.has_disconnected():
-            # The end of the client's data may lie unread behind its own lines until now.
+            # The client's disconnect may have been unread until now, behind lines that it sent early.
             self.withdraw(flow)
             return
         now = self._clock()
@@ -75,7 +75,7 @@
             event.attempt.abort()
             return
         if flow.downstream.disconnected:
-            # The client's connection was lost in the same reactor iteration; `DownstreamClosed` is queued.
+            # The client's connection was lost in this reactor iteration; its `DownstreamClosed` is queued.
             self.withdraw(flow)
             return
         flow.cancel_timer()
@@ -99,7 +99,7 @@
             self._decide(events.LoadReport(event.flow_number, event.load))
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Handle the end of the flow's current attempt, or of the connection that it established."""
+        """Handle the end of a flow's current attempt, or of the connection that it established."""
         flow = self._flow_table.get(event.flow_number)
         if flow is not None and flow.upstream is event.attempt:
             self.connection_ended(flow, event.attempt, event.result, event.reason)
@@ -107,8 +107,8 @@
     def attempt_timed_out(self, event: AttemptTimedOut) -> None:
         """End an attempt whose connect timeout or deadline has passed.
 
-        The event is queued behind whatever the sockets brought while this process was stalled, so that a
-        stall of ours does not have healthy servers ejected.
+        The event is queued behind all that arrived on the sockets while this process was stalled, so that a
+        stall of this process does not lead to the ejection of healthy servers.
         """
         flow = self._flow_table.get(event.flow_number)
         attempt = event.attempt
@@ -121,10 +121,10 @@
             self.connection_ended(flow, attempt, attempt.abort(), EndReason.TIMED_OUT)
 
     def cancel_unavailable(self) -> None:
-        """Cancel attempts that are still connecting to servers that now take no new flows.
+        """Cancel attempts that are still connecting to servers that no longer accept new flows.
 
-        Such an attempt might connect only after the grace of the drain. Existing connections return to their
-        own server all the same.
+        Such an attempt might connect only after the drain grace. Attempts of existing connections continue:
+        those return to their own server even if it drains.
         """
         for flow in list(self._flow_table):
             attempt = flow.upstream
@@ -153,7 +153,7 @@
         result: events.ConnectionResult,
         reason: EndReason,
     ) -> None:
-        """Record an end; the Director, or the rule for existing connections, decides what follows."""
+        """Record the end; the Director or, for existing connections, `ExistingConnections` goes on."""
         flow.cancel_timer()
         server = attempt.server
         flow.upstream = None
--- a/lotusroute/net/flow_commands.py
+++ b/lotusroute/net/flow_commands.py
@@ -1,4 +1,4 @@
-"""Carries out the Director's commands. Times are milliseconds of Unix time."""
+"""Executes the Director's commands. Times are milliseconds of Unix time."""
 
 import math
 
@@ -15,7 +15,7 @@
 
 
 class FlowCommands:
-    """The handlers of commands; one about a flow that has meanwhile ended is ignored."""
+    """The handlers of commands; a command for a flow that has ended in the meantime is ignored."""
 
     def __init__(
         self, context: BalancerContext, attempts: FlowAttempts, endings: FlowEndings, answers: FinalAnswers
@@ -74,4 +74,4 @@
 
     @staticmethod
     def _subscribe(command: events.Subscribe) -> None:
-        """Do nothing: the discovery client polls by itself."""
+        """Do nothing: the discovery client polls without being told."""
--- a/lotusroute/net/flow_endings.py
+++ b/lotusroute/net/flow_endings.py
@@ -1,4 +1,4 @@
-"""Ends of flows that their servers do not cause: the client leaves, or this balancer ends the flow.
+"""Ends flows for reasons other than their servers: the client has left, or the balancer ends the flow.
 
 Times are milliseconds of Unix time.
 """
@@ -16,17 +16,17 @@
 from lotusroute.net.upstream_events import AttemptStage
 from lotusroute.routing import events
 
-SERVER_CLOSE_GRACE_MS = 2_000.0  # for a server to close a connection whose client has left
+SERVER_CLOSE_GRACE_MS = 2_000.0  # the time for a server to close a connection whose client has left
 
 
 class CloseGraceExpired(NamedTuple):
-    """A server has had its time to close a connection whose client has left."""
+    """The time for a server to close a connection whose client has left is over."""
 
     flow_number: int
 
 
 class FlowEndings:
-    """Ends flows for reasons on this balancer's side or the client's."""
+    """Ends flows for a reason on the client's or the balancer's side."""
 
     def __init__(self, context: BalancerContext, attempts: FlowAttempts, answers: FinalAnswers) -> None:
         self._counters = context.counters
@@ -36,14 +36,14 @@
         self._answers = answers
 
     def client_disconnected(self, event: DownstreamClosed) -> None:
-        """Withdraw a flow that waits; give the server of an established one time to close."""
+        """Withdraw a flow that is not established; give an established one's server time to close."""
         flow = self._flow_table.get(event.flow_number)
         if flow is None:
             return
         if not flow.established:
             self._attempts.withdraw(flow)
         elif not flow.client_left_at:
-            # A server that has vanished never closes.
+            # Time limit, since a server that has disappeared never closes the connection.
             flow.client_left_at = self._loop.clock()
             flow.timer = self._loop.call_later(SERVER_CLOSE_GRACE_MS, CloseGraceExpired(flow.number))
 
@@ -72,7 +72,7 @@
             )
 
     def disconnect_unresponsive(self, flow: ActiveFlow, now: float) -> None:
-        """Ask the client of an unresponsive server to reconnect."""
+        """Reset the connection to an unresponsive server and ask its client to reconnect."""
         self._counters["unresponsive_connections"] += 1
         upstream = flow.established_upstream
         silence = upstream.connection.server_silence(now)
@@ -82,7 +82,7 @@
         self._attempts.connection_ended(flow, upstream, events.ConnectionResult.RESET, EndReason.UNRESPONSIVE)
 
     def reject_unfinished(self) -> None:
-        """Give all flows that are not established their final answer: the shutdown waits no longer."""
+        """Send the final answer of all flows that are not established: the shutdown waits no longer."""
         for flow in list(self._flow_table):
             attempt = flow.upstream
             if flow.established or (attempt is not None and attempt.stage == AttemptStage.ESTABLISHED):
