--- a/lotusroute/net/flow_manager.py
+++ b/lotusroute/net/flow_manager.py
@@ -1,4 +1,4 @@
-"""Joins the parts that handle flows: admission, attempts, endings, and the Director's commands."""
+"""Connects the components that handle flows: admission, attempts, endings and the Director's commands."""
 
 from lotusroute.net.admission import AdmissionControl
 from lotusroute.net.balancer_context import BalancerContext
@@ -17,7 +17,7 @@
 
 
 class FlowManager:
-    """Each flow from a client's first line to its one final answer, or to the end of its connection."""
+    """Handles each flow from the client's first line to its final answer or the end of its connection."""
 
     def __init__(self, context: BalancerContext, director: Director, admission: AdmissionControl) -> None:
         decisions = DecisionExecutor(director, context.loop)
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -1,6 +1,6 @@
 """The flows in flight, by number, and the client ids that are in use.
 
-Owns both. An id stays in use for a while after its flow has ended, because servers may still have it in use.
+Owns both. An id counts as in use for a while after its flow has ended, because servers may still use it.
 Times are milliseconds.
 """
 
@@ -12,20 +12,20 @@
 from lotusroute.net.open_request import OpenRequest
 from lotusroute.routing.events import ServiceType
 
-CLOSED_FLOW_ID_TTL_MS = 60_000.0  # for as long servers may have the id in use
+CLOSED_FLOW_ID_TTL_MS = 60_000.0  # how long servers may still use the id of an ended flow
 MAX_CLOSED_FLOW_IDS = 20_000
 
 
 class FlowTable:
-    """Flows in flight; each leaves with its final answer or with the end of its connection."""
+    """Flows in flight; each is removed with its final answer or at the end of its connection."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._flows: dict[int, ActiveFlow] = {}
         self._ids: set[str] = set()  # of the requests of flows in flight and of those in `_closed`
-        self._closed: deque[tuple[float, str]] = deque()  # when flows ended, and their ids, the oldest first
+        self._closed: deque[tuple[float, str]] = deque()  # end times and ids of ended flows, the oldest first
         self._last_number = 0
-        # The dict's own method, without a wrapper's overhead: it is called for every event.
+        # The dict's own method: it is called for every event, and a wrapper would add overhead.
         self.get: Callable[[int], ActiveFlow | None] = self._flows.get
 
     def __len__(self) -> int:
@@ -44,7 +44,7 @@
         deadline: float,
         downstream: DownstreamConnection,
     ) -> ActiveFlow:
-        """Create a flow with the next number."""
+        """Create a flow with the next number and add it."""
         self._last_number += 1
         self._ids.add(request.id)
         flow = ActiveFlow(self._last_number, request, service_type, deadline, downstream)
@@ -65,7 +65,7 @@
         return request_id in self._ids
 
     def expire_closed_ids(self, now: float) -> None:
-        """Forget ids of flows that ended long ago, and the oldest beyond the limit."""
+        """Forget the ids of flows that ended long ago, and the oldest ids beyond the limit."""
         closed = self._closed
         while closed and (closed[0][0] < now - CLOSED_FLOW_ID_TTL_MS or len(closed) > MAX_CLOSED_FLOW_IDS):
             _, request_id = closed.popleft()
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -1,8 +1,9 @@
 """The line protocol over TCP, shared by the downstream and the upstream side.
 
-`LineProtocol` cuts what a socket delivers into lines that end in CRLF and passes each on as a slice
-(`memoryview`) of the buffer that it was read into: no complete line is copied on its way in. The module also
-holds the commands of the protocol and its limits, in bytes. It knows neither clients nor servers.
+`LineProtocol` splits the data read from a socket into lines that end in CRLF and passes each on as a slice
+(`memoryview`) of the buffer that it was read into: no line that arrives complete is copied on its way in. The
+module also defines the commands of the protocol and its limits, in bytes. Nothing in it is specific to
+clients or to servers.
 """
 
 import re
@@ -17,11 +18,11 @@
 
 from lotusroute.net.structured_log import log_exception
 
-MAX_LINE_LENGTH = 4096  # with the line ending, by the protocol
-# Read at once, and the most that may wait to be written. With Twisted's 64 KiB, a balancer at its limit of
-# connections would exceed its memory.
+MAX_LINE_LENGTH = 4096  # with the line ending; set by the protocol
+# The most that is read at once, and that may wait to be written. With Twisted's 64 KiB, a balancer at its
+# limit of connections would exceed its memory.
 SOCKET_BUFFER_BYTES = 8_192
-MAX_COMMAND_LENGTH = 12  # the start of a line in which its command is looked for
+MAX_COMMAND_LENGTH = 12  # only this much of a line is searched for its command
 
 PING = b"PING"
 PONG = b"PONG"
@@ -47,22 +48,22 @@
 
 @implementer(IHalfCloseableProtocol)
 class LineProtocol(LineReceiver, TimeoutMixin):
-    """A `LineReceiver` whose `lineReceived` takes slices with their line ending, ready to be forwarded."""
+    """A `LineReceiver` whose `lineReceived` takes slices that include the line ending, to be forwarded."""
 
-    transport: Any  # a TCP connection; Twisted declares an interface without the methods of TCP
+    transport: Any  # a TCP transport; the interface that Twisted declares lacks TCP's methods
     MAX_LENGTH = MAX_LINE_LENGTH
     MAX_BUFFERED = MAX_LINE_LENGTH  # the most that may arrive while lines are buffered
-    buffering = False  # lines are buffered, not passed on, while this is set; the socket is still read
+    buffering = False  # while set, lines are buffered instead of passed on; the socket is still read
     read_closed = False  # the other end has stopped sending
     write_closed = False  # this end has stopped sending
 
     def connectionMade(self) -> None:
-        """Set the socket's options."""
+        """Set the options of the socket and the transport."""
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = SOCKET_BUFFER_BYTES
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on the complete lines in `data`; the rest is copied, because it has to outlive its buffer."""
+        """Pass on the complete lines in `data`; the rest is copied, because it must outlive its buffer."""
         if self._busyReceiving:
             self._buffer += data
             return
@@ -82,7 +83,7 @@
                 start = end
                 self.lineReceived(line)
         except Exception:
-            # An exception ends the connection whose line triggered it, not the balancer.
+            # An exception ends only the connection whose line raised it, not the balancer.
             log_exception("connection failed", kind=type(self).__name__)
             self.transport.abortConnection()
             return
@@ -94,7 +95,7 @@
             self._check_buffer_limit()
 
     def _check_buffer_limit(self) -> None:
-        """Call the handler for lines buffered beyond their limit, or for a line that is too long."""
+        """Call the handler for a buffer over its limit, or for a line that is too long."""
         if self.buffering or self.paused:
             if len(self._buffer) > self.MAX_BUFFERED:
                 self.buffer_overflowed()
@@ -102,7 +103,7 @@
             self.lineLengthExceeded(self._buffer)
 
     def has_buffered_data(self) -> bool:
-        """Return whether something was received that has not been passed on: lines, or a part of one."""
+        """Return whether received data, complete lines or part of one, has not been passed on."""
         return bool(self._buffer)
 
     def buffer_overflowed(self) -> None:
@@ -111,35 +112,35 @@
 
     def has_unsent_data(self) -> bool:
         """Return whether data waits in the transport to be written."""
-        # Twisted has no public attribute for this: `write` puts data into `_tempDataBuffer`, and the next
-        # attempt to write moves it to `dataBuffer`. This is the only place that reads either of them.
+        # Twisted has no public attribute for this: `write` appends data to `_tempDataBuffer`, and the next
+        # attempt to write moves it to `dataBuffer`. Nothing else in the program reads these two.
         return bool(self.transport.dataBuffer or self.transport._tempDataBuffer)
 
     def write_now(self, data: bytes) -> bytes:
-        """Write at once what the socket takes and return the rest.
+        """Write as much as the socket takes at once and return the rest.
 
-        Nothing is written while the transport has unsent data. Leaving small writes to the reactor would take
-        one more iteration and two calls of epoll for each.
+        Nothing is written while the transport has unsent data. Leaving a small write to the reactor would
+        cost one more iteration and two epoll calls.
         """
         transport = self.transport
         if not transport.connected or self.has_unsent_data():
             return data
         sent = transport.writeSomeData(data)
-        # For a broken connection `sent` is an exception; writing the rest lets the transport find out itself.
+        # For a broken connection `sent` is an exception; the transport handles it when the rest is written.
         return data[sent:] if isinstance(sent, int) else data
 
     def write_all(self, data: bytes) -> None:
-        """Write now, or behind the data that already waits."""
+        """Write at once, or append to the data that already waits to be written."""
         if rest := self.write_now(data):
             self.transport.write(rest)
 
     def send_line(self, line: memoryview) -> None:
-        """Write a slice.
+        """Write a line that is a slice of a buffer.
 
-        Twisted's transports take only `bytes` and keep them until they are written. So the line is copied
-        here, unless it is all that its buffer holds, which is the usual case.
+        Twisted's transports accept only `bytes` and keep them until they are written. The line is therefore
+        copied here, unless its buffer holds nothing else, which is the usual case.
         """
-        buffer: bytes = line.obj  # type: ignore[assignment]  # what `dataReceived` got
+        buffer: bytes = line.obj  # type: ignore[assignment]  # the data given to `dataReceived`
         self.write_all(buffer if len(line) == len(buffer) else bytes(line))
 
     def resume_lines(self) -> None:
@@ -150,35 +151,35 @@
         self.dataReceived(b"")
 
     def readConnectionLost(self) -> None:
-        """Handle that the other end has stopped sending."""
+        """Record the other end's half-close, and close if this end has stopped sending too."""
         self.read_closed = True
         self.peer_half_closed()
         if self.write_closed:
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Handle that our own half is closed."""
+        """Close if the other end has stopped sending too, now that this end has."""
         if self.read_closed:
             self.transport.loseConnection()
 
     def half_close(self) -> None:
-        """Stop sending when all is written; the connection closes when the other end has stopped too."""
+        """Stop sending once all data is written; the connection closes when the other end stops too."""
         if not self.write_closed and self.transport is not None and self.transport.connected:
             self.write_closed = True
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Cancel the timeout and report that the connection is closed or broken."""
+        """Cancel the timeout and call the handler of the closed or broken connection."""
         self.setTimeout(None)
         self.connection_lost()
 
     def timeoutConnection(self) -> None:
-        """Close when the time set by `setTimeout` has passed."""
+        """Reset the connection when the time set by `setTimeout` is over."""
         self.transport.abortConnection()
 
     def peer_half_closed(self) -> None:
-        """Handle that the other end has stopped sending."""
+        """Handle the other end's half-close; subclasses override this."""
 
     def connection_lost(self) -> None:
-        """Handle, once, that the connection is closed or broken."""
+        """Handle the closed or broken connection; called once, for subclasses to override."""
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -1,8 +1,8 @@
-"""Accepting downstream connections within the limit of file descriptors.
+"""Accepts downstream connections within the limit on file descriptors.
 
-`DownstreamFactory` counts the descriptors of all downstream connections: two for one with a flow (the
-client's and the server's), one for any other. Beyond the limit it evicts idle connections, the oldest first,
-and sheds new ones if that does not suffice. `Listener` is the listening socket.
+`DownstreamFactory` counts the descriptors of all downstream connections: two for a connection with a flow
+(the client's and the server's), one for any other. Beyond the limit it evicts idle connections, the oldest
+first, and sheds new ones if that is not enough. `Listener` is the listening socket.
 """
 
 from collections import Counter
@@ -15,8 +15,9 @@
 from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import BUSY
 
-ACCEPTS_PER_ITERATION = 16  # of the reactor, which serves all other sockets in between
-# Descriptors are reserved for discovery, the log and the reactor.
+ACCEPTS_PER_ITERATION = 16  # the reactor serves all other sockets in between
+# Descriptors reserved for discovery, the log and the reactor: the process's limit divided by the divisor, but
+# at least the minimum.
 RESERVED_DESCRIPTOR_DIVISOR = 16
 MIN_RESERVED_DESCRIPTORS = 32
 
@@ -34,7 +35,7 @@
         sockets: int,
         counters: Counter[str],
     ) -> None:
-        """`enqueue` takes the connections' events; `sockets` is the process's limit of descriptors."""
+        """`enqueue` takes the connections' events; `sockets` is the process's limit on descriptors."""
         self.enqueue = enqueue
         self.clock = clock
         self.ready = ready
@@ -45,26 +46,26 @@
         self.set_descriptor_limit(sockets)
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """Admit connections for so many descriptors, less those that are reserved."""
+        """Set the limit from the process's number of descriptors, less those that are reserved."""
         reserved = max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DESCRIPTOR_DIVISOR)
         self.descriptor_limit = max(1, sockets - reserved - ACCEPTS_PER_ITERATION)
 
     def admit(self, connection: DownstreamConnection) -> None:
-        """Admit a new connection, or reject it where no descriptor is free.
+        """Admit a new connection, or reject it if no descriptor is free.
 
-        It may bring a flow, so idle connections are evicted for it.
+        Idle connections are evicted for it, because it may request a flow.
         """
         self.connections.add(connection)
         self.idle[connection] = None
         if self._exceeds_limit():
             self._evict_idle(keep=connection)
         if self._exceeds_limit():
-            # With no descriptor left, flows could not be answered at all.
+            # If no descriptor were left, flows could not be answered at all.
             self.counters["load_shed"] += 1
             connection.send_final_answer(BUSY)
 
     def _evict_idle(self, keep: DownstreamConnection) -> None:
-        """Evict idle connections, the oldest first, until the limit is met."""
+        """Evict idle connections other than `keep`, the oldest first, until the limit is met."""
         for oldest in [connection for connection in self.idle if connection is not keep]:
             oldest.evict()
             if not self._exceeds_limit():
@@ -79,7 +80,7 @@
         self.idle.pop(connection, None)
 
     def mark_lingering(self, connection: DownstreamConnection) -> None:
-        """Record that the connection was sent its last line: it is the youngest of the idle ones."""
+        """Record that the last line was sent: the connection becomes the newest of the idle ones."""
         if connection in self.connections:
             self.idle.pop(connection, None)
             self.idle[connection] = None
@@ -94,9 +95,9 @@
         self.idle.pop(connection, None)
 
     def accept_pending(self, listener: "Listener") -> bool:
-        """Accept all waiting connections and read the idle connections' sockets, before the process ends.
+        """Accept all waiting connections and read the idle connections' sockets, before the process exits.
 
-        Returns whether a connection still waits for an answer or its last line.
+        Returns whether a client still waits for an answer or for its last line.
         """
         accepted = -1
         while accepted != self.counters["connections"]:
@@ -115,17 +116,17 @@
 
 
 class Listener(tcp.Port):
-    """The listening socket, which accepts few connections in an iteration of the reactor.
+    """The listening socket, which accepts only a few connections in each iteration of the reactor.
 
-    Twisted adapts the number to the load. After a burst it accepts hundreds before it reads the first, more
-    than there are descriptors for.
+    Twisted adapts this number to the load: after a burst it would accept hundreds of connections, more than
+    there are descriptors for, before reading the first.
     """
 
     @property
     def numberAccepts(self) -> int:
-        """Number of connections accepted in one iteration."""
+        """The number of connections accepted in one iteration."""
         return ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
     def numberAccepts(self, value: float) -> None:
-        """Ignore Twisted's adaptation."""
+        """Ignore the value that Twisted adapts to the load."""
--- a/lotusroute/net/reasons.py
+++ b/lotusroute/net/reasons.py
@@ -1,6 +1,6 @@
-"""Why connections end, clients are migrated and flows are answered: the `reason` of log lines.
+"""Why connections end, clients are migrated and flows are answered: the values of `reason` in the log.
 
-The routing decisions give their own reasons for an answer, `lotusroute.routing.events.RejectReason`.
+Answers that follow from a routing decision have a `lotusroute.routing.events.RejectReason` instead.
 """
 
 from enum import StrEnum
@@ -10,8 +10,8 @@
     """What ended an attempt, or the connection that it established."""
 
     CONNECT_FAILED = "connect failed"
-    NOT_SENT = "not sent"  # when connected, the line was not to be sent any more
-    ANSWERED = "server answered"  # with another line than a receipt
+    NOT_SENT = "not sent"  # once connected, the client's line was no longer allowed to be sent
+    ANSWERED = "server answered"  # with a line other than a receipt
     SERVER_CLOSED = "server closed"
     CONNECTION_LOST = "connection lost"  # reset, or broken in another way
     LINE_TOO_LONG = "line too long"
@@ -33,7 +33,7 @@
 
 
 class AnswerReason(StrEnum):
-    """Why a flow is answered without a decision of the Director."""
+    """Why a flow is answered without a routing decision."""
 
     SHUTDOWN = "shutdown"
     EXISTING_CONNECTION_LOST = "existing connection lost"
--- a/lotusroute/net/request_admission.py
+++ b/lotusroute/net/request_admission.py
@@ -1,6 +1,6 @@
-"""Admission of clients' requests: each becomes a flow, or is answered at once.
+"""Admits clients' requests: each becomes a flow or is rejected at once, as `AdmissionControl` decides.
 
-`AdmissionControl` decides which. Times are milliseconds of Unix time.
+Times are milliseconds of Unix time.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from lotusroute.net.final_answers import FinalAnswers
 from lotusroute.routing import events
 
-DEADLINE_MARGIN_MS = 40.0  # a flow is answered so long before its deadline, for a busy core
+DEADLINE_MARGIN_MS = 40.0  # a flow is answered this long before its timeout, to allow for a busy core
 MAX_DEADLINE_MARGIN_FRACTION = 0.25  # of the client's timeout, so that a short one leaves time to serve
 CAPACITY_RETRY_AFTER_MS = 1_000.0
-SHUTDOWN_RETRY_AFTER_MS = 400.0  # after it, the front sends clients to other balancers only
+SHUTDOWN_RETRY_AFTER_MS = 400.0  # from then on, the front end sends clients to other balancers only
 
 
 class RequestAdmission:
-    """Takes the first lines of clients."""
+    """Turns clients' requests into flows, or rejects them."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         self._decide = decide
 
     def request_received(self, event: RequestReceived) -> None:
-        """Admit a new flow or an existing connection, or answer it at once."""
+        """Admit a new flow or an existing connection, or reject it at once."""
         downstream = event.connection
         if downstream.disconnected or downstream.has_disconnected():
-            # No attempt is started: each would take a place in a server's queue for nothing.
+            # An attempt for this client would take a place in a server's queue for nothing.
             self._counters["client_disconnects"] += 1
             return
         match self._admission.evaluate(event.request):
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -1,8 +1,8 @@
 """The balancer's own graceful shutdown.
 
 New flows are rejected, flows in flight are finished and all clients are migrated to other balancers. The
-process ends when every last line is written, before the platform kills it. Owns when the shutdown started and
-the callback for its end. Times are milliseconds.
+process exits when all clients' last lines are written, before the platform kills it. Owns the time at which
+the shutdown started and the callback for its end. Times are milliseconds.
 """
 
 from collections.abc import Callable
@@ -14,23 +14,26 @@
 from lotusroute.net.reasons import MigrationReason
 from lotusroute.net.structured_log import log_event
 
-# Until then the front still sends clients here, also migrated ones.
+# After the start of the shutdown. Until then the front-end load balancer still sends clients to this
+# balancer, including those that it has just migrated.
 MIGRATION_START_MS = 450.0
-MIGRATION_SPREAD_MS = 1_300.0  # over which clients migrate, to avoid a connection storm
-# The front sends clients for 400 ms, and a busy core reads them late.
+MIGRATION_SPREAD_MS = 1_300.0  # time over which clients are migrated, to avoid a connection storm
+# The front end keeps sending clients for 400 ms, and a busy core reads their requests late.
 MIN_DURATION_MS = 900.0
-MAX_CONNECT_TIMEOUT_MS = 3_000.0  # the platform waits for no longer connect timeout before it kills
-# The platform kills the process 700 ms after the connect timeout.
+# The platform waits for the longest connect timeout, but no longer than this, before it kills the process.
+MAX_CONNECT_TIMEOUT_MS = 3_000.0
+# Answers may be given until this long after the connect timeout. The platform kills the process 700 ms after
+# the connect timeout.
 ANSWER_MARGIN_MS = 350.0
-FLUSH_TIME_MS = 200.0  # between the last answer and the end, for writing and reading it
+FLUSH_TIME_MS = 200.0  # from the last answer to the exit, for writing and reading it
 
 
 def _ignore_end() -> None:
-    """Stand in for the callback until the shutdown starts."""
+    """Do nothing, as the callback until the shutdown starts."""
 
 
 class GracefulShutdown:
-    """Ends the balancer in order, step by step."""
+    """Shuts the balancer down step by step."""
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
         migrator: BatchMigrator,
         has_pending_answers: Callable[[], bool],
     ) -> None:
-        """`has_pending_answers` returns whether clients without a flow still wait for a line."""
+        """`has_pending_answers` returns whether clients still wait for an answer or for their last line."""
         self._loop = context.loop
         self._flow_table = context.flow_table
         self._drain_timer = context.drain_timer
@@ -49,9 +52,9 @@
         self._migrator = migrator
         self._has_pending_answers = has_pending_answers
         connect_timeout = min(context.config.longest_connect_timeout, MAX_CONNECT_TIMEOUT_MS)
-        self._answer_limit = connect_timeout + ANSWER_MARGIN_MS  # after the start
+        self._answer_limit = connect_timeout + ANSWER_MARGIN_MS  # since the start of the shutdown
         self._started_at = 0.0
-        self._last_busy = 0.0  # how long after the start there last were flows
+        self._last_busy = 0.0  # time from the start to the last step that found flows
         self._on_stopped: Callable[[], None] = _ignore_end
 
     @property
@@ -60,7 +63,7 @@
         return bool(self._started_at)
 
     def start(self, on_stopped: Callable[[], None]) -> None:
-        """Begin, unless begun already; `on_stopped` is called when no client is left."""
+        """Start the shutdown, unless it has started; `on_stopped` is called when no client is left."""
         if self.in_progress:
             return
         self._started_at = self._loop.clock()
@@ -70,18 +73,18 @@
         self._drain_timer.schedule()
 
     def step(self, now: float) -> None:
-        """Migrate the next batch, reject what is late, and end or schedule the next step."""
+        """Migrate the next batch, reject flows that are too late, and finish or schedule the next step."""
         elapsed = now - self._started_at
         established = self._flow_table.established()
         if elapsed >= MIGRATION_START_MS:
-            # Where all connect timeouts are short the platform kills before the spread is over.
+            # If all connect timeouts are short, the platform kills the process before the spread is over.
             spread_end = MIGRATION_START_MS + MIGRATION_SPREAD_MS
             migration_end = min(spread_end, self._answer_limit - ANSWER_MARGIN_MS)
             self._migrator.migrate_batch(established, migration_end - elapsed, MigrationReason.SHUTDOWN)
         if elapsed >= self._answer_limit:
             self._endings.reject_unfinished()
         if established or self._flow_table:
-            # Flows that this step has ended count too: their last lines are still to be written.
+            # Flows that this step has ended count too, as their last lines are still to be written.
             self._last_busy = elapsed
         if self._finished(elapsed):
             self._on_stopped()
@@ -89,10 +92,10 @@
             self._drain_timer.schedule()
 
     def _finished(self, elapsed: float) -> bool:
-        """Return whether the time is over, or all is done.
+        """Return whether the time limit is reached or nothing is left to do.
 
-        Time alone does not decide: clients that connected while this process was stalled are still to be read
-        and answered.
+        Elapsed time alone is not enough: clients that connected while this process was stalled still have to
+        be read and answered.
         """
         end = self._answer_limit + FLUSH_TIME_MS
         if elapsed < min(end, max(MIN_DURATION_MS, self._last_busy + FLUSH_TIME_MS)):
