--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -1,8 +1,8 @@
 """One attempt of one flow to connect to one server.
 
-How an attempt, or the connection that it established, ended is reported as a `ConnectionResult` in an
-`AttemptEnded`, never as an exception. An attempt chooses no server, retries nothing and does not answer
-clients by itself. Times are milliseconds.
+The end of an attempt, or of the connection that it established, is reported as a `ConnectionResult` in an
+`AttemptEnded`, never as an exception. An attempt neither chooses the server nor retries, and it does not
+answer clients. Times are milliseconds.
 """
 
 from collections import Counter
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptContext:
-    """What all attempts of a balancer use."""
+    """The objects that all attempts of a balancer share."""
 
-    enqueue: Callable[[object], None]  # takes events of `upstream_events`
+    enqueue: Callable[[object], None]  # accepts the events defined in `upstream_events`
     clock: Callable[[], float]
     counters: Counter[str]
 
@@ -58,8 +58,8 @@
         self.clock = context.clock
         self.counters = context.counters
         self.stage = AttemptStage.CONNECTING
-        self.final_stage = AttemptStage.CONNECTING  # the stage before it was over
-        # Set when connected; a receipt of this attempt proves that it is set.
+        self.final_stage = AttemptStage.CONNECTING  # the last stage before `OVER`
+        # Set once connected; whoever has received this attempt's receipt may rely on it.
         self.connection: UpstreamConnection = None  # type: ignore[assignment]
         self.connector: Connector | None = None
         # Whether the flow's deadline shortened the connect timeout; then a timeout is not the server's fault.
@@ -68,45 +68,45 @@
     def connect(self, address: Address, timeout_shortened: bool) -> None:
         """Start to connect.
 
-        The caller keeps the timeout, so that a suspension of this process does not look like a slow server.
+        The caller enforces the timeout, so that a suspension of this process is not taken for a slow server.
         """
         self.timeout_shortened = timeout_shortened
         host, port = address
-        # Twisted takes None for no timeout of its own, but declares a float.
+        # With None Twisted sets no timeout of its own, but it declares a float.
         self.connector = reactor.connectTCP(host, port, self, timeout=None)  # type: ignore[arg-type]
 
     def buildProtocol(self, addr: IAddress) -> UpstreamConnection:
-        """Return the protocol of the new connection."""
+        """Create the protocol of the new connection."""
         self.connection = UpstreamConnection(self)
         return self.connection
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         """Report that the attempt could not connect."""
-        # Without a free descriptor the failure is ours, not the server's.
+        # Without a free descriptor, the failure is this process's, not the server's.
         local_failure = reason.check(error.ConnectBindError, error.UserError)
         result = ConnectionResult.UNSENT if local_failure else ConnectionResult.UNREACHABLE
         self.report_end(result, EndReason.CONNECT_FAILED)
 
     def result_if_broken(self) -> ConnectionResult:
-        """Return the result if the connection breaks now: after the last byte the request may have run."""
+        """Return the result if the connection breaks now; once all is written, the flow may have run."""
         if self.stage >= AttemptStage.WRITTEN:
             return ConnectionResult.RESET
         return ConnectionResult.UNREACHABLE
 
     def report_end(self, result: ConnectionResult, reason: EndReason) -> None:
-        """Report the end, once."""
+        """Report the end, unless the attempt is over already."""
         if self.stage != AttemptStage.OVER:
             self._mark_over()
             self.enqueue(AttemptEnded(self.flow_number, self, result, reason))
 
     def _mark_over(self) -> None:
-        """Record the final stage; nothing is reported any more."""
+        """Record the final stage; from now on nothing is reported."""
         if self.stage != AttemptStage.OVER:
             self.final_stage = self.stage
             self.stage = AttemptStage.OVER
 
     def abort(self) -> ConnectionResult:
-        """Close at once and return the result; nothing is reported any more."""
+        """Close the connection at once and return the result; from now on nothing is reported."""
         result = self._result_of_abort()
         self._mark_over()
         if self.connection is not None and self.connection.transport is not None:
@@ -125,13 +125,13 @@
         return ConnectionResult.UNREACHABLE
 
     def downstream_half_closed(self, rest: bytes) -> None:
-        """Write `rest` and stop sending, as the client has done; no later end is the server's fault."""
+        """Write `rest` and stop sending, as the client has; the server is not at fault for a later end."""
         self._mark_downstream_left()
         self.connection.transport.write(rest)
         self.connection.half_close()
 
     def downstream_lost(self) -> None:
-        """Reset the connection like the client's; the server is not at fault."""
+        """Reset the connection because the client's was lost; the server is not at fault."""
         self._mark_downstream_left()
         self.connection.transport.abortConnection()
 
@@ -140,7 +140,7 @@
         self.connection.downstream_left = True
 
     def close_after_migration(self) -> None:
-        """Close because the client was asked to reconnect; nothing is reported any more."""
+        """Close because the client was asked to reconnect; from now on nothing is reported."""
         self._mark_over()
         self.connection.downstream = None
         self.connection.transport.unregisterProducer()
--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -1,6 +1,6 @@
 """The TCP connection of one attempt: it writes the first line, reads the server's answer and forwards lines.
 
-What happens is reported to the `UpstreamAttempt` or queued as an event. Times are milliseconds.
+It reports to its `UpstreamAttempt`, or queues an event. Times are milliseconds.
 """
 
 from collections import deque
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from lotusroute.net.upstream_attempt import UpstreamAttempt
 
-MAX_TIMED_LINES = 64  # unanswered lines of one client whose replies are timed
-# Results of the answers that reject a flow; any other answer is an error.
+MAX_TIMED_LINES = 64  # unanswered lines of one client that are kept to time their replies
+# The result for each answer that rejects a flow; any other answer but a receipt is an error.
 RESULTS_OF_ANSWERS = {BUSY: ConnectionResult.FULL, MOVE: ConnectionResult.CANCELLED}
 
 
@@ -26,16 +26,16 @@
 
     def __init__(self, attempt: "UpstreamAttempt") -> None:
         self.attempt = attempt
-        self.downstream: LineProtocol | None = None  # where lines are forwarded to, once established
+        self.downstream: LineProtocol | None = None  # the client's connection, once established
         self.downstream_left = False  # the client has stopped sending, or its connection was lost
-        self.result_if_closed = ConnectionResult.RESET  # how the connection ends if it is closed now
-        # When the client's unanswered lines were sent, the oldest first; each reply takes one.
+        self.result_if_closed = ConnectionResult.RESET  # the result to report if the connection is closed now
+        # When the client's unanswered lines were sent, the oldest first; each reply removes the oldest.
         self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_LINES)
         self.last_reply_time = 0.0  # when the server's last line was read; 0: never
         self.last_request_time = 0.0  # when the client's last line was read; 0: never
 
     def connectionMade(self) -> None:
-        """Write the first line, if it may still be sent."""
+        """Write the first line, unless it may no longer be sent."""
         super().connectionMade()
         attempt = self.attempt
         if not attempt.may_send():
@@ -49,7 +49,7 @@
             attempt.stage = AttemptStage.WRITTEN
 
     def lineReceived(self, line: memoryview) -> None:
-        """Forward a line of the server, after recording what it means for the connection."""
+        """Forward a line from the server, and update the connection's state for it."""
         if self.downstream is None:
             self._receive_answer(line)
             return
@@ -66,7 +66,7 @@
         self.downstream.send_line(line)
 
     def _receive_answer(self, line: memoryview) -> None:
-        """Take the server's first line: a receipt, or anything else to reject the flow."""
+        """Handle the server's first line: a receipt accepts the flow, anything else rejects it."""
         attempt = self.attempt
         if RECEIPT.fullmatch(line) and attempt.stage == AttemptStage.WRITTEN:
             # Lines that arrive with the receipt are buffered until the client's connection is attached.
@@ -75,7 +75,7 @@
             self.result_if_closed = ConnectionResult.RESET
             attempt.enqueue(ReceiptReceived(attempt.flow_number, attempt, line))
         else:
-            # An UP without a receipt, or before our line was complete, is no answer to this request.
+            # An UP without a value, or sent before the first line was complete, does not answer this request.
             result = RESULTS_OF_ANSWERS.get(command_of(line), ConnectionResult.ERROR)
             attempt.report_end(result, EndReason.ANSWERED)
             self.transport.abortConnection()
@@ -89,10 +89,10 @@
         self.attempt.enqueue(LoadReported(self.attempt.flow_number, load))
 
     def attach_downstream(self, downstream: LineProtocol) -> None:
-        """Forward lines to and from a client's connection from now on."""
+        """From now on, forward lines to and from a client's connection."""
         self.downstream = downstream
         self.last_reply_time = self.attempt.clock()
-        # Without keep-alive, a client that only receives and then vanishes would never be noticed.
+        # Without keep-alive, the loss of a client that only receives would never be detected.
         downstream.transport.setTcpKeepAlive(True)
         # Backpressure both ways: neither side is read while the other has unsent data.
         downstream.transport.registerProducer(self.transport, streaming=True)
@@ -109,9 +109,9 @@
         self.send_line(line)
 
     def peer_half_closed(self) -> None:
-        """Handle that the server has stopped sending."""
+        """Pass the server's half-close on to the client, or end the attempt."""
         if self.downstream is not None:
-            # A line without its ending is forwarded as it is: nothing more will arrive.
+            # An incomplete last line is forwarded as it is, since nothing more will arrive.
             self.downstream.transport.write(self.clearLineBuffer())
             self.downstream.half_close()
             self.attempt.report_end(self.result_if_closed, self._reason_if_closed(EndReason.SERVER_CLOSED))
@@ -120,7 +120,7 @@
             self.transport.abortConnection()
 
     def connection_lost(self) -> None:
-        """Handle that the connection is closed or broken."""
+        """Handle the closed or broken connection."""
         if self.downstream is None:
             self.attempt.report_end(self.attempt.result_if_broken(), EndReason.CONNECTION_LOST)
             return
@@ -129,28 +129,28 @@
         self.attempt.report_end(self.result_if_closed, self._reason_if_closed(EndReason.CONNECTION_LOST))
 
     def _reason_if_closed(self, reason: EndReason) -> EndReason:
-        """Return `reason`, or that the client left first."""
+        """Return `reason`, or `CLIENT_LEFT` if the client left first."""
         return EndReason.CLIENT_LEFT if self.downstream_left else reason
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Close over a line that is too long."""
+        """Reset the connection because a line is too long."""
         result = ConnectionResult.ERROR if self.downstream is None else ConnectionResult.RESET
         self.attempt.report_end(result, EndReason.LINE_TOO_LONG)
         self.transport.abortConnection()
 
     def oldest_pending_time(self, now: float) -> float:
-        """Return for how long the client's oldest unanswered line has waited."""
+        """Return how long the client's oldest unanswered line has waited; 0 if there is none."""
         return now - self.sent_times[0] if self.sent_times else 0.0
 
     def client_idle_time(self, now: float) -> float:
-        """Return for how long a client that has sent lines before has sent none.
+        """Return how long it is since the client's last line.
 
-        0 for a client that has never sent any: it only receives, and is not idle.
+        This is 0 for a client that has never sent a line: it only receives, and does not count as idle.
         """
         return now - self.last_request_time if self.last_request_time else 0.0
 
     def server_silence(self, now: float) -> float:
-        """Return for how long the server has sent nothing though a line waits for its reply."""
+        """Return how long the server has sent nothing while it owes a reply; 0 if it owes none."""
         if not self.sent_times:
             return 0.0
         return now - max(self.sent_times[0], self.last_reply_time)
@@ -159,14 +159,14 @@
 class _FirstLineProducer:
     """Pull producer for the part of the first line that the socket did not take at once.
 
-    It learns from the transport when the last byte is written.
+    As a producer it is notified by the transport when the last byte is written.
     """
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
 
     def resumeProducing(self) -> None:
-        """Write the rest; at the next call it has been written."""
+        """Write the rest at the first call; the second call means that it has been written."""
         attempt = self.connection.attempt
         transport = self.connection.transport
         if attempt.stage == AttemptStage.CONNECTING:
--- a/lotusroute/net/upstream_events.py
+++ b/lotusroute/net/upstream_events.py
@@ -11,11 +11,11 @@
 
 
 class AttemptStage(IntEnum):
-    """How far an attempt has come; the names in lower case are in the log."""
+    """How far an attempt has come; the log has the names in lower case."""
 
     CONNECTING = 0
-    WRITING = 1  # of the first line
-    WRITTEN = 2  # the server may have run the request
+    WRITING = 1  # the first line is partly written
+    WRITTEN = 2  # the first line is written: the server may have run the flow
     ESTABLISHED = 3  # the server's receipt was read
     OVER = 4
 
@@ -26,7 +26,7 @@
 
 
 class ReceiptReceived(NamedTuple):
-    """A server has accepted a flow."""
+    """A server has accepted a flow and sent its receipt."""
 
     flow_number: int
     attempt: "UpstreamAttempt"
@@ -50,7 +50,7 @@
 
 
 class ReplyTimed(NamedTuple):
-    """A server has replied to a client's line."""
+    """A server has replied to a client's line after `delay`."""
 
     server: str
     delay: float
