--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -1,7 +1,7 @@
 """The first line of a client: `OPEN <id> <key> <name>=<value>,...`.
 
-Parses it into an `OpenRequest` and rewrites it for a server with the time that is left. Times are
-milliseconds. A line that does not follow the protocol raises `ProtocolError`; it must not reach a server.
+Parses it into an `OpenRequest`, and rewrites it for a server with the remaining time as the timeout. A line
+that violates the protocol raises `ProtocolError`; it must not reach a server. Times are milliseconds.
 """
 
 import re
@@ -11,7 +11,8 @@
 
 OPEN_LINE = re.compile(rb"OPEN ([0-9A-Za-z][0-9A-Za-z_.:-]{0,63}) ([!-~]{1,256}) ([!-~]+)\r\n")
 PARAMETER = re.compile(rb"([A-Za-z][0-9A-Za-z_]{0,31})=([!-+\--~]*)")
-# Below three hours; connections that were open before the balancer started send 4294967.
+# Seven digits of milliseconds are below three hours. Connections that were open before the balancer started
+# send 4294967.
 TIMEOUT_VALUE = re.compile(rb"[0-9]{1,7}(\.[0-9]{1,9})?")
 NO_KEY = b"-"
 
@@ -26,7 +27,7 @@
 
 
 class OpenRequest(NamedTuple):
-    """A client's request for a flow, as its first line has it."""
+    """A client's request for a flow, as parsed from its first line."""
 
     id: str
     service_type: str
@@ -35,28 +36,28 @@
     key: str | None
     timeout: float  # within which the client has to be answered
     reconnecting: bool
-    existing_server: str | None  # to which the client was connected before this balancer started
-    line_before_timeout: bytes  # the line up to the value of its timeout
-    line_after_timeout: bytes
+    existing_server: str | None  # that the client was connected to before this balancer started
+    line_before_timeout: bytes  # the line up to the value of the timeout
+    line_after_timeout: bytes  # the rest of the line behind that value
 
     def rewritten(self, timeout: float) -> bytes:
-        """Return the line for a server that has `timeout` to answer."""
+        """Return the line to send to a server that has `timeout` to answer."""
         return b"%b%d%b" % (self.line_before_timeout, max(1, int(timeout)), self.line_after_timeout)
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
-    r"""Parse a client's first line, of which the request keeps a copy for further attempts.
+    r"""Parse a client's first line; the request keeps it, to rewrite it for each attempt.
 
     >>> parse_open_request(b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f\r\n").rewritten(1500.0)
     b'OPEN 9b1f 7f3a c=chat,t=acme,d=1500,g=5c0f\r\n'
     """
     match = OPEN_LINE.fullmatch(line)
     if match is None:
-        raise ProtocolError("not OPEN, id, key and a list")
+        raise ProtocolError("expected OPEN, an id, a key and a list of parameters")
     parameters, timeout_start, timeout_end = _parse_parameters(match[3], match.start(3))
     timeout = float(parameters.get(TIMEOUT, 0))
     if timeout <= 0 or not parameters.get(SERVICE_TYPE):
-        raise ProtocolError("no c, or no time in d")
+        raise ProtocolError("the service type (c) is missing or empty, or the timeout (d) is missing or 0")
     return OpenRequest(
         id=match[1].decode(),
         service_type=parameters[SERVICE_TYPE],
@@ -73,23 +74,23 @@
 
 class _Parameters(NamedTuple):
     by_name: dict[bytes, str]
-    timeout_start: int  # where the timeout's value starts in the line
-    timeout_end: int
+    timeout_start: int  # position in the line at which the value of the timeout starts
+    timeout_end: int  # position just behind that value
 
 
 def _parse_parameters(text: bytes, start: int) -> _Parameters:
-    """Parse `text`, which is at the position `start` of the line."""
+    """Parse `text`, the list of parameters, which begins at position `start` of the line."""
     parameters: dict[bytes, str] = {}
     timeout_start = timeout_end = 0
     for part in text.split(b","):
         match = PARAMETER.fullmatch(part)
         if match is None or match[1] in parameters:
-            raise ProtocolError("no pair, or one too many")
+            raise ProtocolError(f"parameter {part!r} is not <name>=<value> or repeats a name")
         name, value = match.groups()
         parameters[name] = value.decode()
         if name == TIMEOUT:
             if not TIMEOUT_VALUE.fullmatch(value):
-                raise ProtocolError("d is no time")
+                raise ProtocolError(f"timeout (d) {value!r} is not a valid number of milliseconds")
             timeout_start = start + match.start(2)
             timeout_end = start + len(part)
         start += len(part) + 1
