--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -53,9 +53,9 @@
         self._started_at = loop.clock()
         self._closed = False
         self._capacity = 1
-        self.resize(config)
+        self.update_capacity(config)
 
-    def resize(self, config: BalancerConfig) -> None:
+    def update_capacity(self, config: BalancerConfig) -> None:
         """Compute the capacity from the limits on descriptors and memory in a configuration."""
         reserved = max(MIN_RESERVED_SOCKETS, config.sockets // RESERVED_SOCKETS_DIVISOR)
         by_sockets = (config.sockets - reserved) // SOCKETS_PER_FLOW
@@ -68,7 +68,7 @@
 
     def evaluate(self, request: OpenRequest) -> AdmissionResult:
         """Decide whether to accept a request; existing connections are accepted even at capacity."""
-        if not self._usable(request):
+        if not self._is_valid(request):
             return AdmissionResult.MALFORMED
         if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW_MS:
             return AdmissionResult.MALFORMED
@@ -79,7 +79,7 @@
             return AdmissionResult.AT_CAPACITY
         return AdmissionResult.ACCEPTED
 
-    def _usable(self, request: OpenRequest) -> bool:
+    def _is_valid(self, request: OpenRequest) -> bool:
         """Return whether a server could serve the request.
 
         An id that is already in use is rejected here: a server would answer ERR to the healthy flow with the
@@ -88,6 +88,6 @@
         tenants = self._config.tenants
         if request.service_type not in self._config.service.service_types:
             return False
-        if self._table.knows_id(request.id):
+        if self._table.is_id_in_use(request.id):
             return False
         return not (tenants and request.tenant and request.tenant not in tenants)
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -91,7 +91,7 @@
 
     def apply_limits(self, config: BalancerConfig) -> None:
         """Derive the capacity from the descriptors and the memory of a new configuration."""
-        self._admission.resize(config)
+        self._admission.update_capacity(config)
 
     def stop(self, on_stopped: Callable[[], None]) -> None:
         """Finish the flows in flight and migrate all clients; call `on_stopped` when none is left."""
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -60,7 +60,7 @@
         """Return the established flows whose client is still connected."""
         return [flow for flow in self if flow.established and not flow.client_left_at]
 
-    def knows_id(self, request_id: str) -> bool:
+    def is_id_in_use(self, request_id: str) -> bool:
         """Return whether the id belongs to a flow in flight or to one that ended recently."""
         return request_id in self._ids
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -83,7 +83,7 @@
 
 def test_a_larger_configuration_raises_the_capacity(admission, table):
     add_flows(table)
-    admission.resize(config(sockets=70))
+    admission.update_capacity(config(sockets=70))
     assert admission.evaluate(request()) is AdmissionResult.ACCEPTED
 
 
--- a/tests/test_flow_table.py
+++ b/tests/test_flow_table.py
@@ -24,16 +24,16 @@
     (flow,) = add_flows(table, 1)
     table.remove(flow)
     table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS)
-    assert table.knows_id("id0") and not len(table)
+    assert table.is_id_in_use("id0") and not len(table)
     table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS + 1.0)
-    assert not table.knows_id("id0")
+    assert not table.is_id_in_use("id0")
 
 
 def test_the_oldest_ids_of_closed_flows_are_forgotten_beyond_the_limit(table):
     for flow in add_flows(table, MAX_CLOSED_FLOW_IDS + 1):
         table.remove(flow)
     table.expire_closed_ids(0.0)
-    assert not table.knows_id("id0") and table.knows_id("id1")
+    assert not table.is_id_in_use("id0") and table.is_id_in_use("id1")
 
 
 def test_only_flows_whose_client_is_there_count_as_established(table):
