--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -54,7 +54,7 @@
         connect_timeout = min(context.config.longest_connect_timeout, MAX_CONNECT_TIMEOUT_MS)
         self._answer_limit = connect_timeout + ANSWER_MARGIN_MS  # since the start of the shutdown
         self._started_at = 0.0
-        self._last_busy = 0.0  # time from the start to the last step that found flows
+        self._last_active_elapsed = 0.0  # time from the start to the last step that found flows
         self._on_stopped: Callable[[], None] = _ignore_end
 
     @property
@@ -85,7 +85,7 @@
             self._endings.reject_unfinished()
         if established or self._flow_table:
             # Flows that this step has ended count too, as their last lines are still to be written.
-            self._last_busy = elapsed
+            self._last_active_elapsed = elapsed
         if self._finished(elapsed):
             self._on_stopped()
         else:
@@ -98,7 +98,7 @@
         be read and answered.
         """
         end = self._answer_limit + FLUSH_TIME_MS
-        if elapsed < min(end, max(MIN_DURATION_MS, self._last_busy + FLUSH_TIME_MS)):
+        if elapsed < min(end, max(MIN_DURATION_MS, self._last_active_elapsed + FLUSH_TIME_MS)):
             return False
         if elapsed >= end + MIGRATION_INTERVAL_MS:
             return True
