--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -18,7 +18,7 @@
 
 MAX_TIMED_LINES = 64  # unanswered lines of one client that are kept to time their replies
 # The result for each answer that rejects a flow; any other answer but a receipt is an error.
-RESULTS_OF_ANSWERS = {BUSY: ConnectionResult.FULL, MOVE: ConnectionResult.CANCELLED}
+REJECTION_RESULTS = {BUSY: ConnectionResult.FULL, MOVE: ConnectionResult.CANCELLED}
 
 
 class UpstreamConnection(LineProtocol):
@@ -76,7 +76,7 @@
             attempt.enqueue(ReceiptReceived(attempt.flow_number, attempt, line))
         else:
             # An UP without a value, or sent before the first line was complete, does not answer this request.
-            result = RESULTS_OF_ANSWERS.get(command_of(line), ConnectionResult.ERROR)
+            result = REJECTION_RESULTS.get(command_of(line), ConnectionResult.ERROR)
             attempt.report_end(result, EndReason.ANSWERED)
             self.transport.abortConnection()
 
