--- a/tests/fake_transport.py
+++ b/tests/fake_transport.py
@@ -1,10 +1,10 @@
-"""A fake of Twisted's TCP transport."""
+"""A fake TCP transport of Twisted."""
 
 from twisted.internet.testing import StringTransport
 
 
 class FakeTransport(StringTransport):
-    """A transport whose socket takes `accepted` bytes in one write, and all bytes where that is None."""
+    """A transport whose socket takes `accepted` bytes in each write, or all bytes if that is None."""
 
     dataBuffer = b""
     _tempDataBuffer = ()
@@ -14,7 +14,7 @@
         self.accepted = accepted
 
     def writeSomeData(self, data: bytes) -> int:
-        """Write as much as the socket takes; returns the number of bytes."""
+        """Write as much as the socket takes and return the number of bytes."""
         taken = data[: self.accepted]
         self.write(taken)
         return len(taken)
--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -1,4 +1,4 @@
-"""Settings, broken connections and resetting servers for tests of how flows end."""
+"""Settings, ways to close connections, and resetting servers for tests of how flows end."""
 
 import pathlib
 
@@ -11,14 +11,14 @@
 EFFECTS = "read_like", "idempotency_key", "non_idempotent"
 
 
-# A key whose default server is s0, of two servers.
+# A key whose default server is s0 when there are two servers.
 KEY_OF_FIRST_SERVER = next(
     key for key in map(str, range(99)) if FakeHost(servers=2).default_server(key) == "s0"
 )
 
 
 def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
-    """Return SETTINGS with one service type and other time limits, all in ms."""
+    """Return SETTINGS with one service type and these time limits, all in ms."""
     kind = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **more}
     return {
         **SETTINGS,
@@ -42,19 +42,19 @@
 
 
 def descriptor_count(balancer):
-    """Return the number of descriptors that the balancer has open."""
+    """Return the number of descriptors that the balancer process has open."""
     return len(list(pathlib.Path(f"/proc/{balancer.process.pid}/fd").iterdir()))
 
 
 def is_connecting_to(server):
-    """Return whether any process has begun to connect to a server that has not accepted it yet."""
+    """Return whether a connection to the server has sent its SYN and is not established yet."""
     remote_port, syn_sent = f":{server.port:04X}", "02"
     sockets = (line.split() for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:])
     return any(fields[2].endswith(remote_port) and fields[3] == syn_sent for fields in sockets)
 
 
 def resetting_server(name):
-    """Return a server that resets each connection once it has read its line."""
+    """Return a server that resets each connection after its first line, until a reply is set."""
     server = FakeServer(name, None)
     serve = server.serve_connection
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,7 @@
 
 
 class FakeLoop:
-    """An event loop's clock and backlog, which tests set."""
+    """An event loop with only a clock and a backlog, which tests set."""
 
     def __init__(self):
         self.now = 0.0
@@ -36,7 +36,7 @@
 
 
 def config(sockets):
-    """Return a configuration with a number of descriptors."""
+    """Return a configuration with this limit on descriptors."""
     service = SimpleNamespace(service_types={"live": LIVE})
     return SimpleNamespace(sockets=sockets, memory_mb=1_024.0, tenants=frozenset({"acme"}), service=service)
 
@@ -53,7 +53,8 @@
 
 @pytest.fixture
 def admission(loop, table):
-    return AdmissionControl(config(sockets=68), loop, table)  # of which 64 are reserved: two flows
+    # 64 descriptors are reserved, and the other four are enough for two flows.
+    return AdmissionControl(config(sockets=68), loop, table)
 
 
 def add_flows(table, count=2):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,7 @@
 """Clients that disconnect, or send too much, at any point of their flow; on loopback sockets.
 
-The order of events is forced: by a server that accepts no connection until the test allows it, or by a
-balancer that is suspended while several events arrive.
+The tests force the order of events with a server that accepts no connection until told to, or by suspending
+the balancer while several events arrive.
 """
 
 import collections
@@ -48,7 +48,7 @@
         client.conn.settimeout(0.2)
         try:
             client.conn.sendall(b"M 1 " + b"x" * early_bytes + b"\r\n")
-        except OSError:  # rejected already, or the buffers are full
+        except OSError:  # the client is rejected already, or the buffers are full
             assert early_bytes > 16_384
         time.sleep(0.1)
         disconnect(client)
@@ -69,7 +69,7 @@
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
-        server.wait_for_connections()  # so that the balancer is notified of the connection first
+        server.wait_for_connections()  # the balancer is notified of the connection before the disconnect
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
@@ -90,7 +90,7 @@
 
 
 def half_close_after_partial_line(file):
-    """Send a part of a line, then a FIN, as a client does that cancels its request."""
+    """Send part of a line and then a FIN, like a client that cancels its request."""
     file.conn.sendall(b"M 7")
     file.conn.shutdown(socket.SHUT_WR)
 
@@ -101,14 +101,14 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_no_retry_starts_for_a_client_whose_disconnect_lies_unread_behind_its_own_lines(effect, disconnect):
-    # Reads are of 8 KiB, so the FIN is still unread when the first attempt fails.
+    # A read takes at most 8 KiB, so the FIN is still unread when the first attempt fails.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
         balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        # The answer proves that the flow has not run, so that one of any effect may be retried.
+        # The answer proves that the flow has not run, so it may be retried whatever its effect.
         first.connections[0].sendall(b"BUSY\r\n")
         disconnect(client)
         time.sleep(0.35)
@@ -181,12 +181,12 @@
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
-                continue  # this is the rejected client's connection
+                continue  # the connection for the rejected client is closed
         assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
 
 
 class FloodedTransport(FakeTransport):
-    """A transport whose socket always has more to read than may be buffered."""
+    """A transport whose socket always has more data to read than may be buffered."""
 
     bufferSize, closed = 8_192, False
 
@@ -204,7 +204,7 @@
 
 
 def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
-    # If the socket were closed with data unread, it would send a reset that may overtake the final answer.
+    # Closing the socket with unread data would send a reset, which may overtake the final answer.
     events, counters = [], collections.Counter()
     clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
     side = clients.buildProtocol(None)
@@ -249,4 +249,4 @@
         wait_until(lambda: descriptor_count(balancer) < descriptors_before)
 
 
-assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest time that a test above waits for an answer
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Downstream connections on loopback sockets: first lines, limits of descriptors and memory, eviction."""
+"""Downstream connections on loopback sockets: first lines, descriptor and memory limits, eviction."""
 
 import pathlib
 import socket
@@ -121,7 +121,7 @@
     conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=TIMEOUT_S)
     conn.settimeout(0.1)
     sent, start = 0, time.monotonic()
-    with pytest.raises(OSError):  # the socket's buffer is full, or our end is closed
+    with pytest.raises(OSError):  # the socket's buffer is full, or the connection is closed
         while sent < 60_000_000:
             sent += conn.send(b"k" * 65536)
     assert sent < 20_000_000 and conn.recv(5) == b"ERR\r\n" and time.monotonic() < start + 3.0
@@ -136,7 +136,7 @@
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
             assert balancer.open_flow().readline() == b"UP r1\r\n"
             assert descriptor_count(balancer) <= 128
-            # The oldest is evicted first, with an answer.
+            # The oldest connection is evicted first and receives an answer.
             assert idle[0].recv(99) == b"BUSY\r\n"
 
 
@@ -147,7 +147,7 @@
 
 
 class RecordingProtocol(LineProtocol):
-    """Keeps the lines that it receives."""
+    """Records the lines that it receives."""
 
     def __init__(self):
         self.received = []
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -1,4 +1,4 @@
-"""An event, a command or an endpoint that cannot be handled affects no other."""
+"""An event, a command or an endpoint that cannot be handled does not affect any other."""
 
 import collections
 import json
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -1,7 +1,7 @@
-"""How flows end that meet a drain, a malformed answer or a timeout; on loopback sockets.
+"""How flows end after a drain, a malformed answer or a timeout; on loopback sockets.
 
-The order of events is forced: by a server that accepts no connection until the test allows it, or by a
-balancer that is suspended while several events arrive.
+The tests force the order of events with a server that accepts no connection until told to, or by suspending
+the balancer while several events arrive.
 """
 
 import socket
@@ -45,7 +45,7 @@
         time.sleep(0.1)
         balancer.suspend()
         slow.start_accepting()
-        slow.wait_for_connections()  # so that the balancer is notified of it before the drain
+        slow.wait_for_connections()  # the balancer is notified of the connection before the drain
         balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
         balancer.resume()
@@ -58,7 +58,7 @@
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
-        wait_until(lambda: is_connecting_to(second))  # accepted earlier, the retry would be in the window
+        wait_until(lambda: is_connecting_to(second))  # an earlier retry would be within the window
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
@@ -97,7 +97,7 @@
         next(key for key in map(str, range(999)) if default_server(key) == server.name) for server in servers
     ]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
-        # All at once, because a flow that is requested when most attempts have failed gets no attempt.
+        # All flows are requested at once: one requested after most attempts have failed would get no attempt.
         balancer.suspend()
         clients = [balancer.open_flow(key, timeout_ms=1_000) for key in keys]
         balancer.resume()
@@ -144,7 +144,7 @@
         except TimeoutError:
             pass
         balancer.discovery.entries, balancer.discovery.seq = [server.entry("DRAINING")], 2
-        time.sleep(1.2)  # migrated within a second
+        time.sleep(1.2)  # the client is migrated within a second
         flood = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(200)]
         read = client.read(10_000_000)
         while part := client.read(10_000_000):
@@ -160,4 +160,4 @@
     ]
 
 
-assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest time that a test above waits for an answer
--- a/tests/test_flow_table.py
+++ b/tests/test_flow_table.py
@@ -15,7 +15,7 @@
 
 
 def add_flows(table, count):
-    """Add flows with the ids `id0`, `id1` and so on."""
+    """Add flows with the ids `id0`, `id1` and so on, and return them."""
     requests = (parse_open_request(f"OPEN id{index} k c=live,d=900\r\n".encode()) for index in range(count))
     return [table.add(request, events.ServiceType(300.0), 900.0, Mock()) for request in requests]
 
--- a/tests/test_golden_bytes_clients.py
+++ b/tests/test_golden_bytes_clients.py
@@ -1,7 +1,7 @@
-"""Golden bytes of the protocol of clients and servers, written literally.
+"""The exact bytes of the protocol with clients and servers, written as literals.
 
-A rename of types or modules must leave all of this as it is, because processes of two builds exchange these
-bytes. Expected bytes use no name of the project.
+Processes of different builds exchange these bytes, so a rename of types or modules must not change them. The
+expected bytes are not built from any name in the project.
 """
 
 from collections import Counter
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Flows that are unfinished when the balancer is told to stop; on loopback sockets."""
+"""Flows that are unfinished when the balancer's shutdown starts; on loopback sockets."""
 
 import signal
 import time
@@ -19,7 +19,7 @@
     ],
 )
 def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
-    # The final answer depends on all attempts, not only on the one in flight, which has not connected.
+    # The final answer depends on all attempts, not only on the attempt in flight, which has not connected.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -41,7 +41,7 @@
 
 
 def test_balancers_with_one_client_each_spread_their_migrations_though_all_get_the_list_at_once():
-    # If each balancer rounded its fraction of a client up, all clients would migrate in the first step.
+    # If each balancer rounded up its batch of less than one client, all would migrate in the first step.
     migrated, steps = Counter(), int(DRAIN_MIGRATION_SPREAD_MS / MIGRATION_INTERVAL_MS)
     for seed in range(200):
         established = [types.SimpleNamespace(number=1)]
@@ -85,12 +85,12 @@
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
         start = time.monotonic()
         balancer.terminate(signal.SIGTERM)
-        assert time.monotonic() - start < 1.2  # 0.5 s, and 0.7 s until it is killed
+        assert time.monotonic() - start < 1.2  # 0.5 s, and 0.7 s until the platform kills the process
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
 
 
 def test_signals_that_come_during_the_start_are_handled_once_it_is_complete():
-    # The default action of SIGHUP would end the program.
+    # An unhandled SIGHUP would terminate the process.
     starting = Balancer(FakeServer("s1"))
     status, caught = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
     wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & caught)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -32,7 +32,7 @@
         client = balancer.open_flow(timeout_ms=500)
         assert client.readline().startswith(b"BUSY") and client.readline() == b""
         assert time.monotonic() - start < 0.5
-        # The attempt is closed, which tells the server that no client waits.
+        # The attempt is closed, which tells the server that no client waits any more.
         wait_until(lambda: server.lines[-1] == b"")
 
 
@@ -86,7 +86,7 @@
     server = FakeServer("s1")
 
     def reply_and_end(connection):
-        # Both are sent by one thread: an end that is sent before the receipt would be a failed attempt.
+        # One thread sends both, so that the end follows the receipt; otherwise the attempt would fail.
         connection.recv(4096)
         connection.sendall(b"UP r\r\nM 1 a\r\nBYE\r\n")
         connection.shutdown(socket.SHUT_WR)
@@ -115,18 +115,18 @@
         wait_until(lambda: server.lines)
         balancer.suspend()
         server.connections[-1].sendall(b"UP r1\r\n")
-        time.sleep(0.8)  # the timeout of an attempt is 600 ms
+        time.sleep(0.8)  # the attempt times out after 600 ms
         balancer.resume()
         assert client.readline() == b"UP r1\r\n"
         balancer.suspend()
         client.write(b"M 1 a\r\n")
-        time.sleep(3.5)  # a server counts as unresponsive after 2.5 s
+        time.sleep(3.5)  # an unanswered server counts as unresponsive after 2.5 s
         balancer.resume()
         assert client.readline() == b"M 1 a\r\n"
 
 
 def new_attempt(line, clock=lambda: 0.0):
-    """Return an attempt that reports nothing."""
+    """Return an attempt that must not report any event, because none can be queued."""
     return UpstreamAttempt(1, "s1", line, AttemptContext(None, clock, None))
 
 
