--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -17,28 +17,28 @@
 )
 
 
-def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **more):
+def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **fields):
     """Return SETTINGS with one service type and these time limits, all in ms."""
-    kind = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **more}
+    service_type = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **fields}
     return {
         **SETTINGS,
-        "service_types": [kind],
+        "service_types": [service_type],
         "rules": {"stop_sending_within": grace},
         "limits": {**SETTINGS["limits"], "connect_timeout": connect_timeout},
     }
 
 
-def reset_connection(file):
+def reset_connection(client):
     """Close a connection with a reset."""
-    reset_on_close(file.conn)
-    file.close()
-    file.conn.close()
+    reset_on_close(client.conn)
+    client.close()
+    client.conn.close()
 
 
-def close_connection(file):
+def close_connection(client):
     """Close a connection with a FIN."""
-    file.close()
-    file.conn.close()
+    client.close()
+    client.conn.close()
 
 
 def descriptor_count(balancer):
@@ -58,13 +58,13 @@
     server = FakeServer(name, None)
     serve = server.serve_connection
 
-    def broken(conn):
+    def reset_after_first_line(conn):
         server.lines.append(conn.recv(4096))
         reset_on_close(conn)
         conn.close()
 
     def serve_connection(conn):
-        handler = serve if server.reply else broken
+        handler = serve if server.reply else reset_after_first_line
         handler(conn)
 
     server.serve_connection = serve_connection
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -89,10 +89,10 @@
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
-def half_close_after_partial_line(file):
+def half_close_after_partial_line(client):
     """Send part of a line and then a FIN, like a client that cancels its request."""
-    file.conn.sendall(b"M 7")
-    file.conn.shutdown(socket.SHUT_WR)
+    client.conn.sendall(b"M 7")
+    client.conn.shutdown(socket.SHUT_WR)
 
 
 DISCONNECTS = close_connection, reset_connection, half_close_after_partial_line
@@ -170,19 +170,22 @@
 def test_early_data_beyond_the_buffer_limit_is_rejected_at_once_and_less_is_served():
     server = FakeServer("s0", None)
     with Balancer(server) as balancer:
-        hasty, flood = balancer.open_flow(timeout_ms=1_500), balancer.open_flow(timeout_ms=1_500)
+        early_client, flooding_client = (
+            balancer.open_flow(timeout_ms=1_500),
+            balancer.open_flow(timeout_ms=1_500),
+        )
         lines = [b"M %d " % index + b"x" * 1_000 + b"\r\n" for index in range(10)]
-        hasty.conn.sendall(b"".join(lines))
-        flood.conn.sendall(b"x" * 40_000)
+        early_client.conn.sendall(b"".join(lines))
+        flooding_client.conn.sendall(b"x" * 40_000)
         start = time.monotonic()
-        assert flood.readline() == b"ERR\r\n" and time.monotonic() < start + 0.5
+        assert flooding_client.readline() == b"ERR\r\n" and time.monotonic() < start + 0.5
         wait_until(lambda: any(line.startswith(b"OPEN id1 ") for line in server.lines))
         for conn in server.connections:
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
                 continue  # the connection for the rejected client is closed
-        assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
+        assert early_client.readline() == b"UP r1\r\n" and [early_client.readline() for _ in lines] == lines
 
 
 class FloodedTransport(FakeTransport):
@@ -206,19 +209,19 @@
 def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
     # Closing the socket with unread data would send a reset, which may overtake the final answer.
     events, counters = [], collections.Counter()
-    clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
-    side = clients.buildProtocol(None)
-    side.callLater = Clock().callLater
-    side.transport = FloodedTransport()
-    side.transport.protocol = side
-    side.makeConnection(side.transport)
-    side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
+    factory = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
+    connection = factory.buildProtocol(None)
+    connection.callLater = Clock().callLater
+    connection.transport = FloodedTransport()
+    connection.transport.protocol = connection
+    connection.makeConnection(connection.transport)
+    connection.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
     assert (
-        side.has_disconnected()
-        and side.transport.value() == b"ERR\r\n"
+        connection.has_disconnected()
+        and connection.transport.value() == b"ERR\r\n"
         and counters["early_data_overflows"] == 1
     )
-    assert not side.transport.closed and len(events) == 1
+    assert not connection.transport.closed and len(events) == 1
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -53,32 +53,32 @@
 
 
 def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
-    broken, sound = Mock(flow_number=0, disconnected=False), Mock(flow_number=0, disconnected=False)
-    broken.has_disconnected.side_effect = OSError("closed")
+    failing, working = Mock(flow_number=0, disconnected=False), Mock(flow_number=0, disconnected=False)
+    failing.has_disconnected.side_effect = OSError("closed")
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
-    sound.has_disconnected.return_value = False
-    for downstream in (broken, sound):
+    working.has_disconnected.return_value = False
+    for downstream in (failing, working):
         core.enqueue(RequestReceived(downstream, unknown, 0.0))
     core.loop.run_pending()
-    assert broken.send_final_answer.call_args_list == [call(b"ERR")] and not broken.reject_malformed.called
-    assert sound.reject_malformed.called
+    assert failing.send_final_answer.call_args_list == [call(b"ERR")] and not failing.reject_malformed.called
+    assert working.reject_malformed.called
 
 
 def test_an_endpoint_update_whose_handling_raises_makes_discovery_request_the_complete_list(core):
-    following = Discovery(Address("127.0.0.1", 1), 41, 7, print, collections.Counter())
-    core.request_complete_list = following.request_complete_list
+    discovery = Discovery(Address("127.0.0.1", 1), 41, 7, print, collections.Counter())
+    core.request_complete_list = discovery.request_complete_list
     core.enqueue(EndpointUpdate(events.ListScope.CHANGES, (None,), {}))
     core.loop.run_pending()
-    assert following.version is None
+    assert discovery.version is None
 
 
 def test_one_malformed_endpoint_does_not_hide_a_drain_and_no_complete_list_is_requested():
-    one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
-    with Balancer(one, two) as balancer:
-        other = {**one.entry(), "host": "s9"}
-        odd = {"health": "odd"}, {"block": 1e999}, {"host": 0}
-        for malformed in 7, {"host": "s9"}, *({**other, **part} for part in odd):
-            balancer.discovery.entries = [malformed, one.entry("DRAINING"), two.entry()]
+    draining, ready = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
+    with Balancer(draining, ready) as balancer:
+        other = {**draining.entry(), "host": "s9"}
+        malformed_fields = {"health": "odd"}, {"block": 1e999}, {"host": 0}
+        for malformed in 7, {"host": "s9"}, *({**other, **field} for field in malformed_fields):
+            balancer.discovery.entries = [malformed, draining.entry("DRAINING"), ready.entry()]
             balancer.discovery.seq += 1
             wait_until(lambda: balancer.discovery.polls[-1][1] == str(balancer.discovery.seq))
             assert {balancer.open_flow(str(index)).readline() for index in range(5)} == {b"UP two\r\n"}
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -80,14 +80,14 @@
 
 @pytest.mark.parametrize("answer", [MALFORMED_RECEIPTS[index] for index in (0, 2, 5, 8, 9, 10)])
 def test_a_malformed_receipt_does_not_reach_the_client_and_another_server_serves(answer):
-    malformed, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
-    with Balancer(malformed, sound, settings=flow_settings()) as balancer:
+    malformed, other = FakeServer("s0", answer), FakeServer("s1", b"UP other\r\n")
+    with Balancer(malformed, other, settings=flow_settings()) as balancer:
         assert (
-            balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=1_000).readline() == b"UP sound\r\n"
+            balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=1_000).readline() == b"UP other\r\n"
             and malformed.lines
         )
         malformed.reply = b"UP r1\r\n"
-        assert balancer.open_flow(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
+        assert balancer.open_flow(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP other\r\n")
 
 
 def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
@@ -153,8 +153,8 @@
 
 
 def test_a_flow_with_an_idempotency_key_of_unknown_scope_that_may_have_run_is_not_retried():
-    kind = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
-    host = FakeHost(config=events.ServiceConfig({"live": kind}, max_attempts=4))
+    service_type = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
+    host = FakeHost(config=events.ServiceConfig({"live": service_type}, max_attempts=4))
     assert host.end(host.request(), events.ConnectionResult.RESET) == [
         events.Abort(1, events.RejectReason.NO_SERVER_AVAILABLE)
     ]
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -11,14 +11,14 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "group", "last"),
+    ("effect", "group", "answer"),
     [
         ("read_like", "all", b"BUSY"),
         ("idempotency_key", "all", b"BUSY"),
         ("idempotency_key", "cell", b"ERR"),
     ],
 )
-def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, last):
+def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, answer):
     # The final answer depends on all attempts, not only on the attempt in flight, which has not connected.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
@@ -26,7 +26,7 @@
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=8_000)
         wait_until(lambda: first.lines)
         balancer.process.send_signal(signal.SIGTERM)
-        assert client.readline().startswith(last) and client.readline() == b""
+        assert client.readline().startswith(answer) and client.readline() == b""
 
 
 def test_a_receipt_that_arrives_at_the_shutdown_deadline_is_forwarded_and_its_client_migrated():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -30,11 +30,11 @@
 
 
 def test_clients_of_a_draining_server_are_migrated_before_it_is_removed():
-    one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
-    with Balancer(one) as balancer:
+    draining, other = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
+    with Balancer(draining) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(9)]
         assert {client.readline() for client in clients} == {b"UP one\r\n"}
-        balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
+        balancer.discovery.entries, balancer.discovery.seq = [draining.entry("DRAINING"), other.entry()], 2
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
         assert {client.readline() for client in clients} == {b""}
         assert balancer.open_flow().readline() == b"UP two\r\n"
@@ -92,8 +92,8 @@
 def test_signals_that_come_during_the_start_are_handled_once_it_is_complete():
     # An unhandled SIGHUP would terminate the process.
     starting = Balancer(FakeServer("s1"))
-    status, caught = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
-    wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & caught)
+    status, sighup_bit = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
+    wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & sighup_bit)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", starting.port))
     starting.process.send_signal(signal.SIGHUP)
