--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -61,7 +61,7 @@
     return [table.add(request(f"other{index}"), LIVE, 900.0, Mock()) for index in range(count)]
 
 
-def test_a_usable_request_is_accepted_below_the_capacity(admission, table):
+def test_a_valid_request_is_accepted_below_the_capacity(admission, table):
     add_flows(table, 1)
     assert admission.evaluate(request(t="acme")) is AdmissionResult.ACCEPTED
 
@@ -95,14 +95,14 @@
     assert admission.evaluate(request()) is AdmissionResult.AT_CAPACITY
 
 
-def test_existing_connections_are_malformed_when_the_time_after_the_start_is_over(admission, loop):
+def test_existing_connections_are_malformed_after_their_accept_window(admission, loop):
     loop.now = EXISTING_ACCEPT_WINDOW_MS
     assert admission.evaluate(request(at="s1")) is AdmissionResult.ACCEPTED
     loop.now += 1.0
     assert admission.evaluate(request(at="s1")) is AdmissionResult.MALFORMED
 
 
-def test_after_closing_every_usable_request_meets_the_shutdown(admission):
+def test_after_close_every_valid_request_is_rejected_for_the_shutdown(admission):
     admission.close()
     assert admission.evaluate(request()) is AdmissionResult.SHUTTING_DOWN
     assert admission.evaluate(request(at="s1")) is AdmissionResult.SHUTTING_DOWN
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("disconnect", [close_connection, reset_connection])
-def test_a_client_that_disconnects_while_the_balancer_is_stopped_is_not_forwarded_when_its_attempt_connects(
+def test_a_client_that_disconnects_while_the_balancer_is_suspended_is_not_forwarded_when_its_attempt_connects(
     disconnect,
 ):
     server = SlowAcceptServer("s0")
@@ -77,7 +77,7 @@
         assert not server.open_lines()
 
 
-def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_stopped_are_not_forwarded():
+def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_suspended_are_not_forwarded():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         balancer.suspend()
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_no_retry_starts_for_a_client_whose_disconnect_lies_unread_behind_its_own_lines(effect, disconnect):
+def test_no_retry_starts_for_a_client_whose_disconnect_is_unread_behind_its_own_lines(effect, disconnect):
     # A read takes at most 8 KiB, so the FIN is still unread when the first attempt fails.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_request_that_arrives_with_its_disconnect_is_not_forwarded_by_a_balancer_that_was_stopped(effect):
+def test_a_request_that_arrives_with_its_disconnect_is_not_forwarded_by_a_suspended_balancer(effect):
     server = FakeServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         balancer.suspend()
@@ -206,7 +206,7 @@
         self.closed = True
 
 
-def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
+def test_a_flood_detected_when_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
     # Closing the socket with unread data would send a reset, which may overtake the final answer.
     events, counters = [], collections.Counter()
     factory = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_client_reset_in_the_reactor_turn_of_its_receipt_closes_the_server_connection_too(effect):
+def test_a_client_reset_in_the_reactor_iteration_of_its_receipt_closes_the_server_connection_too(effect):
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -71,7 +71,7 @@
         wait_until(lambda: balancer.open_flow().readline() == b"UP r1\r\n")
 
 
-def test_a_client_that_reads_nothing_stops_its_server_and_does_not_fill_the_memory():
+def test_a_client_that_reads_nothing_blocks_its_server_and_does_not_fill_the_memory():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
         client = balancer.open_flow()
@@ -85,7 +85,7 @@
         assert sent < 32_000_000 and balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
-def test_the_id_of_another_flow_reaches_no_server_and_its_own_client_is_still_served():
+def test_a_request_with_the_id_of_another_flow_reaches_no_server_and_that_flow_is_still_served():
     server = FakeServer("s1")
     settings_with_tenant = {**SETTINGS, "tenants": [{"name": "acme"}]}
     with Balancer(server, settings=settings_with_tenant) as balancer:
@@ -117,7 +117,7 @@
     assert time.monotonic() < start + 3.0
 
 
-def test_sixty_megabytes_without_a_line_are_rejected_and_neither_read_nor_buffered(shared_balancer):
+def test_sixty_megabytes_without_a_line_ending_are_rejected_and_neither_read_nor_buffered(shared_balancer):
     conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=TIMEOUT_S)
     conn.settimeout(0.1)
     sent, start = 0, time.monotonic()
--- a/tests/test_fault_isolation.py
+++ b/tests/test_fault_isolation.py
@@ -40,7 +40,7 @@
     return flow
 
 
-def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_carried_out(core, monkeypatch):
+def test_a_command_that_raises_ends_its_own_flow_and_the_other_commands_are_executed(core, monkeypatch):
     flows = [established_flow(core, number) for number in (1, 2)]
     upstreams = [flow.upstream for flow in flows]
     upstreams[0].close_after_migration.side_effect = OSError("closed")
@@ -52,7 +52,9 @@
     assert upstreams[0].abort.called and not len(core.flow_table)
 
 
-def test_a_request_whose_handling_raises_before_it_is_a_flow_is_answered_and_later_events_are_handled(core):
+def test_a_request_whose_handling_raises_before_its_flow_exists_is_answered_and_later_events_are_handled(
+    core,
+):
     failing, working = Mock(flow_number=0, disconnected=False), Mock(flow_number=0, disconnected=False)
     failing.has_disconnected.side_effect = OSError("closed")
     unknown = parse_open_request(b"OPEN id1 k c=unknown,d=900\r\n")
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -38,7 +38,7 @@
         assert not slow.open_lines()
 
 
-def test_an_attempt_that_connected_while_the_balancer_was_stopped_is_not_used_after_the_drain_grace():
+def test_an_attempt_that_connected_while_the_balancer_was_suspended_is_not_used_after_the_drain_grace():
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
@@ -106,7 +106,7 @@
             assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
-def test_a_complete_first_line_in_the_socket_is_answered_after_its_timeout():
+def test_a_first_line_that_is_complete_but_unread_at_its_timeout_is_served():
     with Balancer(FakeServer("s0")) as balancer:
         client = balancer.connect_and_send(b"PING")
         assert client.readline() == b"PONG\r\n"
@@ -119,7 +119,7 @@
         assert client.readline() == b"UP r1\r\n"
 
 
-def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_has_read_all():
+def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_reads_all_lines():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         client = balancer.open_flow()
--- a/tests/test_flow_table.py
+++ b/tests/test_flow_table.py
@@ -20,7 +20,7 @@
     return [table.add(request, events.ServiceType(300.0), 900.0, Mock()) for request in requests]
 
 
-def test_the_id_of_a_closed_flow_is_known_until_its_time_is_over(table):
+def test_the_id_of_a_closed_flow_is_in_use_until_it_expires(table):
     (flow,) = add_flows(table, 1)
     table.remove(flow)
     table.expire_closed_ids(CLOSED_FLOW_ID_TTL_MS)
@@ -36,7 +36,7 @@
     assert not table.is_id_in_use("id0") and table.is_id_in_use("id1")
 
 
-def test_only_flows_whose_client_is_there_count_as_established(table):
+def test_only_flows_whose_client_is_connected_count_as_established(table):
     waiting, established, client_left = add_flows(table, 3)
     established.established = client_left.established = True
     client_left.client_left_at = 5.0
--- a/tests/test_golden_bytes_clients.py
+++ b/tests/test_golden_bytes_clients.py
@@ -26,7 +26,7 @@
         (True, b"OPEN 1\r\n", b"ERR\r\n"),
     ],
 )
-def test_a_client_is_sent_these_lines(ready, sent, answer):
+def test_the_lines_sent_to_a_client(ready, sent, answer):
     connection, transport = DownstreamConnection(), StringTransport()
     connection.factory = DownstreamFactory(None, lambda: NOW, lambda: ready, 1024, Counter())
     connection.callLater = task.Clock().callLater
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
         ("idempotency_key", "cell", b"ERR"),
     ],
 )
-def test_shutdown_does_not_call_a_retry_harmless_when_an_earlier_attempt_may_have_run(effect, group, answer):
+def test_shutdown_does_not_call_a_retry_safe_when_an_earlier_attempt_may_have_run(effect, group, answer):
     # The final answer depends on all attempts, not only on the attempt in flight, which has not connected.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
@@ -43,7 +43,7 @@
         assert client.readline() == b"UP r1\r\n" and client.readline() == b"MOVE\r\n"
 
 
-def test_clients_that_connect_while_the_stopping_balancer_is_stalled_are_answered_before_its_exit():
+def test_clients_that_connect_while_a_balancer_is_suspended_in_its_shutdown_are_answered_before_its_exit():
     with Balancer(FakeServer("s0")) as balancer:
         waiting = balancer.connect_and_send(b"PING")
         assert waiting.readline() == b"PONG\r\n"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -89,7 +89,7 @@
         assert {client.readline() for client in clients} == {b"MOVE\r\n"}
 
 
-def test_signals_that_come_during_the_start_are_handled_once_it_is_complete():
+def test_signals_that_arrive_during_startup_are_handled_once_it_is_complete():
     # An unhandled SIGHUP would terminate the process.
     starting = Balancer(FakeServer("s1"))
     status, sighup_bit = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -16,7 +16,7 @@
 from lotusroute.net.upstream_events import AttemptStage
 
 
-def test_a_full_and_a_dead_server_are_retried_elsewhere_with_one_attempt_at_a_time():
+def test_flows_are_retried_elsewhere_after_a_full_and_an_unreachable_server_with_one_attempt_at_a_time():
     servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n"), FakeServer("s3", b"UP r\r\n")]
     servers[1].stop_accepting()
     with Balancer(*servers) as balancer:
@@ -36,7 +36,7 @@
         wait_until(lambda: server.lines[-1] == b"")
 
 
-def test_when_all_servers_are_dead_a_flow_is_rejected_at_once_with_retry_after():
+def test_when_all_servers_are_unreachable_a_flow_is_rejected_at_once_with_retry_after():
     server = FakeServer("s1")
     server.stop_accepting()
     with Balancer(server) as balancer:
@@ -82,7 +82,7 @@
     assert logged == (expected if attempts else [])
 
 
-def test_lines_that_come_with_the_receipt_and_the_end_are_forwarded_completely():
+def test_lines_that_arrive_with_the_receipt_and_the_end_are_forwarded_completely():
     server = FakeServer("s1")
 
     def reply_and_end(connection):
