--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -25,7 +25,7 @@
 FIRST_LINE_TIMEOUT_S = 2.0  # from connecting to a complete first line; the protocol allows 3 s
 MAX_HEALTH_CHECKS = 16  # on one connection; the front end sends one
 LINGER_TIMEOUT_S = 1.0  # the time that the protocol gives a client to close after its last line
-MAX_DISCARDED_BYTES = 16_384  # read and discarded after our last line; beyond it, reading stops
+MAX_DISCARDED_BYTES = 16_384  # read and discarded after the balancer's last line; beyond it, reading stops
 
 
 class RequestReceived(NamedTuple):
@@ -133,7 +133,7 @@
         self.factory.enqueue(RequestReceived(self, request, now))
 
     def reject_malformed(self) -> None:
-        """Answer a line that cannot be parsed, or a request that no server could serve."""
+        """Answer a line that cannot be parsed, or that admission control finds malformed."""
         self.factory.counters["malformed_lines"] += 1
         self.send_final_answer(ERR)
 
@@ -261,7 +261,7 @@
         self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Close an idle connection, freeing its descriptor within this iteration of the reactor."""
+        """Close the connection if it has no flow, freeing its descriptor in this iteration of the reactor."""
         if not self.answered:
             if self._has_requested_flow():
                 return
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -106,6 +106,6 @@
             self.upstream.abort()
 
     def log_step(self, event: str, **fields: object) -> None:
-        """Log a step at debug level with the client's id of the flow, which all balancers share."""
+        """Log a step at debug level with the client's id for the flow, the same at every balancer."""
         if LOGGER.isEnabledFor(logging.DEBUG):
             log_event(event, logging.DEBUG, id=self.request.id, flow=self.number, **fields)
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -153,7 +153,7 @@
         result: events.ConnectionResult,
         reason: EndReason,
     ) -> None:
-        """Record the end; the Director or, for existing connections, `ExistingConnections` goes on."""
+        """Record the end; the Director, or `ExistingConnections`, then decides what follows."""
         flow.cancel_timer()
         server = attempt.server
         flow.upstream = None
--- a/lotusroute/net/flow_endings.py
+++ b/lotusroute/net/flow_endings.py
@@ -1,4 +1,4 @@
-"""Ends flows for reasons other than their servers: the client has left, or the balancer ends the flow.
+"""Ends flows that their servers have not ended: the client has left, or the balancer ends the flow.
 
 Times are milliseconds of Unix time.
 """
@@ -82,7 +82,7 @@
         self._attempts.connection_ended(flow, upstream, events.ConnectionResult.RESET, EndReason.UNRESPONSIVE)
 
     def reject_unfinished(self) -> None:
-        """Send the final answer of all flows that are not established: the shutdown waits no longer."""
+        """Send the final answer to all flows that are not established: the shutdown waits no longer."""
         for flow in list(self._flow_table):
             attempt = flow.upstream
             if flow.established or (attempt is not None and attempt.stage == AttemptStage.ESTABLISHED):
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -15,7 +15,7 @@
 from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import BUSY
 
-ACCEPTS_PER_ITERATION = 16  # the reactor serves all other sockets in between
+ACCEPTS_PER_ITERATION = 16  # of the reactor, so that it serves all other sockets in between
 # Descriptors reserved for discovery, the log and the reactor: the process's limit divided by the divisor, but
 # at least the minimum.
 RESERVED_DESCRIPTOR_DIVISOR = 16
@@ -46,7 +46,7 @@
         self.set_descriptor_limit(sockets)
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """Set the limit from the process's number of descriptors, less those that are reserved."""
+        """Limit connections to these descriptors, less the reserved ones and those of one iteration."""
         reserved = max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DESCRIPTOR_DIVISOR)
         self.descriptor_limit = max(1, sockets - reserved - ACCEPTS_PER_ITERATION)
 
--- a/lotusroute/net/request_admission.py
+++ b/lotusroute/net/request_admission.py
@@ -15,7 +15,7 @@
 DEADLINE_MARGIN_MS = 40.0  # a flow is answered this long before its timeout, to allow for a busy core
 MAX_DEADLINE_MARGIN_FRACTION = 0.25  # of the client's timeout, so that a short one leaves time to serve
 CAPACITY_RETRY_AFTER_MS = 1_000.0
-SHUTDOWN_RETRY_AFTER_MS = 400.0  # from then on, the front end sends clients to other balancers only
+SHUTDOWN_RETRY_AFTER_MS = 400.0  # by then the front end sends clients to other balancers only
 
 
 class RequestAdmission:
--- a/lotusroute/net/upstream_events.py
+++ b/lotusroute/net/upstream_events.py
@@ -50,7 +50,7 @@
 
 
 class ReplyTimed(NamedTuple):
-    """A server has replied to a client's line after `delay`."""
+    """A server has replied to a client's line."""
 
     server: str
-    delay: float
+    delay: float  # from forwarding the line to reading the reply
