--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -84,9 +84,9 @@
         self.upstream: UpstreamAttempt | None = None  # set while the flow is established
         self.answered = False
         self.disconnected = False
-        self.health_checks = 0
+        self.health_check_count = 0
         self.discarded_bytes = 0
-        self.reads = 0
+        self.read_count = 0
 
     def connectionMade(self) -> None:
         """Start the timeout of the first line."""
@@ -97,7 +97,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Read lines, or discard what arrives after the final answer."""
-        self.reads += 1
+        self.read_count += 1
         if self.upstream is None and self.answered:
             # If this data were buffered, the buffer would grow without limit.
             self.discarded_bytes += len(data)
@@ -112,8 +112,8 @@
             self.upstream.connection.forward(line)
         elif self.answered:
             return
-        elif line == PING + LINE_END and self.health_checks < MAX_HEALTH_CHECKS:
-            self.health_checks += 1
+        elif line == PING + LINE_END and self.health_check_count < MAX_HEALTH_CHECKS:
+            self.health_check_count += 1
             self.transport.write((PONG if self.factory.ready() else BUSY) + LINE_END)
         else:
             self._request_flow(line)
@@ -153,9 +153,14 @@
 
     def read_pending(self) -> bool:
         """Read what the socket holds, within the limits; return whether the client may still be connected."""
-        reads = -1
-        while self.transport.connected and not self.read_closed and not self.answered and reads != self.reads:
-            reads = self.reads
+        read_count = -1
+        while (
+            self.transport.connected
+            and not self.read_closed
+            and not self.answered
+            and read_count != self.read_count
+        ):
+            read_count = self.read_count
             if self.transport.doRead() is not None:
                 return False  # the reactor finds the closed connection in its next iteration
         return not (self.read_closed or self.disconnected)
