--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -69,7 +69,7 @@
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
-        server.wait_for_connections()  # the balancer is notified of the connection before the disconnect
+        server.wait_for_connections()  # so the balancer is notified of them before the disconnect
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -45,7 +45,7 @@
         time.sleep(0.1)
         balancer.suspend()
         slow.start_accepting()
-        slow.wait_for_connections()  # the balancer is notified of the connection before the drain
+        slow.wait_for_connections()  # so the balancer is notified of it before the drain
         balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
         balancer.resume()
@@ -58,7 +58,7 @@
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
-        wait_until(lambda: is_connecting_to(second))  # an earlier retry would be within the window
+        wait_until(lambda: is_connecting_to(second))  # if accepted before, the retry is within the window
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
