--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,7 @@
 
 
 class FakeLoop:
-    """An event loop's clock and backlog, which tests set."""
+    """An event loop with only a clock and a backlog, which tests set."""
 
     def __init__(self):
         self.now = 0.0
@@ -36,7 +36,7 @@
 
 
 def config(sockets):
-    """Return a configuration with a number of descriptors."""
+    """Return a configuration with this limit on descriptors."""
     service = SimpleNamespace(service_types={"live": LIVE})
     return SimpleNamespace(sockets=sockets, memory_mb=1_024.0, tenants=frozenset({"acme"}), service=service)
 
@@ -53,14 +53,15 @@
 
 @pytest.fixture
 def admission(loop, table):
-    return AdmissionControl(config(sockets=68), loop, table)  # of which 64 are reserved: two flows
+    # 64 descriptors are reserved, and the other four are enough for two flows.
+    return AdmissionControl(config(sockets=68), loop, table)
 
 
 def add_flows(table, count=2):
     return [table.add(request(f"other{index}"), LIVE, 900.0, Mock()) for index in range(count)]
 
 
-def test_a_usable_request_is_accepted_below_the_capacity(admission, table):
+def test_a_valid_request_is_accepted_below_the_capacity(admission, table):
     add_flows(table, 1)
     assert admission.evaluate(request(t="acme")) is AdmissionResult.ACCEPTED
 
@@ -83,7 +84,7 @@
 
 def test_a_larger_configuration_raises_the_capacity(admission, table):
     add_flows(table)
-    admission.resize(config(sockets=70))
+    admission.update_capacity(config(sockets=70))
     assert admission.evaluate(request()) is AdmissionResult.ACCEPTED
 
 
@@ -94,14 +95,14 @@
     assert admission.evaluate(request()) is AdmissionResult.AT_CAPACITY
 
 
-def test_existing_connections_are_malformed_when_the_time_after_the_start_is_over(admission, loop):
+def test_existing_connections_are_malformed_after_their_accept_window(admission, loop):
     loop.now = EXISTING_ACCEPT_WINDOW_MS
     assert admission.evaluate(request(at="s1")) is AdmissionResult.ACCEPTED
     loop.now += 1.0
     assert admission.evaluate(request(at="s1")) is AdmissionResult.MALFORMED
 
 
-def test_after_closing_every_usable_request_meets_the_shutdown(admission):
+def test_after_close_every_valid_request_is_rejected_for_the_shutdown(admission):
     admission.close()
     assert admission.evaluate(request()) is AdmissionResult.SHUTTING_DOWN
     assert admission.evaluate(request(at="s1")) is AdmissionResult.SHUTTING_DOWN
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,7 @@
 """Clients that disconnect, or send too much, at any point of their flow; on loopback sockets.
 
-The order of events is forced: by a server that accepts no connection until the test allows it, or by a
-balancer that is suspended while several events arrive.
+The tests force the order of events with a server that accepts no connection until told to, or by suspending
+the balancer while several events arrive.
 """
 
 import collections
@@ -48,7 +48,7 @@
         client.conn.settimeout(0.2)
         try:
             client.conn.sendall(b"M 1 " + b"x" * early_bytes + b"\r\n")
-        except OSError:  # rejected already, or the buffers are full
+        except OSError:  # the client is rejected already, or the buffers are full
             assert early_bytes > 16_384
         time.sleep(0.1)
         disconnect(client)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("disconnect", [close_connection, reset_connection])
-def test_a_client_that_disconnects_while_the_balancer_is_stopped_is_not_forwarded_when_its_attempt_connects(
+def test_a_client_that_disconnects_while_the_balancer_is_suspended_is_not_forwarded_when_its_attempt_connects(
     disconnect,
 ):
     server = SlowAcceptServer("s0")
@@ -69,7 +69,7 @@
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
-        server.wait_for_connections()  # so that the balancer is notified of the connection first
+        server.wait_for_connections()  # so the balancer is notified of them before the disconnect
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
@@ -77,7 +77,7 @@
         assert not server.open_lines()
 
 
-def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_stopped_are_not_forwarded():
+def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_suspended_are_not_forwarded():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         balancer.suspend()
@@ -89,10 +89,10 @@
         assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
-def half_close_after_partial_line(file):
-    """Send a part of a line, then a FIN, as a client does that cancels its request."""
-    file.conn.sendall(b"M 7")
-    file.conn.shutdown(socket.SHUT_WR)
+def half_close_after_partial_line(client):
+    """Send part of a line and then a FIN, like a client that cancels its request."""
+    client.conn.sendall(b"M 7")
+    client.conn.shutdown(socket.SHUT_WR)
 
 
 DISCONNECTS = close_connection, reset_connection, half_close_after_partial_line
@@ -100,15 +100,15 @@
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_no_retry_starts_for_a_client_whose_disconnect_lies_unread_behind_its_own_lines(effect, disconnect):
-    # Reads are of 8 KiB, so the FIN is still unread when the first attempt fails.
+def test_no_retry_starts_for_a_client_whose_disconnect_is_unread_behind_its_own_lines(effect, disconnect):
+    # A read takes at most 8 KiB, so the FIN is still unread when the first attempt fails.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
         balancer.suspend()
         client.conn.sendall(b"".join(b"M 1 " + b"x" * 3_600 + b"\r\n" for _ in range(4)))
-        # The answer proves that the flow has not run, so that one of any effect may be retried.
+        # The answer proves that the flow has not run, so it may be retried whatever its effect.
         first.connections[0].sendall(b"BUSY\r\n")
         disconnect(client)
         time.sleep(0.35)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_request_that_arrives_with_its_disconnect_is_not_forwarded_by_a_balancer_that_was_stopped(effect):
+def test_a_request_that_arrives_with_its_disconnect_is_not_forwarded_by_a_suspended_balancer(effect):
     server = FakeServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         balancer.suspend()
@@ -170,23 +170,26 @@
 def test_early_data_beyond_the_buffer_limit_is_rejected_at_once_and_less_is_served():
     server = FakeServer("s0", None)
     with Balancer(server) as balancer:
-        hasty, flood = balancer.open_flow(timeout_ms=1_500), balancer.open_flow(timeout_ms=1_500)
+        early_client, flooding_client = (
+            balancer.open_flow(timeout_ms=1_500),
+            balancer.open_flow(timeout_ms=1_500),
+        )
         lines = [b"M %d " % index + b"x" * 1_000 + b"\r\n" for index in range(10)]
-        hasty.conn.sendall(b"".join(lines))
-        flood.conn.sendall(b"x" * 40_000)
+        early_client.conn.sendall(b"".join(lines))
+        flooding_client.conn.sendall(b"x" * 40_000)
         start = time.monotonic()
-        assert flood.readline() == b"ERR\r\n" and time.monotonic() < start + 0.5
+        assert flooding_client.readline() == b"ERR\r\n" and time.monotonic() < start + 0.5
         wait_until(lambda: any(line.startswith(b"OPEN id1 ") for line in server.lines))
         for conn in server.connections:
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
-                continue  # this is the rejected client's connection
-        assert hasty.readline() == b"UP r1\r\n" and [hasty.readline() for _ in lines] == lines
+                continue  # the connection for the rejected client is closed
+        assert early_client.readline() == b"UP r1\r\n" and [early_client.readline() for _ in lines] == lines
 
 
 class FloodedTransport(FakeTransport):
-    """A transport whose socket always has more to read than may be buffered."""
+    """A transport whose socket always has more data to read than may be buffered."""
 
     bufferSize, closed = 8_192, False
 
@@ -203,26 +206,26 @@
         self.closed = True
 
 
-def test_a_flood_found_as_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
-    # If the socket were closed with data unread, it would send a reset that may overtake the final answer.
+def test_a_flood_detected_when_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
+    # Closing the socket with unread data would send a reset, which may overtake the final answer.
     events, counters = [], collections.Counter()
-    clients = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
-    side = clients.buildProtocol(None)
-    side.callLater = Clock().callLater
-    side.transport = FloodedTransport()
-    side.transport.protocol = side
-    side.makeConnection(side.transport)
-    side.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
+    factory = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
+    connection = factory.buildProtocol(None)
+    connection.callLater = Clock().callLater
+    connection.transport = FloodedTransport()
+    connection.transport.protocol = connection
+    connection.makeConnection(connection.transport)
+    connection.dataReceived(b"OPEN id1 k c=live,d=900\r\n")
     assert (
-        side.has_disconnected()
-        and side.transport.value() == b"ERR\r\n"
+        connection.has_disconnected()
+        and connection.transport.value() == b"ERR\r\n"
         and counters["early_data_overflows"] == 1
     )
-    assert not side.transport.closed and len(events) == 1
+    assert not connection.transport.closed and len(events) == 1
 
 
 @pytest.mark.parametrize("effect", EFFECTS)
-def test_a_client_reset_in_the_reactor_turn_of_its_receipt_closes_the_server_connection_too(effect):
+def test_a_client_reset_in_the_reactor_iteration_of_its_receipt_closes_the_server_connection_too(effect):
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow()
@@ -249,4 +252,4 @@
         wait_until(lambda: descriptor_count(balancer) < descriptors_before)
 
 
-assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest time that a test above waits for an answer
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Downstream connections on loopback sockets: first lines, limits of descriptors and memory, eviction."""
+"""Downstream connections on loopback sockets: first lines, descriptor and memory limits, eviction."""
 
 import pathlib
 import socket
@@ -71,7 +71,7 @@
         wait_until(lambda: balancer.open_flow().readline() == b"UP r1\r\n")
 
 
-def test_a_client_that_reads_nothing_stops_its_server_and_does_not_fill_the_memory():
+def test_a_client_that_reads_nothing_blocks_its_server_and_does_not_fill_the_memory():
     server = FakeServer("s1")
     with Balancer(server) as balancer:
         client = balancer.open_flow()
@@ -85,7 +85,7 @@
         assert sent < 32_000_000 and balancer.open_flow("other").readline() == b"UP r1\r\n"
 
 
-def test_the_id_of_another_flow_reaches_no_server_and_its_own_client_is_still_served():
+def test_a_request_with_the_id_of_another_flow_reaches_no_server_and_that_flow_is_still_served():
     server = FakeServer("s1")
     settings_with_tenant = {**SETTINGS, "tenants": [{"name": "acme"}]}
     with Balancer(server, settings=settings_with_tenant) as balancer:
@@ -117,11 +117,11 @@
     assert time.monotonic() < start + 3.0
 
 
-def test_sixty_megabytes_without_a_line_are_rejected_and_neither_read_nor_buffered(shared_balancer):
+def test_sixty_megabytes_without_a_line_ending_are_rejected_and_neither_read_nor_buffered(shared_balancer):
     conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=TIMEOUT_S)
     conn.settimeout(0.1)
     sent, start = 0, time.monotonic()
-    with pytest.raises(OSError):  # the socket's buffer is full, or our end is closed
+    with pytest.raises(OSError):  # the socket's buffer is full, or the connection is closed
         while sent < 60_000_000:
             sent += conn.send(b"k" * 65536)
     assert sent < 20_000_000 and conn.recv(5) == b"ERR\r\n" and time.monotonic() < start + 3.0
@@ -136,7 +136,7 @@
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
             assert balancer.open_flow().readline() == b"UP r1\r\n"
             assert descriptor_count(balancer) <= 128
-            # The oldest is evicted first, with an answer.
+            # The oldest connection is evicted first and receives an answer.
             assert idle[0].recv(99) == b"BUSY\r\n"
 
 
@@ -147,7 +147,7 @@
 
 
 class RecordingProtocol(LineProtocol):
-    """Keeps the lines that it receives."""
+    """Records the lines that it receives."""
 
     def __init__(self):
         self.received = []
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -1,7 +1,7 @@
-"""How flows end that meet a drain, a malformed answer or a timeout; on loopback sockets.
+"""How flows end after a drain, a malformed answer or a timeout; on loopback sockets.
 
-The order of events is forced: by a server that accepts no connection until the test allows it, or by a
-balancer that is suspended while several events arrive.
+The tests force the order of events with a server that accepts no connection until told to, or by suspending
+the balancer while several events arrive.
 """
 
 import socket
@@ -38,14 +38,14 @@
         assert not slow.open_lines()
 
 
-def test_an_attempt_that_connected_while_the_balancer_was_stopped_is_not_used_after_the_drain_grace():
+def test_an_attempt_that_connected_while_the_balancer_was_suspended_is_not_used_after_the_drain_grace():
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         time.sleep(0.1)
         balancer.suspend()
         slow.start_accepting()
-        slow.wait_for_connections()  # so that the balancer is notified of it before the drain
+        slow.wait_for_connections()  # so the balancer is notified of it before the drain
         balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
         balancer.resume()
@@ -58,7 +58,7 @@
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
-        wait_until(lambda: is_connecting_to(second))  # accepted earlier, the retry would be in the window
+        wait_until(lambda: is_connecting_to(second))  # if accepted before, the retry is within the window
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
@@ -80,14 +80,14 @@
 
 @pytest.mark.parametrize("answer", [MALFORMED_RECEIPTS[index] for index in (0, 2, 5, 8, 9, 10)])
 def test_a_malformed_receipt_does_not_reach_the_client_and_another_server_serves(answer):
-    malformed, sound = FakeServer("s0", answer), FakeServer("s1", b"UP sound\r\n")
-    with Balancer(malformed, sound, settings=flow_settings()) as balancer:
+    malformed, other = FakeServer("s0", answer), FakeServer("s1", b"UP other\r\n")
+    with Balancer(malformed, other, settings=flow_settings()) as balancer:
         assert (
-            balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=1_000).readline() == b"UP sound\r\n"
+            balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=1_000).readline() == b"UP other\r\n"
             and malformed.lines
         )
         malformed.reply = b"UP r1\r\n"
-        assert balancer.open_flow(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP sound\r\n")
+        assert balancer.open_flow(KEY_OF_FIRST_SERVER + "x").readline() in (b"UP r1\r\n", b"UP other\r\n")
 
 
 def test_a_non_idempotent_flow_is_not_retried_after_a_malformed_receipt():
@@ -97,7 +97,7 @@
         next(key for key in map(str, range(999)) if default_server(key) == server.name) for server in servers
     ]
     with Balancer(*servers, settings=flow_settings("non_idempotent")) as balancer:
-        # All at once, because a flow that is requested when most attempts have failed gets no attempt.
+        # All flows are requested at once: one requested after most attempts have failed would get no attempt.
         balancer.suspend()
         clients = [balancer.open_flow(key, timeout_ms=1_000) for key in keys]
         balancer.resume()
@@ -106,7 +106,7 @@
             assert sum(line.startswith(b"OPEN") for line in server.lines) == 1
 
 
-def test_a_complete_first_line_in_the_socket_is_answered_after_its_timeout():
+def test_a_first_line_that_is_complete_but_unread_at_its_timeout_is_served():
     with Balancer(FakeServer("s0")) as balancer:
         client = balancer.connect_and_send(b"PING")
         assert client.readline() == b"PONG\r\n"
@@ -119,7 +119,7 @@
         assert client.readline() == b"UP r1\r\n"
 
 
-def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_has_read_all():
+def test_a_client_that_does_not_close_is_disconnected_within_seconds_and_reads_all_lines():
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         client = balancer.open_flow()
@@ -144,7 +144,7 @@
         except TimeoutError:
             pass
         balancer.discovery.entries, balancer.discovery.seq = [server.entry("DRAINING")], 2
-        time.sleep(1.2)  # migrated within a second
+        time.sleep(1.2)  # the client is migrated within a second
         flood = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(200)]
         read = client.read(10_000_000)
         while part := client.read(10_000_000):
@@ -153,11 +153,11 @@
 
 
 def test_a_flow_with_an_idempotency_key_of_unknown_scope_that_may_have_run_is_not_retried():
-    kind = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
-    host = FakeHost(config=events.ServiceConfig({"live": kind}, max_attempts=4))
+    service_type = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
+    host = FakeHost(config=events.ServiceConfig({"live": service_type}, max_attempts=4))
     assert host.end(host.request(), events.ConnectionResult.RESET) == [
         events.Abort(1, events.RejectReason.NO_SERVER_AVAILABLE)
     ]
 
 
-assert TIMEOUT_S > 4.0  # the longest that a test above waits for its answer
+assert TIMEOUT_S > 4.0  # the longest time that a test above waits for an answer
--- a/tests/test_golden_bytes_clients.py
+++ b/tests/test_golden_bytes_clients.py
@@ -1,7 +1,7 @@
-"""Golden bytes of the protocol of clients and servers, written literally.
+"""The exact bytes of the protocol with clients and servers, written as literals.
 
-A rename of types or modules must leave all of this as it is, because processes of two builds exchange these
-bytes. Expected bytes use no name of the project.
+Processes of different builds exchange these bytes, so a rename of types or modules must not change them. The
+expected bytes are not built from any name in the project.
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
         (True, b"OPEN 1\r\n", b"ERR\r\n"),
     ],
 )
-def test_a_client_is_sent_these_lines(ready, sent, answer):
+def test_the_lines_sent_to_a_client(ready, sent, answer):
     connection, transport = DownstreamConnection(), StringTransport()
     connection.factory = DownstreamFactory(None, lambda: NOW, lambda: ready, 1024, Counter())
     connection.callLater = task.Clock().callLater
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -16,7 +16,7 @@
 from lotusroute.net.upstream_events import AttemptStage
 
 
-def test_a_full_and_a_dead_server_are_retried_elsewhere_with_one_attempt_at_a_time():
+def test_flows_are_retried_elsewhere_after_a_full_and_an_unreachable_server_with_one_attempt_at_a_time():
     servers = [FakeServer("s1", b"BUSY\r\n"), FakeServer("s2", b"BUSY\r\n"), FakeServer("s3", b"UP r\r\n")]
     servers[1].stop_accepting()
     with Balancer(*servers) as balancer:
@@ -32,11 +32,11 @@
         client = balancer.open_flow(timeout_ms=500)
         assert client.readline().startswith(b"BUSY") and client.readline() == b""
         assert time.monotonic() - start < 0.5
-        # The attempt is closed, which tells the server that no client waits.
+        # The attempt is closed, which tells the server that no client waits any more.
         wait_until(lambda: server.lines[-1] == b"")
 
 
-def test_when_all_servers_are_dead_a_flow_is_rejected_at_once_with_retry_after():
+def test_when_all_servers_are_unreachable_a_flow_is_rejected_at_once_with_retry_after():
     server = FakeServer("s1")
     server.stop_accepting()
     with Balancer(server) as balancer:
@@ -82,11 +82,11 @@
     assert logged == (expected if attempts else [])
 
 
-def test_lines_that_come_with_the_receipt_and_the_end_are_forwarded_completely():
+def test_lines_that_arrive_with_the_receipt_and_the_end_are_forwarded_completely():
     server = FakeServer("s1")
 
     def reply_and_end(connection):
-        # Both are sent by one thread: an end that is sent before the receipt would be a failed attempt.
+        # One thread sends both, so that the end follows the receipt; otherwise the attempt would fail.
         connection.recv(4096)
         connection.sendall(b"UP r\r\nM 1 a\r\nBYE\r\n")
         connection.shutdown(socket.SHUT_WR)
@@ -115,18 +115,18 @@
         wait_until(lambda: server.lines)
         balancer.suspend()
         server.connections[-1].sendall(b"UP r1\r\n")
-        time.sleep(0.8)  # the timeout of an attempt is 600 ms
+        time.sleep(0.8)  # the attempt times out after 600 ms
         balancer.resume()
         assert client.readline() == b"UP r1\r\n"
         balancer.suspend()
         client.write(b"M 1 a\r\n")
-        time.sleep(3.5)  # a server counts as unresponsive after 2.5 s
+        time.sleep(3.5)  # an unanswered server counts as unresponsive after 2.5 s
         balancer.resume()
         assert client.readline() == b"M 1 a\r\n"
 
 
 def new_attempt(line, clock=lambda: 0.0):
-    """Return an attempt that reports nothing."""
+    """Return an attempt that must not report any event, because none can be queued."""
     return UpstreamAttempt(1, "s1", line, AttemptContext(None, clock, None))
 
 
