--- a/lotusroute/leases/__init__.py
+++ b/lotusroute/leases/__init__.py
@@ -1,1 +1,4 @@
-"""Leases on fleet-wide tasks by PaxosLease: messages, proposer and acceptor; pure, see docs/leases.md."""
+"""Leases on fleet-wide tasks by PaxosLease: messages, proposer and acceptor, all without I/O.
+
+See docs/leases.md.
+"""
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -1,9 +1,9 @@
 """The acceptor of the lease protocol: grants each task to one proposer at a time.
 
 It is a pure state machine without I/O, clock or timers. The caller passes the time in milliseconds, sends
-the reply and persists ballots as the decision says. An acceptor that restarts has lost its state. It grants
-nothing until every lease that it may have granted has expired, and promises no ballot below the persisted
-one.
+the reply and persists ballots as the decision says. Grants and promises are kept in memory only. After a
+restart, an acceptor therefore grants nothing until every lease that it may have granted has expired, and
+promises no ballot up to the persisted one.
 """
 
 import math
@@ -19,31 +19,31 @@
     Reply,
 )
 
-MAX_WAITERS = 8  # proposers notified of a release; the others retry by their timers
-MAX_TASKS = 256  # the program has only a few; more mean a defect or a malicious peer
-BALLOT_BLOCK = 1_024  # ballots persisted with one write
-BALLOT_LIMIT = 2**62  # higher ballots are rejected, so that fencing tokens can always grow
+MAX_WAITERS = 8  # proposers notified of a release; the others retry on their timers
+MAX_TASKS = 256  # the program uses only a few; more indicate a defect or a malicious peer
+BALLOT_BLOCK = 1_024  # ballots reserved by one write to disk
+BALLOT_LIMIT = 2**62  # ballots from here on are rejected, so that fencing tokens can always grow
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor stores about one task; times by its own clock."""
+    """An acceptor's state of one task; times are by its own clock."""
 
-    promised: int = 0  # the highest ballot that it has promised
+    promised: int = 0  # the highest promised ballot
     ballot: int = 0  # of the last holder
-    holder: str = ""
+    holder: str = ""  # the proposer that was last granted the lease
     expires_at: float = -math.inf
     contended_at: float = -math.inf  # when a proposer other than the holder last requested the lease
-    waiters: tuple[str, ...] = ()  # the last MAX_WAITERS proposers rejected; cleared when notified
+    waiters: tuple[str, ...] = ()  # the last MAX_WAITERS rejected proposers; cleared when they are notified
 
 
 class PersistBallots(NamedTuple):
-    """Persist that every ballot below this one may have been promised."""
+    """An instruction to persist that every ballot below `below` may have been promised."""
 
     below: int
 
 
 class AcceptorDecision(NamedTuple):
-    """The acceptor's reply to a request, and what else the caller has to do."""
+    """The reply to a request, and what the caller has to do besides sending it."""
 
     reply: Reply
     persist: PersistBallots | None = None
@@ -54,21 +54,21 @@
     """The acceptor of one process, for all tasks."""
 
     def __init__(self, terms: LeaseTerms, now: float, ballot_floor: int) -> None:
-        """Start with the persisted ballot: no ballot up to `ballot_floor` is promised again.
+        """Start with the persisted ballot as `ballot_floor`: no ballot up to it is promised again.
 
-        The promises and grants of an earlier run are lost. New ballots start above the floor. The acceptor
-        serves only after the longest lease that it may have granted has expired by this same clock.
+        The promises and grants of an earlier run are lost. New promises are of ballots above the floor. The
+        acceptor serves only after the longest lease that it may have granted has expired by this same clock.
         """
         self.terms = terms
         self.serving_from = now + terms.lease_duration + terms.margin
         self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
-        self.persisted_below = ballot_floor  # ballots below this one may be promised
+        self.persisted_below = ballot_floor  # ballots below it may be promised without another write
         self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
 
     def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
         """Handle one request.
 
-        Where the ballot has to be persisted first, the request is rejected and the proposer retries later.
+        If the ballot has to be persisted first, the request is rejected and the proposer retries later.
         """
         rejection = self._reject_inadmissible(now, request)
         if rejection is not None:
@@ -89,7 +89,7 @@
         self.persisted_below = max(self.persisted_below, below)
 
     def _reject_inadmissible(self, now: float, request: LeaseRequest) -> AcceptorDecision | None:
-        """Return the rejection of a request that must not be applied to its task; None if it may be."""
+        """Return the rejection of a request that must not be applied to its task; None if admissible."""
         floor = self.ballot_floor
         if now < self.serving_from:
             remaining = self.serving_from - now
@@ -98,15 +98,15 @@
         if not 0 < request.ballot < BALLOT_LIMIT:
             return AcceptorDecision(reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=floor))
         if request.ballot >= self.persisted_below:
-            # After a crash, a promise that was not persisted could be given a second time.
+            # If a promise were not persisted, the same ballot could be promised a second time after a crash.
             reply = reject(request, RejectReason.NOT_READY, highest_ballot=floor)
             return AcceptorDecision(reply, PersistBallots(request.ballot + BALLOT_BLOCK))
         return None
 
     def _evict_expired(self, now: float) -> bool:
-        """Remove the task whose lease expired first, and return whether that was possible.
+        """Evict the task whose lease expired first, and return whether that was possible.
 
-        The lease must have expired at least a lease duration ago. The ballot floor rises to the task's
+        The lease must have expired at least a lease duration ago. The ballot floor is raised to the task's
         promised ballot, so that none of the task's ballots is promised again.
         """
         task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
@@ -129,16 +129,16 @@
 ) -> AppliedRequest:
     """Apply a request about one task; returns the task's new state and the reply.
 
-    The ballot that a majority has promised is the fencing token. Each acceptor promises a ballot once, and
-    any two majorities have an acceptor in common. So no two holders have the same token, and the later holder
-    has the higher one (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
+    The ballot that a majority has promised is the fencing token. Each acceptor promises a ballot only once,
+    and any two majorities have an acceptor in common. Therefore no two holders have the same token, and a
+    later holder has a higher one (Lamport 2001; Trencseni, Gazso and Reinhardt 2012).
     """
     match request:
         case Release():
             return _apply_release(state, now, request)
         case _ if now < state.expires_at and state.holder != request.proposer:
-            # The ballot is not promised either: a promise would make this acceptor reject the holder's
-            # renewals, and the task would have no holder once the lease expires.
+            # The request's ballot is not promised either: after a promise, this acceptor would reject the
+            # holder's renewals, and the task would have no holder once the lease expires.
             return _reject_while_leased(state, now, request)
         case Prepare():
             return _apply_prepare(state, request)
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -10,19 +10,19 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LEASE_DURATION_MS = 3_000.0  # a killed holder's task has no holder until this has passed
-CLOCK_DRIFT_FRACTION = 0.01  # maximum rate error of any clock, far more than real clocks have
-SAFETY_MARGIN_MS = 50.0  # subtracted from the holder's duration, so that an act in progress can end
-RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews; two more attempts fit into the rest
+LEASE_DURATION_MS = 3_000.0  # after its holder is killed, a task has no holder for up to this time
+CLOCK_DRIFT_FRACTION = 0.01  # assumed maximum rate error of any clock, far more than real clocks have
+SAFETY_MARGIN_MS = 50.0  # subtracted from the holder's duration, so that an operation in progress can finish
+RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews; the rest allows two more attempts
 REQUEST_TIMEOUT_MS = 400.0  # for the replies of a majority of acceptors
-MIN_RETRY_BACKOFF_MS = 100.0  # the backoff is random, so that competing proposers separate
+MIN_RETRY_BACKOFF_MS = 100.0  # the backoff is random, so that competing proposers retry at different times
 MAX_RETRY_BACKOFF_MS = 400.0
-MAX_TENURE_MS = 60_000.0  # after which a holder yields if another proposer requests the task
-STALL_THRESHOLD_MS = 1_000.0  # between two events, after which a holder yields because it was stalled
+MAX_TENURE_MS = 60_000.0  # after this time, a holder yields if another proposer requests the task
+STALL_THRESHOLD_MS = 1_000.0  # after a longer gap between two events, a holder yields: it was stalled
 
 
 class RequestKind(StrEnum):
-    """The kind of a request; the value is the call kind on the wire and is echoed in `Reply.kind`."""
+    """The kind of a request; the value is the call's kind on the wire and is echoed in `Reply.kind`."""
 
     PREPARE = "prepare"
     PROPOSE = "propose"
@@ -30,26 +30,26 @@
 
 
 class RejectReason(StrEnum):
-    """Why an acceptor rejects a request; the value is on the wire and part of a counter's name."""
+    """Why an acceptor rejects a request; the value is sent on the wire and is part of a counter's name."""
 
-    NOT_READY = "silent"  # it started less than a lease ago, or the ballot is not persisted yet
-    LEASED = "held"  # another proposer holds the lease here
+    NOT_READY = "silent"  # it started less than a lease duration ago, or the ballot is not persisted yet
+    LEASED = "held"  # it has granted the lease to another proposer
     BALLOT_TOO_LOW = "low"  # it has promised an equal or higher ballot
-    OUT_OF_RANGE = "long"  # ballot or lease duration outside the permitted range
+    OUT_OF_RANGE = "long"  # the ballot or the lease duration is outside the permitted range
     TASK_LIMIT = "full"  # it already has the maximum number of tasks
 
 
 class LossReason(StrEnum):
-    """Why a proposer does not hold a lease any longer; the value is logged and part of a counter's name."""
+    """Why a proposer no longer holds a lease; the value is logged and is part of a counter's name."""
 
-    RELEASED = "released"  # on request of the process
+    RELEASED = "released"  # at the request of this process
     EXPIRED = "expired"
     STALLED = "stalled"
-    TENURE_ENDED = "tenure ended"  # another proposer requested the task
+    TENURE_ENDED = "tenure ended"  # it reached the maximum tenure, and another proposer requested the task
 
 
 class LeaseTerms(NamedTuple):
-    """The parameters that all processes of a fleet must have in common; durations in ms."""
+    """The lease parameters, which all processes of a fleet must have in common; durations are in ms."""
 
     acceptors: tuple[str, ...]
     lease_duration: float = LEASE_DURATION_MS
@@ -70,11 +70,11 @@
 
     @property
     def holder_duration(self) -> float:
-        """How long a proposer may consider itself the holder, by its own clock, from before it proposed.
+        """How long a proposer may consider itself the holder, by its own clock, from before it proposes.
 
         An acceptor counts the full lease from the arrival of the proposal. If its clock is fast, the lease
         expires there after lease_duration / (1 + drift) of real time. If the proposer's clock is slow, what
-        it measures as h lasts h / (1 - drift) of real time (Gray and Cheriton 1989, section 5).
+        it measures as a duration h lasts h / (1 - drift) of real time (Gray and Cheriton 1989, section 5).
 
         >>> round(LeaseTerms(("a",), lease_duration=3_000.0, drift=0.01, margin=50.0).holder_duration, 1)
         2890.6
@@ -86,7 +86,7 @@
 
 
 class Prepare(NamedTuple):
-    """Phase 1: asks an acceptor to promise the ballot, which means to accept no lower one for the task."""
+    """Phase 1: asks an acceptor to promise the ballot, that is, to accept no lower one for the task."""
 
     task: str
     ballot: int
@@ -155,13 +155,13 @@
 
 
 class RequestLease(NamedTuple):
-    """This process requests the lease on the task from now on."""
+    """This process starts requesting the lease on the task."""
 
     task: str
 
 
 class ReleaseLease(NamedTuple):
-    """This process does not request the lease on the task any longer."""
+    """This process releases the lease on the task and stops requesting it."""
 
     task: str
 
@@ -174,13 +174,13 @@
 
 
 class LeaseReleased(NamedTuple):
-    """An acceptor notifies a waiting proposer that the holder released the lease; also a wire message."""
+    """An acceptor notified this waiting proposer that the holder released the lease; also a wire message."""
 
     task: str
 
 
 class Tick(NamedTuple):
-    """Time has passed; see `Proposer.next_tick_in`."""
+    """The caller's timer has fired; see `Proposer.next_tick_in`."""
 
 
 LeaseEvent = RequestLease | ReleaseLease | ReplyReceived | LeaseReleased | Tick
@@ -197,14 +197,14 @@
 
 
 class LeaseAcquired(NamedTuple):
-    """This process holds the lease on the task; each of its acts must carry the fencing token."""
+    """This process now holds the lease on the task; every operation under it must carry the fencing token."""
 
     task: str
     fencing_token: int
 
 
 class LeaseLost(NamedTuple):
-    """This process does not hold the lease on the task any longer."""
+    """This process no longer holds the lease on the task."""
 
     task: str
     reason: LossReason
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -34,12 +34,12 @@
     Tick,
 )
 
-MAX_TASKS = 64  # tasks of one proposer; their names come from the program
+MAX_TASKS = 64  # of one proposer; the names of the tasks come from the program
 NEVER_MS = -math.inf  # a time before any other
 
 
 class Phase(StrEnum):
-    """Which request of a task is in flight; the values are shown to operators."""
+    """Which request about a task is in flight; the values are shown to operators."""
 
     IDLE = "idle"
     PREPARE = "prepare"
@@ -47,18 +47,18 @@
 
 
 class ProposerState(NamedTuple):
-    """What a proposer stores about one task; times by its own clock."""
+    """A proposer's state of one task; times are by its own clock."""
 
-    requested: bool = False  # this process requests the lease
+    requested: bool = False  # this process wants to hold the lease
     phase: Phase = Phase.IDLE
     ballot: int = 0  # of the current phase; the fencing token while it holds the lease
     round: int = 0  # of the current phase
     phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
     accepted_by: frozenset[str] = frozenset()
     rejected_by: frozenset[str] = frozenset()
-    expires_at: float = NEVER_MS  # it considers itself the holder before this time
+    expires_at: float = NEVER_MS  # it considers itself the holder until this time
     acquired_at: float = 0.0  # when it became the holder; renewals do not change it
-    retry_at: float = NEVER_MS  # it does not prepare again before this time
+    retry_at: float = NEVER_MS  # it neither prepares nor renews before this time
     highest_ballot: int = 0  # the highest ballot seen in any reply
     contended: bool = False  # an acceptor reported that another proposer requested the task
 
@@ -75,8 +75,8 @@
 class Proposer:
     """The leases of one process, for all tasks.
 
-    `name` must be unique to each start of the process, because a restarted process does not hold the leases
-    that it held before.
+    `name` must be different at each start of the process, because a restarted process does not hold the
+    leases that it held before.
     """
 
     def __init__(self, name: str, terms: LeaseTerms, rng: random.Random) -> None:
@@ -111,10 +111,10 @@
         return self.actions
 
     def fencing_token(self, task: str, now: float, max_duration: float = 0.0) -> int:
-        """Return the fencing token for an act that takes at most `max_duration` ms; 0 if it must not begin.
+        """Return the fencing token for an operation of at most `max_duration` ms; 0 if it must not begin.
 
-        Such an act ends before the lease does, unless the process is stalled between this call and the act.
-        The target of the act checks the token and rejects an act that comes too late.
+        Such an operation ends before the lease does, unless the process stalls between this call and the
+        operation. Its receiver checks the token and rejects an operation that arrives too late.
         """
         state = self.states.get(task)
         if state is None or not state.holds(now + max_duration):
@@ -124,8 +124,8 @@
     def next_tick_in(self, now: float) -> float:
         """Return the ms until the next `Tick` is due; infinite if no lease is requested.
 
-        There are two ticks per stall threshold. Otherwise a proposer that waits for longer than the threshold
-        would consider itself stalled when it wakes up, and back off again.
+        Ticks are at most half the stall threshold apart. Otherwise a proposer that has to wait for longer
+        than the threshold would consider itself stalled when it wakes up, and back off again.
         """
         if not self.states:
             return math.inf
@@ -152,7 +152,7 @@
         return max(state.retry_at, state.expires_at - self.terms.holder_duration * (1 - RENEW_FRACTION))
 
     def _yield_if_stalled(self, now: float) -> None:
-        """Give up all leases after a stall, so that a process that is not stalled can acquire them."""
+        """Give up all leases after a stall, so that a process that does not stall can acquire them."""
         if self.last_event_at > NEVER_MS and now - self.last_event_at > self.terms.stall_threshold:
             for task in self.states:
                 self._give_up_lease(task, now, LossReason.STALLED, self.terms.lease_duration)
@@ -176,8 +176,8 @@
     def _start_phase(self, task: str, state: ProposerState, phase: Phase, now: float) -> ProposerState:
         """Send a phase's request to all acceptors, in a new round.
 
-        A late reply to an earlier renewal under the same ballot must not count in this round, because the
-        acceptor that sent it counts the lease from that renewal.
+        A late reply to an earlier renewal under the same ballot must not count in this round, because its
+        acceptor counts the lease from that earlier renewal.
         """
         self.round += 1
         if phase == Phase.PREPARE:
@@ -198,13 +198,13 @@
         self.actions += [SendRequest(acceptor, request) for acceptor in self.terms.acceptors]
 
     def _on_request(self, task: str, now: float) -> None:
-        """Request a lease from now on; a task beyond MAX_TASKS is ignored."""
+        """Start requesting a lease; a task beyond MAX_TASKS is ignored."""
         if task in self.states or len(self.states) < MAX_TASKS:
             self.states[task] = self.states.get(task, ProposerState())._replace(requested=True)
             self._check_deadlines(task, now)
 
     def _on_released(self, task: str, now: float) -> None:
-        """Retry soon, at a random time because other waiting proposers were notified as well."""
+        """Retry soon after a release, at a random time: other waiting proposers are notified as well."""
         state = self.states.get(task)
         if state is None or state.phase != Phase.IDLE or state.holds(now):
             return
@@ -235,7 +235,7 @@
     def _on_majority(self, task: str, state: ProposerState, now: float) -> ProposerState:
         """Start the propose phase, or hold the lease, after a majority has accepted."""
         if state.phase == Phase.PREPARE:
-            # The holder's duration starts before the proposal is sent, and the acceptors' after it arrives.
+            # The holder counts its duration from before the proposal is sent, acceptors from its arrival.
             return self._start_phase(task, state, Phase.PROPOSE, now)
         renewed = state.holds(now)
         expires_at = state.phase_started_at + self.terms.holder_duration
@@ -255,10 +255,10 @@
     ) -> ProposerState:
         """End a phase without a majority and back off; a lease that is held stays valid until it expires.
 
-        `remaining` is for how many ms the lease of another holder still lasts.
+        `remaining` is the number of ms until another holder's lease expires.
         """
         if state.phase == Phase.PROPOSE and not state.holds(now):
-            # Otherwise the acceptors that accepted would reject all other proposers for a full lease.
+            # Otherwise the acceptors that accepted would reject other proposers for a full lease duration.
             self._broadcast(Release(task, state.ballot, self.name, state.round))
         retry_at = now + remaining + self.rng.uniform(MIN_RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS)
         return state._replace(phase=Phase.IDLE, retry_at=retry_at)
@@ -266,9 +266,9 @@
     def _give_up_lease(
         self, task: str, now: float, reason: LossReason, cooldown: float = 0.0
     ) -> ProposerState:
-        """Release the lease or proposal on a task, and store the task's new state, which is returned.
+        """Release the lease or proposal on a task; stores and returns the task's new state.
 
-        The task is not requested again before `cooldown` ms have passed.
+        The lease is not requested again before `cooldown` ms have passed.
         """
         state = self.states[task]
         if state.has_lease:
