--- a/lotusroute/fleet/__init__.py
+++ b/lotusroute/fleet/__init__.py
@@ -1,4 +1,4 @@
 """The connections between the processes of a fleet, and leases and shared discovery on top of them.
 
-It is enabled by the file that LB_FLEET names.
+The environment variable LB_FLEET names the fleet's configuration file; without it, none of this is used.
 """
--- a/lotusroute/fleet/acceptor_host.py
+++ b/lotusroute/fleet/acceptor_host.py
@@ -1,4 +1,4 @@
-"""The acceptor of one process: answers lease requests, and persists ballots on a thread."""
+"""Runs the acceptor of one process: answers lease requests, and persists ballots on a thread."""
 
 import os
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from lotusroute.leases.messages import REQUEST_TYPES, LeaseReleased, LeaseRequest, Reply
 from lotusroute.net.structured_log import log_event
 
-RELEASED_CALL = "freed"  # the kind of the call that notifies a waiting proposer of a release
+RELEASED_CALL = "freed"  # the kind of the call that notifies a waiting proposer of a release, on the wire
 MAX_LOGGED_REASON_LENGTH = 200  # characters
 
 
@@ -30,7 +30,7 @@
 
 
 class AcceptorHost:
-    """Connects the pure acceptor to the peers, the clock and the disk."""
+    """Connects the acceptor, which is a pure state machine, to the peers, the clock and the disk."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.persisting = False
 
     def start(self) -> None:
-        """Persist the first block of ballots, and log when the acceptor begins to serve."""
+        """Persist the first block of ballots; logs an event as soon as the acceptor serves."""
         floor = self.acceptor.ballot_floor
         self._persist_ballots(PersistBallots(floor + BALLOT_BLOCK))
         silent_ms = max(0.0, self.acceptor.serving_from - self.process.clock())
@@ -71,7 +71,7 @@
         return msgspec.msgpack.encode(self.answer(request))
 
     def answer(self, request: LeaseRequest) -> Reply:
-        """Answer a request, persist ballots and notify waiting proposers as the acceptor decides."""
+        """Return the acceptor's reply to a request; persists ballots and notifies proposers as it decides."""
         decision = self.acceptor.handle(self.process.clock(), request)
         if not decision.reply.accepted:
             self.process.counters[f"acceptor_rejected_{decision.reply.reason}"] += 1
@@ -92,12 +92,12 @@
         call.addErrback(self._on_call_failed)
 
     def _on_call_failed(self, failure: Failure) -> None:
-        """Count a failed notification; the waiting proposer retries by its timer."""
+        """Count a failed notification; the waiting proposer retries on its timer."""
         failure.trap(CallError)
         self.process.counters["lease_requests_unanswered"] += 1
 
     def _persist_ballots(self, persist: PersistBallots) -> None:
-        """Write a ballot on a thread; one write at a time."""
+        """Write a ballot to disk on a thread; does nothing during another write."""
         if self.persisting:
             return
         self.persisting = True
@@ -110,7 +110,7 @@
         self.acceptor.ballots_persisted(below)
 
     def _on_persist_failed(self, failure: Failure) -> None:
-        # No ballot above the persisted one is promised: the fleet goes on with the other acceptors.
+        # This acceptor promises no ballot that is not persisted; the fleet continues with the others.
         self.persisting = False
         self.process.counters["acceptor_storage_failures"] += 1
         log_event("acceptor storage failed", reason=str(failure.value)[:MAX_LOGGED_REASON_LENGTH])
--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -1,7 +1,7 @@
 """The acceptor's file on disk, which holds a ballot: every ballot below it may have been promised.
 
-The file has one line, the ballot and its CRC-32 in hexadecimal. Calls block on the disk. After the start of
-the process they have to be made on a thread, not on the reactor.
+The file has one line: the ballot and its CRC-32 in hexadecimal. The functions block on the disk. Once the
+process has started, they must be called on a worker thread, not on the reactor's.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 
 class CorruptBallotFileError(ConfigError):
-    """The acceptor's file does not hold a ballot with its checksum."""
+    """The acceptor's file does not contain a ballot and its checksum."""
 
     def __init__(self, path: pathlib.Path) -> None:
         super().__init__(
@@ -26,7 +26,7 @@
 def load(state_dir: str | os.PathLike[str]) -> int:
     """Read the persisted ballot; 0 if there is no file yet.
 
-    Raises `ConfigError` for an unreadable or corrupt file, because an acceptor that treated it as missing
+    Raises `ConfigError` if the file is unreadable or corrupt, because an acceptor that treated it as missing
     could promise a ballot twice.
     """
     path = pathlib.Path(state_dir, FILE_NAME)
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -1,8 +1,8 @@
 """The fleet's configuration file, `deploy/fleet.toml`, named by the environment variable LB_FLEET.
 
 The file is validated and defaults are applied. Every error is a `ConfigError` that names the file, the key
-and the correction. The keys `keepers`, `term_ms` and `guests` are older words for acceptors, maximum tenure
-and subscribers.
+and the correction. The keys `keepers`, `term_ms` and `guests` are older names for the acceptors, the maximum
+tenure and the maximum number of subscribers.
 """
 
 import os
@@ -23,25 +23,25 @@
 from lotusroute.leases.messages import LEASE_DURATION_MS, MAX_TENURE_MS, LeaseTerms
 
 ACCEPTOR_COUNTS = (3, 5, 7)  # an even number tolerates no more failures than the odd number below it
-SHORTEST_LEASE_MS = 500.0  # a stall of the holder ends a shorter lease
-LONGEST_LEASE_MS = 60_000.0  # the time for which a task may have no holder after a failure
+SHORTEST_LEASE_MS = 500.0  # a shorter lease would expire during a stall of its holder
+LONGEST_LEASE_MS = 60_000.0  # for a lease's duration, a task may have no holder after a failure
 SHORTEST_MAX_TENURE_MS = 1_000.0
 LONGEST_MAX_TENURE_MS = 1e9
 TASKS = ("watch", "cold", "check", "origin")  # the tasks that a process may request
 MAX_PEERS = 1_024  # processes of one fleet; each is connected to the acceptors only
-MAX_SUBSCRIBERS = 4_096  # each connection of a process that is not a peer occupies a descriptor
+MAX_SUBSCRIBERS = 4_096  # each connection of a subscriber occupies a file descriptor
 KEYS = {"name", "state", "keepers", "tasks", "lease_ms", "term_ms", "peers", "guests"}
 
 
 class FleetConfig(NamedTuple):
-    """The fleet as configured at one process."""
+    """The configuration of the fleet at one process."""
 
     name: str  # of the fleet; connections of processes of another fleet are rejected
     state_dir: str  # persistent directory of the acceptor; empty if this process is not an acceptor
     peers: dict[str, Address]  # by name, the address at which this process reaches the peer
-    tasks: tuple[str, ...]
+    tasks: tuple[str, ...]  # whose leases this process requests
     terms: LeaseTerms
-    max_subscribers: int = 0  # relay subscribers, which may connect without being peers
+    max_subscribers: int = 0  # the limit of relay subscribers, which connect without being peers
 
 
 def load_fleet_config(path: str | os.PathLike[str]) -> FleetConfig:
--- a/lotusroute/fleet/errors.py
+++ b/lotusroute/fleet/errors.py
@@ -1,12 +1,13 @@
 """The errors of calls between peers.
 
-A handler that raises one of them rejects the call. Its message is sent to the caller, where it becomes a
-`CallError` with the same text; only `UNIDENTIFIED_PEER_DESCRIPTION` is mapped back to a type of its own.
+A handler that raises one of them rejects the call. The error's message is sent to the caller, where it
+becomes a `CallError` with the same text; only `UNIDENTIFIED_PEER_DESCRIPTION` becomes the subclass
+`UnidentifiedPeerError`.
 """
 
 from lotusroute.errors import LotusrouteError
 
-UNIDENTIFIED_PEER_DESCRIPTION = "stranger"  # on the wire, for `UnidentifiedPeerError`
+UNIDENTIFIED_PEER_DESCRIPTION = "stranger"  # the text that stands for `UnidentifiedPeerError` on the wire
 
 
 class CallError(LotusrouteError):
@@ -63,7 +64,7 @@
 
 
 class ObserverCallError(CallError):
-    """A command-line client made another call than the one that reads the status."""
+    """An observer, which is a command-line client, made a call other than the one that reads the status."""
 
     def __init__(self, allowed_kind: str) -> None:
         super().__init__(f"observers may only call '{allowed_kind}'")
@@ -93,7 +94,7 @@
 
 
 class SpoofedRequestError(CallError):
-    """A lease request names a proposer of another process than the caller."""
+    """A lease request names a proposer that belongs to a process other than the caller."""
 
     def __init__(self, kind: str, proposer: str) -> None:
         super().__init__(f"'{kind}' request for '{proposer[:64]}', a proposer of another process")
@@ -102,7 +103,7 @@
 
 
 class DeposedHolderError(CallError):
-    """A message carries a lower fencing token than one that was accepted before."""
+    """A message carries a lower fencing token than an accepted one: its sender no longer holds the lease."""
 
     def __init__(self, fencing_token: int, highest_fencing_token: int) -> None:
         super().__init__(f"deposed: fencing token {fencing_token} is lower than {highest_fencing_token}")
@@ -111,7 +112,7 @@
 
 
 class UpdateNotFollowedError(CallError):
-    """A shared update reached a process that does not follow its sender."""
+    """A shared update reached a process that does not apply its sender's updates."""
 
     def __init__(self) -> None:
         super().__init__("this process does not follow the sender's updates")
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -1,6 +1,6 @@
 """The lease service of one process: its proposer, its acceptor if it is one, and the calls of its peers.
 
-A process serves traffic without it as well: no decision about a flow depends on a lease.
+No decision about a flow depends on a lease, so a process serves traffic without a lease service as well.
 """
 
 import os
@@ -54,10 +54,10 @@
         self.name = name
         self.counters = counters
         self.clock = clock
-        # Called with the task and the fencing token of an acquired lease, and with 0 when it is lost.
+        # Called with the task and the fencing token when a lease is acquired, and with 0 when it is lost.
         self.on_lease_changed: Callable[[str, int], object] = ignore_lease
         self.on_peer_disconnected: Callable[[str], object] = ignore_peer
-        # Further kinds of calls and further sections of the status; services add theirs before the start.
+        # Other services register their kinds of calls and sections of the status here before `start`.
         self.call_handlers: dict[str, Callable[[str, bytes], bytes]] = {}
         self.status_providers: dict[str, Callable[[], object]] = {}
         self._process = FleetProcess(
@@ -79,7 +79,10 @@
         )
 
     def start(self) -> "defer.Deferred[None]":
-        """Connect to the acceptors and request the configured tasks; the result is that of listening."""
+        """Connect to the acceptors, request the configured tasks, and listen for connections of peers.
+
+        The result fires once this process listens, or fails if it cannot.
+        """
         for acceptor in self.config.terms.acceptors:
             if acceptor != self.name:
                 self.transport.connect(acceptor)
@@ -99,11 +102,11 @@
         self.proposer_host.handle_event(event)
 
     def fencing_token(self, task: str, max_duration: float) -> int:
-        """Return the fencing token for an act of at most `max_duration` ms; 0 if it must not begin."""
+        """Return the fencing token for an operation of at most `max_duration` ms; 0 if it must not begin."""
         return self.proposer_host.proposer.fencing_token(task, self._process.clock(), max_duration)
 
     def other_peers(self) -> list[str]:
-        """Return the names of all processes of the fleet but this one."""
+        """Return the names of all other processes of the fleet."""
         return [peer for peer in self.config.peers if peer != self.name]
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
@@ -125,7 +128,7 @@
         return self.acceptor_host.handle_call(peer, kind, body)
 
     def status(self) -> ProcessStatus:
-        """Return the status of this process, without the sections of further services."""
+        """Return the status of this process, without the sections of other services."""
         now = self._process.clock()
         acceptor = None if self.acceptor_host is None else self.acceptor_host.acceptor
         return ProcessStatus(
@@ -140,7 +143,7 @@
             ),
         )
 
-    # The callbacks are looked up when they are called: services replace them after the construction.
+    # These look up the callback at each call, because services replace it after the construction.
 
     def _on_lease_changed(self, task: str, fencing_token: int) -> None:
         self.on_lease_changed(task, fencing_token)
--- a/lotusroute/fleet/outbound_connections.py
+++ b/lotusroute/fleet/outbound_connections.py
@@ -12,28 +12,28 @@
 from lotusroute.fleet.peer_connection import HELLO_TIMEOUT_S, ConnectionManager, PeerConnection
 from lotusroute.net.structured_log import log_event
 
-MIN_RECONNECT_BACKOFF_S = 0.1  # doubled at each failure
+MIN_RECONNECT_BACKOFF_S = 0.1  # doubled after each failure, up to the maximum
 MAX_RECONNECT_BACKOFF_S = 5.0
-MIN_JITTER_FRACTION = 0.5  # of the backoff, the shortest delay
+MIN_JITTER_FRACTION = 0.5  # the shortest random delay, as a fraction of the backoff
 CONNECT_TIMEOUT_S = 2.0
 
 
 class OutboundManager(ConnectionManager, Protocol):
     """What the outbound connections need from the transport that they belong to."""
 
-    closed: bool  # no connection is opened any more
+    closed: bool  # no more connections are opened
 
 
 class OutboundConnections:
-    """The connections of one process to its peers."""
+    """The outbound connections of one process to its peers."""
 
     def __init__(self, transport: OutboundManager) -> None:
         self.transport = transport
         self.process = transport.process
         self.established: dict[str, PeerConnection] = {}  # by peer
         self.wanted_peers: set[str] = set()  # peers to stay connected to; removed by `disconnect`
-        self.connecting: dict[str, float] = {}  # by peer, the backoff after the next failure
-        self.reconnect_timers: dict[str, DelayedCall] = {}  # by peer, the next attempt
+        self.connecting: dict[str, float] = {}  # by peer being connected, the backoff after the next failure
+        self.reconnect_timers: dict[str, DelayedCall] = {}  # by peer, the start of the next attempt
 
     def connect(self, peer: str) -> None:
         """Keep a connection to a peer established from now on."""
@@ -94,11 +94,11 @@
         self.transport.handlers.on_connected(peer)
 
     def _on_connect_failed(self, peer: str, connection: PeerConnection) -> None:
-        """Schedule the next attempt, with exponential backoff."""
+        """Schedule the next attempt, after a random exponential backoff."""
         connection.abort()
         self.process.counters["peer_connect_failures"] += 1
         if peer not in self.connecting or peer in self.reconnect_timers:
-            return  # it was disconnected on request, or another attempt is scheduled
+            return  # `disconnect` was called, or another attempt is scheduled already
         backoff = self.connecting[peer]
         self.connecting[peer] = min(2 * backoff, MAX_RECONNECT_BACKOFF_S)
         delay = backoff * self.process.rng.uniform(MIN_JITTER_FRACTION, 1.0)
@@ -108,9 +108,9 @@
 
 
 def open_connection(connection: PeerConnection) -> "defer.Deferred[str]":
-    """Connect to the connection's peer and send `Hello`; the result is the name that the peer answers with.
+    """Connect to the connection's peer and send `Hello`; the result is the name that the peer responds with.
 
-    The caller limits the time.
+    The caller has to set a timeout.
     """
     process = connection.manager.process
     host, port = process.config.peers[connection.peer]
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -1,8 +1,8 @@
-"""One connection between two processes: AMP calls with a kind and opaque bytes in both directions.
+"""One connection between two processes: AMP calls with a kind and an opaque body, in both directions.
 
-The side that connected sends `Hello` first. Calls in flight, their bytes and their time are bounded, and
-whatever a peer sends can at most end its own connection. The class names of the AMP commands are not on the
-wire: `commandName` is. Times are in seconds.
+The side that opened the connection sends `Hello` first. The number, bytes and duration of the calls in flight
+are bounded, and nothing that a peer sends affects more than its own connection. AMP commands are identified
+on the wire by `commandName`, not by the class name. Times are in seconds.
 """
 
 from collections.abc import Callable
@@ -27,15 +27,15 @@
 from lotusroute.fleet.process import FleetProcess
 from lotusroute.net.structured_log import log_event
 
-PROTOCOL_VERSION = 1  # processes that speak another version are rejected
-MAX_BODY_BYTES = 60_000  # of one call or response: AMP carries 65,535
-MAX_CALLS_IN_FLIGHT = 64  # to one peer; further calls fail at once instead of queueing
-MAX_BYTES_IN_FLIGHT = 262_144  # to one peer: the memory that a stalled peer can occupy
+PROTOCOL_VERSION = 1  # processes with another version are rejected
+MAX_BODY_BYTES = 60_000  # of one call or response; an AMP value carries at most 65,535
+MAX_CALLS_IN_FLIGHT = 64  # to one peer; further calls fail at once instead of being queued
+MAX_BYTES_IN_FLIGHT = 262_144  # to one peer; bounds the memory that a stalled peer can occupy
 CALL_TIMEOUT_S = 1.0  # endpoint lists take longer than lease requests, which have a timeout of their own
-MAX_CONSECUTIVE_TIMEOUTS = 3  # after which the connection is closed
-HELLO_TIMEOUT_S = 2.0  # for a new connection to identify itself
-MAX_DESCRIPTION_LENGTH = 200  # characters of an error that go to the caller
-MAX_LOGGED_NAME_LENGTH = 64  # characters of what an unknown process calls itself
+MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many, the connection is closed
+HELLO_TIMEOUT_S = 2.0  # the time in which a new connection has to identify itself
+MAX_DESCRIPTION_LENGTH = 200  # characters of an error's message that are sent to the caller
+MAX_LOGGED_NAME_LENGTH = 64  # characters of the names that an unknown process sends
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
 SHOW_CALL = "show"  # the kind of the call that reads a process's status
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerHandlers:
-    """The callbacks of the service above a transport."""
+    """The callbacks through which a transport passes calls and events to the service above it."""
 
     handle_call: CallHandler  # returns the response's body, or raises `CallError` to reject the call
     on_connected: Callable[[str], object] = ignore_peer  # an outbound connection is established
@@ -57,7 +57,7 @@
 
 
 class Hello(amp.Command):
-    """Identifies the connecting process; the first call on a connection."""
+    """The first call on a connection; identifies the connecting process."""
 
     commandName = b"Hello"
     arguments = [(b"fleet", amp.Unicode()), (b"form", amp.Integer()), (b"name", amp.Unicode())]
@@ -95,7 +95,7 @@
     noisy = False
 
     def __init__(self, manager: ConnectionManager, peer: str = "") -> None:
-        """`peer` is the name of the process connected to; empty if inbound, until its Hello."""
+        """`peer` is the name of the process to connect to; empty if inbound, until its Hello."""
         super().__init__()
         self.manager = manager
         self._process = manager.process
@@ -108,7 +108,7 @@
 
     @property
     def socket(self) -> tcp.Connection:
-        """The transport of an established connection, with its type."""
+        """The transport of an established connection, under its actual type."""
         return cast(tcp.Connection, self.transport)
 
     @property
@@ -155,7 +155,7 @@
         self.consecutive_timeouts += 1
         response.errback(CallTimeoutError(self.peer, CALL_TIMEOUT_S))
         if self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
-            # The peer reads but does not respond: a new connection may do better.
+            # The peer reads but does not respond, which a new connection may fix.
             self.abort()
 
     def _call_ended(
@@ -165,7 +165,7 @@
         timer: DelayedCall,
         size: int,
     ) -> None:
-        # A call that timed out counts as in flight until here, because it still occupies the peer.
+        # A call that timed out is counted as in flight until now, because it still occupies the peer.
         self.calls_in_flight -= 1
         self.bytes_in_flight -= size
         if timer.active():
@@ -189,7 +189,7 @@
         same_protocol = (fleet, form) == (config.name, PROTOCOL_VERSION)
         known = name in config.peers or name == OBSERVER or self.manager.admits_subscriber(name)
         if self.identified or self.peer or not same_protocol or not known:
-            # On the reactor's next iteration, after AMP has written the response.
+            # The connection is aborted on the reactor's next iteration, after AMP has written the response.
             fleet, name = fleet[:MAX_LOGGED_NAME_LENGTH], name[:MAX_LOGGED_NAME_LENGTH]
             reason = f"fleet {fleet} version {form} name {name}"
             self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
@@ -237,7 +237,7 @@
             )
 
     def sendBox(self, box: amp.Box) -> None:
-        """Send a box and count its bytes."""
+        """Send an AMP box and count its bytes."""
         data = box.serialize()
         self._process.counters["peer_bytes_sent"] += len(data)
         self.socket.write(data)
@@ -247,7 +247,7 @@
         self._process.counters["peer_bytes_received"] += len(data)
         try:
             super().dataReceived(data)
-        except Exception:  # isolates this connection: whatever a peer sends must not affect the others
+        except Exception:  # isolates this connection: no input of a peer may affect the others
             self._abort_malformed()
 
     def unhandledError(self, failure: Failure) -> None:
@@ -259,14 +259,14 @@
         self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Fail all calls in flight, which AMP does, and inform the manager."""
+        """Let AMP fail all calls in flight, and notify the manager."""
         super().connectionLost(reason)
         self._cancel_hello_timer()
         self.manager.connection_lost(self)
 
 
 def _decode_rejection(rejection: Failure) -> Failure:
-    """Return the rejection as received, or as the type that `UNIDENTIFIED_PEER_DESCRIPTION` stands for."""
+    """Return the rejection as received, or as `UnidentifiedPeerError` if it has that error's text."""
     if str(rejection.value) == UNIDENTIFIED_PEER_DESCRIPTION:
         return Failure(UnidentifiedPeerError())
     return rejection
--- a/lotusroute/fleet/process.py
+++ b/lotusroute/fleet/process.py
@@ -1,4 +1,4 @@
-"""The identity of one process of the fleet, and the collaborators that all its services share."""
+"""The identity of one process of the fleet, and what all its services share."""
 
 import random
 from collections import Counter
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetProcess:
-    """One process of the fleet: its name and configuration, the reactor, counters, randomness and clock."""
+    """One process of the fleet: its name and configuration, reactor, counters, random numbers and clock."""
 
     reactor: ReactorBase
     config: FleetConfig
-    name: str  # among the peers of the configuration
+    name: str  # of a peer in the configuration, or of a subscriber or an observer
     counters: Counter[str]
     rng: random.Random
     clock: Callable[[], float] = monotonic_ms  # ms
--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -1,7 +1,7 @@
-"""The status of one process, which `leases show` and `fleet show` read.
+"""The status of one process, which the commands `leases show` and `fleet show` read.
 
-The bytes between processes are JSON whose keys are older than the names here; `rename` maps them. Services
-may add sections of their own. Durations are in milliseconds from the time of the status.
+A process sends it as JSON with older keys, which `rename` maps to the names here. Services may add sections
+of their own. Durations are in milliseconds from the time of the status.
 """
 
 from collections.abc import Mapping
@@ -23,14 +23,14 @@
         "highest_ballot": "highest_seen",
     },
 ):
-    """What a proposer knows of the lease on one task."""
+    """The lease on one task as its proposer sees it."""
 
     holds: bool
     fencing_token: int  # 0 unless it holds the lease
     remaining_ms: int  # 0 unless it holds the lease
     phase: str  # a `Phase` of the proposer
-    retry_in_ms: int
-    highest_ballot: int
+    retry_in_ms: int  # until it may send the next request; 0 if it may at once
+    highest_ballot: int  # the highest ballot of its own requests and in any reply
 
 
 class GrantStatus(
@@ -38,12 +38,12 @@
     frozen=True,
     rename={"fencing_token": "fence", "promised_ballot": "promised", "remaining_ms": "left_ms"},
 ):
-    """What an acceptor knows of the lease on one task."""
+    """The lease on one task as an acceptor sees it."""
 
-    holder: str  # the proposer that it granted the lease to last; empty if none
+    holder: str  # the proposer that was last granted the lease; empty if none
     fencing_token: int  # of that holder
-    promised_ballot: int
-    remaining_ms: int
+    promised_ballot: int  # the highest promised ballot
+    remaining_ms: int  # 0 if the lease has expired
 
 
 class ConnectionsStatus(msgspec.Struct, frozen=True, rename={"outbound": "out", "inbound": "in"}):
@@ -63,14 +63,14 @@
         "acceptor_silent_ms": "keeper_silent_ms",
     },
 ):
-    """The status of one process, without the sections of further services."""
+    """The status of one process, without the sections of other services."""
 
     name: str
     fleet: str
     leases: dict[str, LeaseStatus]  # by task, of its proposer
     grants: dict[str, GrantStatus]  # by task, of its acceptor
     is_acceptor: bool
-    acceptor_silent_ms: int  # until its acceptor serves
+    acceptor_silent_ms: int  # until its acceptor serves; 0 if it does, or if there is none
     connections: ConnectionsStatus
 
 
@@ -107,19 +107,19 @@
 
 
 def encode_status(status: ProcessStatus, sections: Mapping[str, object]) -> bytes:
-    """Encode a status, followed by the sections of further services, for the wire."""
+    """Encode a status, followed by the sections of other services, for the wire."""
     return msgspec.json.encode({**msgspec.to_builtins(status), **sections})
 
 
 def decode_status(body: bytes) -> ProcessStatus:
-    """Decode a status, without its further sections; raises `msgspec.MsgspecError` if it is malformed."""
+    """Decode a status without its other sections; raises `msgspec.MsgspecError` if it is malformed."""
     return msgspec.json.decode(body, type=ProcessStatus)
 
 
 def status_document(body: bytes) -> dict[str, object]:
-    """Return an encoded status as a JSON object under the names of this module, for programs that read it.
+    """Return an encoded status as a JSON object with the field names of this module, for other programs.
 
-    Further sections keep the form in which they were sent. Raises `msgspec.MsgspecError` if it is malformed.
+    The sections of other services are returned as sent. Raises `msgspec.MsgspecError` if it is malformed.
 
     >>> connections = '"connections": {"out": ["b"], "in": []}'
     >>> head = '{"name": "a", "fleet": "f", "tasks": {}, "keeps": {}, "keeper": true, "keeper_silent_ms": 0, '
@@ -134,7 +134,7 @@
 
 
 def _struct_document(struct: msgspec.Struct) -> dict[str, object]:
-    """Return the fields of a Struct by name; unlike `msgspec.to_builtins`, it does not rename them."""
+    """Return the fields of a Struct by name; unlike `msgspec.to_builtins`, without renaming them."""
     return {name: _document(value) for name, value in msgspec.structs.asdict(struct).items()}
 
 
--- a/lotusroute/fleet/proposer_host.py
+++ b/lotusroute/fleet/proposer_host.py
@@ -1,4 +1,4 @@
-"""The proposer of one process: sends lease requests, passes replies on, and ticks by a timer."""
+"""Runs the proposer of one process: sends its requests, passes it the replies, and schedules its ticks."""
 
 import math
 import os
@@ -30,7 +30,7 @@
 
 
 class ProposerHost:
-    """Connects the pure proposer to the acceptors and the timer."""
+    """Connects the proposer, which is a pure state machine, to the acceptors and a timer."""
 
     def __init__(
         self,
@@ -41,14 +41,16 @@
     ) -> None:
         """Set up without requesting a lease.
 
-        `answer_locally` is the acceptor of this process, if it has one. `on_lease_changed` is called with the
-        task and the fencing token when a lease is acquired, and with 0 when it is lost.
+        `answer_locally` passes a request to the acceptor of this process; None if it has no acceptor.
+        `on_lease_changed` is called with the task and the fencing token when a lease is acquired, and with 0
+        when it is lost.
         """
         self.process = process
         self.transport = transport
         self.answer_locally = answer_locally
         self.on_lease_changed = on_lease_changed
-        # The suffix is unique to this start: a lease of an earlier process of this name is not this one's.
+        # The random suffix distinguishes this start of the process from earlier ones, whose leases it does
+        # not hold.
         name = f"{process.name}#{os.urandom(4).hex()}"
         self.proposer = Proposer(name, process.config.terms, process.rng)
         self.tick_timer: DelayedCall | None = None
@@ -87,7 +89,7 @@
 
     def _send_request(self, acceptor: str, request: LeaseRequest) -> None:
         if acceptor == self.process.name:
-            # On the reactor's next iteration, because the proposer is still handling an event.
+            # Deferred to the reactor's next iteration, because the proposer is still handling an event.
             self.process.reactor.callLater(0, self._request_locally, request)
             return
         call = self.transport.call(acceptor, request.kind, msgspec.msgpack.encode(request))
@@ -103,7 +105,7 @@
         self.handle_event_unless_stopped(ReplyReceived(acceptor, reply))
 
     def _on_call_failed(self, failure: Failure) -> None:
-        """Count a request without a reply; the proposer's timeouts handle it."""
+        """Count a request without a valid reply; the proposer's request timeout handles it."""
         failure.trap(CallError, msgspec.MsgspecError)
         self.process.counters["lease_requests_unanswered"] += 1
 
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -1,10 +1,10 @@
 """The leased task `watch`: one balancer polls discovery and sends each update to all others.
 
-The holder of the lease sends updates under its fencing token, and heartbeats between them. The others poll
-discovery themselves once no message has come for `HOLDER_TIMEOUT_MS`, or while the holder has a newer version
-than they do. Updates under a lower fencing token than one seen are rejected. A holder that has no recent
-response of discovery sends no heartbeats. `Discovery` uses it as an `UpdateSource`. Times are in
-milliseconds.
+The holder of the lease sends updates with its fencing token, and heartbeats between them. The others, its
+followers, poll discovery themselves when no message has arrived for `HOLDER_TIMEOUT_MS`, or while the holder
+has a newer version than they do. They reject updates with a lower fencing token than one accepted before. A
+holder without a recent response of discovery sends no heartbeats. `SharedDiscovery` is the `UpdateSource` of
+the `Discovery` client. Times are in milliseconds.
 """
 
 from typing import Any
@@ -22,44 +22,45 @@
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
-HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that a lost one does no harm
-# A balancer polls itself after this time without a message; it leaves time for a drain's limit of 2 s.
+HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that the loss of one has no effect
+# After this time without a message, a balancer polls discovery itself. It leaves time for the poll within the
+# limit of 2 s for a drain.
 HOLDER_TIMEOUT_MS = 1_500.0
-MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # with an older last response, no heartbeats are sent
-MAX_SEND_DURATION_MS = 50.0  # the part of a lease that must be left when an update is sent
+MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # no heartbeats if discovery's last response is older
+MAX_SEND_DURATION_MS = 50.0  # the time that must be left of the lease when a message is sent
 NEVER_MS = -1e12  # a time before any other
-NO_SEQ = -1
+NO_SEQ = -1  # instead of a version
 
 
 class SharedUpdate(msgspec.Struct, array_like=True):
-    """A heartbeat, or an update with endpoints; the order of fields is the wire format."""
+    """A heartbeat, or an update with endpoints; the order of its fields is the wire format."""
 
     fencing_token: int
     discovery_url: str  # versions of another discovery service cannot be compared
-    seq: int  # the version that the holder has
-    since: int = NO_SEQ  # the version that `entries` are changes to; NO_SEQ if complete, or a heartbeat
-    complete: bool = False
+    seq: int  # the version of the holder's list
+    since: int = NO_SEQ  # the version that `entries` are changes to; NO_SEQ in a complete list or a heartbeat
+    complete: bool = False  # whether `entries` are the complete list
     entries: list[dict[str, Any]] | None = None  # discovery's entries; None in a heartbeat
 
 
 class SharedDiscovery:
-    """The task in one balancer, which is the holder or a follower."""
+    """Shared discovery in one balancer, which is the holder of the lease or a follower."""
 
     def __init__(self, lease_service: LeaseService) -> None:
         self.lease_service = lease_service
         self.reactor = lease_service.reactor
         self.counters = lease_service.counters
         self.discovery: DiscoveryClient | None = None  # the current one; replaced at a reload
-        self.fencing_token = 0  # while this balancer holds the task
+        self.fencing_token = 0  # of the lease; 0 unless this balancer holds it
         self.highest_fencing_token = 0  # of the messages accepted so far
         self.last_update_at = NEVER_MS  # ms, when a message was last accepted
         self.holder_seq = NO_SEQ  # the version that the holder had at its last message
         self.last_response_at = NEVER_MS  # ms, when discovery last responded to this balancer
-        self._wait = InterruptibleWait(self.reactor)  # of `wait_until_poll_due`
+        self._wait = InterruptibleWait(self.reactor)  # used by `wait_until_poll_due`
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
 
-    # The interface `UpdateSource` of the discovery client
+    # The `UpdateSource` interface, called by the discovery client
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to poll discovery itself, or the discovery client is closed."""
@@ -98,10 +99,10 @@
         """Stop the heartbeats until discovery's next response, so that the others poll themselves."""
         self.last_response_at = NEVER_MS
 
-    # The holder
+    # Sending, by the holder
 
     def on_lease_changed(self, task: str, fencing_token: int) -> None:
-        """Start sending when this balancer acquires the lease, stop when it loses the lease."""
+        """Start sending heartbeats when this balancer acquires the lease; stop when it loses it."""
         if task != TASK:
             return
         self.fencing_token = fencing_token
@@ -112,7 +113,7 @@
             self._send_heartbeat(fencing_token)
 
     def _send_heartbeat(self, fencing_token: int) -> None:
-        """Send a heartbeat, and repeat it while the lease under this token is held."""
+        """Send a heartbeat, and repeat it for as long as the lease with this fencing token is held."""
         if fencing_token != self.fencing_token:
             return
         self.reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat, fencing_token)
@@ -125,7 +126,7 @@
     def _broadcast(self, update: SharedUpdate) -> None:
         body = msgspec.msgpack.encode(update)
         if len(body) > MAX_BODY_BYTES:
-            # The next heartbeat carries the new version, which makes the others poll.
+            # The next heartbeat carries the new version, which makes the followers poll.
             self.counters["shared_discovery_oversized"] += 1
             return
         self.counters["shared_discovery_sent"] += 1
@@ -133,14 +134,14 @@
             self.lease_service.transport.call(peer, TASK, body).addErrback(self._on_send_failed)
 
     def _on_send_failed(self, failure: Failure) -> None:
-        """Count an update that was not delivered; its receiver polls discovery."""
+        """Count a message that was not delivered; the follower polls discovery if it misses an update."""
         failure.trap(CallError)
         self.counters["shared_discovery_unsent"] += 1
 
-    # The followers
+    # Receiving, by a follower
 
     def on_update(self, peer: str, body: bytes) -> bytes:
-        """Handle a message of the holder; raises `CallError` to reject it."""
+        """Handle an update or a heartbeat of the holder; raises `CallError` to reject it."""
         update = msgspec.msgpack.decode(body, type=SharedUpdate)
         if update.fencing_token < self.highest_fencing_token:
             self.counters["shared_discovery_fenced"] += 1
@@ -171,7 +172,7 @@
         self.counters["shared_discovery_applied"] += applied
 
     def _behind(self) -> bool:
-        """Return whether the holder has a newer version than this balancer."""
+        """Return whether this balancer needs a complete list, or the holder has a newer version of it."""
         if self.discovery is None or self.discovery.version is None:
             return True
         return self.discovery.version < self.holder_seq
--- a/lotusroute/fleet/status_query.py
+++ b/lotusroute/fleet/status_query.py
@@ -1,4 +1,4 @@
-"""The query of a running process's status, for commands. It changes nothing at the process."""
+"""Queries the status of a running process, for commands; the process's state is not changed."""
 
 import random
 from collections import Counter
@@ -41,5 +41,5 @@
 
 
 def _respond_empty(peer: str, kind: str, body: bytes) -> bytes:
-    """Respond to a call of a peer that is only queried."""
+    """Respond to a call of the queried process with an empty body."""
     return b""
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -1,7 +1,7 @@
 """The connections of one process: listening, inbound connections, and calls in both directions.
 
-What the calls mean is up to the services above, which pass handlers for the calls of peers. Outbound
-connections are kept by `OutboundConnections`.
+The services above define the calls and pass handlers for those of peers. `OutboundConnections` opens the
+outbound connections and reconnects them.
 """
 
 import contextlib
@@ -19,7 +19,7 @@
 
 LISTEN_BACKLOG = 64  # connections waiting to be accepted
 SUBSCRIBER_NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}")  # names of processes that are not peers
-MAX_CONNECTIONS_PER_PEER = 4  # inbound: one in use, and those whose end has not been noticed yet
+MAX_CONNECTIONS_PER_PEER = 4  # inbound: one in use, and lost ones whose end has not been detected yet
 
 
 class PeerTransport:
@@ -29,7 +29,8 @@
         """Set up without connecting."""
         self.process = process
         self.handlers = handlers
-        self.inbound: dict[str, list[PeerConnection]] = {}  # by peer; MAX_CONNECTIONS_PER_PEER, newest last
+        # By peer, at most MAX_CONNECTIONS_PER_PEER established inbound connections, the newest last.
+        self.inbound: dict[str, list[PeerConnection]] = {}
         self._outbound_connections = OutboundConnections(self)
         self.port: tcp.Port | None = None
         self.closed = False
@@ -81,7 +82,7 @@
         return connection.call(kind, body)
 
     def call_inbound(self, peer: str, kind: str, body: bytes) -> "defer.Deferred[bytes]":
-        """Call a process that connected to this one, on its newest connection."""
+        """Call a process that connected to this one, on its newest inbound connection."""
         connections = self.inbound.get(peer)
         if not connections:
             return defer.fail(PeerUnreachableError(peer))
@@ -90,14 +91,17 @@
     # Called by the connections
 
     def admits_subscriber(self, name: str) -> bool:
-        """Return whether a process that is not a peer may connect: a valid name, and below the limit."""
+        """Return whether a process that is not a peer may connect.
+
+        Its name must be valid. It must be connected already, or the number of subscribers below the limit.
+        """
         if SUBSCRIBER_NAME.fullmatch(name) is None:
             return False
         subscribers = len(self.inbound) - len(self.inbound.keys() & self.process.config.peers.keys())
         return name in self.inbound or subscribers < self.process.config.max_subscribers
 
     def peer_identified(self, connection: PeerConnection) -> None:
-        """Handle the valid Hello of an inbound connection."""
+        """Register an inbound connection after its valid Hello; over the limit, abort the peer's oldest."""
         connections = self.inbound.setdefault(connection.peer, [])
         connections.append(connection)
         if len(connections) > MAX_CONNECTIONS_PER_PEER:
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -59,7 +59,7 @@
     expires_at: float = NEVER_MS  # it considers itself the holder until this time
     acquired_at: float = 0.0  # when it became the holder; renewals do not change it
     retry_at: float = NEVER_MS  # it neither prepares nor renews before this time
-    highest_ballot: int = 0  # the highest ballot seen in any reply
+    highest_ballot: int = 0  # the highest ballot of its own requests and in any reply
     contended: bool = False  # an acceptor reported that another proposer requested the task
 
     @property
