--- a/lotusroute/fleet/acceptor_host.py
+++ b/lotusroute/fleet/acceptor_host.py
@@ -55,8 +55,8 @@
         """Persist the first block of ballots; logs an event as soon as the acceptor serves."""
         floor = self.acceptor.ballot_floor
         self._persist_ballots(PersistBallots(floor + BALLOT_BLOCK))
-        silent_ms = max(0.0, self.acceptor.serving_from - self.process.clock())
-        self.process.reactor.callLater(silent_ms / 1000, log_event, "acceptor serving", floor=floor)
+        delay_ms = max(0.0, self.acceptor.serving_from - self.process.clock())
+        self.process.reactor.callLater(delay_ms / 1000, log_event, "acceptor serving", floor=floor)
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
         """Answer a request of a kind in REQUEST_TYPES; raises `CallError` if it is invalid."""
--- a/lotusroute/fleet/outbound_connections.py
+++ b/lotusroute/fleet/outbound_connections.py
@@ -32,22 +32,22 @@
         self.process = transport.process
         self.established: dict[str, PeerConnection] = {}  # by peer
         self.wanted_peers: set[str] = set()  # peers to stay connected to; removed by `disconnect`
-        self.connecting: dict[str, float] = {}  # by peer being connected, the backoff after the next failure
+        self.next_backoffs: dict[str, float] = {}  # by peer being connected; doubled at each failure
         self.reconnect_timers: dict[str, DelayedCall] = {}  # by peer, the start of the next attempt
 
     def connect(self, peer: str) -> None:
         """Keep a connection to a peer established from now on."""
         self.wanted_peers.add(peer)
-        in_use = peer in self.established or peer in self.connecting
-        if self.transport.closed or in_use or peer not in self.process.config.peers:
+        connected_or_connecting = peer in self.established or peer in self.next_backoffs
+        if self.transport.closed or connected_or_connecting or peer not in self.process.config.peers:
             return
-        self.connecting[peer] = MIN_RECONNECT_BACKOFF_S
+        self.next_backoffs[peer] = MIN_RECONNECT_BACKOFF_S
         self._start_attempt(peer)
 
     def disconnect(self, peer: str) -> None:
         """Close the connection to a peer and do not reconnect."""
         self.wanted_peers.discard(peer)
-        self.connecting.pop(peer, None)
+        self.next_backoffs.pop(peer, None)
         timer = self.reconnect_timers.pop(peer, None)
         if timer is not None:
             timer.cancel()
@@ -82,12 +82,12 @@
     def _on_hello_answered(self, peer: str, connection: PeerConnection, name: str) -> None:
         if name != peer:
             self.process.counters["unknown_peers"] += 1
-        wanted = not self.transport.closed and peer in self.connecting
+        wanted = not self.transport.closed and peer in self.next_backoffs
         if name != peer or not connection.is_open or not wanted:
             self._on_connect_failed(peer, connection)
             return
         connection.identified = True
-        del self.connecting[peer]
+        del self.next_backoffs[peer]
         self.established[peer] = connection
         self.process.counters["peer_connects"] += 1
         log_event("peer connected", peer=peer)
@@ -97,10 +97,10 @@
         """Schedule the next attempt, after a random exponential backoff."""
         connection.abort()
         self.process.counters["peer_connect_failures"] += 1
-        if peer not in self.connecting or peer in self.reconnect_timers:
+        if peer not in self.next_backoffs or peer in self.reconnect_timers:
             return  # `disconnect` was called, or another attempt is scheduled already
-        backoff = self.connecting[peer]
-        self.connecting[peer] = min(2 * backoff, MAX_RECONNECT_BACKOFF_S)
+        backoff = self.next_backoffs[peer]
+        self.next_backoffs[peer] = min(2 * backoff, MAX_RECONNECT_BACKOFF_S)
         delay = backoff * self.process.rng.uniform(MIN_JITTER_FRACTION, 1.0)
         timer = self.process.reactor.callLater(delay, self._start_attempt, peer)
         self.reconnect_timers[peer] = timer
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -183,7 +183,7 @@
     # Calls from the peer
 
     @Hello.responder
-    def hello(self, fleet: str, form: int, name: str) -> dict[str, str]:
+    def on_hello(self, fleet: str, form: int, name: str) -> dict[str, str]:
         """Handle the Hello of an inbound connection; `form` is the peer's protocol version."""
         config = self._process.config
         same_protocol = (fleet, form) == (config.name, PROTOCOL_VERSION)
@@ -201,7 +201,7 @@
         return {"name": self._process.name}
 
     @Call.responder
-    def called(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
+    def on_call(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
         """Handle a call of the peer."""
         if not self.identified:
             self._process.reactor.callLater(0, self._reject_unknown_peer, "call before Hello")
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -64,7 +64,7 @@
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient) -> None:
         """Wait until this balancer has to poll discovery itself, or the discovery client is closed."""
-        while not (self.fencing_token or self._behind() or discovery.closed):
+        while not (self.fencing_token or self._is_behind() or discovery.closed):
             remaining = self.last_update_at + HOLDER_TIMEOUT_MS - self.lease_service.clock()
             if remaining <= 0:
                 break
@@ -119,8 +119,8 @@
         self.reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat, fencing_token)
         if self.discovery is None or self.discovery.version is None:
             return
-        fresh = self.lease_service.clock() - self.last_response_at < MAX_RESPONSE_AGE_MS
-        if fresh and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
+        response_is_recent = self.lease_service.clock() - self.last_response_at < MAX_RESPONSE_AGE_MS
+        if response_is_recent and self.lease_service.fencing_token(TASK, MAX_SEND_DURATION_MS):
             self._broadcast(SharedUpdate(fencing_token, self.discovery.list_url, self.discovery.version))
 
     def _broadcast(self, update: SharedUpdate) -> None:
@@ -156,7 +156,7 @@
         self.holder_seq = update.seq
         if update.entries is not None:
             self._apply(discovery, update)
-        if self._behind():
+        if self._is_behind():
             self.wake()
         return b""
 
@@ -171,7 +171,7 @@
         applied = discovery.apply_shared_update(message, since)
         self.counters["shared_discovery_applied"] += applied
 
-    def _behind(self) -> bool:
+    def _is_behind(self) -> bool:
         """Return whether this balancer needs a complete list, or the holder has a newer version of it."""
         if self.discovery is None or self.discovery.version is None:
             return True
