--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -16,7 +16,7 @@
 from lotusroute.fleet.acceptor_host import RELEASED_CALL, AcceptorHost
 from lotusroute.fleet.config import FleetConfig
 from lotusroute.fleet.errors import NotAnAcceptorError, ObserverCallError, UnknownCallError
-from lotusroute.fleet.peer_connection import OBSERVER, SHOW_CALL, PeerHandlers, ignore_peer
+from lotusroute.fleet.peer_connection import OBSERVER, STATUS_CALL, PeerHandlers, ignore_peer_event
 from lotusroute.fleet.process import FleetProcess
 from lotusroute.fleet.process_status import (
     ConnectionsStatus,
@@ -31,7 +31,7 @@
 from lotusroute.monotonic_clock import monotonic_ms
 
 
-def ignore_lease(task: str, fencing_token: int) -> None:
+def ignore_lease_change(task: str, fencing_token: int) -> None:
     """Ignore a change of leases; the default callback."""
 
 
@@ -55,8 +55,8 @@
         self.counters = counters
         self.clock = clock
         # Called with the task and the fencing token when a lease is acquired, and with 0 when it is lost.
-        self.on_lease_changed: Callable[[str, int], object] = ignore_lease
-        self.on_peer_disconnected: Callable[[str], object] = ignore_peer
+        self.on_lease_changed: Callable[[str, int], object] = ignore_lease_change
+        self.on_peer_disconnected: Callable[[str], object] = ignore_peer_event
         # Other services register their kinds of calls and sections of the status here before `start`.
         self.call_handlers: dict[str, Callable[[str, bytes], bytes]] = {}
         self.status_providers: dict[str, Callable[[], object]] = {}
@@ -111,11 +111,11 @@
 
     def handle_call(self, peer: str, kind: str, body: bytes) -> bytes:
         """Handle a call of a peer and return the response's body; raises `CallError` to reject it."""
-        if kind == SHOW_CALL:
+        if kind == STATUS_CALL:
             sections = {name: provide() for name, provide in self.status_providers.items()}
             return encode_status(self.status(), sections)
         if peer == OBSERVER:
-            raise ObserverCallError(SHOW_CALL)
+            raise ObserverCallError(STATUS_CALL)
         if kind == RELEASED_CALL:
             self.handle_event(msgspec.msgpack.decode(body, type=LeaseReleased))
             return b""
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -37,13 +37,13 @@
 MAX_DESCRIPTION_LENGTH = 200  # characters of an error's message that are sent to the caller
 MAX_LOGGED_NAME_LENGTH = 64  # characters of the names that an unknown process sends
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
-SHOW_CALL = "show"  # the kind of the call that reads a process's status
+STATUS_CALL = "show"  # the kind of the call that reads a process's status, on the wire
 
 CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]  # (peer, kind, body)
 
 
-def ignore_peer(peer: str) -> None:
-    """Ignore a connection event; the default callback."""
+def ignore_peer_event(peer: str) -> None:
+    """Ignore that a peer connected or disconnected; the default callback."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -51,9 +51,9 @@
     """The callbacks through which a transport passes calls and events to the service above it."""
 
     handle_call: CallHandler  # returns the response's body, or raises `CallError` to reject the call
-    on_connected: Callable[[str], object] = ignore_peer  # an outbound connection is established
+    on_connected: Callable[[str], object] = ignore_peer_event  # an outbound connection is established
     # An outbound connection is lost or could not be opened, or a peer's last inbound connection is lost.
-    on_disconnected: Callable[[str], object] = ignore_peer
+    on_disconnected: Callable[[str], object] = ignore_peer_event
 
 
 class Hello(amp.Command):
--- a/lotusroute/fleet/status_query.py
+++ b/lotusroute/fleet/status_query.py
@@ -14,7 +14,7 @@
 from lotusroute.fleet.peer_connection import (
     HELLO_TIMEOUT_S,
     OBSERVER,
-    SHOW_CALL,
+    STATUS_CALL,
     PeerConnection,
     PeerHandlers,
 )
@@ -29,7 +29,7 @@
     )
     transport = PeerTransport(observer, PeerHandlers(handle_call=_respond_empty))
     connection = PeerConnection(transport, peer)
-    query = open_connection(connection).addCallback(lambda _: connection.call(SHOW_CALL, b""))
+    query = open_connection(connection).addCallback(lambda _: connection.call(STATUS_CALL, b""))
     query.addTimeout(CONNECT_TIMEOUT_S + HELLO_TIMEOUT_S, cast(IReactorTime, reactor))
 
     def close(result: bytes | Failure) -> bytes | Failure:
