--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -210,7 +210,7 @@
         It restarts at once, which is the worst case.
         """
         before = state.acceptors[index]
-        persisted = max([before.ballot_floor, *(entry.promised for _, entry in before.states)])
+        persisted = max([before.ballot_floor, *(entry.promised_ballot for _, entry in before.states)])
         acceptor = Acceptor(self.terms, self._acceptor_clock(state), persisted)
         state = state._replace(crashes=state.crashes - 1)
         return self._store_acceptor(state, index, acceptor)
--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -101,7 +101,7 @@
     return GrantStatus(
         holder=state.holder,
         fencing_token=state.ballot,
-        promised_ballot=state.promised,
+        promised_ballot=state.promised_ballot,
         remaining_ms=round(max(0.0, state.expires_at - now)) if state.holder else 0,
     )
 
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -28,7 +28,7 @@
 class AcceptorState(NamedTuple):
     """An acceptor's state of one task; times are by its own clock."""
 
-    promised: int = 0  # the highest promised ballot
+    promised_ballot: int = 0  # the highest promised ballot
     ballot: int = 0  # of the last holder
     holder: str = ""  # the proposer that was last granted the lease
     expires_at: float = -math.inf
@@ -78,7 +78,7 @@
             if len(self.states) >= MAX_TASKS and not self._evict_expired(now):
                 reply = reject(request, RejectReason.TASK_LIMIT, highest_ballot=self.ballot_floor)
                 return AcceptorDecision(reply)
-            before = AcceptorState(promised=self.ballot_floor)
+            before = AcceptorState(promised_ballot=self.ballot_floor)
         after, reply = apply_request(before, now, request, self.terms)
         self.states[request.task] = after
         released = before.waiters and not after.waiters
@@ -112,7 +112,7 @@
         task, state = min(self.states.items(), key=lambda item: item[1].expires_at)
         if state.expires_at + self.terms.lease_duration > now:
             return False
-        self.ballot_floor = max(self.ballot_floor, state.promised)
+        self.ballot_floor = max(self.ballot_floor, state.promised_ballot)
         del self.states[task]
         return True
 
@@ -149,7 +149,7 @@
 def _apply_release(state: AcceptorState, now: float, request: Release) -> AppliedRequest:
     if state.holder == request.proposer and state.ballot == request.ballot:
         state = state._replace(expires_at=min(state.expires_at, now), waiters=())
-    return AppliedRequest(state, accept(request, highest_ballot=state.promised))
+    return AppliedRequest(state, accept(request, highest_ballot=state.promised_ballot))
 
 
 def _reject_while_leased(state: AcceptorState, now: float, request: Prepare | Propose) -> AppliedRequest:
@@ -158,28 +158,28 @@
     waiters = (*other_waiters, request.proposer)[-MAX_WAITERS:]
     state = state._replace(contended_at=now, waiters=waiters)
     remaining = state.expires_at - now
-    reply = reject(request, RejectReason.LEASED, highest_ballot=state.promised, remaining=remaining)
+    reply = reject(request, RejectReason.LEASED, highest_ballot=state.promised_ballot, remaining=remaining)
     return AppliedRequest(state, reply)
 
 
 def _apply_prepare(state: AcceptorState, request: Prepare) -> AppliedRequest:
-    if request.ballot <= state.promised:
-        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+    if request.ballot <= state.promised_ballot:
+        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised_ballot)
         return AppliedRequest(state, reply)
-    state = state._replace(promised=request.ballot)
-    return AppliedRequest(state, accept(request, highest_ballot=state.promised))
+    state = state._replace(promised_ballot=request.ballot)
+    return AppliedRequest(state, accept(request, highest_ballot=state.promised_ballot))
 
 
 def _apply_propose(state: AcceptorState, now: float, request: Propose, terms: LeaseTerms) -> AppliedRequest:
-    if request.ballot < state.promised:
-        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised)
+    if request.ballot < state.promised_ballot:
+        reply = reject(request, RejectReason.BALLOT_TOO_LOW, highest_ballot=state.promised_ballot)
         return AppliedRequest(state, reply)
     if not 0 < request.lease_duration <= terms.lease_duration:
-        reply = reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised)
+        reply = reject(request, RejectReason.OUT_OF_RANGE, highest_ballot=state.promised_ballot)
         return AppliedRequest(state, reply)
     contended = now - state.contended_at < terms.lease_duration
     state = state._replace(
-        promised=request.ballot,
+        promised_ballot=request.ballot,
         ballot=request.ballot,
         holder=request.proposer,
         expires_at=now + request.lease_duration,
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -59,7 +59,7 @@
     apply_request = acceptor_module.apply_request
 
     def apply_without_promise(state, now, request, terms):
-        return apply_request(state._replace(promised=0), now, request, terms)
+        return apply_request(state._replace(promised_ballot=0), now, request, terms)
 
     monkeypatch.setattr(acceptor_module, "apply_request", apply_without_promise)
 
