--- a/tests/fleet_support.py
+++ b/tests/fleet_support.py
@@ -1,4 +1,4 @@
-"""A fleet's configuration and small helpers that several tests of the fleet share."""
+"""A fleet's configuration and helper functions that the tests of the fleet share."""
 
 import subprocess
 import sys
@@ -11,13 +11,13 @@
 
 
 def run_program(*arguments):
-    """Run the program's command line, or other arguments of the interpreter, to its end."""
+    """Run the Python interpreter with the arguments until it exits, for at most 20 s."""
     command = [sys.executable, *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=20, check=False)
 
 
 def first_record(records, event, process=None, after=0.0):
-    """Return the first record of an event, None if there is none."""
+    """Return the first log record of an event after a time, of one process or any; None if there is none."""
     for record in records:
         if record.event == event and record.time > after and process in (None, record.process):
             return record
--- a/tests/test_acceptor_storage.py
+++ b/tests/test_acceptor_storage.py
@@ -1,4 +1,4 @@
-"""The acceptor's storage of ballots."""
+"""The file in which an acceptor persists its ballot."""
 
 import pytest
 
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands that show the status of a fleet."""
+"""The command `fleet show`, which prints the status of a fleet."""
 
 import pytest
 from fleet_support import run_program
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def fleet_file(tmp_path):
-    """The file of a fleet of which no process runs."""
+    """Return the path of the configuration file of a fleet without a running process."""
     file = tmp_path / "fleet.toml"
     peers = "\n".join(f'{name} = "127.0.0.1:9"' for name in "abc")
     file.write_text(f'name = "f"\nkeepers = ["a", "b", "c"]\n[peers]\n{peers}\n')
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration file, and that nothing of the fleet is imported without it."""
+"""The fleet's configuration file; without one, no module of the fleet is imported."""
 
 import pytest
 from fleet_support import FLEET_DOCUMENT, run_program
@@ -14,7 +14,7 @@
         ({"keepers": ["a", "b", "d"]}, "add its address there"),
         ({"peers": {"a": "nowhere"}}, "peers.a: 'nowhere' is not"),
         ({"lease_ms": "3"}, "lease_ms: give"),
-        ({"tasks": ["dance"]}, "tasks: 'dance' is none of watch"),
+        ({"tasks": ["unknown"]}, "tasks: 'unknown' is none of watch"),
         ({"lease": 3}, "lease: no such key"),
         ({"keepers": ["a", "a", "b"]}, "keepers: a name is given twice"),
         ({"name": ""}, "name: not set"),
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Leases of several real processes with faults between them."""
+"""Leases in a fleet of real processes, with faults injected into the processes and the network."""
 
 import json
 import pathlib
@@ -38,24 +38,26 @@
         terminated_at = time.monotonic()
         assert fleet.terminate(first.process) == 0
         second = fleet.wait_for_holder(first.time)
-        # Waiting proposers are notified of a release, and do not wait until the lease expires. The time is
-        # measured from the log of the release, because a busy machine may deliver the signal late.
+        # Waiting proposers are notified of a release, so they do not wait until the lease expires. The time
+        # is measured from the log record of the release, because a busy machine may deliver the signal late.
         released = first_record(fleet.records, "lease lost", first.process)
         assert second.process != first.process
         assert second.time - released.time < 0.5
         assert second.time - terminated_at < 1.0
 
         fleet.start(first.process)
-        # The restarted acceptor is silent for a lease duration, and after the next kill a majority needs it.
+        # The restarted acceptor grants nothing for a lease duration, and after the next kill it is needed for
+        # a majority.
         fleet.wait_for(lambda records: first_record(records, "acceptor serving", first.process, second.time))
         killed_at = time.monotonic()
         fleet.kill(second.process)
         third = fleet.wait_for_holder(killed_at)
         assert third.process != second.process
-        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease, and one attempt
+        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease duration, and one attempt
 
         with fleet.paused(third.process):
-            # One of three acceptors is dead and one is paused, so nobody can hold the lease until one serves.
+            # One of the three acceptors is dead and one is paused, so no process can hold the lease until the
+            # restarted one serves.
             fleet.start(second.process)
             fourth = fleet.wait_for_holder(third.time, among=other_processes(fleet, third.process))
         fleet.wait_for(lambda records: first_record(records, "lease lost", third.process))
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -1,7 +1,7 @@
 """Golden bytes of the connections between peers, of leases and of shared discovery, written literally.
 
 They must not change when types or modules are renamed, because processes of two builds exchange these bytes
-and a new build reads the files of an older one. Expected bytes use no name of the project.
+and a new build reads the files of an older one. The expected bytes do not refer to any name of the project.
 """
 
 import random
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -1,4 +1,4 @@
-"""The lease service: calls that it rejects, and configurations that it cannot use."""
+"""The lease service: the calls and the configurations that it rejects."""
 
 import pytest
 from golden_bytes_support import PROPOSE_B, lease_service_at_fixed_clock
@@ -17,7 +17,7 @@
     ("call", "error", "message"),
     [
         (("-", "propose", PROPOSE_B), ObserverCallError, "observers may only call 'show'"),
-        (("b", "dance", b""), UnknownCallError, "unknown call 'dance'"),
+        (("b", "undefined", b""), UnknownCallError, "unknown call 'undefined'"),
         (("b", "propose", b"\xff"), MalformedRequestError, "malformed 'propose' request: "),
         (("c", "propose", PROPOSE_B), SpoofedRequestError, "'propose' request for 'b#0a1b2c3d', a proposer"),
     ],
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: proposer and acceptor with simulated time and network."""
+"""Proposers and acceptors of leases, with a simulated clock and network."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def serving_acceptor(terms=TERMS):
-    """Return an acceptor that serves from the start and may promise the ballots of the first block."""
+    """Return an acceptor that serves from time 0 and may promise the ballots of the first block."""
     acceptor = Acceptor(terms, LONG_AGO, 0)
     acceptor.ballots_persisted(BALLOT_BLOCK)
     return acceptor
@@ -41,7 +41,7 @@
 
 
 class Cluster:
-    """Acceptors and proposers with one clock, and a network that loses the messages on `broken_links`."""
+    """Acceptors and proposers with a common clock, and a network that loses messages on `broken_links`."""
 
     def __init__(self, *proposers, terms=TERMS):
         self.now = 0.0
@@ -81,7 +81,10 @@
         self.broken_links = {(proposer, acceptor) for acceptor in self.acceptors}
 
     def advance(self, ms, *names):
-        """Advance the time in steps, with ticks for the named proposers, or all; the others are stalled."""
+        """Advance the time by steps of 100 ms, each with a tick of the named proposers, or of all of them.
+
+        The other proposers are stalled.
+        """
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 100.0)
@@ -104,7 +107,7 @@
     assert cluster.holders() == ["a"]
     assert len(cluster.lease_changes) == 1
     cluster.handle("a", ReleaseLease("t"))
-    cluster.advance(200.0)  # the acceptors notify it; otherwise it would retry after a lease duration
+    cluster.advance(200.0)  # the acceptors notify b; otherwise it would retry after a lease duration
     fencing_token = cluster.fencing_token("b")
     assert cluster.holders() == ["b"]
     assert cluster.lease_changes[-1] == ("b", LeaseAcquired("t", fencing_token))
@@ -143,8 +146,8 @@
 
 
 def test_a_proposer_that_waits_longer_than_the_stall_threshold_is_not_taken_for_stalled():
-    # A proposer that considers itself stalled when it wakes up backs off for a lease duration, and would wait
-    # for longer than the threshold again.
+    # A proposer that considers itself stalled when it wakes up backs off for a lease duration. It would then
+    # wait for longer than the threshold again, and not request the lease.
     cluster = Cluster("a", "b")
     cluster.request("a", "b")
     cluster.cut_off("a")
@@ -257,8 +260,7 @@
 
 
 def fencing_token_after_a_late_reply():
-    """Renew with one acceptor while a reply of another to the first proposal arrives late.
-
+    """Renew a lease at one acceptor, and deliver the reply of another to the first proposal late.
     All three acceptors accept the proposal at 0 ms, but the reply of acceptor3 arrives only after the renewal
     at 1,500 ms, which acceptor1 alone accepts. Returns the fencing token at 3,500 ms, when the leases of two
     acceptors have expired.
@@ -283,7 +285,7 @@
 
 
 def test_a_late_reply_of_an_earlier_round_does_not_extend_the_lease():
-    # Both rounds have the same ballot, but the acceptor's lease ends a lease duration after the first one.
+    # Both rounds have the same ballot, but acceptor3 counts its lease from the first one.
     assert fencing_token_after_a_late_reply() == 0
 
 
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Peer connections: identification, malformed input, and the bounds on calls in flight."""
+"""Connections between peers: identification, malformed input, and the bounds on calls in flight."""
 
 import random
 from collections import Counter
@@ -29,7 +29,7 @@
 
 
 class InboundConnection:
-    """An inbound connection of balancer `a` before its Hello, with a fake clock and transport."""
+    """An inbound connection at balancer `a` before its Hello, with a fake clock and transport."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def identified():
-    """An inbound connection that has identified itself as balancer `b`."""
+    """An inbound connection whose Hello has identified the peer as balancer `b`."""
     connection = InboundConnection()
     connection.receive(HELLO)
     return connection
--- a/tests/test_process_status.py
+++ b/tests/test_process_status.py
@@ -1,4 +1,4 @@
-"""The status of a process: an older build's bytes, and the names under which commands print it."""
+"""The status of a process: the JSON that another build sends, and the field names that commands print."""
 
 import json
 
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -1,4 +1,4 @@
-"""The task `watch` in several real processes: one polls discovery for all."""
+"""Shared discovery in a fleet of real processes: the holder of the task `watch` polls discovery for all."""
 
 import time
 
@@ -19,13 +19,16 @@
         self.server = server
 
     def change_health(self, health):
-        """Change the server's health in discovery; returns the time of the change."""
+        """Change the server's health in discovery's list; returns the time of the change."""
         self.service.entries = [self.server.entry(health)]
         self.service.seq += 1
         return time.monotonic()
 
     def propagation_delay(self, processes, state, changed_at):
-        """Wait until all the processes log the server's state; returns the seconds until the last one did."""
+        """Wait until all the processes have logged the server's state.
+
+        Returns the seconds from the change until the last one logged it.
+        """
 
         def last_update(records):
             updates = [
@@ -50,7 +53,7 @@
         )
 
     def count_polls(self, duration):
-        """Return how many polls of discovery begin within a duration in seconds."""
+        """Return how many polls of discovery start within a duration in s."""
         before = len(self.service.polls)
         time.sleep(duration)
         return len(self.service.polls) - before
@@ -70,12 +73,12 @@
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
     shared.wait_until_shared(others)
-    time.sleep(4.2)  # until the polls that the others have begun end
+    time.sleep(4.2)  # until the polls that the followers had started before have ended
     assert shared.count_polls(3.0) <= 2  # one process makes long polls of 2 s; three processes make more
     assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
 
     fleet.kill(holder.process)
-    # Nobody holds the lease for its duration of two seconds.
+    # No process holds the lease until its duration of 2 s has passed.
     assert shared.propagation_delay(others, "ready", shared.change_health("SERVING")) < 2.0
 
     second = fleet.wait_for_holder(holder.time, among=others)
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def clocks(tmp_path):
-    """Return a wall clock for each process of a fleet, by name."""
+    """Return a steppable wall clock for each process of the fleet, by name."""
     return {name: SteppableWallClock(tmp_path / name) for name in NAMES}
 
 
@@ -38,7 +38,7 @@
     fleet.kill(holder.process)
     second = fleet.wait_for_holder(killed_at)
     assert second.process != holder.process
-    assert second.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease, and one attempt
+    assert second.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease duration, and one attempt
     assert find_violations(fleet.records) == []
 
 
