--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -22,7 +22,7 @@
     return json.loads(result.stdout)["balancers"]
 
 
-def test_balancers_listen_on_ports_that_the_system_assigns_to_nobody():
+def test_balancers_listen_on_ports_that_the_system_does_not_assign():
     with ProcessFleet(1, acceptor_count=1) as fleet:
         fleet_file = pathlib.Path(fleet.fleet_file("n1"))
         addresses = [
@@ -32,7 +32,7 @@
     assert {int(address.rpartition(":")[2]) in ALLOCATED_PORTS for address in addresses} == {True}
 
 
-def test_a_lease_moves_on_when_its_holder_is_terminated_killed_or_paused():
+def test_another_process_acquires_the_lease_when_its_holder_is_terminated_killed_or_paused():
     with ProcessFleet(3, lease_ms=1_000.0) as fleet:
         first = fleet.wait_for_holder()
         terminated_at = time.monotonic()
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -147,7 +147,7 @@
     assert [service.handle_call(*call) for call in calls][-1] == REPLY + answer
 
 
-def test_an_acceptor_that_is_silent_or_full_answers_these_bytes(tmp_path):
+def test_an_acceptor_that_is_not_ready_or_at_its_task_limit_answers_these_bytes(tmp_path):
     service = lease_service_at_fixed_clock("a", tmp_path)
     service.acceptor_host.acceptor.states = {str(at): AcceptorState(expires_at=NOW) for at in range(256)}
     assert service.handle_call(*PREPARES) == REPLY + b"\xa7prepare\x03\xc2\xa4full\x00" + ZERO_MS + b"\xc2"
@@ -202,7 +202,7 @@
     assert (other.highest_fencing_token, other.holder_seq) == (7, 12)
 
 
-def test_the_reserved_ballot_is_stored_as_this_file(tmp_path):
+def test_the_persisted_ballot_is_stored_as_this_file(tmp_path):
     acceptor_storage.store(str(tmp_path), 2048)
     stored = [(file.name, file.read_bytes()) for file in tmp_path.iterdir()]
     assert stored == [("promised", b"2048 cc2541cf\n")]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -127,7 +127,7 @@
     assert cluster.holders() == ["b"]
 
 
-def test_there_is_no_fencing_token_for_an_act_that_would_outlast_the_lease():
+def test_there_is_no_fencing_token_for_an_operation_that_would_outlast_the_lease():
     cluster = Cluster("a")
     cluster.request("a")
     assert cluster.fencing_token("a", max_duration=2_800.0) == 1
@@ -145,7 +145,7 @@
     assert cluster.holders() == ["b"]
 
 
-def test_a_proposer_that_waits_longer_than_the_stall_threshold_is_not_taken_for_stalled():
+def test_a_proposer_that_waits_longer_than_the_stall_threshold_does_not_consider_itself_stalled():
     # A proposer that considers itself stalled when it wakes up backs off for a lease duration. It would then
     # wait for longer than the threshold again, and not request the lease.
     cluster = Cluster("a", "b")
@@ -180,7 +180,7 @@
     assert len(cluster.holders()) == 1
 
 
-def test_a_restarted_acceptor_is_silent_for_a_lease_and_promises_no_earlier_ballot():
+def test_a_restarted_acceptor_rejects_all_for_a_lease_duration_and_promises_no_earlier_ballot():
     restarted = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
     reply, persist, _ = restarted.handle(3_000.0, Prepare("t", 5, "b", 1))
     assert (reply.accepted, reply.reason, reply.highest_ballot, persist) == (
@@ -238,7 +238,7 @@
     assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3)).reply.accepted
 
 
-def test_a_malicious_ballot_is_rejected(acceptor):
+def test_a_ballot_at_the_limit_is_rejected(acceptor):
     assert not acceptor.handle(0.0, Prepare("t", 2**62, "a", 1)).reply.accepted
 
 
--- a/tests/test_process_status.py
+++ b/tests/test_process_status.py
@@ -50,7 +50,7 @@
     assert json.loads(encode_status(STATUS, {"news": {"items": 3}})) == WIRE_STATUS
 
 
-def test_the_status_is_printed_in_the_terms_of_the_glossary_with_the_sections_of_other_services():
+def test_the_status_is_printed_under_its_field_names_with_the_sections_of_other_services():
     document = status_document(json.dumps(WIRE_STATUS).encode())
     assert document == {
         "name": "n1",
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -68,7 +68,7 @@
     service.shutdown()
 
 
-def test_one_process_polls_discovery_for_all_and_updates_are_in_time_after_it_is_killed(shared):
+def test_one_process_polls_discovery_for_all_and_updates_arrive_within_two_seconds_after_it_is_killed(shared):
     fleet = shared.fleet
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -29,7 +29,9 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_lease_moves_on_in_time_when_its_holder_is_killed_after_a_step(fleet, clocks, step):
+def test_another_process_acquires_the_lease_in_time_when_its_holder_is_killed_after_a_step(
+    fleet, clocks, step
+):
     holder = fleet.wait_for_holder()
     for clock in clocks.values():
         clock.step(step)
@@ -56,7 +58,9 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_change_is_in_force_over_relays_within_four_seconds_of_a_step(tmp_path, monkeypatch, step):
+def test_a_drain_takes_effect_within_four_seconds_when_the_origin_is_killed_after_a_step(
+    tmp_path, monkeypatch, step
+):
     clock = SteppableWallClock(tmp_path / "clock")
     for name, value in clock.environment:
         monkeypatch.setenv(name, value)
