--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -274,13 +274,13 @@
     prepare = proposer.handle(0.0, RequestLease("t"))[0].request
     proposer.handle(0.0, reply_of(0.0, "acceptor1", prepare))
     propose = proposer.handle(0.0, reply_of(0.0, "acceptor2", prepare))[0].request
-    late = reply_of(0.0, "acceptor3", propose)
+    late_reply = reply_of(0.0, "acceptor3", propose)
     proposer.handle(0.0, reply_of(0.0, "acceptor1", propose))
     proposer.handle(0.0, reply_of(0.0, "acceptor2", propose))
     proposer.handle(900.0, Tick())
     renewal = proposer.handle(1_500.0, Tick())[0].request
     proposer.handle(1_500.0, reply_of(1_500.0, "acceptor1", renewal))
-    proposer.handle(1_500.0, late)
+    proposer.handle(1_500.0, late_reply)
     return proposer.fencing_token("t", 3_500.0)
 
 
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -41,8 +41,8 @@
             counters=self.counters,
             rng=random.Random(1),
         )
-        self.peers = PeerTransport(process, PeerHandlers(handle_call=lambda peer, kind, body: body))
-        self.connection = PeerConnection(self.peers)
+        self.peer_transport = PeerTransport(process, PeerHandlers(handle_call=lambda peer, kind, body: body))
+        self.connection = PeerConnection(self.peer_transport)
         self.failures = []  # the errors of the calls that failed
         self.transport = StringTransport()
         self.transport.setTcpNoDelay = lambda enabled: None
@@ -82,23 +82,25 @@
     return rng.randbytes(rng.randrange(1, 300))
 
 
-def truncated_calls(rng):
+def truncated_hello_and_call(rng):
     data = HELLO + CALL
     return data[: rng.randrange(len(data))]
 
 
-def calls_with_one_byte_changed(rng):
+def hello_and_call_with_one_byte_changed(rng):
     data = bytearray(HELLO + CALL)
     data[rng.randrange(len(data))] = rng.randrange(256)
     return bytes(data)
 
 
-@pytest.mark.parametrize("malformed", [random_bytes, truncated_calls, calls_with_one_byte_changed])
-def test_malformed_input_at_most_closes_its_connection(malformed):
+@pytest.mark.parametrize(
+    "generate_input", [random_bytes, truncated_hello_and_call, hello_and_call_with_one_byte_changed]
+)
+def test_malformed_input_at_most_closes_its_connection(generate_input):
     rng = random.Random(3)
     for _ in range(134):
         inbound = InboundConnection()
-        data = malformed(rng)
+        data = generate_input(rng)
         inbound.receive(data)
         inbound.clock.advance(10.0)
         assert inbound.aborted or b"show" not in data or inbound.counters["peer_calls_received"] <= 1
@@ -124,7 +126,7 @@
 def test_an_identified_peer_stays_connected(identified):
     identified.clock.advance(2.1)
     assert not identified.aborted
-    assert identified.peers.inbound == {"b": [identified.connection]}
+    assert identified.peer_transport.inbound == {"b": [identified.connection]}
 
 
 def test_calls_in_flight_to_a_stalled_peer_are_bounded_and_time_out(identified):
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -13,15 +13,15 @@
 class SharedDiscoveryFleet:
     """A fleet with a discovery service that lists one server."""
 
-    def __init__(self, fleet, service, server):
+    def __init__(self, fleet, discovery, server):
         self.fleet = fleet
-        self.service = service
+        self.discovery = discovery
         self.server = server
 
     def change_health(self, health):
         """Change the server's health in discovery's list; returns the time of the change."""
-        self.service.entries = [self.server.entry(health)]
-        self.service.seq += 1
+        self.discovery.entries = [self.server.entry(health)]
+        self.discovery.seq += 1
         return time.monotonic()
 
     def propagation_delay(self, processes, state, changed_at):
@@ -54,18 +54,18 @@
 
     def count_polls(self, duration):
         """Return how many polls of discovery start within a duration in s."""
-        before = len(self.service.polls)
+        before = len(self.discovery.polls)
         time.sleep(duration)
-        return len(self.service.polls) - before
+        return len(self.discovery.polls) - before
 
 
 @pytest.fixture
 def shared():
     server = FakeServer("s1")
-    service = FakeDiscovery(server)
-    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=service.server_port, log_level="DEBUG") as fleet:
-        yield SharedDiscoveryFleet(fleet, service, server)
-    service.shutdown()
+    discovery = FakeDiscovery(server)
+    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=discovery.server_port, log_level="DEBUG") as fleet:
+        yield SharedDiscoveryFleet(fleet, discovery, server)
+    discovery.shutdown()
 
 
 def test_one_process_polls_discovery_for_all_and_updates_arrive_within_two_seconds_after_it_is_killed(shared):
