--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -26,7 +26,7 @@
 
 
 class AcceptorState(NamedTuple):
-    """An acceptor's state of one task; times are by its own clock."""
+    """An acceptor's state for one task; times are by its own clock."""
 
     promised_ballot: int = 0  # the highest promised ballot
     ballot: int = 0  # of the last holder
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -47,7 +47,7 @@
 
 
 class ProposerState(NamedTuple):
-    """A proposer's state of one task; times are by its own clock."""
+    """A proposer's state for one task; times are by its own clock."""
 
     requested: bool = False  # this process wants to hold the lease
     phase: Phase = Phase.IDLE
