--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -40,7 +40,7 @@
 ):
     """The lease on one task as an acceptor sees it."""
 
-    holder: str  # the proposer that was last granted the lease; empty if none
+    holder: str  # the proposer that it last granted the lease to; empty if none
     fencing_token: int  # of that holder
     promised_ballot: int  # the highest promised ballot
     remaining_ms: int  # 0 if the lease has expired
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -23,8 +23,8 @@
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
 HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that the loss of one has no effect
-# After this time without a message, a balancer polls discovery itself. The rest of the limit of 2 s for a drain
-# remains for the poll.
+# After this time without a message, a balancer polls discovery itself. The rest of the limit of 2 s for a
+# drain remains for the poll.
 HOLDER_TIMEOUT_MS = 1_500.0
 MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # no heartbeats if discovery's last response is older
 MAX_SEND_DURATION_MS = 50.0  # the time that must be left of the lease when a message is sent
--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -30,7 +30,7 @@
 
     promised_ballot: int = 0  # the highest promised ballot
     ballot: int = 0  # of the last holder
-    holder: str = ""  # the proposer that was last granted the lease
+    holder: str = ""  # the proposer that it last granted the lease to
     expires_at: float = -math.inf
     contended_at: float = -math.inf  # when a proposer other than the holder last requested the lease
     waiters: tuple[str, ...] = ()  # the last MAX_WAITERS rejected proposers; cleared when they are notified
