--- a/lotusroute/fleet/status_query.py
+++ b/lotusroute/fleet/status_query.py
@@ -1,4 +1,4 @@
-"""The query of a running process's status, for commands. It changes nothing at the process."""
+"""Queries the status of a running process, for commands; the process's state is not changed."""
 
 import random
 from collections import Counter
@@ -14,7 +14,7 @@
 from lotusroute.fleet.peer_connection import (
     HELLO_TIMEOUT_S,
     OBSERVER,
-    SHOW_CALL,
+    STATUS_CALL,
     PeerConnection,
     PeerHandlers,
 )
@@ -29,7 +29,7 @@
     )
     transport = PeerTransport(observer, PeerHandlers(handle_call=_respond_empty))
     connection = PeerConnection(transport, peer)
-    query = open_connection(connection).addCallback(lambda _: connection.call(SHOW_CALL, b""))
+    query = open_connection(connection).addCallback(lambda _: connection.call(STATUS_CALL, b""))
     query.addTimeout(CONNECT_TIMEOUT_S + HELLO_TIMEOUT_S, cast(IReactorTime, reactor))
 
     def close(result: bytes | Failure) -> bytes | Failure:
@@ -41,5 +41,5 @@
 
 
 def _respond_empty(peer: str, kind: str, body: bytes) -> bytes:
-    """Respond to a call of a peer that is only queried."""
+    """Respond to a call of the queried process with an empty body."""
     return b""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: proposer and acceptor with simulated time and network."""
+"""Proposers and acceptors of leases, with a simulated clock and network."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def serving_acceptor(terms=TERMS):
-    """Return an acceptor that serves from the start and may promise the ballots of the first block."""
+    """Return an acceptor that serves from time 0 and may promise the ballots of the first block."""
     acceptor = Acceptor(terms, LONG_AGO, 0)
     acceptor.ballots_persisted(BALLOT_BLOCK)
     return acceptor
@@ -41,7 +41,7 @@
 
 
 class Cluster:
-    """Acceptors and proposers with one clock, and a network that loses the messages on `broken_links`."""
+    """Acceptors and proposers with a common clock, and a network that loses messages on `broken_links`."""
 
     def __init__(self, *proposers, terms=TERMS):
         self.now = 0.0
@@ -81,7 +81,10 @@
         self.broken_links = {(proposer, acceptor) for acceptor in self.acceptors}
 
     def advance(self, ms, *names):
-        """Advance the time in steps, with ticks for the named proposers, or all; the others are stalled."""
+        """Advance the time by steps of 100 ms, each with a tick of the named proposers, or of all of them.
+
+        The other proposers are stalled.
+        """
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 100.0)
@@ -104,7 +107,7 @@
     assert cluster.holders() == ["a"]
     assert len(cluster.lease_changes) == 1
     cluster.handle("a", ReleaseLease("t"))
-    cluster.advance(200.0)  # the acceptors notify it; otherwise it would retry after a lease duration
+    cluster.advance(200.0)  # the acceptors notify b; otherwise it would retry after a lease duration
     fencing_token = cluster.fencing_token("b")
     assert cluster.holders() == ["b"]
     assert cluster.lease_changes[-1] == ("b", LeaseAcquired("t", fencing_token))
@@ -124,7 +127,7 @@
     assert cluster.holders() == ["b"]
 
 
-def test_there_is_no_fencing_token_for_an_act_that_would_outlast_the_lease():
+def test_there_is_no_fencing_token_for_an_operation_that_would_outlast_the_lease():
     cluster = Cluster("a")
     cluster.request("a")
     assert cluster.fencing_token("a", max_duration=2_800.0) == 1
@@ -142,9 +145,9 @@
     assert cluster.holders() == ["b"]
 
 
-def test_a_proposer_that_waits_longer_than_the_stall_threshold_is_not_taken_for_stalled():
-    # A proposer that considers itself stalled when it wakes up backs off for a lease duration, and would wait
-    # for longer than the threshold again.
+def test_a_proposer_that_waits_longer_than_the_stall_threshold_does_not_consider_itself_stalled():
+    # A proposer that considers itself stalled when it wakes up backs off for a lease duration. It would then
+    # wait for longer than the threshold again, and not request the lease.
     cluster = Cluster("a", "b")
     cluster.request("a", "b")
     cluster.cut_off("a")
@@ -177,7 +180,7 @@
     assert len(cluster.holders()) == 1
 
 
-def test_a_restarted_acceptor_is_silent_for_a_lease_and_promises_no_earlier_ballot():
+def test_a_restarted_acceptor_rejects_all_for_a_lease_duration_and_promises_no_earlier_ballot():
     restarted = Acceptor(TERMS, 100.0, BALLOT_BLOCK)
     reply, persist, _ = restarted.handle(3_000.0, Prepare("t", 5, "b", 1))
     assert (reply.accepted, reply.reason, reply.highest_ballot, persist) == (
@@ -235,7 +238,7 @@
     assert acceptor.handle(1_500.0, Prepare("t", 4, "b", 3)).reply.accepted
 
 
-def test_a_malicious_ballot_is_rejected(acceptor):
+def test_a_ballot_at_the_limit_is_rejected(acceptor):
     assert not acceptor.handle(0.0, Prepare("t", 2**62, "a", 1)).reply.accepted
 
 
@@ -257,8 +260,7 @@
 
 
 def fencing_token_after_a_late_reply():
-    """Renew with one acceptor while a reply of another to the first proposal arrives late.
-
+    """Renew a lease at one acceptor, and deliver the reply of another to the first proposal late.
     All three acceptors accept the proposal at 0 ms, but the reply of acceptor3 arrives only after the renewal
     at 1,500 ms, which acceptor1 alone accepts. Returns the fencing token at 3,500 ms, when the leases of two
     acceptors have expired.
@@ -272,18 +274,18 @@
     prepare = proposer.handle(0.0, RequestLease("t"))[0].request
     proposer.handle(0.0, reply_of(0.0, "acceptor1", prepare))
     propose = proposer.handle(0.0, reply_of(0.0, "acceptor2", prepare))[0].request
-    late = reply_of(0.0, "acceptor3", propose)
+    late_reply = reply_of(0.0, "acceptor3", propose)
     proposer.handle(0.0, reply_of(0.0, "acceptor1", propose))
     proposer.handle(0.0, reply_of(0.0, "acceptor2", propose))
     proposer.handle(900.0, Tick())
     renewal = proposer.handle(1_500.0, Tick())[0].request
     proposer.handle(1_500.0, reply_of(1_500.0, "acceptor1", renewal))
-    proposer.handle(1_500.0, late)
+    proposer.handle(1_500.0, late_reply)
     return proposer.fencing_token("t", 3_500.0)
 
 
 def test_a_late_reply_of_an_earlier_round_does_not_extend_the_lease():
-    # Both rounds have the same ballot, but the acceptor's lease ends a lease duration after the first one.
+    # Both rounds have the same ballot, but acceptor3 counts its lease from the first one.
     assert fencing_token_after_a_late_reply() == 0
 
 
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -1,4 +1,4 @@
-"""The task `watch` in several real processes: one polls discovery for all."""
+"""Shared discovery in a fleet of real processes: the holder of the task `watch` polls discovery for all."""
 
 import time
 
@@ -13,19 +13,22 @@
 class SharedDiscoveryFleet:
     """A fleet with a discovery service that lists one server."""
 
-    def __init__(self, fleet, service, server):
+    def __init__(self, fleet, discovery, server):
         self.fleet = fleet
-        self.service = service
+        self.discovery = discovery
         self.server = server
 
     def change_health(self, health):
-        """Change the server's health in discovery; returns the time of the change."""
-        self.service.entries = [self.server.entry(health)]
-        self.service.seq += 1
+        """Change the server's health in discovery's list; returns the time of the change."""
+        self.discovery.entries = [self.server.entry(health)]
+        self.discovery.seq += 1
         return time.monotonic()
 
     def propagation_delay(self, processes, state, changed_at):
-        """Wait until all the processes log the server's state; returns the seconds until the last one did."""
+        """Wait until all the processes have logged the server's state.
+
+        Returns the seconds from the change until the last one logged it.
+        """
 
         def last_update(records):
             updates = [
@@ -50,32 +53,32 @@
         )
 
     def count_polls(self, duration):
-        """Return how many polls of discovery begin within a duration in seconds."""
-        before = len(self.service.polls)
+        """Return how many polls of discovery start within a duration in s."""
+        before = len(self.discovery.polls)
         time.sleep(duration)
-        return len(self.service.polls) - before
+        return len(self.discovery.polls) - before
 
 
 @pytest.fixture
 def shared():
     server = FakeServer("s1")
-    service = FakeDiscovery(server)
-    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=service.server_port, log_level="DEBUG") as fleet:
-        yield SharedDiscoveryFleet(fleet, service, server)
-    service.shutdown()
+    discovery = FakeDiscovery(server)
+    with ProcessFleet(3, lease_ms=2_000.0, discovery_port=discovery.server_port, log_level="DEBUG") as fleet:
+        yield SharedDiscoveryFleet(fleet, discovery, server)
+    discovery.shutdown()
 
 
-def test_one_process_polls_discovery_for_all_and_updates_are_in_time_after_it_is_killed(shared):
+def test_one_process_polls_discovery_for_all_and_updates_arrive_within_two_seconds_after_it_is_killed(shared):
     fleet = shared.fleet
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
     shared.wait_until_shared(others)
-    time.sleep(4.2)  # until the polls that the others have begun end
+    time.sleep(4.2)  # until the polls that the followers had started before have ended
     assert shared.count_polls(3.0) <= 2  # one process makes long polls of 2 s; three processes make more
     assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
 
     fleet.kill(holder.process)
-    # Nobody holds the lease for its duration of two seconds.
+    # No process holds the lease until its duration of 2 s has passed.
     assert shared.propagation_delay(others, "ready", shared.change_health("SERVING")) < 2.0
 
     second = fleet.wait_for_holder(holder.time, among=others)
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def clocks(tmp_path):
-    """Return a wall clock for each process of a fleet, by name."""
+    """Return a steppable wall clock for each process of the fleet, by name."""
     return {name: SteppableWallClock(tmp_path / name) for name in NAMES}
 
 
@@ -29,7 +29,9 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_lease_moves_on_in_time_when_its_holder_is_killed_after_a_step(fleet, clocks, step):
+def test_another_process_acquires_the_lease_in_time_when_its_holder_is_killed_after_a_step(
+    fleet, clocks, step
+):
     holder = fleet.wait_for_holder()
     for clock in clocks.values():
         clock.step(step)
@@ -38,7 +40,7 @@
     fleet.kill(holder.process)
     second = fleet.wait_for_holder(killed_at)
     assert second.process != holder.process
-    assert second.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease, and one attempt
+    assert second.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease duration, and one attempt
     assert find_violations(fleet.records) == []
 
 
@@ -56,7 +58,9 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_change_is_in_force_over_relays_within_four_seconds_of_a_step(tmp_path, monkeypatch, step):
+def test_a_drain_takes_effect_within_four_seconds_when_the_origin_is_killed_after_a_step(
+    tmp_path, monkeypatch, step
+):
     clock = SteppableWallClock(tmp_path / "clock")
     for name, value in clock.environment:
         monkeypatch.setenv(name, value)
