--- a/lotusroute/net/__init__.py
+++ b/lotusroute/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer process: its sockets to clients, servers and discovery, and the life of each flow."""
+"""The balancer process: its sockets to clients, servers and discovery, and the lifecycle of each flow."""
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -1,4 +1,4 @@
-"""The core of one balancer: its parts, put together, and which of them handles which event.
+"""The core of one balancer: creates its components and registers which of them handles which event.
 
 Times are milliseconds.
 """
@@ -36,11 +36,11 @@
 
 
 class BalancerCore:
-    """Everything between the sockets and the Director."""
+    """Passes events between the sockets and the `Director`, which makes the routing decisions."""
 
     def __init__(self, config: BalancerConfig, counters: Counters) -> None:
-        # Set by whoever opens the sockets: whether clients without a flow still wait for a line, and how to
-        # have discovery send the complete list again.
+        # Both are set by the caller that opens the sockets. The first returns whether clients that have no
+        # flow yet still wait for an answer, the second makes discovery send the complete list again.
         self.has_pending_answers: Callable[[], bool] = _no_pending_answers
         self.request_complete_list: Callable[[], None] | None = None
         self.loop = EventLoop(counters)
@@ -61,7 +61,7 @@
         self._monitor = ConnectionMonitor(
             context, endings, self.flow_manager.decide, director.slow_latency_threshold
         )
-        # A generator of its own, so that the batches do not influence the decisions.
+        # A separate random number generator, so that migration batches do not affect routing decisions.
         migrator = BatchMigrator(endings.migrate, random.Random(config.seed + 1))
         self._draining = ServerDraining(context, migrator)
         self._shutdown = GracefulShutdown(
@@ -90,15 +90,15 @@
         return bool(self._endpoints.addresses) and not self._shutdown.in_progress
 
     def apply_limits(self, config: BalancerConfig) -> None:
-        """Derive the capacity from the descriptors and the memory of a new configuration."""
+        """Recompute the capacity from the descriptor and memory limits of a new configuration."""
         self._admission.resize(config)
 
     def stop(self, on_stopped: Callable[[], None]) -> None:
-        """Finish the flows in flight and migrate all clients; call `on_stopped` when none is left."""
+        """Finish the flows in flight and migrate all clients, then call `on_stopped`."""
         self._shutdown.start(on_stopped)
 
     def _endpoints_updated(self, update: EndpointUpdate) -> None:
-        """Apply a list, or changes to it, to connections and decisions."""
+        """Apply a list, or changes to it, to the connections and the routing decisions."""
         self._counters["endpoint_updates"] += 1
         self._endpoints.update(update, self.clock())
         self._monitor.retain_servers(self._endpoints.addresses.keys())
@@ -119,7 +119,7 @@
     def _report_bounded_starts(
         self, reported: Iterable[events.Server], bounded: Iterable[events.Server]
     ) -> None:
-        """Log start times that were corrected, in one line: a wrong clock of ours concerns all servers."""
+        """Log corrected start times, in a single line because a wrong local clock affects all servers."""
         corrections = {
             after.id: after.started_at - before.started_at
             for before, after in zip(reported, bounded, strict=True)
@@ -136,7 +136,7 @@
             )
 
     def _drain_step(self, _: DrainStep) -> None:
-        """Migrate the next clients whose server, or whose balancer, stops."""
+        """Migrate the next clients of draining servers or, during a shutdown, of this balancer."""
         self._drain_timer.acknowledge()
         now = self.clock()
         self._draining.migrate_clients(now)
@@ -146,14 +146,14 @@
             self._draining.schedule_next_step()
 
     def _recover(self, event: object, flow_number: int) -> None:
-        """Repair what an event or a command left undone when its handling raised an exception."""
+        """Make up for the work that an event or command left undone because its handler raised."""
         self.flow_manager.endings.fail(flow_number)
         match event:
             case events.TimerFired():
-                # Only this event would have set the Director's next timer.
+                # Only the handler of this event sets the Director's next timer, so the event is repeated.
                 self.loop.call_later(CHECK_INTERVAL_MS, event)
             case DrainStep():
-                # Only this event would have led to the end of the shutdown.
+                # Only this event brings a shutdown to its end, so it is repeated.
                 self.loop.call_later(MIGRATION_INTERVAL_MS, event)
             case RequestReceived() if not event.flow_number:
                 event.connection.send_final_answer(ERR)
--- a/lotusroute/net/clock_monitor.py
+++ b/lotusroute/net/clock_monitor.py
@@ -1,8 +1,7 @@
-"""Watches the machine's two clocks and the timers, and reports steps and delays.
+"""Detects steps of the wall clock and late timers.
 
-The wall clock may be stepped at any time; the monotonic clock is never. Nothing is decided here: steps of the
-wall clock and late timers are logged and counted, for whoever reads the logs of an incident. Times are
-milliseconds.
+The wall clock may be stepped at any time; the monotonic clock never is. Steps and late timers are only logged
+and counted, for the analysis of incidents; no decision depends on them. Times are milliseconds.
 """
 
 import logging
@@ -13,14 +12,14 @@
 from lotusroute.monotonic_clock import monotonic_ms
 from lotusroute.net.structured_log import Counters, log_event
 
-MIN_STEP_MS = 100.0  # slewing changes the wall clock by less between two calls
+MIN_STEP_MS = 100.0  # slewing changes the wall clock by less than this between two calls
 MAX_TIMER_DELAY_MS = 1_000.0
 
 
 class ClockMonitor:
-    """Compares the clocks, and a periodic timer with the time at which it was due.
+    """Compares the two clocks with each other, and a periodic timer with the time at which it was due.
 
-    `observe` is called for every batch of events, so that late timers appear in the log before they fire.
+    `observe` is called before every batch of events, so that a late timer is logged before it fires.
     """
 
     def __init__(
@@ -33,10 +32,10 @@
         self._monotonic = monotonic
         self._wall = wall
         self._offset = wall() - monotonic()
-        self._due_at = math.inf  # of the periodic timer; infinity once its delay is reported
+        self._due_at = math.inf  # when the periodic timer is due; infinity once its delay is reported
 
     def expect_timer(self, delay: float) -> None:
-        """Record that the periodic timer was set to fire after a delay."""
+        """Record that the periodic timer was set to fire after `delay`."""
         self._due_at = self._monotonic() + delay
 
     def observe(self) -> None:
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -1,7 +1,7 @@
 """The balancer's configuration: the LB_* environment variables and the JSON file that LB_CONFIG names.
 
-They are checked and given their defaults here and nowhere else in the balancer process. Errors are
-`ConfigError`s whose message starts with the key at fault.
+No other module of the balancer process validates them or sets defaults. An invalid value raises a
+`ConfigError`, whose message starts with the key at fault.
 """
 
 import json
@@ -17,20 +17,20 @@
 
 Value = TypeVar("Value")
 Parsed = TypeVar("Parsed")
-JsonObject: TypeAlias = dict[str, Any]  # not checked yet
+JsonObject: TypeAlias = dict[str, Any]  # not validated yet
 
 DEFAULT_SOCKETS = 1024
-DEFAULT_MEMORY_MB = 1024.0  # more than the default number of descriptors can fill
+DEFAULT_MEMORY_MB = 1024.0  # more than connections on the default number of descriptors can use
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # enough for a distant location and one lost packet
 DEFAULT_DRAIN_GRACE_MS = 500.0
 DEFAULT_FLOW_TIMEOUT_MS = 3_000.0  # of a service type whose `deadline` is not set
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
 
-# What a reload does with a field: it is applied, it only matters at the start, or else it needs a restart.
+# On a reload, a changed field is applied, is ignored because only the start uses it, or else needs a restart.
 APPLIED_ON_RELOAD = frozenset({"discovery", "sockets", "memory_mb"})
 USED_AT_START_ONLY = frozenset({"seed", "cached_list"})
-# The key of the file, or the variable, that sets each field. Operators read them in the log.
+# The key of the file, or the environment variable, that sets each field, as it is logged for operators.
 CONFIGURATION_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -50,29 +50,29 @@
 
 
 class BalancerConfig(NamedTuple):
-    """The configuration of one balancer process, checked and complete."""
+    """The configuration of one balancer process, validated and with all defaults set."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int  # of the random number generators
-    sockets: int  # the limit of open descriptors
+    sockets: int  # limit on open file descriptors
     memory_mb: float
-    tenants: frozenset[str]  # those whose flows are accepted; empty accepts all
+    tenants: frozenset[str]  # the tenants whose flows are accepted; empty accepts all
     cached_list: JsonObject  # the endpoint list of an earlier run, in discovery's format
     service: ServiceConfig
-    connect_timeout: float  # ms, of one connection to a server
-    longest_connect_timeout: float  # ms, within which a flow of any service type has to be established
+    connect_timeout: float  # ms, for one connection attempt to a server
+    longest_connect_timeout: float  # ms; the longest time that any service type has to establish a flow
     drain_grace: float  # ms from the announcement of a drain until nothing may be sent to that server
-    discovery_is_local_agent: bool  # an agent on this machine has the endpoint list
+    discovery_is_local_agent: bool  # an agent on this machine serves the endpoint list
     log_level: str
 
 
 def load_config(environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
     """Read the file that LB_CONFIG names and the environment.
 
-    The environment has precedence at the start. On a reload the file has it, because the environment of a
-    process is still that of its start and may name an address of discovery that serves no more.
+    At the start, the environment takes precedence over the file. On a reload the file does, because a process
+    keeps the environment of its start, which may name a discovery address that is no longer in service.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -85,17 +85,17 @@
 
 
 def fleet_config_path(environ: Mapping[str, str]) -> str:
-    """Return the path of the fleet's configuration file; empty where the fleet's features are off."""
+    """Return the path of the fleet's configuration file; empty if the fleet's features are off."""
     return environ.get("LB_FLEET", "")
 
 
 def relays_config_path(environ: Mapping[str, str]) -> str:
-    """Return the path of the relays' configuration file; empty where relays are off."""
+    """Return the path of the relays' configuration file; empty if relays are off."""
     return environ.get("LB_RELAYS", "")
 
 
 def read_json_object(path: str | os.PathLike[str]) -> JsonObject:
-    """Read a file that holds a JSON object; its contents are not checked."""
+    """Read a file that holds a JSON object; its contents are not validated."""
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
@@ -107,7 +107,7 @@
 
 
 def parse_config(document: JsonObject, environ: Mapping[str, str], reloading: bool = False) -> BalancerConfig:
-    """Check a file's contents together with the environment."""
+    """Validate a file's contents together with the environment."""
     settings = _parse_section(document, "settings")
     flat_settings = dict(flatten(settings))
     service = _parse_service(settings, flat_settings)
@@ -139,7 +139,7 @@
 
 
 def settings_needing_restart(old: BalancerConfig, new: BalancerConfig) -> list[str]:
-    """Return the keys of what has changed and a running balancer cannot apply."""
+    """Return the keys of the changed fields that take effect only after a restart."""
     changed = [field for field in BalancerConfig._fields if getattr(old, field) != getattr(new, field)]
     without_restart = APPLIED_ON_RELOAD | USED_AT_START_ONLY
     return [CONFIGURATION_KEYS[field] for field in changed if field not in without_restart]
@@ -158,7 +158,7 @@
     if not (service.service_types and isinstance(service_types, list)):
         raise ConfigError("settings.service_types: none given")
     if "" in service.service_types or len(service.service_types) < len(service_types):
-        raise ConfigError("settings.service_types: each needs a name of its own")
+        raise ConfigError("settings.service_types: names must be non-empty and distinct")
     # The line protocol has no message in which a server reports its latency.
     return service._replace(reports_latency=False)
 
@@ -166,14 +166,14 @@
 def _parse_cached_list(document: JsonObject) -> JsonObject:
     cached_list = document.get("known") or {"seq": 0, "hosts": []}
     if not (isinstance(cached_list, dict) and isinstance(cached_list.get("hosts"), list)):
-        raise ConfigError("known: not a server list")
+        raise ConfigError("known: not an endpoint list")
     return cached_list
 
 
 def _parse_log_level(environ: Mapping[str, str]) -> str:
     level = environ.get("LB_LOG", "INFO").upper()
     if level not in LOG_LEVELS:
-        raise ConfigError(f"LB_LOG: '{level}' is none of {', '.join(LOG_LEVELS)}")
+        raise ConfigError(f"LB_LOG: '{level}' is not one of {', '.join(LOG_LEVELS)}")
     return level
 
 
@@ -187,7 +187,7 @@
 
 
 def _parse_text(key: str, document: JsonObject, environ: Mapping[str, str], reloading: bool) -> str:
-    """Read a text of the file that an environment variable may override."""
+    """Return a string from the file or from its environment variable, by their precedence."""
     variable = f"LB_{key.upper()}"
     from_environment = environ.get(variable)
     from_file = document.get(key)
@@ -204,7 +204,7 @@
 
 
 def _parse_amount(key: str, value: object, default: float, zero_allowed: bool = False) -> float:
-    """Parse a number that must be positive, or 0 where that is allowed."""
+    """Parse a number that must be positive, or 0 if `zero_allowed`."""
     amount = default if value is None else _parse_keyed(key, parse_number, str(value))
     if amount < 0 or (amount == 0 and not zero_allowed):
         raise ConfigError(f"{key}: {amount:g} is not {'0 or above' if zero_allowed else 'above 0'}")
@@ -212,7 +212,7 @@
 
 
 def _parse_keyed(key: str, parse: Callable[[Value], Parsed], value: Value) -> Parsed:
-    """Parse a value; the message of an error gets the key before it."""
+    """Parse a value; prefix the message of an error with the key."""
     try:
         return parse(value)
     except InvalidValueError as error:
