--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -1,8 +1,8 @@
-"""The client of discovery, which knows the list of servers.
+"""The client of discovery, the service that publishes the endpoint list.
 
-`Discovery` follows the list at one address. It long-polls for changes, one poll after the other, from the
-version that it has, and for the complete list where it has none. `PollSchedule` decides on all times. What an
-update means for flows is decided by the consumer of the updates.
+`Discovery` follows the list at one address by consecutive long polls. Each requests the changes since the
+version that the client has, or the complete list if it has none. `PollSchedule` determines all holds, timeouts
+and backoffs. The consumer of the updates decides what they mean for flows.
 """
 
 import contextlib
@@ -41,13 +41,13 @@
 from lotusroute.routing.events import ListScope
 
 STATUS_OK = 200
-REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # the version that was polled for may be valid
+REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # overload; the polled version may be valid
 MAX_LOGGED_ERROR_LENGTH = 200
 DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(ASSUMED_DRAIN_GRACE_MS)
 
 
 class DiscoveryFailed(NamedTuple):
-    """A poll brought no list."""
+    """The result of a poll that returned no usable list."""
 
     stage: PollStage
     reason: str
@@ -65,9 +65,9 @@
         counters: Counter[str],
         limits: PollLimits = DEFAULT_POLL_LIMITS,
     ) -> None:
-        """`enqueue` takes the updates.
+        """`enqueue` is called with each update.
 
-        `version` is that of the list that `enqueue` has already, None where the complete one is needed.
+        `version` is that of the list that was enqueued before, None to request the complete list.
         """
         host, port = address
         self.list_url = f"http://{host}:{port}/api/targets"
@@ -77,12 +77,12 @@
         self.max_hold_ms = LONG_POLL_HOLD_MS
         self.closed = False
         self.on_first_response: Callable[[], None] | None = None  # called once, after the first poll
-        # A source of updates that balancers share; it delays this client's own polls.
+        # A source of updates that balancers share; while it provides them, this client does not poll.
         self.update_source: UpdateSource | None = None
         self._schedule = PollSchedule(limits, random.Random(seed), reactor.seconds())
         self._requester = DiscoveryRequester(limits.request_timeout)
         self._backoff: Deferred[None] | None = None  # the wait after a failed poll
-        # When the list that was passed on was last known to be current; None before the first.
+        # When the enqueued list was last known to be current; None before the first update.
         self._list_current_at: float | None = None
 
     def close(self) -> None:
@@ -95,22 +95,22 @@
             self.update_source.wake()
 
     def request_complete_list(self) -> None:
-        """Poll for the complete list the next time, because an update was not applied."""
+        """Make the next poll request the complete list, because an update was not applied."""
         self.version = None
 
     def remaining(self) -> float:
-        """Return the s left until the next complete response has to be in."""
+        """Return the seconds left until the next complete response is due."""
         return self._schedule.remaining(reactor.seconds())
 
     async def follow(self) -> None:
-        """Poll until closed, or for as long as the balancer runs."""
+        """Poll until the client is closed."""
         while not self.closed:
             await self._wait_until_poll_due()
             if self.closed:
                 return
             result = await self._poll()
             if self.closed:
-                # A late response of the old address must not follow updates from the new one.
+                # A late response from an old address must not be applied after updates from the new one.
                 return
             self._report_first_response()
             if isinstance(result, EndpointUpdate):
@@ -121,8 +121,8 @@
     def apply_shared_update(self, message: EndpointListMessage, since: int | None) -> bool:
         """Apply a list that another balancer received from the same discovery.
 
-        Returns False where it is malformed, older than ours, or changes to another version than ours: then
-        this balancer polls by itself.
+        Returns False if it is malformed, older than this client's list, or has changes relative to another
+        version. The balancer then polls by itself.
         """
         try:
             if self.closed or not self._follows(message, since):
@@ -135,7 +135,7 @@
         return True
 
     async def _wait_until_poll_due(self) -> None:
-        """Wait while another source provides the updates."""
+        """Wait while a shared source provides the updates."""
         if self.update_source is not None:
             await self.update_source.wait_until_poll_due(self)
             if not self.closed:
@@ -161,7 +161,7 @@
         except MALFORMED_LIST_ERRORS as error:
             self.version = None
             return DiscoveryFailed(self._requester.stage, f"{type(error).__name__}: {error}")
-        except Exception as error:  # the HTTP client raises many types, and none may end the following
+        except Exception as error:  # the HTTP client raises many types; none may end `follow`
             reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR_LENGTH]
             return DiscoveryFailed(self._requester.stage, reason)
 
@@ -173,7 +173,7 @@
     def _handle_response(
         self, response: HttpResponse, timing: PollTiming
     ) -> EndpointUpdate | DiscoveryFailed:
-        """Decode a response and record it; raises where it is no list that follows ours."""
+        """Decode a response and record it; raises unless it is a list that can be applied."""
         if response.status in REJECTION_STATUSES:
             # The version is kept: complete lists would add to the load of an overloaded discovery.
             return DiscoveryFailed(PollStage.REJECTED, f"status {response.status}")
@@ -206,24 +206,24 @@
             self.enqueue(update._replace(previous_list_at=previous_list_at))
 
     def _report_first_response(self) -> None:
-        """Call `on_first_response`, once: an update has arrived, or a poll has failed."""
+        """Call `on_first_response` once, after the first update or the first failed poll."""
         callback = self.on_first_response
         self.on_first_response = None
         if callback is not None:
             callback()
 
     def _follows(self, message: EndpointListMessage, since: int | None) -> bool:
-        """Return whether a list is not older than ours and, if it is changes, changes to our version."""
+        """Return whether a message is not older than the list, and complete or relative to its version."""
         if self.version is not None and parse_version(message["seq"]) < self.version:
             return False
         return bool(message["whole"]) or since == self.version
 
     def _decode(self, message: EndpointListMessage) -> EndpointUpdate:
-        """Decode a list and take over its version; raises where it is no list or does not follow ours."""
+        """Decode a message and adopt its version; raises if it is malformed or cannot be applied."""
         scope = ListScope.COMPLETE if message["whole"] else ListScope.CHANGES
         update = parse_endpoint_list(message, scope, self.counters)
         version = parse_version(message["seq"])
         if scope == ListScope.CHANGES and (self.version is None or version < self.version):
-            raise ProtocolError(f"changes up to {version} of a list held at {self.version}")
+            raise ProtocolError(f"changes up to version {version} do not apply to version {self.version}")
         self.version = version
         return update
--- a/lotusroute/net/discovery_request.py
+++ b/lotusroute/net/discovery_request.py
@@ -1,4 +1,4 @@
-"""HTTP requests to discovery: one at a time, with a timeout for the whole response. Times are seconds."""
+"""HTTP requests to discovery, one at a time, with a timeout for the whole response. Times are seconds."""
 
 from typing import Any, NamedTuple, TypeVar
 
@@ -11,7 +11,7 @@
 
 Result = TypeVar("Result")
 
-SUSPENSION_THRESHOLD_S = 0.05  # a timer that is later than this shows that the process was suspended
+SUSPENSION_THRESHOLD_S = 0.05  # a timer that is later than this indicates that the process was suspended
 
 
 class HttpResponse(NamedTuple):
@@ -31,7 +31,7 @@
         self._agent = Agent(reactor, connectTimeout=REQUEST_TIMEOUT_S, pool=self._pool)
         self._pending: Deferred[Any] | None = None
         self._timer: DelayedCall | None = None
-        self.stage = PollStage.NO_RESPONSE  # how far the request in flight has come
+        self.stage = PollStage.NO_RESPONSE  # progress of the request in flight
 
     async def get(self, url: str, timing: PollTiming) -> HttpResponse:
         """Send a request and return the response; raises whatever the HTTP client raises."""
@@ -50,7 +50,7 @@
         return HttpResponse(response.code, body)
 
     def _wait_for(self, pending: "Deferred[Result]") -> "Deferred[Result]":
-        """Remember what is waited for, so that it can be cancelled."""
+        """Store a Deferred that is awaited, so that `cancel` can cancel it."""
         self._pending = pending
         return pending
 
@@ -65,10 +65,10 @@
         self._pool.closeCachedConnections()
 
     def _start_timer(self, seconds: float, extension: float) -> None:
-        """Cancel the request in flight after so many seconds.
+        """Cancel the request in flight after `seconds`.
 
-        Where this process was suspended meanwhile, the response may lie unread. Then the request has
-        `extension` seconds more, one request timeout at a time.
+        If this process was suspended in the meantime, the response may have arrived but not been read. The
+        request then has up to `extension` more seconds, in steps of one request timeout.
         """
         deadline = reactor.seconds() + seconds
 
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -1,7 +1,7 @@
-"""Follows discovery by the current configuration, and applies a configuration that was reloaded.
+"""Runs the discovery client of the current configuration, and applies reloaded configurations.
 
-A session outlives its `Discovery` clients: a reload that names another address replaces the client. Flows in
-progress and all that the routing decisions know are not touched by a reload.
+A session outlives its `Discovery` clients: a reload that names another address replaces the client. A reload
+affects neither the flows in progress nor the state of the routing decisions.
 """
 
 import logging
@@ -35,7 +35,7 @@
         apply_limits: Callable[[config.BalancerConfig], None],
         counters: Counters,
     ) -> None:
-        """`enqueue` takes endpoint updates; `apply_limits` takes a reloaded configuration."""
+        """`enqueue` is called with endpoint updates, `apply_limits` with each reloaded configuration."""
         self.config = balancer_config
         self.update_source: UpdateSource | None = None  # set where balancers share discovery's updates
         self._first_config = balancer_config
@@ -48,8 +48,8 @@
         """Follow discovery at the configured address.
 
         `on_first_response` is called once, also after a failure. The first client continues from the cached
-        list's version. A later one starts without a version, because another address may count its versions
-        in another way.
+        list's version. A later one starts without a version, because another address may number its versions
+        differently.
         """
         version = None
         if self._discovery is None:
@@ -72,7 +72,7 @@
         defer.ensureDeferred(discovery.follow())
 
     def request_complete_list(self) -> None:
-        """Have the next poll request the complete list, after an update that was not applied."""
+        """Make the next poll request the complete list, because an update was not applied."""
         if self._discovery is not None:
             self._discovery.request_complete_list()
 
@@ -82,7 +82,7 @@
         try:
             new = config.load_config(os.environ, reloading=True)
         except InvalidValueError as error:
-            # A malformed file must not end a balancer that serves.
+            # A malformed file must not stop a running balancer.
             log_event("reload rejected", logging.WARNING, reason=str(error))
             return
         old = self.config
@@ -114,7 +114,10 @@
 
 
 def _cached_version(balancer_config: config.BalancerConfig) -> int | None:
-    """Return the version of the cached list; None where it is empty or has none, which is logged."""
+    """Return the version of the cached list, or None.
+
+    It is None if the list is empty, or if it has no valid version, which is logged.
+    """
     cached_list = balancer_config.cached_list
     if not cached_list["hosts"]:
         return None
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -1,7 +1,8 @@
 """The interface between a discovery client and a source that shares endpoint updates among processes.
 
-A `Discovery` client polls by itself unless an `UpdateSource` is attached to it. The source is asked before
-each poll, is notified of the result, and may apply updates that other processes received.
+A `Discovery` client polls by itself unless an `UpdateSource` is attached to it. The client waits for the
+source before each poll and notifies it of the result. The source may apply updates that other processes
+received.
 """
 
 from typing import Protocol
@@ -13,11 +14,11 @@
     """What an update source may use of the discovery client that it is attached to."""
 
     list_url: str  # URL of the endpoint list
-    version: int | None  # of the cached list; None: the complete list is needed
+    version: int | None  # of the client's list; None if the complete list is needed
     closed: bool
 
     def remaining(self) -> float:
-        """Return the s left until the next complete response has to be in."""
+        """Return the seconds left until the next complete response is due."""
         ...
 
     def apply_shared_update(self, message: EndpointListMessage, since: int | None, /) -> bool:
@@ -31,20 +32,23 @@
 class UpdateSource(Protocol):
     """A source of endpoint updates that is shared by several processes."""
 
-    discovery: DiscoveryClient | None  # the client that it is attached to; another after a reload
+    discovery: DiscoveryClient | None  # the client that it is attached to; replaced by a reload
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient, /) -> None:
-        """Return when the client has to poll by itself, or is closed."""
+        """Wait until the client has to poll by itself or is closed."""
 
     def age(self) -> float:
-        """Return an upper bound of the shared list's age in s; infinity where nothing is known of it."""
+        """Return an upper bound of the shared list's age in seconds; infinity if its age is unknown."""
         ...
 
     def on_response(self, message: EndpointListMessage, since: int | None, /) -> None:
-        """Take a response to a poll for the changes since a version, None for the complete list."""
+        """Process a response to a poll of the client.
+
+        `since` is the version that the poll named, None if it requested the complete list.
+        """
 
     def on_failure(self) -> None:
-        """Note that a poll failed."""
+        """Record that a poll of the client failed."""
 
     def wake(self) -> None:
         """Re-evaluate a pending `wait_until_poll_due` at once."""
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -1,8 +1,7 @@
 """The endpoint list in discovery's format: JSON with one entry for each server.
 
-Decodes a list, or changes to one, into an `EndpointUpdate`. Times in it are Unix time in ms. Input that
-cannot be used raises one of `MALFORMED_LIST_ERRORS`; single malformed entries are counted, logged and left
-out.
+Decodes a list, or changes to one, into an `EndpointUpdate`. Times in a list are Unix time in ms. An unusable
+list raises one of `MALFORMED_LIST_ERRORS`; individual malformed entries are counted, logged and skipped.
 """
 
 import logging
@@ -20,12 +19,12 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-# What decoding raises where keys are missing or values have other types than expected.
+# Raised by decoding where keys are missing or values have unexpected types.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
 MAX_LOGGED_ENTRY_LENGTH = 200
 
-# A list as discovery sends it, not checked yet: `seq` is its version, `whole` whether it is complete, `hosts`
-# has an entry for each server.
+# A list as discovery sends it, not validated yet: `seq` is its version, `whole` says whether it is complete or
+# only changes, and `hosts` has an entry for each server.
 EndpointListMessage: TypeAlias = dict[str, Any]
 
 
@@ -34,9 +33,9 @@
 
     scope: ListScope
     servers: tuple[Server, ...]
-    addresses: dict[str, Address]  # by server; one that was removed has none
-    # s of the monotonic clock at which the list before this update was last known to be current; None where
-    # there was none.
+    addresses: dict[str, Address]  # by server id; removed servers have none
+    # When the list before this update was last known to be current, in seconds of the monotonic clock; None if
+    # there was no list.
     previous_list_at: float | None = None
 
 
@@ -52,8 +51,8 @@
 ) -> EndpointUpdate:
     """Decode a list in discovery's format.
 
-    Malformed entries are counted and logged, the others used: one of them must not hide that servers drain.
-    Raises ProtocolError where there are entries and all are malformed.
+    Malformed entries are counted, logged and skipped: one of them must not hide that other servers drain.
+    Raises ProtocolError if there are entries and all of them are malformed.
 
     >>> entry = {"host": "s-1", "dial": "10.1.0.18:9000", "health": "SERVING", "born_ms": 0}
     >>> parse_endpoint_list({"hosts": [entry, 7]}, ListScope.COMPLETE).addresses
@@ -84,7 +83,7 @@
     state = look_up(STATES, value["health"], "health")
     name = value["host"]
     if not (isinstance(name, str) and name):
-        raise ProtocolError(f"host: {name!r} is no name")
+        raise ProtocolError(f"host: {name!r} is not a non-empty string")
     address = None if state == EndpointState.REMOVED else parse_address(value["dial"])
     server = Server(
         id=name,
@@ -98,11 +97,11 @@
 
 
 def parse_version(seq: object) -> int:
-    """Check a list's version.
+    """Return the version of a list; raises ProtocolError unless it is a non-negative integer.
 
     >>> parse_version(41)
     41
     """
     if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0:
-        raise ProtocolError(f"seq: {seq!r} is no version")
+        raise ProtocolError(f"seq: {seq!r} is not a version number")
     return seq
--- a/lotusroute/net/endpoints.py
+++ b/lotusroute/net/endpoints.py
@@ -1,6 +1,7 @@
-"""The servers of the endpoint list as far as connections need them: addresses and drain deadlines.
+"""The part of the endpoint list that connections need: the addresses and drain deadlines of servers.
 
-Owns both; routing decisions have their own view of the list. Times are milliseconds of Unix time.
+This module owns both; the routing decisions keep their own copy of the list. Times are milliseconds of Unix
+time.
 """
 
 from collections.abc import Callable
@@ -9,12 +10,12 @@
 from lotusroute.net.endpoint_list import EndpointUpdate
 from lotusroute.routing.events import EndpointState, ListScope
 
-# Over which a draining server's clients migrate; it stops in seconds.
+# The clients of a draining server migrate over this time, because the server stops within seconds.
 DRAIN_MIGRATION_SPREAD_MS = 1_000.0
 
 
 class EndpointRegistry:
-    """Addresses of the listed servers, and the deadline by which a draining one's clients have migrated."""
+    """Addresses of the listed servers, and the deadlines for migrating the clients of draining ones."""
 
     def __init__(self, on_drain_started: Callable[[], None]) -> None:
         self._on_drain_started = on_drain_started
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -87,7 +87,7 @@
         wait_until(
             lambda: [version for _, version in balancer.discovery.polls][known == 8 :][:2] == [None, "1"]
         )
-        reason = "without version" if known != 8 else "changes up to 1 of a list held at 8"
+        reason = "without version" if known != 8 else "changes up to version 1 do not apply to version 8"
         assert reason in balancer.terminate()
 
 
