--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -1,8 +1,8 @@
 """The client of discovery, the service that publishes the endpoint list.
 
 `Discovery` follows the list at one address by consecutive long polls. Each requests the changes since the
-version that the client has, or the complete list if it has none. `PollSchedule` determines all holds, timeouts
-and backoffs. The consumer of the updates decides what they mean for flows.
+version that the client has, or the complete list if it has none. `PollSchedule` determines all holds,
+timeouts and backoffs. The consumer of the updates decides what they mean for flows.
 """
 
 import contextlib
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -23,8 +23,8 @@
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
 MAX_LOGGED_ENTRY_LENGTH = 200
 
-# A list as discovery sends it, not validated yet: `seq` is its version, `whole` says whether it is complete or
-# only changes, and `hosts` has an entry for each server.
+# A list as discovery sends it, not validated yet: `seq` is its version, `whole` says whether it is complete
+# or only changes, and `hosts` has an entry for each server.
 EndpointListMessage: TypeAlias = dict[str, Any]
 
 
@@ -34,8 +34,8 @@
     scope: ListScope
     servers: tuple[Server, ...]
     addresses: dict[str, Address]  # by server id; removed servers have none
-    # When the list before this update was last known to be current, in seconds of the monotonic clock; None if
-    # there was no list.
+    # When the list before this update was last known to be current, in seconds of the monotonic clock; None
+    # if there was no list.
     previous_list_at: float | None = None
 
 
--- a/lotusroute/net/errors.py
+++ b/lotusroute/net/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the balancer process that are not about input."""
+"""Errors of the balancer process other than invalid input."""
 
 from lotusroute.errors import LotusrouteError
 
@@ -7,7 +7,7 @@
     """A flow has no connection to a server where it should have one."""
 
     def __init__(self, flow_number: int) -> None:
-        super().__init__(f"flow {flow_number} has no connection")
+        super().__init__(f"flow {flow_number} has no connection to a server")
         self.flow_number = flow_number
 
 
@@ -15,7 +15,7 @@
     """A failed attempt was followed neither by another attempt nor by an answer."""
 
     def __init__(self, flow_number: int) -> None:
-        super().__init__(f"flow {flow_number} was left without an attempt or an answer")
+        super().__init__(f"flow {flow_number} has neither an attempt nor an answer")
         self.flow_number = flow_number
 
 
@@ -23,15 +23,15 @@
     """The routing decisions named a server that is not in the endpoint list."""
 
     def __init__(self, server: str) -> None:
-        super().__init__(f"no address of {server}")
+        super().__init__(f"server {server} is not in the endpoint list")
         self.server = server
 
 
 class WallClockReactorError(LotusrouteError):
-    """Another reactor is installed already."""
+    """A reactor whose timers use the wall clock is installed already."""
 
     def __init__(self) -> None:
         super().__init__(
-            "a reactor is installed whose timers go by the wall clock; "
+            "the timers of the installed reactor use the wall clock; "
             "import lotusroute.net.reactor before twisted.internet.reactor"
         )
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -18,7 +18,7 @@
 from lotusroute.net.reactor import reactor
 from lotusroute.net.structured_log import Counters, log_exception
 
-# A handler takes events or commands of one type, under which a table of handlers has it.
+# A handler takes events or commands of one type, which is its key in a table of handlers.
 Handler: TypeAlias = Callable[[Any], None]
 Handlers: TypeAlias = Mapping[type, Handler]
 
@@ -29,8 +29,8 @@
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self.clock_monitor = ClockMonitor(counters)
-        # Unix time, because servers' start times and the balancers' turns at a task are expressed in it, but
-        # advanced by the monotonic clock.
+        # What `clock` adds to the monotonic clock. The sum is Unix time, in which servers' start times and
+        # the balancers' turns at a task are expressed, but advances with the monotonic clock.
         self.epoch = wall_clock.unix_ms() - monotonic_ms()
         self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
         self._run_scheduled = False
@@ -48,11 +48,11 @@
         return self.epoch + monotonic_ms()
 
     def at_monotonic(self, seconds: float) -> float:
-        """Return the time on this clock of a reading of `time.monotonic`, which is in seconds."""
+        """Convert a reading of `time.monotonic`, which is in seconds, to the time of `clock`."""
         return self.epoch + seconds * MS_PER_SECOND
 
     def register(self, handlers: Handlers) -> None:
-        """Add handlers, by the type of the events that they take."""
+        """Add handlers, keyed by the type of the events that they take."""
         self._handlers.update(handlers)
 
     def enqueue(self, event: object) -> None:
@@ -67,14 +67,14 @@
         return reactor.callLater(max(0.0, delay) / MS_PER_SECOND, self.enqueue, event)
 
     def run_pending(self) -> None:
-        """Dispatch queued events until none is left, those that handlers add included."""
+        """Dispatch queued events, including those that handlers add, until the queue is empty."""
         self.clock_monitor.observe()
         while self._queue:
             event = self._queue.popleft()
             try:
                 self._handlers[type(event)](event)
             except Exception:
-                # Any exception: a failure over one event must not affect the others.
+                # All exceptions are caught: a failed event must not affect the others.
                 self.report_failure(event, getattr(event, "flow_number", 0))
         self._run_scheduled = False
 
@@ -105,5 +105,5 @@
             self._loop.call_later(self._delay, self._event)
 
     def acknowledge(self) -> None:
-        """Note that the event was handled: the timer may be scheduled again."""
+        """Record that the event was handled, so that the timer can be scheduled again."""
         self._pending = False
--- a/lotusroute/net/interruptible_wait.py
+++ b/lotusroute/net/interruptible_wait.py
@@ -1,18 +1,18 @@
-"""A wait of a coroutine that another part of the program may end early."""
+"""A timed wait of a coroutine that other code can end early."""
 
 from twisted.internet import defer
 from twisted.internet.base import ReactorBase
 
 
 class InterruptibleWait:
-    """Waits for one coroutine at a time."""
+    """A wait that one coroutine at a time may use."""
 
     def __init__(self, reactor: ReactorBase) -> None:
         self._reactor = reactor
         self._pending: defer.Deferred[None] | None = None
 
     def wait(self, seconds: float) -> "defer.Deferred[None]":
-        """Return a Deferred that fires after so many seconds, or when woken."""
+        """Return a Deferred that fires after `seconds`, or on `wake` if that comes first."""
         self._pending = defer.Deferred()
         timer = self._reactor.callLater(seconds, self.wake)
 
--- a/lotusroute/net/monotonic_reactor.py
+++ b/lotusroute/net/monotonic_reactor.py
@@ -1,8 +1,9 @@
-"""Installs the reactor that every process of the project runs on: its timers go by the monotonic clock.
+"""Installs the reactor that every process of the project runs on: its timers use the monotonic clock.
 
 Twisted's reactors schedule delayed calls by the wall clock (`twisted.python.runtime.seconds` is `time.time`).
-When that clock is stepped back, all pending calls are late by the step; when it is stepped forward, they are
-made at once. Import this module and call `install` before anything imports `twisted.internet.reactor`.
+When that clock is stepped back, all pending calls are late by the step; when it is stepped forward, they run
+early, by up to the step. Import this module and call `install` before anything imports
+`twisted.internet.reactor`.
 """
 
 import time
@@ -17,13 +18,13 @@
 
 
 class MonotonicTime:
-    """Mixin for a reactor class: its clock, `seconds`, is the monotonic one."""
+    """Mixin for a reactor class: its clock, `seconds`, is the monotonic clock."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> None:
-    """Install the reactor; raises WallClockReactorError if one that goes by another clock is installed."""
+    """Install the reactor; raises WallClockReactorError if one on another clock is installed."""
     try:
         main.installReactor(_reactor_class()())
     except error.ReactorAlreadyInstalledError:
@@ -39,7 +40,7 @@
 
 
 def _reactor_class() -> "type[ReactorBase]":
-    """Return the class for this system: with epoll where there is epoll, else with select."""
+    """Return the reactor class for this system: with epoll if available, else with select."""
     try:
         from twisted.internet.epollreactor import EPollReactor
     except ImportError:
@@ -61,7 +62,7 @@
             poll_timeout = -1 if timeout is None else timeout
             ready = self._poller.poll(poll_timeout, max(1, len(self._selectables)))
             for descriptor, event in ready:
-                # An earlier event of this iteration may have closed it.
+                # The handler of an earlier event in this iteration may have closed the descriptor.
                 selectable = self._selectables.get(descriptor)
                 if selectable is not None:
                     self._doReadOrWrite(selectable, descriptor, event)
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -1,8 +1,9 @@
 """When a discovery client polls, how long each poll may take, and how long the client waits after a failure.
 
-One deadline covers all polls. Whether they succeed or not, a change counts as received `MAX_UPDATE_DELAY_S`
-after discovery had it, and from then on a draining server may be sent to only for its grace. So each poll,
-its timeout and each backoff have to fit into what is left of both since the last complete response.
+One deadline covers all polls. By the protocol, a change counts as received `MAX_UPDATE_DELAY_S` after
+discovery has it, whether polls succeed or not. From then on, a draining server may be sent to only for its
+grace. So all polls, with their timeouts and backoffs, have to fit into the sum of both times, counted from
+the last complete response.
 
 Nothing here does I/O or reads a clock: the caller passes the time. All times are seconds of the monotonic
 clock unless a name ends in `_ms`.
@@ -16,26 +17,26 @@
 from lotusroute.monotonic_clock import MS_PER_SECOND
 
 MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received, by the protocol
-LONG_POLL_HOLD_MS = 2_000  # the longest hold of a poll that has nothing to report
-ASSUMED_DRAIN_GRACE_MS = 2_000.0  # by a client without service settings, as in a relay
-TIMING_MARGIN_S = 0.15  # for a busy CPU and the response's way through the network
-QUEUE_TIMEOUT_S = 2.0  # for which a poll may wait in discovery's queue behind those of other balancers
-# Beyond the hold, for a complete response; less where the last response shows that nothing is queued.
+LONG_POLL_HOLD_MS = 2_000  # how long discovery may hold a poll while there are no changes
+ASSUMED_DRAIN_GRACE_MS = 2_000.0  # for a client without service settings, as in a relay
+TIMING_MARGIN_S = 0.15  # allowance for a busy CPU and for network latency
+QUEUE_TIMEOUT_S = 2.0  # how long a poll may wait in discovery's queue behind those of others
+# For a complete response, beyond the hold; shorter if the last response shows that discovery queues no polls.
 REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
 UNQUEUED_REQUEST_TIMEOUT_S = 1.0
-# The same for an agent on this machine, which answers at once.
+# The same for an agent on this machine, which responds at once.
 MIN_AGENT_REQUEST_TIMEOUT_S = 0.1
 MAX_AGENT_REQUEST_TIMEOUT_S = 1.0
-MIN_BACKOFF_S = 0.1  # leaves time within the 200 ms that a watch event may take
+MIN_BACKOFF_S = 0.1  # leaves time within the limit of 200 ms for a watch event
 MAX_BACKOFF_S = 1.0
 MAX_AGENT_BACKOFF_S = 0.5
-# Reserved for the backoff after a rejection, so that the polls of many balancers spread.
+# Reserved for the backoff after a rejection, so that the retries of many balancers are spread out.
 MIN_REJECTION_BACKOFF_S = 1.2
-MIN_BACKOFF_FRACTION = 0.2  # of a backoff that is always waited; the rest is random
+MIN_BACKOFF_FRACTION = 0.2  # the fixed part of a backoff; the rest is random
 
 
 class PollStage(StrEnum):
-    """How far a failed poll had come; the values are in the log."""
+    """How far a failed poll got; the values are logged."""
 
     NO_RESPONSE = "no response"
     PARTIAL_RESPONSE = "partial response"
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollLimits:
-    """The spans that bound polls and backoffs."""
+    """Time limits of polls and backoffs."""
 
     discovery_is_local_agent: bool
     update_interval: float  # from one complete response to the end of the next
@@ -61,8 +62,9 @@
     def for_remote_discovery(cls, drain_grace_ms: float) -> "PollLimits":
         """Return the limits for a discovery that serves many balancers.
 
-        Discovery may return just after a poll was sent that nobody answers. That poll, the backoff after it,
-        a rejection and a poll in the queue have to fit into the interval.
+        In the worst case, discovery comes back up just after a poll was sent that is never answered. The
+        timeout of that poll, the backoff after it, a rejection and a queued poll have to fit into the
+        interval.
         """
         update_interval = _update_interval(drain_grace_ms)
         left = update_interval - REQUEST_TIMEOUT_S - MIN_REJECTION_BACKOFF_S - QUEUE_TIMEOUT_S
@@ -79,8 +81,9 @@
     def for_local_agent(cls, drain_grace_ms: float) -> "PollLimits":
         """Return the limits for an agent on this machine.
 
-        A change counts as received when the agent has it, even if the agent cannot be reached. Half of the
-        grace is for noticing that it does not answer, a quarter for the backoff. An agent has no queue.
+        A change counts as received as soon as the agent has it, even if the agent cannot be reached. Half of
+        the grace is for the timeout that detects an unresponsive agent, a quarter for the backoff. An agent
+        has no queue.
         """
         grace = drain_grace_ms / MS_PER_SECOND
         timeout = min(max(MIN_AGENT_REQUEST_TIMEOUT_S, grace / 2), MAX_AGENT_REQUEST_TIMEOUT_S)
@@ -102,13 +105,13 @@
     """The times of one poll."""
 
     started_at: float
-    hold: float  # for how long discovery may hold a poll that has nothing to report
-    timeout: float  # for the complete response, with the hold
-    suspension_extension: float  # beyond the timeout where this process was suspended meanwhile
+    hold: float  # how long discovery may hold the poll while there are no changes
+    timeout: float  # for the complete response, including the hold
+    suspension_extension: float  # added to the timeout if this process was suspended during the poll
 
 
 class PollSchedule:
-    """Decides on the times of polls and backoffs from the results of earlier polls."""
+    """Computes the times of polls and backoffs from the results of earlier polls."""
 
     def __init__(self, limits: PollLimits, rng: random.Random, now: float) -> None:
         self._limits = limits
@@ -125,15 +128,15 @@
         return self._backoff > 0
 
     def remaining(self, now: float) -> float:
-        """Return how much time is left until the next complete response has to be in."""
+        """Return how much time is left until the next complete response is due."""
         return self._list_current_at + self._limits.update_interval - now
 
     def note_list_current_at(self, time: float) -> None:
-        """Record that the list was known to be current at a time, from whatever source."""
+        """Record that the list, from whatever source, was known to be current at `time`."""
         self._list_current_at = max(self._list_current_at, time)
 
     def next_poll(self, now: float, has_version: bool, max_hold: float) -> PollTiming:
-        """Return the times of a poll that is sent now; without a version it requests the complete list."""
+        """Return the times of a poll sent now, for the complete list unless `has_version`."""
         limits = self._limits
         may_be_queued = self._queued or self._unanswered
         request_timeout = limits.request_timeout if may_be_queued else limits.unqueued_request_timeout
@@ -143,12 +146,12 @@
         return PollTiming(now, hold, timeout, max(TIMING_MARGIN_S, extension))
 
     def _hold(self, now: float, request_timeout: float, max_hold: float) -> float:
-        """Return for how long a poll is held.
+        """Return how long discovery may hold a poll.
 
-        A poll after an unanswered one is not held: a held one does not show whether discovery is back. Else
-        there has to be time for what may follow: the timeout of this poll, a rejection of the next and the
-        queue. No time is kept for the rejection where polls are queued: shorter holds mean more polls, and
-        these lengthen the queue.
+        A poll after an unanswered one is not held, because a held poll does not show whether discovery is
+        back. Otherwise the hold leaves time for what may follow: the timeout of this poll, a rejection of the
+        next one and the queue. If polls are queued, no time is reserved for the rejection: shorter holds mean
+        more polls, which lengthen the queue.
         """
         if self._unanswered:
             return 0.0
@@ -160,7 +163,7 @@
     def response_received(self, now: float, poll: PollTiming, has_changes: bool) -> None:
         """Record a complete response.
 
-        This process may have read it late, but it is no older than the poll's timeout allows.
+        If this process read it late, the list counts as current until the poll's timeout only, not until now.
         """
         self._list_current_at = min(now, poll.started_at + poll.timeout)
         hold_used = 0.0 if has_changes else poll.hold
@@ -178,11 +181,11 @@
         was_unanswered = self._unanswered
         self._unanswered = stage in UNANSWERED_STAGES
         if was_unanswered and self._unanswered:
-            # Discovery is down, and its changes count from its return on.
+            # Discovery is down: the delay of its changes counts from the time when it is back.
             self.note_list_current_at(poll.started_at)
 
     def next_backoff(self, now: float, stage: PollStage) -> float:
-        """Return how long to wait after a failed poll; the bound grows with each failure."""
+        """Return how long to wait after a failed poll; the upper bound grows with each failure."""
         if stage == PollStage.REJECTED:
             self._rejections += 1
             self._backoff = self._rejection_backoff(now, first=self._rejections == 1)
@@ -193,8 +196,8 @@
     def _rejection_backoff(self, now: float, first: bool) -> float:
         """Return the longest backoff after a rejection.
 
-        A rejection costs discovery work too, so the backoff takes what time there is, less what the poll
-        after it may wait in the queue.
+        Rejecting a poll costs discovery work too, so the backoff uses the time that is left, less what the
+        next poll may wait in the queue.
         """
         limits = self._limits
         if limits.discovery_is_local_agent:
@@ -204,5 +207,5 @@
         if left - limits.queue_timeout >= MIN_REJECTION_BACKOFF_S or (first and left > 0):
             half_interval = min(interval / 2, left - limits.queue_timeout)
             return max(half_interval, min(MIN_REJECTION_BACKOFF_S, left))
-        # The next response is late whatever happens, and more polls only mean fewer that are answered.
+        # The next response is late in any case, and the more polls are sent, the fewer discovery can answer.
         return interval
--- a/lotusroute/net/reactor.py
+++ b/lotusroute/net/reactor.py
@@ -1,7 +1,7 @@
-"""The reactor of this process, on the monotonic clock and with its type.
+"""The reactor of this process, which uses the monotonic clock, with a type annotation.
 
 Twisted declares its reactor as a module without attributes. Importing that module installs a default reactor,
-whose timers go by the wall clock, unless one is installed already; so this module installs ours first.
+whose timers use the wall clock, unless one is installed already; so this module installs ours first.
 """
 
 from typing import cast
@@ -12,7 +12,7 @@
 
 monotonic_reactor.install()
 
-from twisted.internet import reactor as _reactor  # noqa: E402  the installation has to come first
+from twisted.internet import reactor as _reactor  # noqa: E402  the reactor must be installed before this import
 
 reactor = cast(PosixReactorBase, _reactor)
-"""Timers, sockets and the life of the process."""
+"""Runs the timers and sockets, and thereby the process, until it is stopped."""
--- a/lotusroute/net/structured_log.py
+++ b/lotusroute/net/structured_log.py
@@ -1,7 +1,7 @@
 """Structured logging to standard error, and the process's counters.
 
 Each event is one line of key=value pairs. Events of single flows are logged at DEBUG only, which keeps the
-log of a busy balancer small; the counters show how often something has happened.
+log of a busy balancer small; the counters show how often each event has happened.
 """
 
 import logging
@@ -19,7 +19,7 @@
     """Formats a record as key=value pairs; a value with spaces, quotes or `=` is quoted.
 
     `time` is Unix time in seconds by the wall clock, which may be stepped. `mono` is the machine's monotonic
-    clock in seconds. It gives the order of lines and the time between them, also for several processes.
+    clock in seconds. It gives the order of lines and the time between them, also across processes.
 
     >>> fields = {"server": "s-1", "setup_ms": 4.25}
     >>> record = logging.makeLogRecord({"msg": "outlier ejected", "levelname": "INFO", "fields": fields})
@@ -28,7 +28,7 @@
     """
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record, with its traceback under `trace` where it has one."""
+        """Return the line of a record; a traceback is in `trace`."""
         fields = {
             "time": f"{record.created:.3f}",
             "mono": f"{time.monotonic():.3f}",
@@ -63,7 +63,7 @@
 
 
 def log_exception(event: str, **fields: object) -> None:
-    """Log the exception that is being handled, if it is not propagated any further."""
+    """Log the exception that is being handled; for exceptions that are not raised again."""
     LOGGER.error(event, extra={"fields": fields}, exc_info=True)
 
 
--- a/tests/test_monotonic_reactor.py
+++ b/tests/test_monotonic_reactor.py
@@ -57,4 +57,4 @@
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert done.returncode != 0 and "timers go by the wall clock" in done.stderr
+    assert done.returncode != 0 and "timers of the installed reactor use the wall clock" in done.stderr
