--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -1,15 +1,16 @@
 """Runs one balancer: loads the configuration, opens the sockets, handles signals and shuts down.
 
-SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the configuration, SIGUSR1 prints the counters. The
-exit code is 0 after a graceful shutdown and 2 if the start fails. With arguments it is a command of
-`lotusroute.cli`.
+SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the configuration, SIGUSR1 logs the counters. The exit
+code is 0 after a graceful shutdown and 2 if the start fails. With arguments, the program runs the command of
+`lotusroute.cli` that they name.
 """
 
 import signal
 import sys
 
-# The default action of these signals ends the program. Those that arrive during the imports are handled when
-# the reactor runs. The configuration is read after this, so that no change of it is missed.
+# The default action of these signals ends the process. Signals that arrive during the imports are recorded
+# and handled once the reactor runs. The configuration is read after the handlers are set, so that no SIGHUP
+# for a changed configuration is missed.
 EARLY_SIGNALS: list[int] = []
 
 
@@ -25,7 +26,7 @@
 
 monotonic_reactor.install()
 
-# The signals and the reactor have to be installed before the other modules are imported.
+# The signal handlers and the reactor must be installed before the other modules are imported.
 # ruff: noqa: E402
 import gc
 import logging
@@ -48,15 +49,15 @@
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
 
-# Of the three generations; see `gc.set_threshold`.
+# For the three generations of the garbage collector; see `gc.set_threshold`.
 GC_THRESHOLDS = (5_000, 20, 20)
 FIRST_RESPONSE_TIMEOUT_S = 1.0  # how long the listener waits for discovery's first response
-LISTEN_BACKLOG = 1024  # room for all clients of a failed peer, which reconnect at once
+LISTEN_BACKLOG = 1024  # room for all clients of a failed peer, which reconnect at the same time
 EXIT_START_FAILED = 2
 
 
 class Balancer(NamedTuple):
-    """The parts of a running balancer that signals act on."""
+    """The components of a running balancer that signal handlers use."""
 
     listener: Listener
     session: DiscoverySession
@@ -65,7 +66,7 @@
 
 
 def main() -> int:
-    """Run a balancer until it has shut down, or the command that the arguments name; return the exit code."""
+    """Run a balancer until its shutdown, or the command that the arguments name; return the exit code."""
     if len(sys.argv) > 1:
         from lotusroute.cli import root_group
 
@@ -107,7 +108,7 @@
 
 
 def open_listener(address: Address, downstream: DownstreamFactory) -> Listener:
-    """Listen for clients; raises ConfigError where the address cannot be used."""
+    """Listen for clients; raises ConfigError if the address cannot be used."""
     listener = Listener(address.port, downstream, LISTEN_BACKLOG, address.host, reactor)
     try:
         listener.startListening()
@@ -117,10 +118,10 @@
 
 
 def follow_discovery(session: DiscoverySession, listener: Listener) -> None:
-    """Follow discovery when the reactor runs; accept clients after its first response or a timeout.
+    """Follow discovery once the reactor runs; accept clients after its first response or a timeout.
 
-    The cached list may be old, and changes that discovery had before the start of this process count as
-    received: the first flows must not go to servers that have drained.
+    The cached list may be outdated, but changes that discovery had before this process started count as
+    received: even the first flows must not be sent to servers that have drained.
     """
     listener.stopReading()
     reactor.callLater(FIRST_RESPONSE_TIMEOUT_S, listener.startReading)
@@ -130,7 +131,7 @@
 def start_optional_parts(
     session: DiscoverySession, counters: structured_log.Counters
 ) -> "LeaseService | None":
-    """Start the fleet or the relay subscription if it is configured; otherwise import nothing of them."""
+    """Start the fleet or the relay subscription if configured; their modules are imported only then."""
     fleet_path = config.fleet_config_path(os.environ)
     if fleet_path:
         return start_fleet(fleet_path, session, counters)
@@ -141,7 +142,7 @@
 
 
 def start_fleet(path: str, session: DiscoverySession, counters: structured_log.Counters) -> "LeaseService":
-    """Join the fleet that the file describes, and share discovery's updates if its tasks say so."""
+    """Join the fleet that the file describes; share discovery's updates if that is one of its tasks."""
     try:
         from lotusroute.fleet import config as fleet_config
         from lotusroute.fleet import lease_service, shared_discovery
@@ -154,7 +155,7 @@
         session.update_source = shared_discovery.SharedDiscovery(fleet)
 
     def log_listen_failure(reason: Failure) -> None:
-        # A balancer without its peers serves as one without the file does.
+        # A balancer that cannot listen for its peers serves flows like one without a fleet file.
         structured_log.log_event("fleet listen failed", logging.WARNING, reason=str(reason.value))
 
     def start() -> None:
@@ -165,7 +166,7 @@
 
 
 def start_relay_subscription(path: str, session: DiscoverySession, counters: structured_log.Counters) -> None:
-    """Subscribe to endpoint updates at a relay that the file names."""
+    """Subscribe to endpoint updates at one of the relays that the file names."""
     try:
         from lotusroute.relay import config as relays_config
         from lotusroute.relay import subscription
@@ -178,7 +179,7 @@
 
 
 def tune_garbage_collection() -> None:
-    """Exempt the objects of the start from garbage collection, which stalls the process, and make it rare."""
+    """Run garbage collection, which stalls the process, rarely and without the objects of the start."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
@@ -186,7 +187,7 @@
 def install_signal_handlers(
     balancer: Balancer, fleet: "LeaseService | None", counters: structured_log.Counters
 ) -> None:
-    """Handle signals in the reactor, first those that arrived before it ran."""
+    """Handle signals in the reactor, starting with those that arrived before it ran."""
     stop = partial(shut_down, balancer, fleet)
     handlers: dict[int, Callable[[], None]] = {
         signal.SIGTERM: stop,
--- a/lotusroute/address.py
+++ b/lotusroute/address.py
@@ -1,4 +1,4 @@
-"""The address of a listening socket."""
+"""The address of a TCP socket, as HOST:PORT in files and messages."""
 
 from typing import NamedTuple
 
@@ -19,7 +19,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse HOST:PORT; raises `InvalidValueError`, as addresses come in files and in messages.
+    """Parse HOST:PORT from a file or message; raises `InvalidValueError` if it is malformed.
 
     >>> parse_address("10.0.0.4:9000")
     Address(host='10.0.0.4', port=9000)
--- a/lotusroute/config_upgrade.py
+++ b/lotusroute/config_upgrade.py
@@ -1,6 +1,6 @@
-"""The command that upgrades a configuration file to a deployment of the new kind (docs/migration.md).
+"""The command that upgrades a configuration file for the new kind of deployment (docs/migration.md).
 
-The old file is only read. Both the old and the new configuration are checked as the balancer checks them.
+The old file is only read. Both configurations are validated in the same way as the balancer does.
 """
 
 import argparse
@@ -44,7 +44,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; return its exit code. An error is one line on standard error."""
+    """Run the command and return its exit code. An error is reported as one line on standard error."""
     command = parse_arguments(argv)
     try:
         report = run(command)
@@ -58,7 +58,7 @@
 
 
 def parse_arguments(argv: list[str] | None) -> UpgradeCommand:
-    """Parse the command line; exits where it is invalid."""
+    """Parse the command line; exits if it is invalid."""
     arguments = _build_parser().parse_args(argv)
     return UpgradeCommand(
         old_file=arguments.old,
@@ -99,7 +99,7 @@
 
 
 def parse_override(text: str) -> Override:
-    """Parse PATH=VALUE; a value that is not JSON is a text.
+    """Parse PATH=VALUE; a value that is not valid JSON is taken as a string.
 
     >>> parse_override("settings.siblings=40").value, parse_override("discovery=10.0.0.9:8500").value
     (40, '10.0.0.9:8500')
@@ -146,7 +146,7 @@
 
 
 def _upgrade_checked(command: UpgradeCommand, old: JsonObject) -> UpgradedConfig:
-    """Return a valid upgrade of a document."""
+    """Upgrade a document; raises `ConfigError` if the result is not a valid configuration."""
     try:
         upgraded = upgrade(old, command.location, dict(command.overrides), command.keep_cached_list)
         config.parse_config(upgraded.document, os.environ)
@@ -156,7 +156,7 @@
 
 
 def _read_text(path: str) -> str:
-    """Return the text of a file, so that an unchanged document is written byte for byte."""
+    """Return the text of a file, from which an unchanged document is copied byte for byte."""
     with open(path, encoding="utf-8") as file:
         return file.read()
 
@@ -166,7 +166,7 @@
 
 
 def write_atomically(target: str, text: str, mode_of: str, replace: bool) -> None:
-    """Write a complete file or none, with the permissions of the file `mode_of`.
+    """Write a file completely or not at all, with the permissions of the file `mode_of`.
 
     An existing target is an error unless `replace` is set.
     """
@@ -183,7 +183,7 @@
         if replace:
             os.replace(temporary, target)
         else:
-            # Fails if the target exists, even if it was created after it was checked.
+            # Fails if the target exists, even if it was created after the check for it.
             os.link(temporary, target)
 
 
--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -1,8 +1,8 @@
 """The rules by which an older configuration document is upgraded, and the report on its keys.
 
-The new kind of deployment has no health checks, no messages between balancers and one location. Every key is
-carried over, replaced or removed. Unknown keys are carried over; the report has their names only, since their
-values may be secrets.
+The new kind of deployment has a single location, and neither health checks nor messages between balancers.
+Every key is carried over, replaced or removed. Unknown keys are carried over; the report lists their names
+without the values, which may be secrets.
 """
 
 import copy
@@ -27,7 +27,7 @@
 LOAD_REPORT_PATHS = ("settings.family_info.report_x0", "settings.family_info.report_x1")
 CACHED_LIST_PATH = "known"
 # Settings that describe the old servers, clients or balancers. They are carried over, since a balancer
-# without them would not follow the deployment's rules, but should be set again.
+# without them would not follow the deployment's rules, but the operator should set them again.
 REENTERED_PATHS = (
     "settings.me",
     "settings.siblings",
@@ -69,7 +69,7 @@
 
 
 class UpgradeReport(NamedTuple):
-    """What was done with the keys."""
+    """What the upgrade did with the keys of the old document."""
 
     not_carried: list[str]  # paths, each with its old value or a reason
     to_reenter: list[str]  # paths
@@ -92,7 +92,7 @@
 def upgrade(
     old: JsonObject, location: str, overrides: Mapping[str, object], keep_cached_list: bool
 ) -> UpgradedConfig:
-    """Return the upgrade of a document to a deployment in one location; `overrides` are values by path."""
+    """Upgrade a document to a deployment in one location; `overrides` has values by dotted path."""
     steps = _UpgradeSteps(old, location)
     steps.disable_settings()
     steps.remove_load_reports()
@@ -106,7 +106,7 @@
 
 
 class _UpgradeSteps:
-    """The steps of one upgrade; each adds what it replaces to `not_carried`."""
+    """The steps of one upgrade; each records what it replaces or removes in `not_carried`."""
 
     def __init__(self, old: JsonObject, location: str) -> None:
         self.old = old
@@ -121,7 +121,7 @@
                 self._replace(path, disabled)
 
     def remove_load_reports(self) -> None:
-        """Remove the meaning of load reports, which the servers of the new deployment do not send."""
+        """Remove the settings that interpret load reports, which the new deployment's servers do not send."""
         for path in LOAD_REPORT_PATHS:
             if self._is_old_deployment and get_path(self.old, path):
                 self.not_carried.append(f"{path} (servers send no load reports)")
@@ -135,7 +135,7 @@
             self._replace("settings.my_zone", self.location)
 
     def upgrade_cached_list(self, keep: bool) -> None:
-        """Set the new location for the servers of the cached endpoint list, or empty the list."""
+        """Move the servers of the cached endpoint list to the new location, or empty the list."""
         hosts = self._cached_hosts()
         locations = sorted({str(host["site"]) for host in hosts if "site" in host})
         has_other_locations = locations not in ([], [self.location])
@@ -149,9 +149,9 @@
             set_path(self.new, CACHED_LIST_PATH, {"seq": 0, "hosts": []})
 
     def paths_to_reenter(self, overrides: Container[str]) -> list[str]:
-        """Return the paths that describe the old deployment, without overridden ones.
+        """Return the paths that describe the old deployment and are not overridden.
 
-        There are none for a document of the new deployment.
+        A document of the new deployment has none.
         """
         if not self._is_old_deployment:
             return []
@@ -161,7 +161,7 @@
 
     @property
     def _is_old_deployment(self) -> bool:
-        """Whether the document is of an old deployment, as far as a step has replaced something by now."""
+        """Whether the document is of an old deployment: whether a step has replaced something so far."""
         return bool(self.not_carried)
 
     def _replace(self, path: str, value: object, reason: str = "") -> None:
--- a/lotusroute/config_validation.py
+++ b/lotusroute/config_validation.py
@@ -1,7 +1,7 @@
 """Reading and validation of the operators' TOML files, for the fleet and the relay configuration.
 
-Every error is a `ConfigError` whose message names the key and how to correct it. `load_toml_config` prepends
-the environment variable and the file.
+Every error is a `ConfigError` whose message names the key and says how to correct it. `load_toml_config`
+prepends the environment variable and the file name.
 """
 
 import os
@@ -13,7 +13,7 @@
 from lotusroute.address import Address, parse_address
 from lotusroute.errors import ConfigError, InvalidValueError
 
-Document = dict[str, Any]  # a parsed file, or a table of it
+Document = dict[str, Any]  # a parsed file, or one of its tables
 ConfigT = TypeVar("ConfigT")
 
 
@@ -52,7 +52,7 @@
 
 
 def parse_name_list(document: Document, key: str) -> list[str]:
-    """Return a list of distinct names; empty if the key is missing.
+    """Return a list of distinct, non-empty names; the list is empty if the key is missing.
 
     >>> parse_name_list({"tasks": ["watch", "watch"]}, "tasks")
     Traceback (most recent call last):
@@ -60,7 +60,7 @@
     """
     names = document.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) and name for name in names):
-        raise ConfigError(f"{key}: give a list of names")
+        raise ConfigError(f"{key}: give a list of non-empty names")
     if len(set(names)) < len(names):
         raise ConfigError(f"{key}: a name is given twice")
     return names
--- a/lotusroute/errors.py
+++ b/lotusroute/errors.py
@@ -1,7 +1,7 @@
 """The base classes of the exceptions that lotusroute raises.
 
 Each message names the key or value at fault and can be shown to an operator unchanged. Packages define more
-specific types in modules of their own.
+specific types in their own modules.
 """
 
 
@@ -14,7 +14,7 @@
 
 
 class MalformedNumberError(InvalidValueError):
-    """A text of a file or message is not a number."""
+    """A string from a file or message is not a number."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"'{text}' is not a number")
@@ -22,7 +22,7 @@
 
 
 class UnknownNameError(InvalidValueError):
-    """A name or number of a file or message is not one of the known ones."""
+    """A name or number from a file or message is not one of the known ones."""
 
     def __init__(self, kind: str, name: object) -> None:
         super().__init__(f"unknown {kind} '{name}'")
--- a/lotusroute/json_paths.py
+++ b/lotusroute/json_paths.py
@@ -21,7 +21,7 @@
 
 
 def set_path(document: JsonObject, path: str, value: object) -> None:
-    """Set the value at a dotted path; raises `ConfigError` if the path leads through a plain value."""
+    """Set the value at a dotted path; raises `ConfigError` if a parent on the path is not an object."""
     *parents, last = path.split(".")
     for key in parents:
         child = document.setdefault(key, {})
@@ -40,7 +40,7 @@
 
 
 def all_paths(document: JsonObject, leaves: Container[str] = (), prefix: str = "") -> Iterator[str]:
-    """Yield the dotted paths of all values; objects at the paths in `leaves` count as one value.
+    """Yield the dotted paths of all values; an object at a path in `leaves` counts as a single value.
 
     >>> list(all_paths({"a": {"b": 1, "c": [{"d": 2}]}, "known": {"seq": 1}}, {"known"}))
     ['a.b', 'a.c.0.d', 'known']
--- a/lotusroute/migrate.py
+++ b/lotusroute/migrate.py
@@ -1,4 +1,4 @@
-"""Older name of the command `python -m lotusroute.config_upgrade`."""
+"""Runs the command `python -m lotusroute.config_upgrade` under its older name."""
 
 import sys
 
--- a/lotusroute/monotonic_clock.py
+++ b/lotusroute/monotonic_clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock in milliseconds, by which all spans of time are measured; see also `wall_clock`."""
+"""The monotonic clock in milliseconds, with which all durations are measured; see also `wall_clock`."""
 
 import time
 
--- a/lotusroute/wall_clock.py
+++ b/lotusroute/wall_clock.py
@@ -1,8 +1,8 @@
-"""The wall clock, for points in time that other machines know: the only module that may read it.
+"""The wall clock, for points in time that are shared with other machines. Only this module may read it.
 
-The wall clock may be stepped at any moment, in both directions. So no span of time is measured by it:
-deadlines, timeouts and intervals go by the monotonic clock, `time.monotonic`, and timers by a reactor of
-`lotusroute.net.monotonic_reactor`. The linter rejects readings of the wall clock elsewhere.
+The wall clock may be stepped at any moment, in both directions. So no duration is measured with it:
+deadlines, timeouts and intervals use the monotonic clock, `time.monotonic`, and timers a reactor that
+`lotusroute.net.monotonic_reactor` installs. The linter rejects readings of the wall clock elsewhere.
 """
 
 import time
