--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -75,7 +75,7 @@
     counters = structured_log.Counters()
     try:
         balancer = build_balancer(counters)
-        fleet = start_optional_parts(balancer.session, counters)
+        fleet = start_optional_services(balancer.session, counters)
     except InvalidValueError as error:
         print(f"lotusroute: {error}", file=sys.stderr)
         return EXIT_START_FAILED
@@ -128,7 +128,7 @@
     reactor.callWhenRunning(session.follow, listener.startReading)
 
 
-def start_optional_parts(
+def start_optional_services(
     session: DiscoverySession, counters: structured_log.Counters
 ) -> "LeaseService | None":
     """Start the fleet or the relay subscription if configured; their modules are imported only then."""
--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -130,7 +130,7 @@
     def use_one_location(self) -> None:
         """Replace all locations by the new one."""
         if get_path(self.old, "settings.zones") not in (None, [self.location], self.location):
-            self._replace("settings.zones", [self.location], self._one_location())
+            self._replace("settings.zones", [self.location], self._one_location_reason())
         if get_path(self.old, "settings.my_zone") not in (None, self.location):
             self._replace("settings.my_zone", self.location)
 
@@ -140,7 +140,7 @@
         locations = sorted({str(host["site"]) for host in hosts if "site" in host})
         has_other_locations = locations not in ([], [self.location])
         if keep and has_other_locations:
-            self.not_carried.append(f"known.hosts: sites {', '.join(locations)}{self._one_location()}")
+            self.not_carried.append(f"known.hosts: sites {', '.join(locations)}{self._one_location_reason()}")
             set_path(self.new, "known.hosts", [host | {"site": self.location} for host in hosts])
         elif hosts and not keep and (self._is_old_deployment or has_other_locations):
             self.not_carried.append(
@@ -168,7 +168,7 @@
         self.not_carried.append(f"{path} = {json.dumps(get_path(self.old, path))}{reason}")
         set_path(self.new, path, value)
 
-    def _one_location(self) -> str:
+    def _one_location_reason(self) -> str:
         return f" (one location: {self.location})"
 
     def _cached_hosts(self) -> list[JsonObject]:
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -104,19 +104,19 @@
         self._monitor.retain_servers(self._endpoints.addresses.keys())
         if LOGGER.isEnabledFor(logging.DEBUG):
             _log_update(update)
-        self.flow_manager.decide(events.EndpointList(update.scope, self._bound_starts(update)))
+        self.flow_manager.decide(events.EndpointList(update.scope, self._bound_start_times(update)))
         self.flow_manager.attempts.cancel_unavailable()
 
-    def _bound_starts(self, update: EndpointUpdate) -> tuple[events.Server, ...]:
+    def _bound_start_times(self, update: EndpointUpdate) -> tuple[events.Server, ...]:
         """Return the servers of an update with their start times on this process's clock."""
         now = self.clock()
         previous = update.previous_list_at
         previous_list_at = None if previous is None else self.loop.at_monotonic(previous)
         servers = tuple(self._start_times.bound(server, now, previous_list_at) for server in update.servers)
-        self._report_bounded_starts(update.servers, servers)
+        self._log_bounded_start_times(update.servers, servers)
         return servers
 
-    def _report_bounded_starts(
+    def _log_bounded_start_times(
         self, reported: Iterable[events.Server], bounded: Iterable[events.Server]
     ) -> None:
         """Log corrected start times, in a single line because a wrong local clock affects all servers."""
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -114,7 +114,7 @@
                 return
             self._report_first_response()
             if isinstance(result, EndpointUpdate):
-                self._pass_on(result)
+                self._enqueue_update(result)
             else:
                 await self._back_off(result)
 
@@ -125,12 +125,12 @@
         version. The balancer then polls by itself.
         """
         try:
-            if self.closed or not self._follows(message, since):
+            if self.closed or not self._is_applicable(message, since):
                 return False
             update = self._decode(message)
         except MALFORMED_LIST_ERRORS:
             return False
-        self._pass_on(update)
+        self._enqueue_update(update)
         self._report_first_response()
         return True
 
@@ -199,7 +199,7 @@
         with contextlib.suppress(CancelledError):
             await self._backoff
 
-    def _pass_on(self, update: EndpointUpdate) -> None:
+    def _enqueue_update(self, update: EndpointUpdate) -> None:
         previous_list_at = self._list_current_at
         self._list_current_at = reactor.seconds()
         if update.servers or update.scope == ListScope.COMPLETE:
@@ -212,7 +212,7 @@
         if callback is not None:
             callback()
 
-    def _follows(self, message: EndpointListMessage, since: int | None) -> bool:
+    def _is_applicable(self, message: EndpointListMessage, since: int | None) -> bool:
         """Return whether a message is not older than the list, and complete or relative to its version."""
         if self.version is not None and parse_version(message["seq"]) < self.version:
             return False
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -140,12 +140,12 @@
         limits = self._limits
         may_be_queued = self._queued or self._unanswered
         request_timeout = limits.request_timeout if may_be_queued else limits.unqueued_request_timeout
-        hold = self._hold(now, request_timeout, max_hold) if has_version else 0.0
+        hold = self._hold_time(now, request_timeout, max_hold) if has_version else 0.0
         timeout = request_timeout + hold
         extension = self.remaining(now) - timeout - limits.request_timeout
         return PollTiming(now, hold, timeout, max(TIMING_MARGIN_S, extension))
 
-    def _hold(self, now: float, request_timeout: float, max_hold: float) -> float:
+    def _hold_time(self, now: float, request_timeout: float, max_hold: float) -> float:
         """Return how long discovery may hold a poll.
 
         A poll after an unanswered one is not held, because a held poll does not show whether discovery is
