--- a/lotusroute/config_upgrade.py
+++ b/lotusroute/config_upgrade.py
@@ -170,11 +170,11 @@
 
     An existing target is an error unless `replace` is set.
     """
-    folder = os.path.dirname(target) or "."
-    if not os.path.isdir(folder):
-        raise ConfigError(f"{target}: the folder {folder} does not exist; create it first")
-    with tempfile.TemporaryDirectory(dir=folder) as temporary_folder:
-        temporary = os.path.join(temporary_folder, "complete")
+    directory = os.path.dirname(target) or "."
+    if not os.path.isdir(directory):
+        raise ConfigError(f"{target}: the directory {directory} does not exist; create it first")
+    with tempfile.TemporaryDirectory(dir=directory) as temporary_directory:
+        temporary = os.path.join(temporary_directory, "complete")
         with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -47,7 +47,7 @@
 
 
 def run_upgrade(old, *more, new="new.json"):
-    """Upgrade a file to another one in its folder; return the exit code."""
+    """Upgrade a file to another one in its directory; return the exit code."""
     return config_upgrade.main([str(old), str(old.with_name(new)), "--location", "hall-a", *more])
 
 
--- a/tests/test_monotonic_reactor.py
+++ b/tests/test_monotonic_reactor.py
@@ -12,7 +12,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 CHECK = """
 import importlib.util, sys, time
-sys.path[:0] = [{root!r}, {folder!r}]
+sys.path[:0] = [{root!r}, {directory!r}]
 spec = importlib.util.spec_from_file_location("entry_point", {file!r})
 spec.loader.exec_module(importlib.util.module_from_spec(spec))
 reactor = sys.modules.get("twisted.internet.reactor")
@@ -20,8 +20,8 @@
 """
 ENTRY_POINTS = sorted(
     file.relative_to(ROOT).as_posix()
-    for folder in ("lotusroute", "benchmarks")
-    for file in (ROOT / folder).rglob("*.py")
+    for directory in ("lotusroute", "benchmarks")
+    for file in (ROOT / directory).rglob("*.py")
     if '__name__ == "__main__"' in file.read_text(encoding="utf-8")
 )
 
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("entry_point", ENTRY_POINTS)
 def test_an_entry_point_has_no_reactor_or_one_on_the_monotonic_clock(entry_point):
     file = ROOT / entry_point
-    program = CHECK.format(root=str(ROOT), folder=str(file.parent), file=str(file))
+    program = CHECK.format(root=str(ROOT), directory=str(file.parent), file=str(file))
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=False)
     if "ModuleNotFoundError" in done.stderr:  # CI does not install the libraries of benchmarks
         assert "lotusroute" not in done.stderr.splitlines()[-1]
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -5,7 +5,7 @@
 import pathlib
 import struct
 
-SHIM_FOLDER = pathlib.Path(__file__).parent / "wall_clock_shim"
+SHIM_DIRECTORY = pathlib.Path(__file__).parent / "wall_clock_shim"
 OFFSET_S = struct.Struct("d")  # as the file holds it
 
 
@@ -22,7 +22,7 @@
     @property
     def environment(self) -> tuple[tuple[str, str], ...]:
         """The environment variables of the processes, as pairs of name and value."""
-        search_path = [str(SHIM_FOLDER), *filter(None, [os.environ.get("PYTHONPATH")])]
+        search_path = [str(SHIM_DIRECTORY), *filter(None, [os.environ.get("PYTHONPATH")])]
         return (
             ("PYTHONPATH", os.pathsep.join(search_path)),
             ("WALL_CLOCK_OFFSET_FILE", str(self._path)),
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -1,6 +1,6 @@
 """Lets a test step the wall clock of one Python process, as an operator or NTP steps that of a machine.
 
-Python imports this module before any other in a process whose PYTHONPATH names this folder. The variable
+Python imports this module before any other in a process whose PYTHONPATH names this directory. The variable
 WALL_CLOCK_OFFSET_FILE names a file of one double: its value in s is added to every reading of the wall clock,
 from the moment at which the test writes it. Without that file, the variable WALL_CLOCK_JUMPS may have a seed:
 then the clock is stepped at random four times a second, by up to an hour in both directions, so that any test
