--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -31,7 +31,7 @@
         self.clock_monitor = ClockMonitor(counters)
         # What `clock` adds to the monotonic clock. The sum is Unix time, in which servers' start times and
         # the balancers' turns at a task are expressed, but advances with the monotonic clock.
-        self.epoch = wall_clock.unix_ms() - monotonic_ms()
+        self.clock_offset = wall_clock.unix_ms() - monotonic_ms()
         self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
         self._run_scheduled = False
         self._handlers: dict[type, Handler] = {}
@@ -45,11 +45,11 @@
 
     def clock(self) -> float:
         """Return the Unix time; it never goes back."""
-        return self.epoch + monotonic_ms()
+        return self.clock_offset + monotonic_ms()
 
     def at_monotonic(self, seconds: float) -> float:
         """Convert a reading of `time.monotonic`, which is in seconds, to the time of `clock`."""
-        return self.epoch + seconds * MS_PER_SECOND
+        return self.clock_offset + seconds * MS_PER_SECOND
 
     def register(self, handlers: Handlers) -> None:
         """Add handlers, keyed by the type of the events that they take."""
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -126,7 +126,7 @@
     file.write_text(json.dumps(VALID_CONFIG))
     core = BalancerCore(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
     for delay, flows in (0.0, 1), (70_000.0, 1):
-        core.loop.epoch += delay
+        core.loop.clock_offset += delay
         connection = FakeConnection()
         request = parse_open_request(f"OPEN id{delay:.0f} k c=live,d=4294967,at=s9\r\n".encode())
         core.flow_manager.requests.request_received(RequestReceived(connection, request, core.clock()))
