--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery on a loopback socket, whose faults tests choose."""
+"""A fake discovery on a loopback socket, with faults that tests select."""
 
 import contextlib
 import time
@@ -24,7 +24,7 @@
     server: "FakeDiscovery"
 
     def answer_poll(self, poll: Poll) -> None:
-        """Answer one poll, as the script or the present faults say."""
+        """Answer one poll with the next fault of the script, or else by the state of the server."""
         source = self.server
         source.polls.append((time.monotonic(), poll.version))
         match source.script.pop(0) if source.script else "":
@@ -38,7 +38,7 @@
                 self._reject()
             case float(queue_s):
                 time.sleep(queue_s)
-                # The time for which the client waits has passed in the queue.
+                # The hold has expired while the poll was queued.
                 self._answer(poll._replace(deadline=0.0))
             case _ if source.rejections:
                 source.rejections -= 1
@@ -54,7 +54,7 @@
             self.send_list(poll)
 
     def _wait_for_list(self, poll: Poll) -> bool:
-        """Wait until there is something to answer; return False where the poll was interrupted instead."""
+        """Wait until there is a list to send; return False if the poll was interrupted instead."""
         source = self.server
         interruptions = source.interruptions
         while True:
@@ -73,7 +73,7 @@
             self._leave_unanswered(partial=self.server.partial_responses)
 
     def _leave_unanswered(self, partial: bool) -> None:
-        """Send nothing, or a part of a response, until the other end closes."""
+        """Send nothing or only a part of a response, and wait until the client closes the connection."""
         if partial:
             self.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{")
         with contextlib.suppress(ConnectionResetError):
@@ -91,11 +91,12 @@
     def __init__(self, *servers: ServerWithEntry, available: bool = True) -> None:
         self.polls: list[tuple[float, str | None]] = []  # time and version of each poll
         self.responses: list[tuple[float, int]] = []  # time and version of each response
-        self.rejections = 0  # how many of the next polls are rejected
-        self.response_delay = 0.0  # s before each response
-        # For the next polls one by one: "drop", "silent", "half", "refuse", or the s that a poll is queued.
+        self.rejections = 0  # number of next polls that are rejected
+        self.response_delay = 0.0  # seconds before each response
+        # Faults of the next polls, one each: "drop", "silent", "half", "refuse", or the seconds for which the
+        # poll is queued.
         self.script: list[str | float] = []
-        self.interruptions = 0  # as it grows, polls in flight are never answered
+        self.interruptions = 0  # when it is increased, the polls in flight are never answered
         self.down = False  # polls in flight and new ones are never answered
         self.partial_responses = False  # an interrupted poll gets a part of a response
         self.resets = False  # the connection of an interrupted poll is reset
--- a/tests/test_clock_monitor.py
+++ b/tests/test_clock_monitor.py
@@ -1,4 +1,4 @@
-"""What the log and the counters show of clocks and timers, and of why connections end."""
+"""What the log and the counters show about clock steps, late timers and why connections end."""
 
 import re
 
@@ -40,7 +40,7 @@
 
 def test_a_slewed_wall_clock_is_not_taken_for_a_stepped_one(clocks):
     for _ in range(600):
-        clocks.advance(1_000.0, step=0.5)  # ms; 500 ppm, the most that Linux slews by
+        clocks.advance(1_000.0, step=0.5)  # ms; 500 ppm, the maximum slew rate of Linux
     assert clocks.counters == {}
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The balancer's own configuration: the keys that a reload logs for what needs a restart."""
+"""Configuration reloads: the keys that are logged for changes that need a restart."""
 
 import pytest
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -1,4 +1,4 @@
-"""Configuration at the start and its reload, on loopback sockets."""
+"""Configuration at the start and on reload, with a balancer process on loopback sockets."""
 
 import json
 import signal
@@ -37,7 +37,7 @@
     with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
         client = balancer.open_flow()
         assert client.readline() == b"UP one\r\n"
-        old.seq = 0  # the poll in flight is not answered, and the new address is not to wait for it
+        old.seq = 0  # the poll in flight is never answered; the new address must not wait for it
         time.sleep(0.2)
         start = time.monotonic()
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
@@ -45,7 +45,8 @@
         assert time.monotonic() - start < 1.0
         client.write(b"M 1 a\r\n")
         assert client.readline() == b"M 1 a\r\n"
-        # Return to the first, whose versions start at 1; then reload twice in a row and once during shutdown.
+        # Return to the first address, whose versions start at 1 again, with two reloads in a row. Then reload
+        # once more during the shutdown.
         old.entries, old.seq = [one.entry()], 1
         balancer.reload(discovery=old_address)
         balancer.reload(discovery=old_address)
@@ -106,7 +107,7 @@
 
 
 class FakeConnection:
-    """A client that keeps its answer and stays connected."""
+    """A client's connection that records its answer and stays connected."""
 
     disconnected = False
     answer = ()
--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -1,4 +1,4 @@
-"""The command that upgrades a configuration file, and the program with the file that it wrote."""
+"""The configuration upgrade command, and a balancer that is started with the file that it wrote."""
 
 import json
 import os
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,7 +1,7 @@
 """The deadline of endpoint updates on loopback sockets: a change is received in time whichever polls fail.
 
-The times are those of the protocol. So that the tests take less time, each runs several balancers at once,
-every one with a discovery of its own that fails the polls of one case.
+The times are the real ones of the protocol. To save time, each test runs several balancers at once. Each
+balancer has its own fake discovery, which makes its polls fail as one case says.
 """
 
 import contextlib
@@ -17,7 +17,7 @@
 from waiting import TIMEOUT_S, wait_until
 
 MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received
-QUEUE_DELAY_S = 2.0  # for which polls are queued
+QUEUE_DELAY_S = 2.0  # how long discovery queues a poll
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
 FAULTS = ["silent", "half", "refuse"]
 CASES = [(*case, QUEUE_DELAY_S) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
@@ -26,18 +26,18 @@
 
 
 def wait_for_poll(balancer):
-    """Wait until a further poll was sent."""
+    """Wait until the balancer sends another poll."""
     polls = len(balancer.discovery.polls)
     wait_until(lambda: len(balancer.discovery.polls) > polls)
 
 
 def received_at(balancer, seq):
-    """Return when the version, or a newer one, was sent to the balancer; None if it was not."""
+    """Return when the version or a newer one was sent to the balancer; None if neither was."""
     return next((sent for sent, version in balancer.discovery.responses if version >= seq), None)
 
 
 def received_after(balancer, seq, start):
-    """Return how many s after `start` the version was sent to the balancer."""
+    """Return how many seconds after `start` the version was sent to the balancer; infinity if it was not."""
     return (received_at(balancer, seq) or float("inf")) - start
 
 
@@ -49,9 +49,9 @@
 
 
 def measure_delays(cases, after_change=lambda balancer: None):
-    """Change the list just after a complete response and fail the next polls as each case says.
+    """Change the list just after a complete response and make the next polls fail as each case says.
 
-    Returns for each case how many s after the change its balancer received it.
+    Returns for each case how many seconds after the change its balancer received it.
     """
     servers = [FakeServer(f"s{index}") for index in range(2)]
     with contextlib.ExitStack() as stack:
@@ -74,7 +74,7 @@
 
 
 def test_two_failed_polls_in_a_row_and_a_queue_after_them_fit_into_one_deadline():
-    # One deadline covers all polls and backoffs; limits for each by itself would add up to more.
+    # One deadline covers all polls and backoffs; a separate limit for each would add up to more.
     delays = measure_delays(CASES)
     assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
@@ -101,14 +101,14 @@
         start = time.monotonic()
         wait_until(lambda: new.responses)
         assert new.responses[0][0] - start < MAX_UPDATE_DELAY_S + 0.5
-        # An update that was sent is not yet received.
+        # The balancer may not have applied an update yet that discovery has sent.
         wait_until(lambda: balancer.open_flow().readline() == b"UP two\r\n")
     new.shutdown()
 
 
 def test_the_list_is_received_in_time_from_a_discovery_that_returns_just_after_an_unanswered_poll():
-    # Discovery is silent for seconds, so that all backoffs have grown. The poll sent just before its return
-    # is lost, and the next one is rejected.
+    # Discovery does not answer for seconds, so that all backoffs have grown. The poll sent just before it is
+    # back is never answered, and the next one is rejected.
     servers = [FakeServer(f"s{index}") for index in range(2)]
     with contextlib.ExitStack() as stack:
         balancers = [stack.enter_context(Balancer(*servers, settings=POLLING_SETTINGS)) for _ in range(6)]
@@ -120,7 +120,7 @@
         while time.monotonic() < until and not all(received_at(balancer, 2) for balancer in balancers):
             for balancer in balancers:
                 if balancer not in returned and len(balancer.discovery.script) == 2:
-                    returned[balancer] = time.monotonic()  # the fourth poll was just sent and is lost
+                    returned[balancer] = time.monotonic()  # the fourth poll was just sent, unanswered
                     balancer.discovery.entries, balancer.discovery.seq = [servers[1].entry()], 2
             time.sleep(0.01)
         delays = [received_after(balancer, 2, returned[balancer]) for balancer in balancers]
@@ -137,9 +137,9 @@
 
 
 class ConnectionStorm(threading.Thread):
-    """Opens a connection every 2 ms that sends its data and stays open.
+    """Opens a connection every 2 ms, which sends `data` and stays open.
 
-    Beyond `max_open` connections, each new one is closed, or the oldest in its place.
+    Beyond `max_open` connections, it closes each new one again or, unless `close_newest`, the oldest instead.
     """
 
     def __init__(self, port, data, max_open, close_newest):
@@ -169,15 +169,15 @@
 
 @pytest.mark.parametrize("kind", IDLE_CLIENT_DATA)
 def test_idle_clients_that_fill_the_descriptors_block_neither_updates_nor_new_flows(kind):
-    # Discovery is down, and every 2 ms a client connects that keeps its descriptor. When discovery is back,
-    # the balancer connects to it within a second, and a new flow is served by the server that it names.
+    # While discovery is down, a client connects every 2 ms and keeps its descriptor. When discovery is back,
+    # the balancer connects to it within a second, and a new flow is served by the server of the new list.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
         source = balancer.discovery
         wait_until(lambda: source.responses)
         source.script[:] = ["drop"] * 1_000
         established = kind == "established"
-        # Without flows, more connections than the balancer can have open.
+        # If no flows are established, open more connections than the balancer has descriptors for.
         max_open = 150 if established else 400
         storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
         storm.start()
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Discovery clients on loopback sockets: cached lists, long polls, rejections and local agents."""
+"""The discovery client of a balancer on loopback: cached lists, long polls, rejections, local agents."""
 
 import contextlib
 import time
@@ -18,7 +18,7 @@
 
 
 def wait_for_long_poll(balancer):
-    """Wait until a long poll was sent, and return when."""
+    """Wait until a long poll was sent; return the time at which it was."""
     calls = len(balancer.discovery.polls)
     wait_until(lambda: len(balancer.discovery.polls) > calls + 1)
     return balancer.discovery.polls[-1][0]
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def two_servers():
-    """Return two servers with different receipts."""
+    """Return two servers that accept flows with different receipts."""
     return FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
 
 
@@ -56,7 +56,7 @@
     with Balancer(FakeServer("s1"), rejections=1) as balancer:
         wait_until(lambda: len(balancer.discovery.polls) > 1)
         times, versions = zip(*balancer.discovery.polls[:2], strict=True)
-        # Polls for the complete list, without a backoff, would keep discovery from serving any balancer.
+        # Immediate polls for the complete list would keep an overloaded discovery from serving any balancer.
         assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
 
 
@@ -101,7 +101,7 @@
 )
 @pytest.mark.parametrize("half", [False, True])
 def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
-    # The deadline is 6 s and the grace.
+    # The deadline is 6 s plus the grace.
     one, two = two_servers
     with Balancer(one, two, settings=settings, partial_responses=half) as balancer:
         opened = wait_for_long_poll(balancer)
@@ -132,7 +132,7 @@
         wait_for_long_poll(balancer)
         balancer.discovery.down = True
         calls = len(balancer.discovery.polls)
-        # After these polls the backoffs have reached their maximum.
+        # After this many polls, the backoff has reached its maximum.
         wait_until(lambda: len(balancer.discovery.polls) > calls + 5)
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         returned_at, balancer.discovery.down = time.monotonic(), False
@@ -142,10 +142,10 @@
 
 
 def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
-    # What the agent has counts as received from the start of the process on, and the cached list is old.
+    # Changes that the agent has count as received when the process starts, but the cached list is older.
     one, two = two_servers
     # The timeout of an agent's poll is half of the grace. With a grace of 500 ms it would pass only 50 ms
-    # after this response is due, and a busy machine may be later.
+    # after this response is due, and on a busy machine the response may be later than that.
     settings = {**AGENT_SETTINGS, "rules": {"stop_sending_within": 2_000}}
     starting = Balancer(one, two, settings=settings, response_delay=0.2)
     starting.discovery.entries, starting.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
--- a/tests/test_golden_bytes_files.py
+++ b/tests/test_golden_bytes_files.py
@@ -1,7 +1,7 @@
-"""Golden bytes of the operators' files, written literally.
+"""Golden files of operators: literal configuration files and the values that are read from them.
 
-They must not change when types or modules are renamed, because a new build reads the files of an older one.
-Expected values use no name of the project.
+The files must stay readable when types or modules are renamed, because a new version reads the files of an
+older one. So apart from enum members, the expected values are literals, without names of the project.
 """
 
 import json
--- a/tests/test_monotonic_reactor.py
+++ b/tests/test_monotonic_reactor.py
@@ -1,4 +1,4 @@
-"""Every process of the project runs on timers that go by the monotonic clock."""
+"""Every process of the project runs on a reactor whose timers use the monotonic clock."""
 
 import pathlib
 import subprocess
@@ -35,7 +35,7 @@
     file = ROOT / entry_point
     program = CHECK.format(root=str(ROOT), directory=str(file.parent), file=str(file))
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=False)
-    if "ModuleNotFoundError" in done.stderr:  # CI does not install the libraries of benchmarks
+    if "ModuleNotFoundError" in done.stderr:  # CI does not install the libraries that benchmarks need
         assert "lotusroute" not in done.stderr.splitlines()[-1]
         assert file.parent.name == "benchmarks"
     else:
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""The times of polls and backoffs, without sockets: what one poll leaves to the next within the deadline."""
+"""The times of polls and backoffs, without sockets: how much of the deadline a poll leaves for the next."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class LongestBackoffs(random.Random):
-    """A generator with which every backoff has its full length."""
+    """A random number generator with which every backoff has its maximum length."""
 
     def uniform(self, low, high):
         assert (low, high) == (MIN_BACKOFF_FRACTION, 1.0)
@@ -48,7 +48,7 @@
 
 
 def poll_successfully(schedule, now, duration=0.01, has_changes=True):
-    """Send a poll and let it succeed after `duration` s; returns its times."""
+    """Record a poll that succeeds after `duration` seconds; return its times."""
     timing = schedule.next_poll(now, True, MAX_HOLD_S)
     schedule.response_received(now + duration, timing, has_changes)
     schedule.poll_succeeded()
@@ -56,7 +56,7 @@
 
 
 def fail_poll(schedule, now, stage):
-    """Send a poll and let it fail after its timeout; returns when the next one may be sent."""
+    """Record a poll that is rejected at once or fails after its timeout; return when the next is due."""
     timing = schedule.next_poll(now, True, MAX_HOLD_S)
     schedule.poll_failed(timing, stage)
     failed_at = now if stage == PollStage.REJECTED else now + timing.timeout
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""Many processes that start at once, on a part of a core each, are ready in time whatever discovery does."""
+"""Processes that start at once, each on a part of a core, are ready in time whatever discovery does."""
 
 import contextlib
 import pathlib
@@ -14,13 +14,13 @@
 
 PROCESS_COUNT = 10  # started at once
 CPU_SHARE = 0.1  # of a core, for each process
-READY_TIMEOUT_S = 10.0  # within which 90 % have to answer PONG
-SAMPLE_INTERVAL_S = 0.004  # between readings of the CPU time that processes have used
+READY_TIMEOUT_S = 10.0  # within which 90 % of the processes have to answer PONG
+SAMPLE_INTERVAL_S = 0.004  # between readings of the CPU time that the processes have used
 DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"rejections": 1_000}, "closed": {}}
 
 
 class Throttle(threading.Thread):
-    """Limits processes to a share of a core each with SIGSTOP and SIGCONT; a context manager."""
+    """Context manager that limits each process to a share of a core, by SIGSTOP and SIGCONT."""
 
     def __init__(self, processes):
         super().__init__(daemon=True)
@@ -53,7 +53,7 @@
 
 @contextlib.contextmanager
 def started_balancers(discovery):
-    """Start all processes at once, with discovery in one of its states."""
+    """Start all processes at once, with discovery in one of the `DISCOVERY_STATES`."""
     server = FakeServer("s1")
     with contextlib.ExitStack() as stack:
         balancers = []
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change no deadline, timeout or grace: these are spans of real time."""
+"""Steps of the wall clock affect no deadline, timeout or grace, because these are durations."""
 
 import signal
 import socket
@@ -9,12 +9,12 @@
 from fake_servers import FakeServer
 
 HOUR_S = 3_600.0
-STEPS_S = [-HOUR_S, -20.0, -3.0, 3.0, HOUR_S]  # 3 and -20 are from incident-1
-UNRESPONSIVE_LIMIT_S = 7.0  # the protocol's limit for ending a connection without replies
+STEPS_S = [-HOUR_S, -20.0, -3.0, 3.0, HOUR_S]  # in incident-1 the steps were 3 and -20
+UNRESPONSIVE_LIMIT_S = 7.0  # the protocol's limit for ending a connection that has no replies
 
 
 def time_to_migration(balancer, server, wall_clock, step):
-    """Step the clock as the server stops replying; return the s until its client gets MOVE."""
+    """Step the clock when the server stops replying; return the seconds until its client gets MOVE."""
     client = balancer.open_flow()
     assert client.readline() == b"UP r1\r\n"
     server.unresponsive = True
@@ -78,7 +78,7 @@
         changed_at = time.monotonic()
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         assert client.readline() == b"MOVE\r\n"
-        # 6 s, the grace of 2 s, and the second over which clients are migrated.
+        # 6 s until the change counts as received, 2 s of grace, and 1 s over which clients are migrated.
         assert time.monotonic() - changed_at < 9.0
         assert balancer.open_flow().readline() == b"UP two\r\n"
 
@@ -87,7 +87,7 @@
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
         for step in (HOUR_S, -HOUR_S, -20.0, 3.0):
             wall_clock.step(step)
-            time.sleep(1.2)  # the clocks are compared once a second
+            time.sleep(1.2)  # the balancer compares the clocks once a second
         log = balancer.terminate(signal.SIGTERM)
     assert log.count('event="wall clock stepped"') == 4 and "wall_clock_steps=4" in log
     assert not any(counter in log for counter in ("late_timers", "discovery_failures", "internal_errors"))
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -6,14 +6,14 @@
 import struct
 
 SHIM_DIRECTORY = pathlib.Path(__file__).parent / "wall_clock_shim"
-OFFSET_S = struct.Struct("d")  # as the file holds it
+OFFSET_S = struct.Struct("d")  # the format of the offset in the file
 
 
 class SteppableWallClock:
     """The wall clock of all processes that are started with `environment`."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """`path` is a file that does not exist yet; through it the processes share the offset."""
+        """`path` names a file to create, through which the processes share the offset."""
         self._path = path
         path.write_bytes(OFFSET_S.pack(0.0))
         with path.open("r+b") as file:
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -1,10 +1,11 @@
 """Lets a test step the wall clock of one Python process, as an operator or NTP steps that of a machine.
 
 Python imports this module before any other in a process whose PYTHONPATH names this directory. The variable
-WALL_CLOCK_OFFSET_FILE names a file of one double: its value in s is added to every reading of the wall clock,
-from the moment at which the test writes it. Without that file, the variable WALL_CLOCK_JUMPS may have a seed:
-then the clock is stepped at random four times a second, by up to an hour in both directions, so that any test
-can be run under stepped clocks. The monotonic clock and all waits are the system's own.
+WALL_CLOCK_OFFSET_FILE names a file that holds one double. Its value, in seconds, is added to every reading
+of the wall clock, and a new value takes effect as soon as the test writes it. Without that variable,
+WALL_CLOCK_JUMPS may be set to a seed: the clock is then stepped at random four times a second, by up to an
+hour in both directions, so that any test can be run under stepped clocks. The monotonic clock and all waits
+are not affected.
 """
 
 import mmap
@@ -21,14 +22,14 @@
 
 
 def _shared_offset(path: str) -> Callable[[], float]:
-    """Return a function that reads the offset that a test has written."""
+    """Return a function that reads the offset, in seconds, that a test has written."""
     with open(path, "rb") as file:
         shared = mmap.mmap(file.fileno(), OFFSET_S.size, prot=mmap.PROT_READ)
     return lambda: float(OFFSET_S.unpack_from(shared)[0])
 
 
 def _random_offset(seed: str) -> Callable[[], float]:
-    """Return a function whose value changes at random, independently in each process."""
+    """Return a function whose value, in seconds, changes at random, independently in each process."""
 
     def offset() -> float:
         interval = int(time.monotonic() * JUMPS_PER_SECOND)
@@ -38,7 +39,7 @@
 
 
 def _install(offset: Callable[[], float]) -> None:
-    """Add an offset in s to every reading of the wall clock."""
+    """Add an offset in seconds to every reading of the wall clock."""
     read_time = time.time
     read_clock = time.clock_gettime
 
