--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -32,9 +32,9 @@
                 self.close_connection = True
             case "silent":
                 self._leave_unanswered(partial=False)
-            case "half":
+            case "partial":
                 self._leave_unanswered(partial=True)
-            case "refuse":
+            case "reject":
                 self._reject()
             case float(queue_s):
                 time.sleep(queue_s)
@@ -93,8 +93,8 @@
         self.responses: list[tuple[float, int]] = []  # time and version of each response
         self.rejections = 0  # number of next polls that are rejected
         self.response_delay = 0.0  # seconds before each response
-        # Faults of the next polls, one each: "drop", "silent", "half", "refuse", or the seconds for which the
-        # poll is queued.
+        # Faults of the next polls, one each: "drop", "silent", "partial", "reject", or the seconds for which
+        # the poll is queued.
         self.script: list[str | float] = []
         self.interruptions = 0  # when it is increased, the polls in flight are never answered
         self.down = False  # polls in flight and new ones are never answered
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,10 +19,10 @@
 MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received
 QUEUE_DELAY_S = 2.0  # how long discovery queues a poll
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
-FAULTS = ["silent", "half", "refuse"]
-CASES = [(*case, QUEUE_DELAY_S) for case in itertools.product(FAULTS, repeat=2) if "refuse" in case]
-CASES += [case for case in itertools.product(FAULTS, repeat=2) if "refuse" not in case]
-CASES += [("refuse", "refuse", "silent"), ("refuse", "silent", "refuse")]
+FAULTS = ["silent", "partial", "reject"]
+CASES = [(*case, QUEUE_DELAY_S) for case in itertools.product(FAULTS, repeat=2) if "reject" in case]
+CASES += [case for case in itertools.product(FAULTS, repeat=2) if "reject" not in case]
+CASES += [("reject", "reject", "silent"), ("reject", "silent", "reject")]
 
 
 def wait_for_poll(balancer):
@@ -86,11 +86,11 @@
         time.sleep(3.5)
         balancer.resume()
 
-    delays = measure_delays([("silent", "refuse")], suspend_for_a_while)
+    delays = measure_delays([("silent", "reject")], suspend_for_a_while)
     assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
 
-@pytest.mark.parametrize("script", [["silent"], ["refuse", "refuse"], ["half", "refuse"]])
+@pytest.mark.parametrize("script", [["silent"], ["reject", "reject"], ["partial", "reject"]])
 def test_the_list_of_a_new_address_whose_first_polls_fail_is_received_in_time(script):
     one, two = FakeServer("s0"), FakeServer("s1", b"UP two\r\n")
     new = FakeDiscovery(two)
@@ -115,7 +115,7 @@
         returned = {}
         for balancer in balancers:
             wait_until(lambda balancer=balancer: balancer.discovery.responses)
-            balancer.discovery.script[:] = ["silent"] * 4 + ["refuse", QUEUE_DELAY_S]
+            balancer.discovery.script[:] = ["silent"] * 4 + ["reject", QUEUE_DELAY_S]
         until = time.monotonic() + 30.0
         while time.monotonic() < until and not all(received_at(balancer, 2) for balancer in balancers):
             for balancer in balancers:
@@ -130,7 +130,7 @@
 IDLE_CLIENT_DATA = {
     "silent": b"",
     "checked": b"PING\r\n",
-    "half a line": b"OPEN id9 k",
+    "partial line": b"OPEN id9 k",
     "answered": b"NONSENSE\r\n",
     "established": b"OPEN e%d k%d c=live,d=1800\r\n",
 }
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -99,11 +99,11 @@
         {**SETTINGS, "rules": {"stop_sending_within": 100}},
     ],
 )
-@pytest.mark.parametrize("half", [False, True])
-def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
+@pytest.mark.parametrize("partial", [False, True])
+def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, partial, two_servers):
     # The deadline is 6 s plus the grace.
     one, two = two_servers
-    with Balancer(one, two, settings=settings, partial_responses=half) as balancer:
+    with Balancer(one, two, settings=settings, partial_responses=partial) as balancer:
         opened = wait_for_long_poll(balancer)
         balancer.discovery.interruptions += 1
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -16,7 +16,7 @@
 CPU_SHARE = 0.1  # of a core, for each process
 READY_TIMEOUT_S = 10.0  # within which 90 % of the processes have to answer PONG
 SAMPLE_INTERVAL_S = 0.004  # between readings of the CPU time that the processes have used
-DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "refusing": {"rejections": 1_000}, "closed": {}}
+DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "rejecting": {"rejections": 1_000}, "closed": {}}
 
 
 class Throttle(threading.Thread):
