--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -25,9 +25,9 @@
 
     def answer_poll(self, poll: Poll) -> None:
         """Answer one poll with the next fault of the script, or else by the state of the server."""
-        source = self.server
-        source.polls.append((time.monotonic(), poll.version))
-        match source.script.pop(0) if source.script else "":
+        discovery = self.server
+        discovery.polls.append((time.monotonic(), poll.version))
+        match discovery.script.pop(0) if discovery.script else "":
             case "drop":
                 self.close_connection = True
             case "silent":
@@ -40,8 +40,8 @@
                 time.sleep(queue_s)
                 # The hold has expired while the poll was queued.
                 self._answer(poll._replace(deadline=0.0))
-            case _ if source.rejections:
-                source.rejections -= 1
+            case _ if discovery.rejections:
+                discovery.rejections -= 1
                 self._reject()
             case _:
                 self._answer(poll)
@@ -55,10 +55,10 @@
 
     def _wait_for_list(self, poll: Poll) -> bool:
         """Wait until there is a list to send; return False if the poll was interrupted instead."""
-        source = self.server
-        interruptions = source.interruptions
+        discovery = self.server
+        interruptions = discovery.interruptions
         while True:
-            if source.down or source.interruptions != interruptions:
+            if discovery.down or discovery.interruptions != interruptions:
                 self._interrupt()
                 return False
             if self.can_answer(poll):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -173,19 +173,19 @@
     # the balancer connects to it within a second, and a new flow is served by the server of the new list.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
-        source = balancer.discovery
-        wait_until(lambda: source.responses)
-        source.script[:] = ["drop"] * 1_000
+        discovery = balancer.discovery
+        wait_until(lambda: discovery.responses)
+        discovery.script[:] = ["drop"] * 1_000
         established = kind == "established"
         # If no flows are established, open more connections than the balancer has descriptors for.
         max_open = 150 if established else 400
         storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
         storm.start()
         time.sleep(9.0)  # all backoffs have grown
-        polls = [sent for sent, _ in source.polls][4:]
+        polls = [sent for sent, _ in discovery.polls][4:]
         assert len(polls) > 6 and max(b - a for a, b in itertools.pairwise(polls)) < 1.0 + 0.3
-        source.entries, source.seq, source.script[:] = [one.entry("DELETED"), two.entry()], 5, []
-        wait_until(lambda: source.responses[-1][1] == 5)
+        discovery.entries, discovery.seq, discovery.script[:] = [one.entry("DELETED"), two.entry()], 5, []
+        wait_until(lambda: discovery.responses[-1][1] == 5)
         storm.stop()
         answers = set()
         until = time.monotonic() + 2.0
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -6,7 +6,7 @@
 import struct
 
 SHIM_DIRECTORY = pathlib.Path(__file__).parent / "wall_clock_shim"
-OFFSET_S = struct.Struct("d")  # the format of the offset in the file
+OFFSET_FORMAT = struct.Struct("d")  # the format of the offset in the file
 
 
 class SteppableWallClock:
@@ -15,9 +15,9 @@
     def __init__(self, path: pathlib.Path) -> None:
         """`path` names a file to create, through which the processes share the offset."""
         self._path = path
-        path.write_bytes(OFFSET_S.pack(0.0))
+        path.write_bytes(OFFSET_FORMAT.pack(0.0))
         with path.open("r+b") as file:
-            self._offset = mmap.mmap(file.fileno(), OFFSET_S.size)
+            self._offset = mmap.mmap(file.fileno(), OFFSET_FORMAT.size)
 
     @property
     def environment(self) -> tuple[tuple[str, str], ...]:
@@ -30,5 +30,5 @@
 
     def step(self, seconds: float) -> None:
         """Set the wall clock forward, or back where `seconds` is negative."""
-        (offset_s,) = OFFSET_S.unpack_from(self._offset)
-        OFFSET_S.pack_into(self._offset, 0, offset_s + seconds)
+        (offset_s,) = OFFSET_FORMAT.unpack_from(self._offset)
+        OFFSET_FORMAT.pack_into(self._offset, 0, offset_s + seconds)
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -15,7 +15,7 @@
 import time
 from collections.abc import Callable
 
-OFFSET_S = struct.Struct("d")
+OFFSET_FORMAT = struct.Struct("d")
 NANOSECONDS = 1_000_000_000  # in a second
 JUMPS_PER_SECOND = 4
 MAX_JUMP_S = 3_600.0
@@ -24,8 +24,8 @@
 def _shared_offset(path: str) -> Callable[[], float]:
     """Return a function that reads the offset, in seconds, that a test has written."""
     with open(path, "rb") as file:
-        shared = mmap.mmap(file.fileno(), OFFSET_S.size, prot=mmap.PROT_READ)
-    return lambda: float(OFFSET_S.unpack_from(shared)[0])
+        shared = mmap.mmap(file.fileno(), OFFSET_FORMAT.size, prot=mmap.PROT_READ)
+    return lambda: float(OFFSET_FORMAT.unpack_from(shared)[0])
 
 
 def _random_offset(seed: str) -> Callable[[], float]:
