--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -38,6 +38,6 @@
         ({"settings": {**SETTINGS, "discovery": "push"}}, ["settings.discovery"]),
     ],
 )
-def test_a_reload_logs_the_keys_of_what_a_running_balancer_cannot_apply(changes, keys):
+def test_a_reload_names_the_changed_keys_that_need_a_restart(changes, keys):
     old, new = config.parse_config(DOCUMENT, {}), config.parse_config({**DOCUMENT, **changes}, {})
     assert config.settings_needing_restart(old, new) == keys
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -57,7 +57,7 @@
         assert balancer.process.returncode == 0
 
 
-def test_a_malformed_file_is_rejected_with_its_key_and_what_needs_a_restart_is_named():
+def test_a_reload_rejects_a_malformed_file_by_its_key_and_names_keys_that_need_a_restart():
     with Balancer(FakeServer("s1"), sockets=68) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(2)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
@@ -86,7 +86,7 @@
         ("known", {"known": [1]}),
     ],
 )
-def test_an_invalid_key_is_named(key, changes, tmp_path):
+def test_an_error_starts_with_the_invalid_key(key, changes, tmp_path):
     file = tmp_path / "config.json"
     if changes is not None:
         file.write_text(json.dumps({**VALID_CONFIG, **changes}))
@@ -100,7 +100,7 @@
     assert balancer.process.returncode == 2
 
 
-def test_settings_of_the_program_and_of_the_simulator_give_one_service_config():
+def test_nested_settings_give_a_service_config_as_the_flat_ones_of_the_simulator_do():
     service_config = config.parse_service_config(dict(config.flatten(SETTINGS)))
     assert service_config.service_types == {"live": events.ServiceType(300.0)}
     assert service_config.max_retry_after == 1000.0
@@ -122,7 +122,7 @@
         self.answer = answer
 
 
-def test_a_line_of_an_existing_connection_long_after_the_start_is_rejected_and_takes_no_capacity(tmp_path):
+def test_an_existing_connection_long_after_the_start_is_rejected_and_takes_no_capacity(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(VALID_CONFIG))
     core = BalancerCore(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -167,7 +167,7 @@
         ("settings", [1]),
     ],
 )
-def test_an_invalid_setting_is_named_at_the_start_too(old, path, value):
+def test_the_balancer_also_names_an_invalid_setting(old, path, value):
     document = config.read_json_object(old)
     set_path(document, path, value)
     named = path.rpartition(".")[2] if "." in path else "object"
@@ -175,7 +175,7 @@
         config.parse_config(document, {})
 
 
-def test_the_old_file_starts_the_program_as_before_and_the_new_one_without_health_checks():
+def test_a_balancer_starts_with_the_old_file_and_with_the_new_one_without_health_checks():
     server = FakeServer("s1")
     with Balancer(server, settings=OLD_SETTINGS) as before:
         assert before.open_flow().readline() == b"UP r1\r\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -79,7 +79,7 @@
     assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
 
-def test_a_process_suspended_during_a_silent_long_poll_and_then_rejected_still_receives_in_time():
+def test_a_process_suspended_during_an_unanswered_long_poll_and_then_rejected_receives_in_time():
     def suspend_for_a_while(balancer):
         time.sleep(0.1)
         balancer.suspend()
@@ -106,7 +106,7 @@
     new.shutdown()
 
 
-def test_the_list_is_received_in_time_from_a_discovery_that_returns_just_after_an_unanswered_poll():
+def test_the_list_is_received_in_time_from_a_discovery_that_is_back_just_after_an_unanswered_poll():
     # Discovery does not answer for seconds, so that all backoffs have grown. The poll sent just before it is
     # back is never answered, and the next one is rejected.
     servers = [FakeServer(f"s{index}") for index in range(2)]
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -42,7 +42,7 @@
         assert client.readline() == b"UP s3\r\n"
 
 
-def test_the_cached_list_serves_while_discovery_is_silent_and_updates_are_followed(two_servers):
+def test_the_cached_list_is_used_while_discovery_is_silent_and_updates_are_applied(two_servers):
     one, two = two_servers
     with Balancer(one, available=False) as balancer:
         assert balancer.open_flow().readline() == b"UP one\r\n"
@@ -52,7 +52,7 @@
         wait_until(lambda: balancer.open_flow().readline() == b"UP one\r\n")
 
 
-def test_a_rejected_poll_is_retried_after_a_backoff_for_the_missing_changes_only():
+def test_a_rejected_poll_is_retried_after_a_backoff_and_requests_only_changes():
     with Balancer(FakeServer("s1"), rejections=1) as balancer:
         wait_until(lambda: len(balancer.discovery.polls) > 1)
         times, versions = zip(*balancer.discovery.polls[:2], strict=True)
@@ -75,13 +75,13 @@
     assert len(backoffs) == 200 and max(backoffs) + 2.0 <= 6.0 + 2.0
 
 
-def test_a_response_that_was_queued_for_two_seconds_is_waited_for():
+def test_a_poll_that_is_queued_for_two_seconds_does_not_time_out():
     with Balancer(FakeServer("s1"), known=None, response_delay=2.2) as balancer:
         wait_until(lambda: [version for _, version in balancer.discovery.polls] == [None, "1"])
 
 
 @pytest.mark.parametrize("known", [None, -1, "7", True, 1.5, 8])
-def test_a_cached_version_that_is_invalid_or_newer_than_discoverys_means_the_complete_list(known):
+def test_the_complete_list_is_requested_if_the_cached_version_is_invalid_or_too_new(known):
     with Balancer(FakeServer("s1"), known=known) as balancer:
         assert balancer.open_flow().readline() == b"UP r1\r\n"
         wait_until(
@@ -126,7 +126,7 @@
         assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
-def test_what_an_agent_learns_at_its_return_is_received_within_a_short_grace(two_servers):
+def test_a_change_that_an_agent_has_when_it_is_back_is_received_within_a_short_grace(two_servers):
     one, two = two_servers
     with Balancer(one, two, settings=AGENT_SETTINGS) as balancer:
         wait_for_long_poll(balancer)
--- a/tests/test_monotonic_reactor.py
+++ b/tests/test_monotonic_reactor.py
@@ -42,14 +42,14 @@
         assert done.stdout.strip() in ("no reactor", "True"), done.stderr
 
 
-def test_without_epoll_the_reactor_goes_by_the_monotonic_clock_as_well(monkeypatch):
+def test_the_reactor_without_epoll_also_uses_the_monotonic_clock(monkeypatch):
     assert monotonic_reactor._reactor_class().seconds is time.monotonic
     monkeypatch.setitem(sys.modules, "twisted.internet.epollreactor", None)
     reactor_class = monotonic_reactor._reactor_class()
     assert reactor_class.__name__ == "MonotonicSelectReactor" and reactor_class.seconds is time.monotonic
 
 
-def test_a_reactor_on_the_wall_clock_that_is_installed_already_is_an_error():
+def test_installing_after_a_reactor_on_the_wall_clock_is_an_error():
     program = (
         "from twisted.internet import reactor; from lotusroute.net import monotonic_reactor as module\n"
         "module.install()"
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -63,14 +63,14 @@
     return failed_at + schedule.next_backoff(failed_at, stage)
 
 
-def test_the_time_that_is_left_counts_from_the_last_complete_response(remote):
+def test_the_remaining_time_counts_from_the_last_complete_response(remote):
     interval = MAX_UPDATE_DELAY_S + GRACE_MS / 1_000 - TIMING_MARGIN_S
     assert remote.remaining(START_S) == pytest.approx(interval)
     poll_successfully(remote, START_S + 3.0)
     assert remote.remaining(START_S + 4.0) == pytest.approx(interval - 1.0 + 0.01)
 
 
-def test_a_list_known_to_be_current_from_another_source_extends_the_time_and_an_older_one_does_not(remote):
+def test_a_current_list_from_another_source_extends_the_remaining_time_and_an_older_one_does_not(remote):
     before = remote.remaining(START_S)
     remote.note_list_current_at(START_S - 5.0)
     assert remote.remaining(START_S) == before
@@ -85,7 +85,7 @@
     assert remote.next_poll(START_S, True, MAX_HOLD_S).hold > 0.0
 
 
-def test_a_poll_after_a_prompt_response_waits_for_less_than_one_that_may_be_queued(remote):
+def test_a_poll_after_a_prompt_response_has_a_shorter_timeout_than_one_that_may_be_queued(remote):
     assert remote.next_poll(START_S, True, MAX_HOLD_S).timeout == REQUEST_TIMEOUT_S
     poll_successfully(remote, START_S)
     timing = remote.next_poll(START_S, True, MAX_HOLD_S)
@@ -158,7 +158,7 @@
     assert schedule.next_backoff(START_S, PollStage.NO_RESPONSE) == MIN_BACKOFF_S
 
 
-def test_every_part_of_a_backoff_beyond_the_fixed_one_is_random():
+def test_a_backoff_is_random_beyond_its_fixed_fraction():
     limits = PollLimits.for_remote_discovery(GRACE_MS)
     schedules = [new_schedule(limits, random.Random(seed)) for seed in range(200)]
     backoffs = [schedule.next_backoff(START_S, PollStage.NO_RESPONSE) for schedule in schedules]
@@ -166,20 +166,20 @@
     assert max(backoffs) - min(backoffs) > 0.7 * MIN_BACKOFF_S
 
 
-def test_a_rejection_and_a_queue_after_a_lost_poll_fit_into_the_deadline(remote):
+def test_a_rejection_and_a_queue_after_an_unanswered_poll_fit_into_the_deadline(remote):
     poll_successfully(remote, START_S)
     first_retry = fail_poll(remote, START_S, PollStage.NO_RESPONSE)
     second_retry = fail_poll(remote, first_retry, PollStage.REJECTED)
     assert remote.remaining(second_retry) >= QUEUE_TIMEOUT_S - 0.01
 
 
-def test_a_rejection_by_an_agent_has_the_backoff_of_any_failure_and_no_hold_is_cut_for_its_queue(agent):
+def test_a_rejection_by_an_agent_has_the_maximum_backoff_and_its_holds_leave_no_time_for_a_queue(agent):
     assert agent.next_backoff(START_S, PollStage.REJECTED) == GRACE_MS / 4_000
     poll_successfully(agent, START_S)
     assert agent.next_poll(START_S, True, MAX_HOLD_S).hold == MAX_HOLD_S
 
 
-def test_rejections_without_time_left_wait_for_a_whole_interval_from_the_second_on(remote):
+def test_rejections_without_time_left_have_a_backoff_of_a_whole_interval(remote):
     late = START_S + remote.remaining(START_S) + 1.0
     interval = MAX_UPDATE_DELAY_S + GRACE_MS / 1_000 - TIMING_MARGIN_S - QUEUE_TIMEOUT_S
     assert remote.next_backoff(late, PollStage.REJECTED) == pytest.approx(interval)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("already_late", [0.0, 60.0])
-def test_a_poll_interrupted_by_a_suspension_may_go_on_for_the_rest_of_the_deadline(remote, already_late):
+def test_the_timeout_is_extended_after_a_suspension_by_the_rest_of_the_deadline(remote, already_late):
     poll_successfully(remote, START_S)
     now = START_S + already_late
     timing = remote.next_poll(now, True, MAX_HOLD_S)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_S)
-def test_a_flow_at_a_server_that_says_nothing_is_answered_by_its_deadline_after_a_step(wall_clock, step):
+def test_a_flow_whose_server_never_replies_is_answered_by_its_deadline_after_a_step(wall_clock, step):
     server = FakeServer("s1", None)
     with Balancer(server, env=wall_clock.environment) as balancer:
         requested_at = time.monotonic()
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_S)
-def test_a_first_line_in_two_parts_has_its_whole_time_and_no_more_after_a_step(wall_clock, step):
+def test_the_timeout_of_a_first_line_in_two_parts_is_unchanged_by_a_step(wall_clock, step):
     server = FakeServer("s1")
     with Balancer(server, env=wall_clock.environment) as balancer:
         slow, stuck = balancer.connect(), balancer.connect()
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_drain_is_received_in_time_from_a_discovery_that_fell_silent_before_a_step(wall_clock, step):
+def test_a_drain_is_received_in_time_from_a_discovery_that_stopped_answering_before_a_step(wall_clock, step):
     one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
     with Balancer(one, env=wall_clock.environment) as balancer:
         client = balancer.open_flow()
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_shutdown_during_which_the_clock_is_stepped_migrates_all_and_ends_in_its_time(wall_clock, step):
+def test_a_shutdown_with_a_step_migrates_all_clients_and_ends_in_time(wall_clock, step):
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(20)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_server_has_its_whole_grace_to_close_after_its_client_and_no_more(wall_clock, step):
+def test_the_grace_of_a_server_to_close_after_its_client_is_unchanged_by_a_step(wall_clock, step):
     server = FakeServer("s1")
 
     def never_close(connection):
