--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -22,7 +22,7 @@
         ...
 
     def apply_shared_update(self, message: EndpointListMessage, since: int | None, /) -> bool:
-        """Apply a response that another process received, and return whether it was applied.
+        """Apply a response that another process received; return whether it was applied.
 
         `since` is the list version that the changes are relative to, None for a complete list.
         """
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -24,13 +24,13 @@
 
 
 class EventLoop:
-    """Queue, clock and timers of a balancer; an exception in one handler does not affect other events."""
+    """The queue, clock and timers of a balancer; an exception in one handler does not affect other events."""
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self.clock_monitor = ClockMonitor(counters)
         # What `clock` adds to the monotonic clock. The sum is Unix time, in which servers' start times and
-        # the balancers' turns at a task are expressed, but advances with the monotonic clock.
+        # the balancers' turns at a shared task are expressed, but advances with the monotonic clock.
         self.clock_offset = wall_clock.unix_ms() - monotonic_ms()
         self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
         self._run_scheduled = False
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -101,6 +101,7 @@
 
 
 def test_nested_settings_give_a_service_config_as_the_flat_ones_of_the_simulator_do():
+    # The configuration file nests the settings, the simulator sends them flat; one parser reads both.
     service_config = config.parse_service_config(dict(config.flatten(SETTINGS)))
     assert service_config.service_types == {"live": events.ServiceType(300.0)}
     assert service_config.max_retry_after == 1000.0
--- a/tests/test_golden_bytes_files.py
+++ b/tests/test_golden_bytes_files.py
@@ -1,4 +1,4 @@
-"""Golden files of operators: literal configuration files and the values that are read from them.
+"""Golden configuration files: their literal contents and the values that are read from them.
 
 The files must stay readable when types or modules are renamed, because a new version reads the files of an
 older one. So apart from enum members, the expected values are literals, without names of the project.
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""Processes that start at once, each on a part of a core, are ready in time whatever discovery does."""
+"""Many processes that start at once, each on a part of a core, are ready in time whatever discovery does."""
 
 import contextlib
 import pathlib
