--- a/lotusroute/net/discovery_request.py
+++ b/lotusroute/net/discovery_request.py
@@ -43,13 +43,13 @@
             self._stop_timer()
 
     async def _exchange(self, url: str) -> HttpResponse:
-        response = await self._wait_for(self._agent.request(b"GET", url.encode()))
+        response = await self._make_cancellable(self._agent.request(b"GET", url.encode()))
         self.stage = PollStage.PARTIAL_RESPONSE
-        body = await self._wait_for(readBody(response))
+        body = await self._make_cancellable(readBody(response))
         self.stage = PollStage.MALFORMED_RESPONSE
         return HttpResponse(response.code, body)
 
-    def _wait_for(self, pending: "Deferred[Result]") -> "Deferred[Result]":
+    def _make_cancellable(self, pending: "Deferred[Result]") -> "Deferred[Result]":
         """Store a Deferred that is awaited, so that `cancel` can cancel it."""
         self._pending = pending
         return pending
