--- a/lotusroute/config_upgrade.py
+++ b/lotusroute/config_upgrade.py
@@ -76,8 +76,8 @@
         prog="python -m lotusroute.config_upgrade",
         epilog=EXAMPLE,
         formatter_class=argparse.RawTextHelpFormatter,
-        description="Upgrade a configuration file to a deployment without health checks, messages between\n"
-        "balancers and further locations, and report the keys that cannot be carried over.",
+        description="Upgrade a configuration file for a deployment with one location, without health checks\n"
+        "and messages between balancers, and report the keys that cannot be carried over.",
     )
     parser.add_argument("old", help="the file to upgrade, which is only read")
     parser.add_argument("new", help="the file to write")
@@ -90,7 +90,7 @@
         metavar="PATH=VALUE",
         help="set a value for the new deployment, such as settings.siblings=40; may be repeated",
     )
-    parser.add_argument("--keep-cached-list", action="store_true", help="carry the cached server list over")
+    parser.add_argument("--keep-cached-list", action="store_true", help="carry the cached endpoint list over")
     older_name = "--keep-known"
     parser.add_argument(older_name, dest="keep_cached_list", action="store_true", help=argparse.SUPPRESS)
     parser.add_argument("--force", action="store_true", help="overwrite the new file if it exists")
