--- a/lotusroute/config_upgrade.py
+++ b/lotusroute/config_upgrade.py
@@ -1,6 +1,6 @@
-"""The command that upgrades a configuration file to a deployment of the new kind (docs/migration.md).
+"""The command that upgrades a configuration file for the new kind of deployment (docs/migration.md).
 
-The old file is only read. Both the old and the new configuration are checked as the balancer checks them.
+The old file is only read. Both configurations are validated in the same way as the balancer does.
 """
 
 import argparse
@@ -44,7 +44,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; return its exit code. An error is one line on standard error."""
+    """Run the command and return its exit code. An error is reported as one line on standard error."""
     command = parse_arguments(argv)
     try:
         report = run(command)
@@ -58,7 +58,7 @@
 
 
 def parse_arguments(argv: list[str] | None) -> UpgradeCommand:
-    """Parse the command line; exits where it is invalid."""
+    """Parse the command line; exits if it is invalid."""
     arguments = _build_parser().parse_args(argv)
     return UpgradeCommand(
         old_file=arguments.old,
@@ -76,8 +76,8 @@
         prog="python -m lotusroute.config_upgrade",
         epilog=EXAMPLE,
         formatter_class=argparse.RawTextHelpFormatter,
-        description="Upgrade a configuration file to a deployment without health checks, messages between\n"
-        "balancers and further locations, and report the keys that cannot be carried over.",
+        description="Upgrade a configuration file for a deployment with one location, without health checks\n"
+        "and messages between balancers, and report the keys that cannot be carried over.",
     )
     parser.add_argument("old", help="the file to upgrade, which is only read")
     parser.add_argument("new", help="the file to write")
@@ -90,7 +90,7 @@
         metavar="PATH=VALUE",
         help="set a value for the new deployment, such as settings.siblings=40; may be repeated",
     )
-    parser.add_argument("--keep-cached-list", action="store_true", help="carry the cached server list over")
+    parser.add_argument("--keep-cached-list", action="store_true", help="carry the cached endpoint list over")
     older_name = "--keep-known"
     parser.add_argument(older_name, dest="keep_cached_list", action="store_true", help=argparse.SUPPRESS)
     parser.add_argument("--force", action="store_true", help="overwrite the new file if it exists")
@@ -99,7 +99,7 @@
 
 
 def parse_override(text: str) -> Override:
-    """Parse PATH=VALUE; a value that is not JSON is a text.
+    """Parse PATH=VALUE; a value that is not valid JSON is taken as a string.
 
     >>> parse_override("settings.siblings=40").value, parse_override("discovery=10.0.0.9:8500").value
     (40, '10.0.0.9:8500')
@@ -146,7 +146,7 @@
 
 
 def _upgrade_checked(command: UpgradeCommand, old: JsonObject) -> UpgradedConfig:
-    """Return a valid upgrade of a document."""
+    """Upgrade a document; raises `ConfigError` if the result is not a valid configuration."""
     try:
         upgraded = upgrade(old, command.location, dict(command.overrides), command.keep_cached_list)
         config.parse_config(upgraded.document, os.environ)
@@ -156,7 +156,7 @@
 
 
 def _read_text(path: str) -> str:
-    """Return the text of a file, so that an unchanged document is written byte for byte."""
+    """Return the text of a file, from which an unchanged document is copied byte for byte."""
     with open(path, encoding="utf-8") as file:
         return file.read()
 
@@ -166,15 +166,15 @@
 
 
 def write_atomically(target: str, text: str, mode_of: str, replace: bool) -> None:
-    """Write a complete file or none, with the permissions of the file `mode_of`.
+    """Write a file completely or not at all, with the permissions of the file `mode_of`.
 
     An existing target is an error unless `replace` is set.
     """
-    folder = os.path.dirname(target) or "."
-    if not os.path.isdir(folder):
-        raise ConfigError(f"{target}: the folder {folder} does not exist; create it first")
-    with tempfile.TemporaryDirectory(dir=folder) as temporary_folder:
-        temporary = os.path.join(temporary_folder, "complete")
+    directory = os.path.dirname(target) or "."
+    if not os.path.isdir(directory):
+        raise ConfigError(f"{target}: the directory {directory} does not exist; create it first")
+    with tempfile.TemporaryDirectory(dir=directory) as temporary_directory:
+        temporary = os.path.join(temporary_directory, "complete")
         with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
@@ -183,7 +183,7 @@
         if replace:
             os.replace(temporary, target)
         else:
-            # Fails if the target exists, even if it was created after it was checked.
+            # Fails if the target exists, even if it was created after the check for it.
             os.link(temporary, target)
 
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -1,4 +1,4 @@
-"""Configuration at the start and its reload, on loopback sockets."""
+"""Configuration at the start and on reload, with a balancer process on loopback sockets."""
 
 import json
 import signal
@@ -37,7 +37,7 @@
     with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
         client = balancer.open_flow()
         assert client.readline() == b"UP one\r\n"
-        old.seq = 0  # the poll in flight is not answered, and the new address is not to wait for it
+        old.seq = 0  # the poll in flight is never answered; the new address must not wait for it
         time.sleep(0.2)
         start = time.monotonic()
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
@@ -45,7 +45,8 @@
         assert time.monotonic() - start < 1.0
         client.write(b"M 1 a\r\n")
         assert client.readline() == b"M 1 a\r\n"
-        # Return to the first, whose versions start at 1; then reload twice in a row and once during shutdown.
+        # Return to the first address, whose versions start at 1 again, with two reloads in a row. Then reload
+        # once more during the shutdown.
         old.entries, old.seq = [one.entry()], 1
         balancer.reload(discovery=old_address)
         balancer.reload(discovery=old_address)
@@ -56,7 +57,7 @@
         assert balancer.process.returncode == 0
 
 
-def test_a_malformed_file_is_rejected_with_its_key_and_what_needs_a_restart_is_named():
+def test_a_reload_rejects_a_malformed_file_by_its_key_and_names_keys_that_need_a_restart():
     with Balancer(FakeServer("s1"), sockets=68) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(2)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
@@ -85,7 +86,7 @@
         ("known", {"known": [1]}),
     ],
 )
-def test_an_invalid_key_is_named(key, changes, tmp_path):
+def test_an_error_starts_with_the_invalid_key(key, changes, tmp_path):
     file = tmp_path / "config.json"
     if changes is not None:
         file.write_text(json.dumps({**VALID_CONFIG, **changes}))
@@ -99,14 +100,15 @@
     assert balancer.process.returncode == 2
 
 
-def test_settings_of_the_program_and_of_the_simulator_give_one_service_config():
+def test_nested_settings_give_a_service_config_as_the_flat_ones_of_the_simulator_do():
+    # The configuration file nests the settings, the simulator sends them flat; one parser reads both.
     service_config = config.parse_service_config(dict(config.flatten(SETTINGS)))
     assert service_config.service_types == {"live": events.ServiceType(300.0)}
     assert service_config.max_retry_after == 1000.0
 
 
 class FakeConnection:
-    """A client that keeps its answer and stays connected."""
+    """A client's connection that records its answer and stays connected."""
 
     disconnected = False
     answer = ()
@@ -121,12 +123,12 @@
         self.answer = answer
 
 
-def test_a_line_of_an_existing_connection_long_after_the_start_is_rejected_and_takes_no_capacity(tmp_path):
+def test_an_existing_connection_long_after_the_start_is_rejected_and_takes_no_capacity(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(VALID_CONFIG))
     core = BalancerCore(config.load_config({"LB_CONFIG": str(file)}), structured_log.Counters())
     for delay, flows in (0.0, 1), (70_000.0, 1):
-        core.loop.epoch += delay
+        core.loop.clock_offset += delay
         connection = FakeConnection()
         request = parse_open_request(f"OPEN id{delay:.0f} k c=live,d=4294967,at=s9\r\n".encode())
         core.flow_manager.requests.request_received(RequestReceived(connection, request, core.clock()))
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Discovery clients on loopback sockets: cached lists, long polls, rejections and local agents."""
+"""The discovery client of a balancer on loopback: cached lists, long polls, rejections, local agents."""
 
 import contextlib
 import time
@@ -18,7 +18,7 @@
 
 
 def wait_for_long_poll(balancer):
-    """Wait until a long poll was sent, and return when."""
+    """Wait until a long poll was sent; return the time at which it was."""
     calls = len(balancer.discovery.polls)
     wait_until(lambda: len(balancer.discovery.polls) > calls + 1)
     return balancer.discovery.polls[-1][0]
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def two_servers():
-    """Return two servers with different receipts."""
+    """Return two servers that accept flows with different receipts."""
     return FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
 
 
@@ -42,7 +42,7 @@
         assert client.readline() == b"UP s3\r\n"
 
 
-def test_the_cached_list_serves_while_discovery_is_silent_and_updates_are_followed(two_servers):
+def test_the_cached_list_is_used_while_discovery_is_silent_and_updates_are_applied(two_servers):
     one, two = two_servers
     with Balancer(one, available=False) as balancer:
         assert balancer.open_flow().readline() == b"UP one\r\n"
@@ -52,11 +52,11 @@
         wait_until(lambda: balancer.open_flow().readline() == b"UP one\r\n")
 
 
-def test_a_rejected_poll_is_retried_after_a_backoff_for_the_missing_changes_only():
+def test_a_rejected_poll_is_retried_after_a_backoff_and_requests_only_changes():
     with Balancer(FakeServer("s1"), rejections=1) as balancer:
         wait_until(lambda: len(balancer.discovery.polls) > 1)
         times, versions = zip(*balancer.discovery.polls[:2], strict=True)
-        # Polls for the complete list, without a backoff, would keep discovery from serving any balancer.
+        # Immediate polls for the complete list would keep an overloaded discovery from serving any balancer.
         assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
 
 
@@ -75,19 +75,19 @@
     assert len(backoffs) == 200 and max(backoffs) + 2.0 <= 6.0 + 2.0
 
 
-def test_a_response_that_was_queued_for_two_seconds_is_waited_for():
+def test_a_poll_that_is_queued_for_two_seconds_does_not_time_out():
     with Balancer(FakeServer("s1"), known=None, response_delay=2.2) as balancer:
         wait_until(lambda: [version for _, version in balancer.discovery.polls] == [None, "1"])
 
 
 @pytest.mark.parametrize("known", [None, -1, "7", True, 1.5, 8])
-def test_a_cached_version_that_is_invalid_or_newer_than_discoverys_means_the_complete_list(known):
+def test_the_complete_list_is_requested_if_the_cached_version_is_invalid_or_too_new(known):
     with Balancer(FakeServer("s1"), known=known) as balancer:
         assert balancer.open_flow().readline() == b"UP r1\r\n"
         wait_until(
             lambda: [version for _, version in balancer.discovery.polls][known == 8 :][:2] == [None, "1"]
         )
-        reason = "without version" if known != 8 else "changes up to 1 of a list held at 8"
+        reason = "without version" if known != 8 else "changes up to version 1 do not apply to version 8"
         assert reason in balancer.terminate()
 
 
@@ -99,11 +99,11 @@
         {**SETTINGS, "rules": {"stop_sending_within": 100}},
     ],
 )
-@pytest.mark.parametrize("half", [False, True])
-def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, half, two_servers):
-    # The deadline is 6 s and the grace.
+@pytest.mark.parametrize("partial", [False, True])
+def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, partial, two_servers):
+    # The deadline is 6 s plus the grace.
     one, two = two_servers
-    with Balancer(one, two, settings=settings, partial_responses=half) as balancer:
+    with Balancer(one, two, settings=settings, partial_responses=partial) as balancer:
         opened = wait_for_long_poll(balancer)
         balancer.discovery.interruptions += 1
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
@@ -126,13 +126,13 @@
         assert {balancer.open_flow(str(index)).readline() for index in range(9)} == {b"UP two\r\n"}
 
 
-def test_what_an_agent_learns_at_its_return_is_received_within_a_short_grace(two_servers):
+def test_a_change_that_an_agent_has_when_it_is_back_is_received_within_a_short_grace(two_servers):
     one, two = two_servers
     with Balancer(one, two, settings=AGENT_SETTINGS) as balancer:
         wait_for_long_poll(balancer)
         balancer.discovery.down = True
         calls = len(balancer.discovery.polls)
-        # After these polls the backoffs have reached their maximum.
+        # After this many polls, the backoff has reached its maximum.
         wait_until(lambda: len(balancer.discovery.polls) > calls + 5)
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         returned_at, balancer.discovery.down = time.monotonic(), False
@@ -142,10 +142,10 @@
 
 
 def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
-    # What the agent has counts as received from the start of the process on, and the cached list is old.
+    # Changes that the agent has count as received when the process starts, but the cached list is older.
     one, two = two_servers
     # The timeout of an agent's poll is half of the grace. With a grace of 500 ms it would pass only 50 ms
-    # after this response is due, and a busy machine may be later.
+    # after this response is due, and on a busy machine the response may be later than that.
     settings = {**AGENT_SETTINGS, "rules": {"stop_sending_within": 2_000}}
     starting = Balancer(one, two, settings=settings, response_delay=0.2)
     starting.discovery.entries, starting.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change no deadline, timeout or grace: these are spans of real time."""
+"""Steps of the wall clock affect no deadline, timeout or grace, because these are durations."""
 
 import signal
 import socket
@@ -9,12 +9,12 @@
 from fake_servers import FakeServer
 
 HOUR_S = 3_600.0
-STEPS_S = [-HOUR_S, -20.0, -3.0, 3.0, HOUR_S]  # 3 and -20 are from incident-1
-UNRESPONSIVE_LIMIT_S = 7.0  # the protocol's limit for ending a connection without replies
+STEPS_S = [-HOUR_S, -20.0, -3.0, 3.0, HOUR_S]  # in incident-1 the steps were 3 and -20
+UNRESPONSIVE_LIMIT_S = 7.0  # the protocol's limit for ending a connection that has no replies
 
 
 def time_to_migration(balancer, server, wall_clock, step):
-    """Step the clock as the server stops replying; return the s until its client gets MOVE."""
+    """Step the clock when the server stops replying; return the seconds until its client gets MOVE."""
     client = balancer.open_flow()
     assert client.readline() == b"UP r1\r\n"
     server.unresponsive = True
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_S)
-def test_a_flow_at_a_server_that_says_nothing_is_answered_by_its_deadline_after_a_step(wall_clock, step):
+def test_a_flow_whose_server_never_replies_is_answered_by_its_deadline_after_a_step(wall_clock, step):
     server = FakeServer("s1", None)
     with Balancer(server, env=wall_clock.environment) as balancer:
         requested_at = time.monotonic()
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_S)
-def test_a_first_line_in_two_parts_has_its_whole_time_and_no_more_after_a_step(wall_clock, step):
+def test_the_timeout_of_a_first_line_in_two_parts_is_unchanged_by_a_step(wall_clock, step):
     server = FakeServer("s1")
     with Balancer(server, env=wall_clock.environment) as balancer:
         slow, stuck = balancer.connect(), balancer.connect()
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_drain_is_received_in_time_from_a_discovery_that_fell_silent_before_a_step(wall_clock, step):
+def test_a_drain_is_received_in_time_from_a_discovery_that_stopped_answering_before_a_step(wall_clock, step):
     one, two = FakeServer("s1", b"UP one\r\n"), FakeServer("s2", b"UP two\r\n")
     with Balancer(one, env=wall_clock.environment) as balancer:
         client = balancer.open_flow()
@@ -78,7 +78,7 @@
         changed_at = time.monotonic()
         balancer.discovery.entries, balancer.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
         assert client.readline() == b"MOVE\r\n"
-        # 6 s, the grace of 2 s, and the second over which clients are migrated.
+        # 6 s until the change counts as received, 2 s of grace, and 1 s over which clients are migrated.
         assert time.monotonic() - changed_at < 9.0
         assert balancer.open_flow().readline() == b"UP two\r\n"
 
@@ -87,14 +87,14 @@
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
         for step in (HOUR_S, -HOUR_S, -20.0, 3.0):
             wall_clock.step(step)
-            time.sleep(1.2)  # the clocks are compared once a second
+            time.sleep(1.2)  # the balancer compares the clocks once a second
         log = balancer.terminate(signal.SIGTERM)
     assert log.count('event="wall clock stepped"') == 4 and "wall_clock_steps=4" in log
     assert not any(counter in log for counter in ("late_timers", "discovery_failures", "internal_errors"))
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_shutdown_during_which_the_clock_is_stepped_migrates_all_and_ends_in_its_time(wall_clock, step):
+def test_a_shutdown_with_a_step_migrates_all_clients_and_ends_in_time(wall_clock, step):
     with Balancer(FakeServer("s1"), env=wall_clock.environment) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(20)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
-def test_a_server_has_its_whole_grace_to_close_after_its_client_and_no_more(wall_clock, step):
+def test_the_grace_of_a_server_to_close_after_its_client_is_unchanged_by_a_step(wall_clock, step):
     server = FakeServer("s1")
 
     def never_close(connection):
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -5,24 +5,24 @@
 import pathlib
 import struct
 
-SHIM_FOLDER = pathlib.Path(__file__).parent / "wall_clock_shim"
-OFFSET_S = struct.Struct("d")  # as the file holds it
+SHIM_DIRECTORY = pathlib.Path(__file__).parent / "wall_clock_shim"
+OFFSET_FORMAT = struct.Struct("d")  # the format of the offset in the file
 
 
 class SteppableWallClock:
     """The wall clock of all processes that are started with `environment`."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """`path` is a file that does not exist yet; through it the processes share the offset."""
+        """`path` names a file to create, through which the processes share the offset."""
         self._path = path
-        path.write_bytes(OFFSET_S.pack(0.0))
+        path.write_bytes(OFFSET_FORMAT.pack(0.0))
         with path.open("r+b") as file:
-            self._offset = mmap.mmap(file.fileno(), OFFSET_S.size)
+            self._offset = mmap.mmap(file.fileno(), OFFSET_FORMAT.size)
 
     @property
     def environment(self) -> tuple[tuple[str, str], ...]:
         """The environment variables of the processes, as pairs of name and value."""
-        search_path = [str(SHIM_FOLDER), *filter(None, [os.environ.get("PYTHONPATH")])]
+        search_path = [str(SHIM_DIRECTORY), *filter(None, [os.environ.get("PYTHONPATH")])]
         return (
             ("PYTHONPATH", os.pathsep.join(search_path)),
             ("WALL_CLOCK_OFFSET_FILE", str(self._path)),
@@ -30,5 +30,5 @@
 
     def step(self, seconds: float) -> None:
         """Set the wall clock forward, or back where `seconds` is negative."""
-        (offset_s,) = OFFSET_S.unpack_from(self._offset)
-        OFFSET_S.pack_into(self._offset, 0, offset_s + seconds)
+        (offset_s,) = OFFSET_FORMAT.unpack_from(self._offset)
+        OFFSET_FORMAT.pack_into(self._offset, 0, offset_s + seconds)
