--- a/lotusroute/__init__.py
+++ b/lotusroute/__init__.py
@@ -1,1 +1,1 @@
-"""A balancer for long-lived connections that places flows by movable segments."""
+"""A balancer for long-lived connections that assigns flows to servers by hash segment."""
--- a/lotusroute/routing/__init__.py
+++ b/lotusroute/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: events go in, actions for a host come out; no I/O and no clock of its own."""
+"""Routing logic without I/O or a clock: it receives events and returns actions for its host to carry out."""
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -1,4 +1,4 @@
-"""The director: the one entry point of the routing decisions, which each have a module beside this one."""
+"""The director: the entry point of the routing logic. Each kind of decision has its own module."""
 
 import random
 from collections import deque
@@ -18,18 +18,18 @@
 from lotusroute.routing.state import TICK_INTERVAL_MS, FleetSetupTimes, RoutingState
 from lotusroute.routing.statistics import DecayingCount
 
-RATE_GAIN = 0.1  # weight of the last tick in rates and counts
-REBALANCE_TICKS = 5  # between rebalancings; 1 if there are no latency reports
-RECONNECT_PERIOD_MS = 5_000.0  # after servers have left the endpoint list
-SUBSCRIBE_BACKOFF_MS = 500.0  # doubles, up to half of the poll interval
-TICK = "tick"  # mark of the timer
+RATE_GAIN = 0.1  # weight of the last tick in moving averages and in decaying counts
+REBALANCE_TICKS = 5  # ticks between rebalancing steps; 1 if servers send no latency reports
+RECONNECT_PERIOD_MS = 5_000.0  # in which the clients of servers that left the endpoint list reconnect
+SUBSCRIBE_BACKOFF_MS = 500.0  # doubles with each rejected poll, up to half of the poll interval
+TICK = "tick"  # the name of the periodic timer
 
 
 class Director:
-    """The decisions of one balancer for one service.
+    """Makes the routing decisions of one balancer for one service.
 
-    A director does no I/O: the host passes it the time, events and a seed, and carries out its actions. The
-    same seed and events give the same actions.
+    A director does no I/O and reads no clock: its host passes in events with their times, and carries out the
+    returned actions. The same seed and events always give the same actions.
     """
 
     def __init__(self, config: events.ServiceConfig, seed: int) -> None:
@@ -44,13 +44,13 @@
 
     @property
     def slow_latency_threshold(self) -> float:
-        """The latency from which a server is slow, in ms, for a host that measures latencies."""
+        """The latency in ms at or above which a server is slow, for hosts that measure latencies."""
         return overload_detection.slow_latency_threshold(self.state)
 
     def decide(self, now: float, event: events.Event) -> list[events.Action]:
         """Handle an event that happened at `now`; return the actions to carry out, in order.
 
-        An event of a flow that has ended is ignored.
+        Events of flows that have ended are ignored.
         """
         self.state.start_event(now)
         if not isinstance(event, events.FlowEvent):
@@ -94,7 +94,7 @@
             self._back_off_subscription()
             return
         if not state.ticks:
-            # The first list starts the ticks, at a random phase.
+            # The first list starts the periodic timer, at a random phase.
             state.ticks = 1
             state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK))
         elif state.config.polls_discovery:
@@ -108,7 +108,7 @@
             state.reconnects_expected_until = state.now + RECONNECT_PERIOD_MS
 
     def _back_off_subscription(self) -> None:
-        """Renew the subscription after a random backoff, so that balancers do not renew theirs at once."""
+        """Schedule the next subscription with random backoff, so that balancers do not poll all at once."""
         state, subscription = self.state, self.state.subscription
         subscription.record_poll(accepted=False)
         backoff = min(state.config.poll_interval / 2, SUBSCRIBE_BACKOFF_MS * 2**subscription.rejections)
@@ -124,20 +124,20 @@
         elif endpoint.started_at != server.started_at:
             server.restart(endpoint.started_at, state.now)
         server.update(endpoint)
-        # Squared, since a heavy connection or a group's work takes a smaller part of a large server.
+        # Squared: a heavy connection or a group's shared work uses a smaller fraction of a large server.
         server.size = endpoint.size**2 if state.config.trusts_weights and endpoint.size > 0 else 1.0
 
     def _add_server(self, endpoint: events.Server) -> ServerRecord:
         server = self.state.add_server(endpoint, segments.hash_text(endpoint.id))
         if self.state.lacks_latency_reports and self.state.ticks <= 1:
-            # Servers of the first list do not count as new.
+            # Servers of the first list are not treated as new.
             server.first_seen_at -= segments.NEW_SERVER_PERIOD_MS
         return server
 
     # Flows
 
     def _attempt(self, flow: FlowRecord) -> None:
-        """Connect a flow to a server, or give it its final answer."""
+        """Start the flow's next connection attempt; if there is none, send the final answer."""
         server = retries.next_server(self.state, flow)
         if isinstance(server, events.RejectReason):
             self.state.actions.append(retries.final_answer(self.state, flow, server))
@@ -155,7 +155,7 @@
         if server is None or server.state != events.EndpointState.READY:
             return
         if state.config.groups_share_work:
-            # New clients of the group share the work that the server already does for it.
+            # Assign the group to this server, so that its new clients share the work already done there.
             state.overrides[flow.segment, flow.replica] = server
 
     def _record_established(self, flow: FlowRecord) -> None:
@@ -180,7 +180,7 @@
     # Reports and ticks
 
     def _record_latency(self, event: events.LatencyReport) -> None:
-        """Evaluate a latency report, unless the server has been removed."""
+        """Record a latency report; ignored if the server has been removed."""
         server = self.state.servers.get(event.server)
         if server is not None:
             overload_detection.record_latency(self.state, server, event.latency)
@@ -188,7 +188,7 @@
     def _run_tick(self) -> None:
         state = self.state
         state.actions.append(events.SetTimer(TICK_INTERVAL_MS, TICK))
-        # Until 1 / RATE_GAIN ticks have passed, a rate is the plain mean of them.
+        # During the first 1 / RATE_GAIN ticks, a rate is the plain mean of all ticks so far.
         state.end_tick(max(RATE_GAIN, 1 / state.ticks), 1 - RATE_GAIN)
         self._renew_subscription()
         state.expire_overloaded()
--- a/lotusroute/routing/errors.py
+++ b/lotusroute/routing/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the routing decisions."""
+"""Exceptions raised by the routing logic."""
 
 from lotusroute.errors import LotusrouteError
 
 
 class UnknownEventError(LotusrouteError, TypeError):
-    """The director was given an object that is not one of its events."""
+    """The director was passed an object that is not an event."""
 
     def __init__(self, event: object) -> None:
         super().__init__(f"unknown event {event!r}")
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,7 +1,7 @@
-"""The events that a director takes, the actions that it returns, and the configuration of a service.
+"""The events that a director handles, the actions that it returns, and the configuration of a service.
 
-All times are milliseconds on the host's clock, with fractions. The host chooses the ids of flows. The values
-of the enumerations appear in logs and in the names of counters.
+Times are in milliseconds on the host's clock and may have fractions. The host assigns the ids of flows. Enum
+values appear in logs and in counter names.
 """
 
 from enum import StrEnum
@@ -9,10 +9,10 @@
 
 
 class Effect(StrEnum):
-    """Whether a flow of a service type may run twice."""
+    """Whether a flow of a service type may safely run more than once."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENCY_KEY = "idempotency-key"  # servers recognize a repeated key for some time
+    IDEMPOTENCY_KEY = "idempotency-key"  # servers recognize a repeated key within the deduplication window
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -34,16 +34,16 @@
 
 
 class ListScope(StrEnum):
-    """Which servers an endpoint list names."""
+    """Which servers an endpoint list contains."""
 
     CHANGES = "changes"  # those that changed since the last list
-    COMPLETE = "complete"  # all servers; any other server is removed
-    CACHED = "cached"  # all servers, from an earlier run and possibly outdated
-    REJECTED = "rejected"  # none, since discovery rejected the poll
+    COMPLETE = "complete"  # all servers; servers that are not listed are removed
+    CACHED = "cached"  # all servers, as saved by an earlier run; possibly outdated
+    REJECTED = "rejected"  # none, because discovery rejected the poll
 
 
 class ConnectionResult(StrEnum):
-    """How a connection attempt, or the connection that it established, ended."""
+    """How a connection attempt or an established connection ended."""
 
     FULL = "full"  # the server has no capacity left
     UNREACHABLE = "unreachable"
@@ -56,19 +56,19 @@
 
 
 NEVER_RAN: Final = frozenset((ConnectionResult.FULL, ConnectionResult.UNREACHABLE, ConnectionResult.UNSENT))
-"""Results after which it is certain that the flow did not run."""
+"""Results which guarantee that the flow did not run on the server."""
 
 
 class ServiceType(NamedTuple):
-    """One service type, and when its flows may be retried."""
+    """The set-up target of a service type, and the rules by which its flows may be retried."""
 
-    setup_target: float  # time in which a flow should be established
+    setup_target: float  # time within which a flow should be established
     effect: Effect = Effect.IDEMPOTENT
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0  # time for which servers remember a key
 
     def safe_to_retry(self, ran: bool) -> bool:
-        """Return whether a client may safely retry; `ran` says whether the flow may have run."""
+        """Return whether a client may safely retry a flow; `ran` tells whether the flow may have run."""
         deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
         return not ran or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
 
@@ -77,23 +77,23 @@
     """The configuration of the service that a director routes flows for."""
 
     service_types: dict[str, ServiceType]
-    instance_index: int = 0  # of this balancer among the service's `instance_count`
+    instance_index: int = 0  # of this balancer among the `instance_count` balancers of the service
     instance_count: int = 1
-    groups_share_work: bool = False  # connections of one group share work on a server
-    trusts_weights: bool = True  # servers keep their weight between endpoint lists
-    reports_latency: bool = False  # servers report when they are slow
-    latency_objective: float = 0.0  # of a message, the strictest of the service types; 0: none is set
+    groups_share_work: bool = False  # connections of one group to the same server share work there
+    trusts_weights: bool = True  # weights are used, since they do not change between endpoint lists
+    reports_latency: bool = False  # servers send latency reports when they are slow
+    latency_objective: float = 0.0  # per message, the strictest of all service types; 0: not set
     polls_discovery: bool = False  # discovery sends endpoint lists only on request
     poll_interval: float = 10_000.0
-    max_attempts: int = 1  # of one flow
+    max_attempts: int = 1  # connection attempts per flow
     max_retry_after: float = 0.0  # the longest Retry-After that clients honour; 0: they ignore it
-    slow_start_share: float = 1.0  # fraction of its capacity that a new server has at first
-    slow_start_duration: float = 0.0  # time until it has its full capacity
+    slow_start_share: float = 1.0  # fraction of its full capacity that a server has when it starts
+    slow_start_duration: float = 0.0  # time from its start until a server has its full capacity
     slow_start_burst: float = 1.0  # multiple of its capacity above which a server is overloaded
 
 
 class Server(NamedTuple):
-    """One server of an endpoint list."""
+    """An entry of an endpoint list."""
 
     id: str
     zone: str = ""
@@ -104,7 +104,7 @@
 
 
 class EndpointList(NamedTuple):
-    """Discovery has sent a complete endpoint list or changes to it, or has rejected a poll."""
+    """Discovery has sent a complete endpoint list or changes to one, or has rejected a poll."""
 
     scope: ListScope
     servers: tuple[Server, ...] = ()
@@ -119,7 +119,7 @@
     group: str | None  # connections of one group may share work on a server
     key: str | None  # the session or item that the flow is for
     deadline: float
-    mid_flow: bool = False  # another balancer had the flow before
+    mid_flow: bool = False  # another balancer handled the flow before
     reconnecting: bool = False  # the client has requested a connection before
 
 
@@ -138,7 +138,7 @@
 
 
 class ConnectionEnded(NamedTuple):
-    """An attempt or a connection has ended; `final` if the flow has ended with it."""
+    """An attempt or a connection has ended; `final` tells whether the flow has ended with it."""
 
     id: int
     server: str
@@ -163,7 +163,7 @@
     """A server has reported its latency, or the host has measured it."""
 
     server: str
-    latency: float  # of a message
+    latency: float  # per message
 
 
 class TimerFired(NamedTuple):
@@ -181,7 +181,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a flow gets no further attempt."""
+    """Why a flow gets no further connection attempt."""
 
     ATTEMPTS_EXHAUSTED = "attempts exhausted"
     DEADLINE_PASSED = "deadline passed"
@@ -190,7 +190,7 @@
 
 
 class Reject(NamedTuple):
-    """Answer the client that it may safely retry."""
+    """Reject a flow; the client may safely retry."""
 
     id: int
     retry_after: float  # time to wait before the retry
@@ -198,7 +198,7 @@
 
 
 class Abort(NamedTuple):
-    """Answer the client with an error, since a retry might run the flow twice."""
+    """Fail a flow with an error, since it might run twice if the client retried."""
 
     id: int
     reason: RejectReason
@@ -222,7 +222,7 @@
 
 
 class OutlierEjected(NamedTuple):
-    """Log that a server gets no flows for some seconds, since connections to it failed."""
+    """Log that a server was ejected: it gets no flows for some seconds, since connections to it failed."""
 
     server: str
 
--- a/lotusroute/routing/failure_detection.py
+++ b/lotusroute/routing/failure_detection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: servers that fail connections get no flows for some seconds (docs/design.md)."""
+"""Outlier ejection: servers whose connections fail get no flows for some seconds (docs/design.md)."""
 
 from lotusroute.routing.events import ConnectionResult, OutlierEjected
 from lotusroute.routing.overload_detection import record_full_queue
@@ -6,14 +6,15 @@
 from lotusroute.routing.slow_start import start_recovery
 from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 
-# A score of 0 to 1. A failure moves it towards 1 by its weight; a success multiplies it by SUCCESS_FACTOR.
-EJECTION_SCORE = 0.45  # two consecutive failures, or one unreachable server
+# The failure score of a server is between 0 and 1. A failure moves it towards 1 by the weight of the failure;
+# a success multiplies it by SUCCESS_FACTOR.
+EJECTION_SCORE = 0.45  # reached by two consecutive failures, or by failing to reach the server once
 UNREACHABLE_WEIGHT = 0.6
 FAILURE_WEIGHT = 0.3
-RESET_WEIGHT = 0.15  # of an established connection; overloaded servers reset some
+RESET_WEIGHT = 0.15  # reset of an established connection; low, since overloaded servers reset some
 SUCCESS_FACTOR = 0.5
-ISOLATED_TIMEOUT_SCORE = 0.05  # below it a timeout is isolated
-EJECTION_TIME_MS = 4_000.0  # at least; up to half more at random
+ISOLATED_TIMEOUT_SCORE = 0.05  # a timeout is isolated if the score is below this
+EJECTION_TIME_MS = 4_000.0  # minimum; random jitter adds up to 50%
 
 
 def record_result(
@@ -53,7 +54,7 @@
 
 
 def _is_isolated_timeout(state: RoutingState, server: ServerRecord) -> bool:
-    """Return whether a timeout is isolated: the server's other recent set-ups succeeded."""
+    """Return whether a timeout is isolated: the server's other recent attempts succeeded."""
     times = server.overload.setup_times
     has_recent_setup = times is not None and times.mean.updated_at + TICK_INTERVAL_MS > state.now
     return has_recent_setup and server.failures.score < ISOLATED_TIMEOUT_SCORE
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -1,7 +1,7 @@
-"""Migration: which established flows are asked to reconnect, so that they get another server.
+"""Migration: selects established flows whose clients are asked to reconnect, so that they move elsewhere.
 
-Flows leave overloaded servers. Without latency reports they also leave a server that is not their default
-one, since a default server that joined later would otherwise get few flows.
+Flows migrate away from overloaded servers. Where servers send no latency reports, flows also migrate to their
+default server, since a server that joins the fleet later would otherwise get few flows.
 """
 
 from collections import Counter
@@ -12,10 +12,10 @@
 from lotusroute.routing.slow_start import admitted_fraction, capacity_fraction, warming_up
 from lotusroute.routing.state import RoutingState
 
-MIGRATION_INTERVAL_MS = 2_000.0  # per server; reports show the effect of a migration only later
-LATENCY_MIGRATION_FRACTION = 0.15  # of own flows, times latency over its threshold
-FIXED_MIGRATION_FRACTION = 0.34  # of own flows, if there are no latency reports
-DEFAULT_MIGRATION_RATE = 0.2  # fraction per tick
+MIGRATION_INTERVAL_MS = 2_000.0  # per server; latency reports show the effect of a migration with a delay
+LATENCY_MIGRATION_FRACTION = 0.15  # of this balancer's flows, times the ratio of latency to its threshold
+FIXED_MIGRATION_FRACTION = 0.34  # of this balancer's flows, if servers send no latency reports
+DEFAULT_MIGRATION_RATE = 0.2  # fraction of flows that migrate to their default server per tick
 
 
 def migrate(state: RoutingState) -> None:
@@ -30,11 +30,11 @@
 
 
 def migrate_from_overloaded(state: RoutingState, server: ServerRecord) -> None:
-    """Migrate some of a server's flows: the heaviest, or without latency reports the largest groups."""
+    """Migrate some of a server's flows: the heaviest ones, or the largest groups without latency reports."""
     server.migrated_at = state.now
     by_group = state.config.groups_share_work and state.lacks_latency_reports
     flows = _in_migration_order(server, by_group)
-    # Computed once for all flows, as there may be many.
+    # Computed once instead of per flow, since there may be many flows.
     targets = _override_targets(state) if flows and by_group else []
     count = int(len(flows) * _migration_fraction(state, server, len(flows)) + state.rng.random())
     for flow in flows[:count]:
@@ -65,17 +65,17 @@
 
 
 def _migration_fraction(state: RoutingState, server: ServerRecord, flow_count: int) -> float:
-    """Return the fraction of a server's flows to migrate; a small count needs a larger fraction."""
+    """Return the fraction of a server's flows to migrate, which is larger if there are only few."""
     fraction = 1 / (1 + flow_count)
     if state.lacks_latency_reports:
         return max(FIXED_MIGRATION_FRACTION, fraction)
-    # Not more than the latency calls for: many balancers may have a single flow there each.
+    # The latency limits the fraction, since many balancers may each have a single flow on the server.
     by_latency = LATENCY_MIGRATION_FRACTION * server.reported_latency / overload_latency_threshold(state)
     return max(LATENCY_MIGRATION_FRACTION, min(fraction, by_latency))
 
 
 def _migrate_to_defaults(state: RoutingState) -> None:
-    """Migrate flows to their default servers, a random part of them in each tick."""
+    """Migrate flows to their default servers, a random subset of them in each tick."""
     for flow in [flow for flow in state.flows.values() if flow.established]:
         default = default_server(state, flow.segment, flow.replica)
         if default is not None and default is not flow.server and _migrates_to_default(state, default):
@@ -86,8 +86,8 @@
 def _migrates_to_default(state: RoutingState, default: ServerRecord) -> bool:
     """Decide at random whether a flow migrates to its default server in this tick.
 
-    A server that warms up admits only a part of the flows. The others would get another server and migrate
-    again, so the probability is that of being admitted.
+    A server that warms up admits only some flows; the others would be sent elsewhere and migrate again. The
+    probability is therefore multiplied by that of being admitted.
     """
     if not default.started_at or default.restricted_until > state.now:
         return False
@@ -95,5 +95,5 @@
     probability = DEFAULT_MIGRATION_RATE * capacity_fraction(state, default)
     if sample >= probability or not warming_up(state, default):
         return sample < probability
-    # Computed only for the few flows that get here, as it is slow.
+    # This is slow, so it is computed last, for the few flows that get here.
     return sample < probability * admitted_fraction(state, default, reconnecting=True)
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -1,9 +1,9 @@
 """Overload detection: finds slow and overloaded servers by latency reports or set-up times (docs/design.md).
 
 A set-up time is the time from the start of an attempt until the flow is established. Set-up times are used
-only where servers send no latency reports. There the consequences grow with the evidence: a slow sample makes
-a server deprioritized, confirmed slowness migrates its connections, and a repeated and statistically
-significant slowness makes it overloaded.
+only where servers send no latency reports. The reaction then depends on the evidence: a slow sample
+deprioritizes a server, confirmed slowness also migrates its connections, and slowness that is both repeated
+and statistically significant marks the server as overloaded.
 """
 
 import math
@@ -13,44 +13,45 @@
 from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 from lotusroute.routing.statistics import DecayingMean
 
-OVERLOAD_LATENCY_FACTOR = 3.0  # latency of an overloaded server over that of a slow one
+OVERLOAD_LATENCY_FACTOR = 3.0  # ratio of the latency threshold for overloaded servers to that for slow ones
 LATENCY_REPORT_TTL_MS = 8_000.0
-RECOVERED_DEPRIORITIZED_MS = 20_000.0  # from a latency report below the threshold
+RECOVERED_DEPRIORITIZED_MS = 20_000.0  # time after a latency report below the threshold
 
-SETUP_TIME_CONSTANT_MS = 200.0  # of means of set-up times
-RECENT_SETUPS_WEIGHT = 2.0  # set-ups in the mean of the last few
-SERVER_SETUP_WEIGHT = 1.0  # least weight of a server's earlier set-ups
-FLEET_SETUP_WEIGHT = 2.3  # weight of the fleet's earlier set-ups
+SETUP_TIME_CONSTANT_MS = 200.0  # decay of the mean set-up times
+RECENT_SETUPS_WEIGHT = 2.0  # maximum weight, in set-ups, of a server's mean of recent set-up times
+SERVER_SETUP_WEIGHT = 1.0  # minimum weight of earlier set-ups in the means of a server
+FLEET_SETUP_WEIGHT = 2.3  # weight of earlier set-ups in the mean of the fleet
 MIN_SETUP_TIME_MS = 1e-3  # keeps ratios finite
 INITIAL_SETUP_DEVIATION = 0.25  # of the logarithm of set-up times
 SETUP_DEVIATION_GAIN = 0.05  # weight of the last set-up in the deviation
 
 SLOW_SAMPLE_TTL_MS = 2_500.0
-SLOW_SETUP_RATIO = 2.5  # slow set-up time over the expected one
-FLEET_SETUP_FRACTION = 0.5  # of the fleet's mean; the least expected set-up time
-REFERENCE_RANK_DIVISOR = 8  # the reference is at an eighth of the order by set-up time
-SORT_INTERVAL_PER_SERVER_MS = 1.0  # of that order; bounds its cost
-SIGNIFICANT_DEVIATIONS = 2.0  # standard errors
+SLOW_SETUP_RATIO = 2.5  # a set-up time is slow above this multiple of the expected one
+FLEET_SETUP_FRACTION = 0.5  # the expected set-up time is at least this fraction of the fleet's mean
+REFERENCE_RANK_DIVISOR = 8  # the reference server is one eighth down the list from the quickest server
+SORT_INTERVAL_PER_SERVER_MS = 1.0  # between sorts of that list; bounds the CPU time they take
+SIGNIFICANT_DEVIATIONS = 2.0  # in standard errors
 SIGNIFICANT_DELAY_FRACTION = 1 / 24  # of the shortest set-up target
-STALL_WINDOW_MS = 100.0  # attempts that began within it are one sample
+STALL_WINDOW_MS = 100.0  # slow attempts that began within this time count as one sample
 
 
 def slow_latency_threshold(state: RoutingState) -> float:
-    """Return the latency from which a server is slow.
+    """Return the latency at or above which a server is slow.
 
-    It derives from the latency objective; without latency reports from the shortest set-up target.
+    It is derived from the latency objective, or from the shortest set-up target if there are no latency
+    reports or no objective is set.
     """
     objective = 0.0 if state.lacks_latency_reports else state.config.latency_objective
     return (objective or state.min_setup_target) / OVERLOAD_LATENCY_FACTOR
 
 
 def overload_latency_threshold(state: RoutingState) -> float:
-    """Return the latency from which a server is overloaded."""
+    """Return the latency at or above which a server is overloaded."""
     return slow_latency_threshold(state) * (1 if state.lacks_latency_reports else OVERLOAD_LATENCY_FACTOR)
 
 
 def record_latency(state: RoutingState, server: ServerRecord, latency: float) -> None:
-    """Update a server with its latency report: slow servers are deprioritized, the slowest overloaded."""
+    """Apply a latency report: a slow server is deprioritized, and a very slow one is marked overloaded."""
     server.reported_latency = latency
     overload = server.overload
     expires_at = state.now + LATENCY_REPORT_TTL_MS
@@ -65,14 +66,14 @@
 
 
 def record_full_queue(state: RoutingState, server: ServerRecord) -> None:
-    """Make a server overloaded that rejected a connection for lack of capacity."""
+    """Mark a server as overloaded, since it rejected a connection for lack of capacity."""
     start_recovery(state, server)
     overload = server.overload
     overload.overloaded_until = max(overload.overloaded_until, state.now + TICK_INTERVAL_MS)
 
 
 def record_setup(state: RoutingState, server: ServerRecord, flow: FlowRecord) -> None:
-    """Update set-up times with an established flow, and evaluate them if there are no latency reports."""
+    """Record the set-up time of an established flow; evaluate it if servers send no latency reports."""
     setup_time = state.now - flow.attempted_at
     previous_fleet_mean = _update_fleet_mean(state, setup_time)
     times = _update_setup_times(state, server, setup_time, previous_fleet_mean)
@@ -82,7 +83,7 @@
 
 
 def _update_fleet_mean(state: RoutingState, setup_time: float) -> float:
-    """Add a set-up time to the fleet's mean; return the mean before it."""
+    """Add a set-up time to the fleet's mean; return the previous mean."""
     times = state.fleet_setup_times
     if times.mean is None:
         times.mean = _new_mean(setup_time, FLEET_SETUP_WEIGHT, FLEET_SETUP_WEIGHT + 1)
@@ -115,7 +116,7 @@
 def _compare_with_others(
     state: RoutingState, server: ServerRecord, flow: FlowRecord, sample: float, fleet_mean: float
 ) -> None:
-    """Compare a sample of the server's set-up time with the time that is expected of a healthy server."""
+    """Compare a sample of the server's set-up time with the time expected of a healthy server."""
     reference = _reference_setup_time(state, server)
     if reference is None:
         return
@@ -130,16 +131,16 @@
 
 
 def _reference_setup_time(state: RoutingState, server: ServerRecord) -> DecayingMean | None:
-    """Return the set-up time of another server that is among the quickest; None if there is no other.
+    """Return the mean set-up time of another server, one of the quickest; None if there is no other server.
 
-    In a large fleet the very quickest are skipped, since their lead may be chance.
+    In a large fleet the very quickest servers are skipped, since they may be quick by chance.
     """
     fleet = state.fleet_setup_times
     if state.now >= fleet.sorted_at + SORT_INTERVAL_PER_SERVER_MS * len(state.ready):
         fleet.quickest_first = sorted(state.ready, key=lambda s: (_mean_setup_time(state, s).value, s.id))
         fleet.sorted_at = state.now
     rank = len(fleet.quickest_first) // REFERENCE_RANK_DIVISOR
-    # One more server than the rank needs, as the server itself may be among them.
+    # Take one more server than the rank requires, since `server` itself may be among them.
     others = [other for other in fleet.quickest_first[: rank + 2] if other is not server]
     return _mean_setup_time(state, others[min(rank, len(others) - 1)]) if others else None
 
@@ -150,7 +151,7 @@
     if times is not None:
         return times.mean
     fleet_mean = state.fleet_setup_times.mean
-    assert fleet_mean is not None  # set-up times are compared only after one was added
+    assert fleet_mean is not None  # set-up times are compared only after one has been recorded
     return fleet_mean
 
 
@@ -177,9 +178,10 @@
 def _evaluate_slow_samples(
     state: RoutingState, server: ServerRecord, expected: float, reference: DecayingMean
 ) -> None:
-    """Migrate connections of a server that is slow on average; mark it overloaded if that is certain.
+    """Confirm that a server is slow if its mean set-up time is high, too; mark it overloaded if certain.
 
-    Either a significant deviation or a second slow sample confirms slowness; both together mean overload.
+    Either a significant deviation or a second slow sample confirms slowness, after which connections are
+    migrated; both together mean that the server is overloaded.
     """
     mean = _mean_setup_time(state, server)
     if mean.value <= max(expected * SLOW_SETUP_RATIO, expected + _significant_delay(state)):
@@ -195,6 +197,6 @@
 
 
 def _noise_ratio(state: RoutingState, mean: DecayingMean, reference: DecayingMean) -> float:
-    """Return the ratio of two means of set-up times that random variation can explain."""
+    """Return the ratio of two mean set-up times up to which random variation can explain it."""
     standard_error = math.sqrt(1 / mean.weight + 1 / reference.weight)
     return math.exp(SIGNIFICANT_DEVIATIONS * state.fleet_setup_times.deviation * standard_error)
--- a/lotusroute/routing/records.py
+++ b/lotusroute/routing/records.py
@@ -1,6 +1,6 @@
-"""Records of servers and flows. Each group of a server's fields is written by one module, which it names.
+"""Records of servers and flows. Each part of a server's record names the one module that writes it.
 
-Times are milliseconds on the host's clock; a time called `..._until` that has passed has no effect.
+Times are in milliseconds on the host's clock. An `..._until` time in the past has no effect.
 """
 
 import math
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True)
 class FailureState:
-    """Failures of one server; written by `failure_detection.py`."""
+    """Connection failures of one server; written by `failure_detection.py`."""
 
-    score: float = 0.0  # 0 to 1, the higher the more connections failed lately
+    score: float = 0.0  # between 0 and 1; rises with each failed connection, falls with each success
     ejected_until: float = 0.0
 
 
@@ -23,7 +23,7 @@
     """Set-up times of one server; written by `overload_detection.py`."""
 
     mean: DecayingMean
-    recent: DecayingMean  # of the last few set-ups
+    recent: DecayingMean  # over the last few set-ups
 
     def add(self, now: float, sample: float) -> None:
         """Add a set-up time that was measured at `now`."""
@@ -33,43 +33,43 @@
 
 @dataclass(slots=True)
 class OverloadState:
-    """What set-up times and latency reports say about one server; written by `overload_detection.py`."""
+    """Overload of one server by set-up times and latency reports; written by `overload_detection.py`."""
 
-    overloaded_until: float = 0.0  # no new flows
-    deprioritized_until: float = 0.0  # new flows only if no other server can take them
-    confirmed_slow_until: float = 0.0  # its connections are migrated
-    setup_times: SetupTimes | None = None  # until the first set-up
-    accumulated_delay: float = 0.0  # total excess of consecutive slow set-ups over the expected time
+    overloaded_until: float = 0.0  # until then the server gets no new flows
+    deprioritized_until: float = 0.0  # until then it gets new flows only if no other server can take them
+    confirmed_slow_until: float = 0.0  # until then its connections are migrated
+    setup_times: SetupTimes | None = None  # None before the first set-up
+    accumulated_delay: float = 0.0  # sum over consecutive slow set-ups of the excess over the expected time
     slow_samples: int = 0  # since the server was last neither slow nor deprioritized
     last_slow_attempt_at: float = 0.0  # when the attempt of the last slow sample began
 
 
 @dataclass(slots=True)
 class AdmissionState:
-    """Limits on the flows to one server that warms up or recovers; written by `slow_start.py`."""
+    """Admission limits of one server that warms up or recovers; written by `slow_start.py`."""
 
-    recovering_until: float = 0.0  # new flows are limited as long as the server recovers
+    recovering_until: float = 0.0  # until then new flows are limited
     timely_setups: int = 0  # since the server last began to recover
     last_slot_at: float = -math.inf  # when an admission slot was last used
-    last_quota_at: float = 0.0  # when this balancer's own quota was last used; at first, when it began
-    quota_flows: int = 0  # flows admitted by the own quota
+    last_quota_at: float = 0.0  # when this balancer's quota was last used; at first, when it began
+    quota_flows: int = 0  # flows admitted by this balancer's quota
 
 
 @dataclass(slots=True, eq=False)
 class ServerRecord:
-    """What this balancer knows of a server."""
+    """A server as this balancer sees it."""
 
     id: str
     hash: int
     started_at: float
-    first_seen_at: float  # by this process; set back for a server that does not count as new
+    first_seen_at: float  # by this process; set to an earlier time for a server that is not treated as new
     zone: str = ""
     cell: int = 0
     state: EndpointState = EndpointState.REMOVED  # until its entry in the endpoint list is read
-    size: float = 1.0  # weight in hashing, and in the server's part of the load
+    size: float = 1.0  # its weight in hashing, and its share of the load relative to other servers
     connections: dict[int, "FlowRecord"] = field(default_factory=dict)  # of this balancer, by flow id
 
-    # Kept when the server restarts.
+    # These are kept when the server restarts.
     reported_latency: float = 0.0  # written by overload_detection.py
     migrated_at: float = 0.0  # when clients were last migrated away; written by migration.py
 
@@ -78,17 +78,17 @@
     admission: AdmissionState = field(default_factory=AdmissionState)
 
     def __post_init__(self) -> None:
-        """Start the quota when the server is first seen."""
+        """Start this balancer's quota when the server is first seen."""
         self.admission.last_quota_at = self.first_seen_at
 
     @property
     def usage(self) -> float:
-        """Connections of this balancer, relative to the server's size."""
+        """The number of connections from this balancer, relative to the server's size."""
         return len(self.connections) / self.size
 
     @property
     def restricted_until(self) -> float:
-        """When the last restriction on new flows ends."""
+        """The time at which the last restriction on new flows ends."""
         return max(
             self.failures.ejected_until,
             self.overload.overloaded_until,
@@ -103,7 +103,7 @@
         self.state = endpoint.state
 
     def restart(self, started_at: float, now: float) -> None:
-        """Record that the server is a new process, and discard what was found out about the old one."""
+        """Record that the server is a new process, and discard what was learned about the old one."""
         self.started_at = started_at
         self.first_seen_at = now
         self.failures = FailureState()
@@ -117,14 +117,14 @@
 
     request: FlowRequest
     segment: int
-    replica: int = 0  # index into the segment's preference order of the server it is assigned to
-    attempted: list[str] = field(default_factory=list)  # ids of the servers, in order
+    replica: int = 0  # index of the flow's default server in the preference order of its segment
+    attempted: list[str] = field(default_factory=list)  # ids of the servers, in order of the attempts
     possibly_ran_on: ServerRecord | None = None  # the first server on which the flow may have run
-    possibly_ran_at: float = 0.0  # when that attempt began
+    possibly_ran_at: float = 0.0  # when the attempt on that server began
     server: ServerRecord | None = None  # of the last attempt
     attempted_at: float = 0.0  # when the last attempt began
-    established: bool = False  # and not asked to migrate
-    load: float = 0.0  # work per second, by the last load report
+    established: bool = False  # reset to False when the client is asked to migrate
+    load: float = 0.0  # work per second, from the last load report
 
     def begin_attempt(self, server: ServerRecord, now: float) -> None:
         """Record that an attempt to connect to `server` begins."""
@@ -134,14 +134,14 @@
         server.connections[self.request.id] = self
 
     def restore_connection(self, server: ServerRecord | None) -> None:
-        """Record a connection that was open before the start; None stands for an unknown server."""
+        """Record a connection that was open before this balancer started; the server is None if unknown."""
         self.established = True
         self.server = server
         if server is not None:
             server.connections[self.request.id] = self
 
     def record_possible_run(self) -> None:
-        """Record that the flow may have run in the last attempt, unless it may have run before."""
+        """Record that the flow may have run in the last attempt; keeps the first attempt recorded."""
         if self.possibly_ran_on is None:
             self.possibly_ran_on = self.server
             self.possibly_ran_at = self.attempted_at
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -1,17 +1,17 @@
-"""Attempts of a flow: whether there is another one, its timeout, throttling, and the final answer."""
+"""Retries: whether a flow gets another attempt, the attempt's timeout, throttling, and the final answer."""
 
 from lotusroute.routing.events import Abort, FlowRequest, Reject, RejectReason
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.server_selection import select_server
 from lotusroute.routing.state import RoutingState
 
-ATTEMPT_TIMEOUT_TARGETS = 2.0  # multiple of the set-up target
-ATTEMPT_DEADLINE_FRACTION = 0.8  # of the time left, if there are no latency reports
+ATTEMPT_TIMEOUT_TARGETS = 2.0  # timeout of an attempt as a multiple of the set-up target
+ATTEMPT_DEADLINE_FRACTION = 0.8  # of the time until the deadline, if servers send no latency reports
 MAX_FAILURE_RATIO = 0.5  # failed attempts per established connection
-FAILURE_ALLOWANCE = 4.0  # failed attempts that are not counted
-MAX_RESET_RATIO = 0.25  # failed attempts and resets per remaining connection
-RESET_ALLOWANCE = 1.0  # failed attempts and resets that are not counted
-RETRY_AFTER_MS = 1_000.0  # about a tick, after which there are new reports
+FAILURE_ALLOWANCE = 4.0  # failed attempts allowed on top of that ratio
+MAX_RESET_RATIO = 0.25  # failed attempts and resets per established connection that was not reset
+RESET_ALLOWANCE = 1.0  # failed attempts and resets allowed on top of that ratio
+RETRY_AFTER_MS = 1_000.0  # about one tick, after which there are new reports
 
 
 def next_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | RejectReason:
@@ -26,12 +26,12 @@
 
 
 def _throttles(state: RoutingState, request: FlowRequest) -> bool:
-    """Return whether to reject a flow because many attempts fail, whatever the server.
+    """Return whether to reject a flow because many attempts fail on all servers together.
 
-    The probability is the fraction of all attempts by which the failures exceed the allowed number.
+    The probability is the number of failures in excess of the allowed number, divided by all attempts.
     """
     connects = state.connects
-    # A balancer with few flows cannot detect most overloaded servers by itself; resets indicate them.
+    # A balancer with few flows sees too few set-ups to detect overloaded servers, but it sees their resets.
     has_few_flows = len(state.flows) < len(state.ready)
     counts_resets = state.lacks_latency_reports and request.reconnecting and has_few_flows
     if counts_resets:
@@ -52,19 +52,19 @@
 
 
 def attempt_timeout(state: RoutingState, flow: FlowRecord) -> float:
-    """Return the timeout of the next attempt; 0 if it may take all the time until the deadline."""
+    """Return the timeout of the flow's next attempt; 0 if the attempt may take until the deadline."""
     if len(flow.attempted) + 1 >= state.config.max_attempts:
         return 0.0
     time_left = flow.request.deadline - state.now
     if state.lacks_latency_reports:
-        # A short timeout would keep a slow store that all servers share overloaded by repeated requests.
+        # With a short timeout, repeated requests would keep a slow store that all servers share overloaded.
         return ATTEMPT_DEADLINE_FRACTION * time_left
     target = state.config.service_types[flow.request.service_type].setup_target
     return min(time_left / 2, ATTEMPT_TIMEOUT_TARGETS * target)
 
 
 def final_answer(state: RoutingState, flow: FlowRecord, reason: RejectReason) -> Reject | Abort:
-    """Return the answer to a flow that gets no further attempt."""
+    """Return the answer for a flow that gets no further attempt."""
     service_type = state.config.service_types[flow.request.service_type]
     if service_type.safe_to_retry(flow.possibly_ran_on is not None):
         return Reject(flow.request.id, min(state.config.max_retry_after, RETRY_AFTER_MS), reason)
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -14,17 +14,17 @@
 from lotusroute.routing.state import RoutingState
 
 SEGMENT_BITS = 10
-MAX_LOAD_RATIO = 1.4  # load of one server over the mean; above it another replica
-PRIOR_FLOWS = 5  # added to own flows; a few flows do not show a large group
-RECENT_FLOWS = 64  # kept, with their segments and replicas
-PRIOR_RECENT_FLOWS = 20  # flows of the usual mix of groups, added to the recent ones
-REBALANCE_RATIO = 0.8  # usage of the idlest server over that of the busiest
+MAX_LOAD_RATIO = 1.4  # load of one server relative to the mean; a segment above it gets another replica
+PRIOR_FLOWS = 5  # added to this balancer's flows, since a large group cannot be recognized by a few flows
+RECENT_FLOWS = 64  # requested flows whose segments and replicas are kept
+PRIOR_RECENT_FLOWS = 20  # flows with the usual mix of groups, added to the recent flows
+REBALANCE_RATIO = 0.8  # no rebalancing if the usage of the idlest server is above this part of the busiest's
 MIN_CONNECTIONS_TO_REBALANCE = 4  # on the busiest server
-NEW_SERVER_PERIOD_MS = 10_000.0  # in which the low usage of a new server says nothing
+NEW_SERVER_PERIOD_MS = 10_000.0  # in which a new server has a low usage that means nothing
 SPILL_DEPTH = 4  # servers of its preference order that a segment may use
 MAX_REPLICAS = 2 * SPILL_DEPTH  # also the length of a preference order
-RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; enough servers for an order usually rank below it
-HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # an odd number, from SplitMix64
+RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; usually MAX_REPLICAS servers or more rank below it
+HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # odd; from SplitMix64
 HASH_MASK = (1 << 64) - 1
 
 
@@ -34,7 +34,7 @@
 
 
 def segment_of(state: RoutingState, request: FlowRequest) -> int:
-    """Return the segment of a flow: by its group where groups share work, else by its key."""
+    """Return the segment of a flow, by the hash of its group if groups share work, else of its key."""
     shared = request.group if state.config.groups_share_work else None
     return crc32((shared or request.key or str(request.id)).encode()) >> (32 - SEGMENT_BITS)
 
@@ -49,7 +49,7 @@
 
 
 def replica_count(state: RoutingState, segment: int) -> int:
-    """Return the number of servers over which a segment is spread, by its part of the flows."""
+    """Return the number of replicas of a segment, which grows with its share of the flows."""
     servers = len(state.ready)
     flows = len(state.flows)
     if state.lacks_latency_reports and flows < servers:
@@ -61,15 +61,15 @@
 
 
 def _replica_count_by_recent_flows(state: RoutingState, segment: int) -> int | None:
-    """Return the number of replicas by recent flows, which show large groups that few open flows do not.
+    """Return the number of replicas by the recent flows, which show large groups even if few flows are open.
 
-    Returns None if the usual group is not too large for one server.
+    Returns None if a typical group is not too large for one server.
     """
     servers = len(state.ready)
     counts = Counter(recent for recent, _ in state.recent_replicas)
     total = len(state.recent_replicas)
-    # The probability that two recent flows have one segment, which is the mean fraction of all flows that
-    # a flow's segment has.
+    # The probability that two recent flows belong to the same segment. It estimates the fraction of all flows
+    # that the segment of a random flow has.
     usual_fraction = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
     if usual_fraction * servers <= MAX_LOAD_RATIO:
         return None
@@ -78,21 +78,21 @@
 
 
 def preference_order(state: RoutingState, segment: int) -> list[ServerRecord]:
-    """Return a segment's servers in order of preference; computed on first use after an endpoint update."""
+    """Return a segment's servers in order of preference; cached until the next endpoint update."""
     if segment not in state.preference_orders:
         state.preference_orders[segment] = _rank_servers(state, hash_text(str(segment)))
     return state.preference_orders[segment]
 
 
 def _rank_servers(state: RoutingState, segment_hash: int) -> list[ServerRecord]:
-    """Return the first servers by weighted rendezvous hashing; the lowest rank is the first."""
+    """Return the first MAX_REPLICAS servers by weighted rendezvous hashing, the lowest rank first."""
 
     def rank(server: ServerRecord) -> float:
         sample = ((segment_hash ^ server.hash) * HASH_MULTIPLIER & HASH_MASK) + 1
         return -math.log(sample / (HASH_MASK + 2)) / server.size
 
-    # Logarithms are slow, so servers are filtered by their hash first: all that rank up to `cutoff` have a
-    # hash of at least `least_hash`. If too few rank up to `cutoff`, all servers are ranked.
+    # Logarithms are slow, so servers are filtered by hash first: every server with a rank of at most `cutoff`
+    # has a hash of at least `least_hash`. If too few servers rank up to `cutoff`, all servers are ranked.
     cutoff = RANK_CUTOFF / state.total_size
     least_hash = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
     likely = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= least_hash]
@@ -103,17 +103,17 @@
 
 
 def default_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return a replica's server by the preference order, which is the same in all balancers."""
+    """Return the default server of a replica, which follows from the preference order in all balancers."""
     return next(iter(preference_order(state, segment)[replica:]), None)
 
 
 def assigned_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return a replica's server in this balancer: the override if there is one, else the default."""
+    """Return the server of a replica in this balancer: its override if there is one, else its default."""
     return state.overrides.get((segment, replica)) or default_server(state, segment, replica)
 
 
 def rebalance(state: RoutingState) -> None:
-    """Reassign one replica from the busiest server to the idlest one if their usage differs widely."""
+    """Reassign one replica from the busiest to the idlest server if their usage differs widely."""
     candidates = [server for server in state.ready if _can_rebalance(state, server)]
     if not candidates:
         return
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: which server a flow's next attempt goes to, and how far a segment spills."""
+"""Server selection: chooses the server of a flow's next attempt, and limits how far segments spill."""
 
 from collections.abc import Iterator
 
@@ -9,25 +9,25 @@
 from lotusroute.routing.state import RoutingState
 
 OVERLOADED_SPILL_DEPTH = 2  # while a large part of the fleet is overloaded
-OVERLOADED_FLEET_FRACTION = 0.5  # of the servers, which counts as a large part
+OVERLOADED_FLEET_FRACTION = 0.5  # the fraction of servers that counts as a large part
 UNKNOWN_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients
-FALLBACK_CANDIDATES = 8  # servers outside the segment's preference order
+FALLBACK_CANDIDATES = 8  # servers tried outside the segment's preference order
 
 
 def update_spill_depth(state: RoutingState) -> None:
     """Limit spilling while a large part of the fleet is overloaded.
 
-    Spilling spreads groups over more servers, each of which then does the work for the group.
+    Spilling spreads a group over more servers, and each of them then has to do the work for the group.
     """
     overloaded = len(state.recently_overloaded) > OVERLOADED_FLEET_FRACTION * len(state.ready)
     state.spill_depth = OVERLOADED_SPILL_DEPTH if overloaded else SPILL_DEPTH
 
 
 def select_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
-    """Return the first candidate that is unrestricted and admits the flow, else the best of the others.
+    """Return the first candidate that is unrestricted and admits the flow, or else the best alternative.
 
-    These are, in this order: a server that was skipped as unknown; without latency reports a fallback server;
-    a deprioritized server; and an ejected one, unless a candidate is overloaded.
+    The alternatives are, in this order: a server that was skipped as unknown; a fallback server, if servers
+    send no latency reports; a deprioritized server; and an ejected one, unless a candidate is overloaded.
     """
     mid_flow = flow.request.mid_flow
     unknown = deprioritized = ejected = None
@@ -54,10 +54,10 @@
 
 
 def _candidates(state: RoutingState, flow: FlowRecord) -> Iterator[ServerRecord]:
-    """Yield the servers that the flow may be sent to, in order of preference, as far as the segment spills.
+    """Yield the servers that the flow may be sent to, in order of preference, up to the spill depth.
 
-    At most one of the servers that warm up is yielded, and none of them counts towards the spill depth: the
-    assigned one or, without latency reports, the first.
+    Servers that warm up do not count towards the spill depth. At most one of them is yielded: the assigned
+    one or, if servers send no latency reports, the first.
     """
     server_of = default_server if flow.request.mid_flow else assigned_server
     assigned = server_of(state, flow.segment, flow.replica)
@@ -79,9 +79,9 @@
 
 
 def _skips_unknown(state: RoutingState, server: ServerRecord, request: FlowRequest) -> bool:
-    """Return whether a reconnecting client skips a server that this balancer has no connections to.
+    """Return whether a reconnecting client skips a server to which this balancer has no connections.
 
-    The reconnect may be the only indication that the server is overloaded.
+    This balancer cannot see whether such a server is overloaded; the reconnect may be the only sign of it.
     """
     if not request.reconnecting or request.mid_flow or server.connections or warming_up(state, server):
         return False
@@ -94,7 +94,7 @@
 
 
 def _fallback_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
-    """Return a random server without restrictions, which may be outside the segment's preference order."""
+    """Return a random unrestricted server, which may be outside the segment's preference order."""
     start = int(state.rng.random() * len(state.ready))
     end = start + min(FALLBACK_CANDIDATES, len(state.ready))
     for server in (state.ready * 2)[start:end]:
@@ -105,7 +105,7 @@
 
 
 def _may_attempt(state: RoutingState, flow: FlowRecord, server: ServerRecord) -> bool:
-    """Return whether the flow may be sent to a server: not twice to one, and only if a retry is safe."""
+    """Return whether the flow may be sent to a server: at most once, and only if a retry is safe there."""
     if server.id in flow.attempted:
         return False
     previous = flow.possibly_ran_on
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -1,21 +1,21 @@
 """Slow start: limits the flows to a server that warms up or recovers from overload (docs/design.md).
 
-An admission slot is a part of a fixed period in which one balancer may send a flow to a server. Each balancer
-has its slots at its own phase of the period, given by its index, so that all balancers take turns.
+An admission slot is the part of a fixed period in which a balancer may send one flow to a server. The phase
+of a balancer's slots in the period is given by its index, so that the balancers take turns.
 """
 
 from lotusroute.routing.records import ServerRecord
 from lotusroute.routing.segments import assigned_server, preference_order
 from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 
-SLOT_ROUND_MS = 3_000.0  # in which each balancer has one slot
-GROUP_LOAD_FACTOR = 2.0  # load of a large group over the mean load of a server
-MIN_CAPACITY_FRACTION = 0.05  # of the full capacity, when a server starts
-PRIOR_FLOWS_PER_TICK = 1.0  # added to rates; a few flows are no storm
+SLOT_ROUND_MS = 3_000.0  # the period in which each balancer has one slot
+GROUP_LOAD_FACTOR = 2.0  # load of a large group relative to the mean load of a server
+MIN_CAPACITY_FRACTION = 0.05  # lower bound on the fraction of its full capacity that a starting server has
+PRIOR_FLOWS_PER_TICK = 1.0  # added to rates, so that a few flows do not look like a connection storm
 RECOVERY_TIME_MS = 12_000.0
-INITIAL_RECOVERY_FRACTION = 0.5  # of the server's part of first arrivals
-RECOVERY_DOUBLING_TIME_MS = 4_000.0  # of that fraction
-RECOVERY_SLOT_FLOWS = 4.0  # per round; above this rate slots are too few
+INITIAL_RECOVERY_FRACTION = 0.5  # of the server's share of first arrivals
+RECOVERY_DOUBLING_TIME_MS = 4_000.0  # in which that fraction doubles
+RECOVERY_SLOT_FLOWS = 4.0  # flows per period; at higher rates there are too few slots
 MIN_RATE_PER_MS = 1e-9  # keeps intervals finite
 SETUPS_TO_RECOVER = 8  # timely set-ups that end a recovery early
 
@@ -26,7 +26,7 @@
 
 
 def capacity_fraction(state: RoutingState, server: ServerRecord) -> float:
-    """Return the fraction of its full capacity that a server has, by the time since its start."""
+    """Return the fraction of its full capacity that a server has, given the time since its start."""
     config = state.config
     progress = min(1.0, max(0.0, state.now - server.started_at) / max(config.slow_start_duration, 1.0))
     return config.slow_start_share + (1 - config.slow_start_share) * progress
@@ -43,7 +43,7 @@
 
 
 def record_timely_setup(state: RoutingState, server: ServerRecord) -> None:
-    """Count a set-up that was not slow, and end the server's recovery if there were enough."""
+    """Count a set-up that was not slow; end the server's recovery early after SETUPS_TO_RECOVER of them."""
     admission = server.admission
     admission.timely_setups += 1
     if admission.timely_setups >= SETUPS_TO_RECOVER:
@@ -51,16 +51,16 @@
 
 
 def try_admit(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
-    """Return whether a server may get a flow now; if it may, its slot or quota is used up."""
+    """Return whether a server may get a flow now; if so, the flow uses up a slot or the quota."""
     if warming_up(state, server):
         return _try_admit_warming_up(state, server, reconnecting)
     return server.admission.recovering_until <= state.now or _try_admit_recovering(state, server)
 
 
 def _try_admit_warming_up(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
-    """Use this balancer's own quota of the server's capacity, or else its slot.
+    """Use this balancer's quota of the server's capacity, or else its slot.
 
-    With few balancers the quotas are most of the capacity; with many balancers the slots are.
+    With few balancers, most flows are admitted by the quotas; with many balancers, most by the slots.
     """
     if state.lacks_latency_reports:
         return _try_take_slot(state, server, admitted_fraction(state, server, reconnecting))
@@ -71,9 +71,9 @@
 
 
 def _try_use_quota(state: RoutingState, server: ServerRecord, capacity: float) -> bool:
-    """Use this balancer's own quota: one of every `instance_count` flows that all balancers may send.
+    """Use this balancer's quota: one of every `instance_count` flows that all balancers together may send.
 
-    Its first flow comes earlier or later, by its index, so that the balancers do not send theirs at once.
+    The time of its first flow depends on its index, so that the balancers do not all send a flow at once.
     """
     config, admission = state.config, server.admission
     total_size = max(state.total_size, server.size)
@@ -90,7 +90,7 @@
 def _warming_up_slot_fraction(
     state: RoutingState, server: ServerRecord, capacity: float, reconnecting: bool
 ) -> float:
-    """Return the length of a slot at a server that warms up, as a fraction of the round."""
+    """Return the length of a slot for a server that warms up, as a fraction of the period."""
     total_size = max(state.total_size, server.size)
     # A group's load does not depend on the size of the server that it is assigned to.
     fraction = capacity / GROUP_LOAD_FACTOR * (server.size * len(state.ready) / total_size)
@@ -102,16 +102,16 @@
 
 
 def admitted_fraction(state: RoutingState, server: ServerRecord, reconnecting: bool) -> float:
-    """Return the fraction of a warming server's flows that is admitted if there are no latency reports.
+    """Return the fraction of its flows that a warming server admits if servers send no latency reports.
 
-    With these fractions all balancers together load the server up to its capacity in the warm-up time. A
-    further limit applies while all clients of a group that lost its server may reconnect at once.
+    With these fractions, all balancers together load the server up to its capacity by the end of the warm-up
+    time. A further limit applies while all clients of a group that lost its server may reconnect at once.
     """
     config = state.config
     initial_capacity = max(config.slow_start_share, MIN_CAPACITY_FRACTION)
     duration = max(config.slow_start_duration, 1.0)
     capacity = config.slow_start_burst * capacity_fraction(state, server)
-    # What the server can take in one round, as a fraction of a mean server's load.
+    # The flows that the server can take in one period, as a fraction of the mean load of a server.
     round_budget = capacity * SLOT_ROUND_MS / (initial_capacity * duration)
     even_share = even_share_factor(state, server)
     limit = 1.0
@@ -123,7 +123,7 @@
 
 
 def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
-    """Return the server's even share of the load over the fraction of recent flows that are meant for it."""
+    """Return the ratio of the server's even share of the load to the part of recent flows meant for it."""
     recent = state.recent_replicas
     meant = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
     return server.size / max(state.total_size, server.size) * len(recent) / max(1, meant)
@@ -141,8 +141,8 @@
 
 
 def _try_admit_recovering(state: RoutingState, server: ServerRecord) -> bool:
-    """Use a slot; at high arrival rates, for which slots are too few, keep to this balancer's own rate."""
-    # A recovery that is shorter than RECOVERY_TIME_MS begins in the course of a full one.
+    """Use a slot; at arrival rates for which there are too few slots, limit this balancer's own rate."""
+    # A recovery that is shorter than RECOVERY_TIME_MS skips the beginning of a full one.
     elapsed = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
     capacity = INITIAL_RECOVERY_FRACTION * 2 ** (elapsed / RECOVERY_DOUBLING_TIME_MS)
     arrivals = max(state.first_arrivals.mean, state.first_arrivals.count)
@@ -156,7 +156,7 @@
 
 
 def _try_take_slot(state: RoutingState, server: ServerRecord, fraction: float) -> bool:
-    """Return whether this balancer has an unused slot now; a slot lasts `fraction` of the round."""
+    """Use this balancer's slot, which lasts `fraction` of the period; return False if there is none now."""
     phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_ROUND_MS) % 1
     if phase >= fraction or state.now < server.admission.last_slot_at + fraction * SLOT_ROUND_MS:
         return False
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -1,22 +1,22 @@
-"""Start times of servers, on the host's own clock.
+"""Converts the reported start times of servers to the host's clock.
 
-Endpoint lists give start times as Unix time by the clocks of other machines. They cannot simply be compared
-with the clock of this machine, since any wall clock may be wrong by an hour or more. Slow start depends on
-the difference, so each start time is bounded by what this process has observed itself:
+Endpoint lists contain start times as Unix times by the clocks of other machines. They cannot simply be
+compared with this machine's clock, since any wall clock may be wrong by an hour or more. Slow start depends
+on the difference, so each start time is limited to a range that this process has observed itself:
 
 - a server started before its start time was received;
-- a start time that is new to this process is not earlier than the last list without it, less the time that a
-  start takes to be listed.
+- a start time that is new to this process is not earlier than the last list without it, minus the time until
+  a start is listed.
 
-Each server is bounded by itself, so that a wrong clock of one server does not affect the others. Times are
-milliseconds on the host's clock, but those called `reported` are by a server's clock.
+Each server's start time is bounded on its own, so a wrong clock on one server does not affect the others.
+Times are in milliseconds on the host's clock, except those called `reported`, which are on a server's clock.
 """
 
 from typing import NamedTuple
 
 from lotusroute.routing import events
 
-MAX_KNOWN_STARTS = 10_000  # of servers; bounds the memory to about 2 MB
+MAX_KNOWN_STARTS = 10_000  # limits memory use to about 2 MB
 
 
 class _KnownStart(NamedTuple):
@@ -25,17 +25,17 @@
 
 
 class StartTimes:
-    """Bounds reported start times; a server keeps its bounded time until it starts again."""
+    """Bounds reported start times; a server keeps its bounded start time until it restarts."""
 
     def __init__(self, listing_delay: float) -> None:
-        """`listing_delay` is the longest time until a start is in an endpoint list, in ms."""
+        """`listing_delay` is the longest time in ms until a started server is in an endpoint list."""
         self._listing_delay = listing_delay
-        # By server id, the oldest first. Servers that have left the list are kept: one that is listed again
-        # with the same start time has not restarted.
+        # By server id, oldest first. Servers that have left the list are kept, since a server that is listed
+        # again with the same start time has not restarted.
         self._known: dict[str, _KnownStart] = {}
 
     def bound(self, server: events.Server, now: float, previous_list_at: float | None) -> events.Server:
-        """Return the server of an endpoint list received at `now`, with its start time on the host's clock.
+        """Return a server from an endpoint list received at `now`, with its start time on the host's clock.
 
         `previous_list_at` is the last time at which the previous list was known to be current; None for the
         first list. A server that is removed or has no start time is returned unchanged.
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -1,7 +1,7 @@
-"""The state of a director: what it was configured with, and all that it has learned.
+"""The state of a director: its configuration, and the servers, flows and rates that it has recorded.
 
-The state makes no decisions and has no thresholds; these are in the decision modules, which
-deploy/balancer.toml lists under `policy`. Times are milliseconds on the host's clock.
+This module makes no decisions and has no thresholds; these are in the decision modules, which
+deploy/balancer.toml lists under `policy`. Times are in milliseconds on the host's clock.
 """
 
 import math
@@ -13,26 +13,26 @@
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.statistics import ConnectionCounts, DecayingCount, DecayingMean, TickRate
 
-TICK_INTERVAL_MS = 1_000.0  # servers report their latency as often
+TICK_INTERVAL_MS = 1_000.0  # also the interval of the servers' latency reports
 
 
 @dataclass(slots=True)
 class FleetSetupTimes:
-    """Set-up times of all servers together; written by `overload_detection.py`."""
+    """Set-up times over all servers; written by `overload_detection.py`."""
 
     deviation: float  # mean absolute deviation of the logarithm of set-up times
     mean: DecayingMean | None = None
-    quickest_first: list[ServerRecord] = field(default_factory=list)  # in the order of `sorted_at`
+    quickest_first: list[ServerRecord] = field(default_factory=list)  # as sorted at `sorted_at`
     sorted_at: float = -math.inf
 
 
 @dataclass(slots=True)
 class SubscriptionState:
-    """The subscription to endpoint updates, where discovery must be polled; written by `director.py`."""
+    """The subscription to endpoint updates, if discovery must be polled; written by `director.py`."""
 
     active: bool = False
-    rejections: int = 0  # of consecutive polls
-    renew_at: float = 0.0  # not before
+    rejections: int = 0  # consecutive polls that discovery rejected
+    renew_at: float = 0.0  # the earliest time of the next subscription
 
     def record_poll(self, accepted: bool) -> None:
         """Record the result of a poll."""
@@ -42,39 +42,39 @@
 
 @dataclass(slots=True, eq=False)
 class RoutingState:
-    """All that a director knows; the decision modules read it and write the fields that they own."""
+    """The state of a director; each decision module reads all of it and writes the fields that it owns."""
 
     config: events.ServiceConfig
     rng: random.Random
-    recent_replicas: deque[tuple[int, int]]  # segment and replica of each of the last requested flows
-    recent_arrivals: DecayingCount  # requested flows
+    recent_replicas: deque[tuple[int, int]]  # segment and replica of each recently requested flow
+    recent_arrivals: DecayingCount  # of requested flows
     fleet_setup_times: FleetSetupTimes
 
     now: float = 0.0
     actions: list[events.Action] = field(default_factory=list)  # of the current event
     ticks: int = 0
 
-    servers: dict[str, ServerRecord] = field(default_factory=dict)  # removed ones while they have connections
+    servers: dict[str, ServerRecord] = field(default_factory=dict)  # by id; removed ones until unconnected
     ready: list[ServerRecord] = field(default_factory=list)  # as of the last endpoint list
     total_size: float = 1.0  # of the ready servers
-    largest_size: float = 1.0  # of a ready server
+    largest_size: float = 1.0  # of any ready server
     recently_overloaded: dict[str, ServerRecord] = field(default_factory=dict)
-    reconnects_expected_until: float = 0.0  # by clients of servers that have left the endpoint list
+    reconnects_expected_until: float = 0.0  # from clients of servers that have left the endpoint list
     subscription: SubscriptionState = field(default_factory=SubscriptionState)
 
-    flows: dict[int, FlowRecord] = field(default_factory=dict)  # that have not ended, by id
-    flow_counts: Counter[int] = field(default_factory=Counter)  # of these, by segment
+    flows: dict[int, FlowRecord] = field(default_factory=dict)  # flows that have not ended, by id
+    flow_counts: Counter[int] = field(default_factory=Counter)  # the number of these flows, by segment
     preference_orders: dict[int, list[ServerRecord]] = field(default_factory=dict)  # cache, by segment
     overrides: dict[tuple[int, int], ServerRecord] = field(default_factory=dict)  # by segment and replica
 
-    arrivals: TickRate = field(default_factory=TickRate)  # requested flows
-    first_arrivals: TickRate = field(default_factory=TickRate)  # without reconnecting clients
+    arrivals: TickRate = field(default_factory=TickRate)  # of requested flows
+    first_arrivals: TickRate = field(default_factory=TickRate)  # only first requests of clients
     connects: ConnectionCounts = field(default_factory=ConnectionCounts)
     spill_depth: int = 0  # servers of its preference order that a segment may use
 
     @property
     def lacks_latency_reports(self) -> bool:
-        """Whether overload shows only in set-up times, since servers send no latency reports."""
+        """Whether servers send no latency reports, so that overload shows only in set-up times."""
         return not self.config.reports_latency
 
     @property
@@ -83,7 +83,7 @@
         return min((kind.setup_target for kind in self.config.service_types.values()), default=0.0)
 
     def start_event(self, now: float) -> None:
-        """Begin an event that happened at `now`."""
+        """Set the time to that of a new event, and clear the actions of the previous one."""
         self.now = now
         self.actions = []
 
@@ -95,35 +95,35 @@
             self.first_arrivals.count += 1
 
     def end_tick(self, gain: float, decay: float) -> None:
-        """Add the tick to the arrival rates with the weight `gain`; multiply connection counts by `decay`."""
+        """Add this tick to the arrival rates with weight `gain`; multiply connection counts by `decay`."""
         self.first_arrivals.end_tick(gain)
         self.arrivals.end_tick(gain)
         self.connects.decay(decay)
         self.ticks += 1
 
     def expire_overloaded(self) -> None:
-        """Drop servers from `recently_overloaded` that have recovered or are not ready."""
+        """Remove servers from `recently_overloaded` that have recovered or are not ready."""
         for server in list(self.recently_overloaded.values()):
             ends_at = max(server.admission.recovering_until, server.overload.deprioritized_until)
             if ends_at <= self.now or server.state != events.EndpointState.READY:
                 del self.recently_overloaded[server.id]
 
     def add_server(self, endpoint: events.Server, server_hash: int) -> ServerRecord:
-        """Add a record for a new server; its location and state are not copied yet."""
+        """Add a record for a new server, without the location and state of its endpoint list entry."""
         server = ServerRecord(endpoint.id, server_hash, endpoint.started_at, self.now)
         self.servers[endpoint.id] = server
         return server
 
     def mark_unlisted(self, server_ids: set[str]) -> None:
-        """Mark all servers as removed that are not in `server_ids`."""
+        """Mark all servers that are not in `server_ids` as removed."""
         for server in self.servers.values():
             if server.id not in server_ids:
                 server.state = events.EndpointState.REMOVED
 
     def refresh_ready(self) -> bool:
-        """Recompute what depends on the servers' states and sizes; drop removed servers without connections.
+        """Recompute the fields that depend on server states and sizes; drop removed, unconnected servers.
 
-        Returns whether a server stopped being ready, or none was ready before.
+        Returns whether a server has stopped being ready, or no server was ready before.
         """
         previous = self.ready
         self.servers = {
--- a/lotusroute/routing/statistics.py
+++ b/lotusroute/routing/statistics.py
@@ -1,4 +1,4 @@
-"""Counts, rates and means in which recent events weigh more. Times are in milliseconds."""
+"""Exponentially weighted counts, rates and means, in which recent events weigh more. Times are in ms."""
 
 import math
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 
 @dataclass(slots=True)
 class DecayingMean:
-    """A mean whose samples lose weight with age.
+    """A mean in which the weight of samples decays with their age.
 
-    The weight of the past falls by the factor e in each `time_constant`, but not below `min_weight`, so that
-    rare samples are averaged as well. Together with a new sample it does not exceed `max_weight`.
+    The weight of all earlier samples falls by a factor of e per `time_constant`, but not below `min_weight`,
+    so that samples are averaged even if they are rare. With a new sample it does not exceed `max_weight`.
     """
 
     value: float
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class DecayingCount:
-    """A count of events in which the weight of an event falls by the factor e in each `time_constant`."""
+    """A count of events in which the weight of each event falls by a factor of e per `time_constant`."""
 
     time_constant: float
     value: float = 0.0
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class TickRate:
-    """The number of events in the current tick, and an exponential moving average per tick."""
+    """The number of events in the current tick, and an exponential moving average over earlier ticks."""
 
     count: int = 0
     mean: float = 0.0
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class ConnectionCounts:
-    """Counts of connection attempts and of reset connections; they decay by tick."""
+    """Counts of connection attempts and of reset connections, which decay with each tick."""
 
     failed: float = 0.0  # attempts that failed or were throttled
     established: float = 0.0
