--- a/lotusroute/adapter/__init__.py
+++ b/lotusroute/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: runs the routing decisions in a simulation, by the simulator's text protocol."""
+"""The adapter: connects the routing logic to a simulator by the simulator's text protocol."""
--- a/lotusroute/adapter/__main__.py
+++ b/lotusroute/adapter/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the adapter: reads batches of events on standard input and writes a reply to each on standard output.
+"""Runs the adapter: reads batches of events from standard input and writes the replies to standard output.
 
-The exit code is 0 at the end of the input, 1 if the program was interrupted or its output closed, and 2 for
-input that does not follow the protocol.
+The exit code is 0 at the end of the input, 1 if the program is interrupted or its output is closed, and 2 if
+the input violates the protocol.
 """
 
 import io
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Process standard input to its end; return the exit code."""
+    """Process standard input until it ends; return the exit code."""
     cast(io.TextIOWrapper, sys.stdin).reconfigure(encoding="utf-8", errors="replace", newline="\n")
     try:
         for reply in generate_replies(sys.stdin):
--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -1,9 +1,9 @@
-"""A simulation session: passes each event to its instance and collects the reply to a batch.
+"""A simulation session: passes each event to the balancer instance it is for, and builds the replies.
 
-A batch of lines begins with `mark` and ends with `your_turn`; `at` names the instance to which the next lines
-belong. A `roster` line announces a server list, whose rows follow it; `registry` events refer to the list by
-its number. Input that does not follow the protocol raises `ProtocolError` with the number of the line. Times
-are in milliseconds.
+A batch of lines begins with `mark`, which gives its time, and ends with `your_turn`. An `at` line selects the
+instance that the following lines are for. A `roster` line announces a server list; the `row` lines after it
+are its servers, and `registry` events refer to it by number. Input that violates the protocol raises
+`ProtocolError` with the line number. Times are in milliseconds.
 """
 
 from collections.abc import Iterable, Iterator
@@ -21,7 +21,7 @@
 
 
 def generate_replies(lines: Iterable[str]) -> Iterator[str]:
-    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and the reason.
+    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and a reason.
 
     >>> list(generate_replies(["mark 8412.25", "your_turn"]))
     ['finished\\n']
@@ -34,7 +34,7 @@
         try:
             reply = session.read_line(text)
         except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
-            # The errors of Python are raised by the decisions for events that contradict earlier ones.
+            # The routing logic raises Python's own errors for events that contradict earlier ones.
             raise ProtocolError(f"line {line_number}: {error}") from None
         if reply is not None:
             yield reply
@@ -42,17 +42,17 @@
 
 @dataclass(slots=True)
 class Batch:
-    """A batch of which some lines have been read."""
+    """A batch that has not been read to its end."""
 
     now: float  # the time of all its events
-    instance: int | None = None  # to which the next lines belong
+    instance: int | None = None  # the instance that the next lines are for
     reply: list[str] = field(default_factory=list)
-    replying: int | None = None  # the instance of the last actions in the reply
+    replying: int | None = None  # the instance whose actions were last added to the reply
 
 
 @dataclass(slots=True)
 class IncompleteList:
-    """A server list of which some rows have not been read."""
+    """A server list whose rows have not all been read."""
 
     number: int
     rows_missing: int
@@ -68,16 +68,16 @@
 
 
 class SimulatorSession:
-    """The instances of a simulation, and the server lists to which their events refer."""
+    """The state of a simulation: its instances, and the server lists that their events refer to."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}  # by number
-        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, up to MAX_LIST_NUMBER
+        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, from 0 to MAX_LIST_NUMBER
         self.incomplete_list: IncompleteList | None = None
         self.batch: Batch | None = None
 
     def read_line(self, line: str) -> str | None:
-        """Handle one line; return the reply if the line ends a batch, else None."""
+        """Process one line; return the reply if the line ends a batch, else None."""
         name, *values = line.split(" ")
         if name == "row":
             self._add_server(values)
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's text protocol: parses its messages into events, and formats actions as its lines.
+"""The simulator's text protocol: parses its messages into events, and formats actions as lines.
 
-The names of messages, codes and flags are the protocol's and are not used outside this package. Values are
-separated by single spaces, `-` stands for an absent value, and times are in milliseconds. Input that does not
-follow the protocol raises `InvalidValueError` or one of its subclasses.
+The names of messages, codes and flags are defined by the protocol and not used outside this package. Values
+are separated by single spaces, `-` stands for an absent value, and times are in milliseconds. Input that
+violates the protocol raises `InvalidValueError` or one of its subclasses.
 """
 
 from collections.abc import Callable
@@ -38,27 +38,27 @@
     "X": events.ConnectionResult.CANCELLED,
     "N": events.ConnectionResult.UNSENT,
 }
-# Bits of a new flow's flags. Every flow is parsed with them, for which an IntFlag is too slow.
+# Bits of the flags of a new flow. They are parsed for every flow, for which an IntFlag is too slow.
 RETRY_FLAG = 2
 MID_FLOW_FLAG = 8
 RECONNECTING_FLAG = 16
 
 
 class NoticeTopic(IntEnum):
-    """The topics of notices on an open connection that are used; others are ignored."""
+    """The topics of `notice` messages that the routing logic uses; other topics are ignored."""
 
     LOAD = 1
     LATENCY = 2
 
 
 def check_value_count(name: str, values: list[str], expected: int) -> None:
-    """Raise `ProtocolError` if a message does not have the expected number of values."""
+    """Raise `ProtocolError` if the number of values of a message is not the expected one."""
     if len(values) != expected:
         raise ProtocolError(f"'{name}' with {len(values)} values, not {expected}")
 
 
 def parse_integer(text: str) -> int:
-    """Parse an integer that is not negative."""
+    """Parse a non-negative integer."""
     if not (text.isascii() and text.isdigit()):
         raise ProtocolError(f"'{text}' is not a whole number")
     return int(text)
@@ -72,12 +72,12 @@
 
 
 def parse_optional(text: str) -> str | None:
-    """Parse a text that may be absent."""
+    """Return the text, or None if it is absent."""
     return None if text == ABSENT else text
 
 
 def parse_settings(pairs: list[str]) -> events.ServiceConfig:
-    """Parse the settings of an instance, each of which is PATH=VALUE."""
+    """Parse the settings of an instance, each given as PATH=VALUE."""
     settings: dict[str, str] = {}
     for pair in pairs:
         path, equals, value = pair.partition("=")
@@ -130,7 +130,7 @@
 
 def _parse_connection_ended(values: list[str]) -> events.ConnectionEnded:
     flow, final, server, latency, attempt, result, _load_report = values
-    # The decisions use neither, but a malformed value is an error.
+    # The routing logic uses neither value, but a malformed one is still an error.
     parse_number(latency)
     parse_integer(attempt)
     return events.ConnectionEnded(
@@ -162,11 +162,11 @@
 
 
 def _ignore(_values: list[str]) -> None:
-    """Ignore a result of a health check or a message of a peer; this balancer requests neither."""
+    """Ignore the result of a health check or a message from a peer; this balancer requests neither."""
 
 
 class EventFormat(NamedTuple):
-    """How to parse the values of a message."""
+    """The number of values of a message, and the function that parses them."""
 
     value_count: int
     parse: Callable[[list[str]], events.Event | None]
@@ -186,7 +186,7 @@
 
 
 def parse_event(name: str, values: list[str]) -> events.Event | None:
-    """Parse one event; return None if the routing decisions do not use it.
+    """Parse one message into an event; return None if the routing logic does not use it.
 
     >>> parse_event("withdrawn", ["242166553"])
     ClientDisconnected(id=242166553)
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -1,6 +1,6 @@
-"""Parses the settings of a service, for all hosts of the routing decisions.
+"""Parses the settings of a service into the configuration of its director.
 
-The settings are a flat mapping from dotted paths to texts; `flatten` makes one from nested JSON. Unknown
+Settings are a flat mapping from dotted paths to strings, which `flatten` creates from nested JSON. Unknown
 settings are ignored. An invalid value raises `ConfigError` with its path. Times are in milliseconds.
 """
 
@@ -20,7 +20,7 @@
     "idempotency_key": events.Effect.IDEMPOTENCY_KEY,
     "non_idempotent": events.Effect.NON_IDEMPOTENT,
 }
-DEFAULT_EFFECT = "non_idempotent"  # a flow of it never runs twice
+DEFAULT_EFFECT = "non_idempotent"  # the safest one: such a flow never runs twice
 STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that do not change between endpoint lists
 DEFAULT_POLL_INTERVAL_MS = 10_000.0
 LATENCY_OBJECTIVES_PATH = "family_info.message_aim"
@@ -44,7 +44,7 @@
 
 
 def look_up(table: Mapping[Key, Value], key: Key, kind: str) -> Value:
-    """Return the value of a key; raises `UnknownNameError`, which calls the key a `kind`."""
+    """Return the value of a key; if it is missing, raise `UnknownNameError`, which calls it a `kind`."""
     try:
         return table[key]
     except KeyError:
@@ -52,7 +52,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield each value of nested JSON as a text, with its dotted path; a list's length is under `.count`.
+    """Yield the dotted path and the text of each value of nested JSON; a list's length is under `.count`.
 
     >>> dict(flatten({"a": {"b": True, "c": None}, "d": [{"e": 1.5}], "f": ["x", "y"]}))
     {'a.b': 'true', 'd.count': '1', 'd.0.e': '1.5', 'f.count': '2', 'f.0': 'x', 'f.1': 'y'}
@@ -122,7 +122,7 @@
 
 
 def _parse_dedup_scope(text: str) -> events.DedupScope:
-    """Parse the servers that recognize a repeated key; none for an unknown text."""
+    """Parse a deduplication scope; an unknown text means that no server recognizes a repeated key."""
     try:
         return events.DedupScope(text)
     except ValueError:
@@ -130,9 +130,9 @@
 
 
 def _parse_latency_objective(settings: Mapping[str, str]) -> float:
-    """Return the strictest of the service types' objectives; 0 if none is set.
+    """Return the strictest latency objective of the service types; 0 if none is set.
 
-    The simulator joins them with commas; in nested JSON they are a list.
+    The simulator joins the objectives with commas; in nested JSON they are a list.
     """
     path = LATENCY_OBJECTIVES_PATH
     texts = settings.get(path, "").split(",")
@@ -142,7 +142,7 @@
 
 
 def _parse_max_retry_after(settings: Mapping[str, str]) -> float:
-    """Return the longest Retry-After that clients honour; 0 if they ignore it."""
+    """Return the longest Retry-After that clients honour; 0 if they ignore Retry-After."""
     if not _parse_boolean(settings, "limits.retry_after"):
         return 0.0
     return _parse_setting(settings, "limits.max_retry_after")
