--- a/tests/director_host.py
+++ b/tests/director_host.py
@@ -1,4 +1,4 @@
-"""A host for the director: it has the clock, the servers and the flows that tests of decisions need."""
+"""A fake host for tests of the routing logic: a director with a clock, servers and flows."""
 
 import collections
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
     slow_start_duration=20_000.0,
     slow_start_burst=3.0,
 )
-KEYS = [f"key-{index}" for index in range(200)]  # of clients
+KEYS = [f"key-{index}" for index in range(200)]  # keys of flow requests
 FLOW_TIMEOUT_MS = 1_800.0
 TICK_MS = 1_000.0  # the interval of the director's timer
 
@@ -23,7 +23,7 @@
 
 
 class FakeHost:
-    """A director, its clock in ms, and flows numbered in the order in which they are requested."""
+    """A director with a clock in ms; flows are numbered in the order in which they are requested."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
 
     def request(
         self, key: str = "k", group: str | None = None, tenant: str | None = None, **more: Any
-    ) -> Any:  # an action, of the type that the test expects
+    ) -> Any:  # an action of the type that the test expects
         """Request a new flow; returns the director's first action."""
         self.last_flow_id += 1
         deadline = self.now + FLOW_TIMEOUT_MS
@@ -61,13 +61,13 @@
         )[0]
 
     def default_server(self, key: str) -> str:
-        """Return the default server of a key's segment, which is the same for all balancers."""
+        """Return the default server of a key's segment, which is the same in all balancers."""
         state = self.director.state
         segment = segments.segment_of(state, events.FlowRequest(0, "live", None, None, key, 0.0))
         return segments.preference_order(state, segment)[0].id
 
     def establish(self, key: str = "k", **more: Any) -> events.Connect:
-        """Request a flow and establish it; returns its connect."""
+        """Request a flow and establish it; returns its `Connect` action."""
         connect: events.Connect = self.request(key, **more)
         self.decide(events.Established(connect.id, connect.server))
         return connect
@@ -75,9 +75,9 @@
     def establish_each(
         self, setup_time: Callable[[str], float], flows: int, gap: float = 5.0
     ) -> collections.Counter[type]:
-        """Open flows one after the other, each set up after `setup_time(server)` ms and ended at once.
+        """Open flows one after the other, each established after `setup_time(server)` ms and ended at once.
 
-        Return how many of the director's answers were of which type.
+        Returns the number of the director's answers by action type.
         """
         answers: collections.Counter[type] = collections.Counter()
         for index in range(flows):
@@ -93,11 +93,11 @@
     def end(
         self, connect: events.Connect, result: events.ConnectionResult, final: bool = False
     ) -> list[events.Action]:
-        """End the connection that came of a connect; returns the director's actions."""
+        """End the connection that a `Connect` action started; returns the director's actions."""
         return self.decide(events.ConnectionEnded(connect.id, connect.server, final, result))
 
     def advance(self, ms: float) -> list[events.Action]:
-        """Advance the clock and fire the director's timer on the way; returns all actions."""
+        """Advance the clock, firing the director's timer at each interval; returns all actions."""
         actions: list[events.Action] = []
         end = self.now + ms
         while self.now + TICK_MS <= end:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: replies to batches, and errors for malformed lines."""
+"""The adapter: replies to batches of events, and errors for malformed lines."""
 
 import pytest
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,4 +1,4 @@
-"""The director: endpoint lists, subscription, existing connections, unknown events."""
+"""The director: endpoint lists, subscriptions, existing connections and unknown events."""
 
 import pytest
 from director_host import KEYS, SERVICE_CONFIG, FakeHost, actions_of
--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: servers that fail connections."""
+"""Outlier ejection of servers whose connections fail."""
 
 from director_host import FakeHost, actions_of
 
@@ -25,7 +25,7 @@
 
 
 def test_an_isolated_timeout_among_many_set_ups_limits_no_server():
-    # With long-tailed set-up times a healthy server causes a timeout now and then.
+    # If set-up times have a long tail, even a healthy server causes an occasional timeout.
     host = FakeHost(2)
     for index in range(200):
         connect = host.request(f"key{index}")
--- a/tests/test_golden_bytes_simulator.py
+++ b/tests/test_golden_bytes_simulator.py
@@ -1,7 +1,7 @@
-"""Golden bytes of the simulator's protocol, written literally.
+"""Golden lines of the simulator's protocol, written literally.
 
-The simulator and the adapter exchange these lines; they stay the same when types or modules are renamed.
-The expected lines use no names of the project.
+The simulator and the adapter exchange these lines, which must not change when types or modules are renamed.
+The expected lines are therefore not built from names of this project.
 """
 
 import pytest
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -19,7 +19,7 @@
 
 
 def test_connections_migrate_to_a_default_server_that_joins_the_sooner_the_warmer_it_is():
-    # Otherwise new servers get few flows, and the old ones keep all connections.
+    # Otherwise new servers would get few flows, and the old ones would keep all connections.
     fleet = [
         FakeHost(4, seed=index, instance_count=40, instance_index=index, groups_share_work=True)
         for index in range(40)
@@ -40,7 +40,7 @@
 
 
 def test_no_client_migrates_to_a_default_server_that_would_not_admit_it():
-    # Such a client would get another server and migrate again.
+    # Such a client would be sent to another server and migrate again.
     migrations = {}
     for storm_size in 0, 40:
         fleet = [FakeHost(4, seed=index, instance_count=200, instance_index=index) for index in range(200)]
@@ -56,7 +56,7 @@
 
 
 def test_a_single_connection_on_an_overloaded_server_migrates_sooner():
-    # A fixed fraction of a single connection would rarely be migrated, and the server stay overloaded.
+    # With a fixed fraction, a single connection would rarely migrate, and the server would stay overloaded.
     migrated = 0
     for index in range(40):
         host = FakeHost(2)
@@ -67,7 +67,7 @@
 
 
 def test_without_latency_reports_the_largest_group_leaves_as_a_whole_for_the_idlest_server():
-    # A group whose connections are on several servers costs work on each.
+    # A group with connections on several servers costs work on each of them.
     host = FakeHost(3, groups_share_work=True)
     groups_on = {}
     for index in range(30):
@@ -95,7 +95,7 @@
 
 
 def test_single_connections_migrate_in_proportion_to_the_reported_latency():
-    # With many balancers that have one connection each, a fixed probability would migrate too many.
+    # If many balancers have one connection each, a fixed probability would migrate too many of them.
     migrated = Counter()
     for index in range(200):
         host = FakeHost(2, reports_latency=True, latency_objective=60.0)
@@ -107,7 +107,7 @@
 
 
 def test_with_latency_reports_no_override_targets_are_computed_for_a_migration(monkeypatch):
-    # Incident ica69c5: they take too much CPU time when there are many servers and migrations.
+    # Incident ica69c5: computing them took too much CPU time with many servers and migrations.
     host = FakeHost(50, reports_latency=True, latency_objective=60.0, slow_start_duration=0.0)
     server = host.establish().server
     host.decide(events.LatencyReport(server, 900.0))
--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -17,7 +17,7 @@
 
 
 def test_a_server_whose_set_ups_take_far_longer_than_the_others_is_overloaded():
-    # Without latency reports nothing else shows that a server is overloaded.
+    # Without latency reports, set-up times are the only sign that a server is overloaded.
     host = FakeHost()
     servers = host.director.state.servers.values()
     slow = host.request().server
@@ -27,13 +27,13 @@
     assert slow in used and slow not in {host.request(key).server for key in KEYS[:20]}
     assert actions_of(events.Migrate, host.advance(2000.0))
 
-    # A connection storm slows all servers alike; the first two may look overloaded.
+    # A connection storm slows all servers equally; the first two may look overloaded.
     host.now += 30_000.0
     for key in KEYS:
         establish_after(host, key, lambda server: 200.0)
         assert sum(server.overload.overloaded_until > host.now for server in servers) <= 2
 
-    # In the end all servers but one are slow, so that the median is slow, too.
+    # At the end all servers but one are slow, so the median set-up time is slow, too.
     for others_ms in (20.0, 20.0, 80.0):
         host.now += 30_000.0
         for key in KEYS[:60]:
@@ -52,7 +52,7 @@
     ],
 )
 def test_a_healthy_fleet_rejects_no_flow_whatever_its_set_up_times(servers, sample_setup_time):
-    # Short set-up times vary widely by chance; the ratio of two of them shows no overload.
+    # Short set-up times vary widely by chance, so the ratio of two of them is no sign of overload.
     host, rng = FakeHost(servers), random.Random(3)
     assert host.establish_each(lambda _: sample_setup_time(rng), 400) == {events.Connect: 400}
 
@@ -96,13 +96,13 @@
     assert {host.request(key).server for key in KEYS} == {"s0", "s1"} - {slow}
     other = ({"s0", "s1"} - {slow}).pop()
     host.decide(events.LatencyReport(other, 90.0))
-    assert host.request().server == slow  # A slow server gets a flow before the flow is rejected.
+    assert host.request().server == slow  # A flow is sent to a slow server rather than rejected.
     host.decide(events.LatencyReport(slow, 90.0))
     assert isinstance(host.request(), events.Reject)
 
 
 def test_a_recovered_server_stays_deprioritized_while_it_holds_the_connections_that_overloaded_it():
-    # Otherwise its clients reconnect to it at once and overload it again.
+    # Otherwise its clients would reconnect to it at once and overload it again.
     host = FakeHost(2, reports_latency=True, latency_objective=60.0)
     slow = host.request().server
     host.decide(events.LatencyReport(slow, 28.0))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: order, safety, timeouts and throttling."""
+"""Retries: order of servers, safety, timeouts and throttling."""
 
 import random
 
@@ -89,13 +89,13 @@
 
 
 def test_without_latency_reports_an_attempt_may_take_most_of_the_time_left():
-    # If set-ups are slow everywhere, shorter timeouts and their retries would keep them slow.
+    # If set-ups are slow on all servers, retries after shorter timeouts would keep them slow.
     assert FakeHost(4).request().timeout == pytest.approx(0.8 * 1800.0)
     assert FakeHost(4, reports_latency=True).request().timeout == 600.0
 
 
 def simulate_resetting_servers(seed):
-    """Simulate 100 balancers, 520 clients and 20 servers, which reset 7 connections when they exceed 20.
+    """Simulate 100 balancers, 520 clients and 20 servers; a server above 20 connections resets 7 of them.
 
     Returns the numbers of requests and resets, and the mean number of connections.
     """
@@ -139,6 +139,6 @@
 
 
 def test_most_clients_that_overloaded_servers_reset_are_rejected_until_there_is_capacity():
-    # Without throttling each client would be connected and reset again and again.
+    # Without throttling, each client would be connected and reset repeatedly.
     requests, resets, connections = simulate_resetting_servers(3)
     assert resets < 2_000 and connections > 300, (requests, resets, connections)
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -1,4 +1,4 @@
-"""Segments: default servers, replicas, rebalancing."""
+"""Segments: default servers, replicas and rebalancing."""
 
 import random
 from collections import Counter
@@ -47,12 +47,12 @@
     host = FakeHost(2)
     for key in keys[:20]:
         host.establish(key)
-    host.advance(5_000.0 + 10_000.0)  # New servers take no part in rebalancing for 10 s.
+    host.advance(5_000.0 + 10_000.0)  # New servers are excluded from rebalancing for 10 s.
     assert len([key for key in keys if host.request(key).server == "s1"]) >= 4
 
 
 def test_a_group_is_assigned_to_the_server_of_its_existing_connections():
-    # Otherwise the group would cost work on that server and on its default one.
+    # Otherwise the group would cost work both on that server and on its default server.
     host = FakeHost(groups_share_work=True)
     default = host.request(group="yard").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
@@ -64,7 +64,7 @@
 
 
 def test_the_prefiltered_preference_order_of_a_large_fleet_is_the_complete_one():
-    # Incident i781c5a: ranking all servers for each segment takes too much CPU time.
+    # Incident i781c5a: ranking all servers for each segment took too much CPU time.
     host, rng = FakeHost(0), random.Random(5)
     host.update_endpoints(
         *(events.Server(f"s{index}", size=rng.choice((0.7, 1.0, 2.0))) for index in range(90))
@@ -78,7 +78,7 @@
 
 
 def test_without_latency_reports_a_server_of_the_first_list_takes_a_segment_at_once():
-    # With latency reports a server of the first list takes no part in rebalancing for 10 s either.
+    # With latency reports, even a server of the first list is excluded from rebalancing for 10 s.
     for reports_latency, is_reassigned in (False, True), (True, False):
         host = FakeHost(2)
         keys = [key for key in KEYS if host.request(key).server == "s0"]
@@ -97,7 +97,7 @@
 
 
 def test_each_of_few_groups_has_several_replicas():
-    # The few open flows of a balancer do not show how few groups there are; its recent flows do.
+    # A balancer with few open flows can only tell from its recent flows that there are few groups.
     def spread_fraction(groups):
         host, rng = FakeHost(60, instance_count=200, groups_share_work=True), random.Random(1)
         for n in range(20):
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: spilling, reconnecting clients, servers outside the preference order."""
+"""Server selection: spilling, reconnecting clients, and servers outside the preference order."""
 
 from director_host import FakeHost
 
@@ -16,7 +16,7 @@
 
 
 def test_spilling_stops_after_four_servers():
-    # Incidents i7b0290, ieafd3e: with unlimited spilling every server does work for every group.
+    # Incidents i7b0290, ieafd3e: with unlimited spilling, every server did work for every group.
     host = FakeHost(8, reports_latency=True)
     for _ in range(4):
         host.decide(events.LatencyReport(host.request().server, 500.0))
@@ -24,7 +24,7 @@
 
 
 def test_spilling_is_shallower_while_the_fleet_is_overloaded():
-    # Incidents i44d241, i60ba31: while most servers are overloaded, spilled groups overload the others.
+    # Incidents i44d241, i60ba31: while most servers were overloaded, spilled groups overloaded the others.
     host = FakeHost(8, reports_latency=True)
     for server in list(host.director.state.servers.values())[:7]:
         server.overload.deprioritized_until = 90_000.0
@@ -36,7 +36,8 @@
 
 
 def test_reconnecting_clients_skip_a_server_of_which_nothing_is_known():
-    # Of many balancers, most have no connection to an overloaded server and get no latency report from it.
+    # If there are many balancers, most have no connection to an overloaded server and so get no latency
+    # report from it.
     host = FakeHost(8, instance_count=150, reports_latency=True)
     default = host.request().server
     host.end(events.Connect(1, default), events.ConnectionResult.OK, True)
@@ -51,7 +52,7 @@
 
 
 def test_a_group_stays_on_one_server_when_its_server_drains_under_forty_balancers():
-    # A group that is spread by the drain costs work on each of its servers.
+    # If the drain spread the group over several servers, it would cost work on each of them.
     fleet = [
         FakeHost(8, seed=index, groups_share_work=True, instance_count=40, instance_index=index)
         for index in range(40)
@@ -70,7 +71,7 @@
 
 
 def test_flows_leave_their_preference_order_before_they_are_rejected():
-    # Flows that prefer the four overloaded servers go to the four idle ones.
+    # Flows whose preference order contains only overloaded servers are sent to the four other servers.
     host = FakeHost(8)
     for server in ("s0", "s1", "s2", "s3"):
         host.director.state.servers[server].overload.overloaded_until = host.now + 1e6
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -1,4 +1,4 @@
-"""The settings of a service: closed sets, errors with their fields and paths."""
+"""Parsing of service settings: allowed values, and errors that give the value and the path."""
 
 import pytest
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what all balancers together send to new servers, by runs of `benchmarks/slow_start.py`."""
+"""Slow start: the flows of all balancers together to new servers, simulated by `benchmarks/slow_start.py`."""
 
 import importlib
 import pathlib
@@ -11,7 +11,7 @@
 
 @pytest.fixture(scope="module")
 def slow_start():
-    """Import the benchmark, which belongs to no package."""
+    """Import the benchmark, which is not part of a package."""
     with pytest.MonkeyPatch.context() as patch:
         patch.syspath_prepend(BENCHMARKS)
         yield importlib.import_module("slow_start")
@@ -35,9 +35,9 @@
     slow_start, directors, groups, seed
 ):
     # When the server of a group drains, the whole group reconnects within a second, with at most one flow per
-    # balancer, which looks like a fair share to each of them.
+    # balancer. To each balancer alone, this looks like a fair share.
     case = slow_start.Case(directors, False, "six-of-ten", groups, False)
     result = slow_start.run_case((case, seed))
     assert result.worst.overload_ratio <= 1.0, result
-    # New servers do get their part of the flows, and flows are established.
+    # New servers still get their share of the flows, and flows are established.
     assert result.allowance_used > 0.15 and result.established > 0.99
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of servers on the host's clock, with a right and a wrong wall clock."""
+"""Start times of servers on the host's clock, with a correct and a wrong wall clock."""
 
 import signal
 import time
@@ -122,7 +122,7 @@
             clients.append(balancer.open_flow(f"late{len(clients)}"))
             assert clients[-1].readline().startswith(b"UP")
             time.sleep(0.02)
-        # The new server is the default one of half of the flows; with a right clock it gets a few of them.
+        # The new server is the default server of half the flows; with a correct clock it gets a few of them.
         assert 1 <= len(new.connections) <= 0.25 * (len(clients) - 40)
         log = balancer.terminate(signal.SIGTERM)
     expected = 0 if step == 0.0 else 1
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -1,4 +1,4 @@
-"""Slow start: admission to servers that warm up or recover."""
+"""Slow start: admission of flows to servers that warm up or recover."""
 
 import random
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 def test_a_storm_of_reconnecting_clients_is_admitted_by_slots():
-    # Incident i7b0290.
+    # Incident i7b0290: a recovering server must not admit all clients that reconnect to it.
     host = FakeHost(1)
     for _ in range(10):
         host.establish()
@@ -23,7 +23,7 @@
 
 
 def test_a_server_that_warms_up_gets_its_budget_over_all_balancers():
-    # Incident iab64fb: reconnecting clients must not count as first arrivals.
+    # Incident iab64fb: reconnecting clients must not count as first arrivals, since they raise the budget.
     sent = Counter()
     for instance in range(3):
         host = FakeHost(2, instance_index=instance, instance_count=3)
@@ -35,14 +35,16 @@
         for index in range(400):
             host.now += 10.0
             sent[host.request(KEYS[index % 200], reconnecting=True).server] += 1
-    # A third of 6 arrivals per second, for 4 s, at 0.2 to 0.36 of its capacity, times 3: under 7 flows.
+    # The budget is a third of 6 arrivals per second, for 4 s, at 0.2 to 0.36 of the server's capacity, times
+    # a burst of 3: under 7 flows.
     assert sent["s9"] <= 7
     host.now = 40_001.0
     assert any(host.request(key).server == "s9" for key in KEYS)
 
 
 def test_flows_find_the_warmed_up_servers_of_a_fleet_that_has_grown():
-    # Incident i781c5a: most servers of the fleet warm up, and slots of many balancers are far apart.
+    # Incident i781c5a: most servers of the fleet warm up, and the slots of each of many balancers are far
+    # apart.
     host = FakeHost(3, instance_count=377, instance_index=300)
     host.now = 1000.0
     host.update_endpoints(*(events.Server(f"c{index}", started_at=1000.0) for index in range(5)))
@@ -75,7 +77,7 @@
 
 
 def test_a_recovering_server_still_gets_a_share_of_hundreds_of_flows_a_second():
-    # One flow per slot would be next to nothing of them.
+    # One flow per slot would be a negligible part of them.
     host = FakeHost(2)
     for _ in range(3):
         host.establish_each(lambda _: 1.0, 300, gap=2.0)
@@ -89,7 +91,10 @@
 
 
 def admitted_by_94_balancers(size, reconnecting):
-    """Return how many of 94 balancers with a flow every 3 s send one to a server in its fifth second."""
+    """Return how many of 94 balancers send a flow to a server in the fifth second after its start.
+
+    Each balancer has a flow every 3 s.
+    """
     sent = 0
     for instance in range(94):
         host = FakeHost(0, instance_count=94, instance_index=instance, reports_latency=True)
@@ -109,7 +114,7 @@
 def test_one_of_many_balancers_sends_to_a_warming_server_by_its_slot_and_the_servers_size():
     assert 35 <= admitted_by_94_balancers(3.0, False) <= 65
     assert 20 <= admitted_by_94_balancers(3.0, True) < admitted_by_94_balancers(3.0, False)
-    # A group's load does not depend on the size of the server, so a smaller server gets fewer flows.
+    # A group causes the same load on a server of any size, so a smaller server gets fewer flows.
     assert admitted_by_94_balancers(2.0, True) <= 0.6 * admitted_by_94_balancers(3.0, True)
 
 
@@ -135,7 +140,7 @@
 
 
 def test_two_hundred_balancers_load_a_warming_server_no_faster_than_it_warms_up():
-    # One flow per slot of each balancer would overload the server if many clients reconnect within seconds.
+    # With one flow per slot of each balancer, many clients that reconnect within seconds would overload it.
     hosts, sent = [], 0
     for instance in range(200):
         host = FakeHost(
@@ -156,15 +161,15 @@
                 host.update_endpoints(events.Server("cold", started_at=38_000.0))
             if (step + instance) % 5 == 0:
                 sent += host.establish(f"key-{instance}-{step}").server == "cold"
-    # A warm server holds 200 x 4 / 48 flows; by the settings this one may get 3 times 14 to 33% of that.
+    # A warmed-up server holds 200 x 4 / 48 flows; the settings allow this one 3 times 14 to 33% of that.
     assert 3 <= sent <= 3 * 0.33 * 200 * 4 / 48
 
 
 def connects_in_a_storm(seed):
-    """Simulate 200 balancers; 400 clients, a tenth of them of one group, reconnect within 1.2 s.
+    """Simulate 200 balancers and 400 clients, a tenth of them in one group, that reconnect within 1.2 s.
 
-    Returns the number of attempts to that group's default server, which started 4 s before: by reconnecting
-    clients, spilling, retries and migrations to the default server.
+    Returns the number of attempts to that group's default server, which started 4 s before. They come from
+    reconnecting clients, spilling, retries and migrations to the default server.
     """
     rng, hosts, connects = random.Random(seed), [], 0
     new_server = events.Server("cold", started_at=38_000.0)
@@ -207,7 +212,8 @@
 
 def test_one_group_in_a_tenth_of_a_storm_does_not_overload_its_warming_server():
     connects = [connects_in_a_storm(seed) for seed in range(4)]
-    # A server of mean load holds 13.3 flows, and its warm-up takes 24 s. This is the part of 2 s, times a
-    # burst of 3, at 0.31 of the capacity where it began with 0.14. A single run may reach twice that.
+    # A server with the mean load holds 13.3 flows, and its warm-up takes 24 s. The limit is its share for
+    # 2 s, times a burst of 3, at 0.31 of its capacity after it began with 0.14. A single run may reach twice
+    # that.
     allowed = 3 * 13.3 / 24 * 2 * 0.31 / 0.14
     assert 0 < sum(connects) / 4 <= allowed and max(connects) <= 2 * allowed, connects
