--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -23,7 +23,7 @@
 
 
 def test_a_server_that_warms_up_gets_its_budget_over_all_balancers():
-    # Incident iab64fb: reconnecting clients must not count as first arrivals, since they raise the budget.
+    # Incident iab64fb: reconnecting clients must not count as first arrivals; that would raise the budget.
     sent = Counter()
     for instance in range(3):
         host = FakeHost(2, instance_index=instance, instance_count=3)
