--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,7 @@
 FLOW = "ask 7 c - - 0 key - 900.0"
 
 
-def test_a_flow_is_forwarded_and_a_restart_within_a_batch_forgets_it():
+def test_a_flow_is_connected_and_a_restart_within_a_batch_discards_it():
     restart = ["mark 2.0", "at 3", "stop", *START[2:], "resolved 7 0 a:1 1.0 0 T -", "your_turn"]
     first, second = generate_replies([*START, FLOW, "your_turn", *restart])
     assert "speaking 3\n" in first and "pass_on 7 a:1 " in first
@@ -38,7 +38,7 @@
         "attach 5 pair",
     ],
 )
-def test_a_malformed_line_raises_an_error_with_its_number_and_fault(malformed):
+def test_a_malformed_line_raises_an_error_with_its_number_and_a_reason(malformed):
     lines = [*START, *malformed.split("\n")]
     with pytest.raises(ProtocolError, match=rf"^line {len(lines)}: ."):
         list(generate_replies(lines))
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -16,7 +16,7 @@
     assert FakeHost(0).request() == events.Reject(1, 1000.0, events.RejectReason.NO_SERVER_AVAILABLE)
 
 
-def test_a_restarted_server_warms_up_again_and_is_not_ejected_any_more():
+def test_a_restarted_server_warms_up_again_and_is_no_longer_ejected():
     host = FakeHost()
     ejected = host.request().server
     host.end(events.Connect(1, ejected), events.ConnectionResult.UNREACHABLE)
@@ -26,7 +26,7 @@
     assert slow_start.warming_up(host.director.state, restarted)
 
 
-def test_a_broken_subscription_is_renewed_with_backoff():
+def test_a_rejected_subscription_is_renewed_with_backoff():
     host = FakeHost(polls_discovery=True, config=SERVICE_CONFIG)
     host.decide(events.EndpointList(events.ListScope.REJECTED))
     subscriptions = [actions_of(events.Subscribe, host.advance(1000.0)) for _ in range(3)]
@@ -36,7 +36,7 @@
     assert actions_of(events.Subscribe, host.advance(20_000.0)) == []
 
 
-def test_existing_connections_are_counted_and_no_state_of_finished_flows_remains():
+def test_existing_connections_are_counted_and_finished_flows_leave_no_state():
     host = FakeHost()
     host.decide(events.ExistingConnection(events.FlowRequest(900, "live", "t", None, "k", 0.0), "s1"))
     connects = [host.establish(key) for key in KEYS]
@@ -50,7 +50,7 @@
     assert not any(server.connections for server in host.director.state.servers.values())
 
 
-def test_an_event_of_an_unknown_type_is_an_error():
+def test_an_event_of_an_unknown_type_raises_an_error():
     with pytest.raises(TypeError, match="unknown event"):
         FakeHost().decide(object())
 
--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -24,7 +24,7 @@
     assert isinstance(host.request(), events.Connect)
 
 
-def test_an_isolated_timeout_among_many_set_ups_limits_no_server():
+def test_isolated_timeouts_among_many_set_ups_cause_no_rejections():
     # If set-up times have a long tail, even a healthy server causes an occasional timeout.
     host = FakeHost(2)
     for index in range(200):
--- a/tests/test_golden_bytes_simulator.py
+++ b/tests/test_golden_bytes_simulator.py
@@ -22,7 +22,7 @@
         (events.OutlierEjected("s:80"), "remark set aside s:80"),
     ],
 )
-def test_each_action_is_written_as_this_line(action, line):
+def test_an_action_is_formatted_as_its_golden_line(action, line):
     assert wire.format_action(action) == line
 
 
@@ -60,13 +60,13 @@
         ),
     ],
 )
-def test_each_line_of_the_simulator_is_read_as_this_event(line, kind, values):
+def test_a_golden_line_is_parsed_into_its_event(line, kind, values):
     name, *parts = line.split(" ")
     event = wire.parse_event(name, parts)
     assert (event is None) if kind is None else (type(event) is kind and event == values)
 
 
-def test_rows_scopes_and_the_names_of_messages_are_these():
+def test_rows_scopes_and_message_names_are_unchanged():
     for code, state in (
         ("IN", events.EndpointState.READY),
         ("LAME", events.EndpointState.DRAINING),
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -8,7 +8,7 @@
 from lotusroute.routing import events, migration, slow_start
 
 
-def test_the_heaviest_connections_leave_an_overloaded_server_once_in_two_seconds():
+def test_the_heaviest_connections_migrate_from_an_overloaded_server_once_in_two_seconds():
     host = FakeHost(2, reports_latency=True)
     server = host.establish().server
     heavy = [host.establish() for _ in range(9)][4]
@@ -18,7 +18,7 @@
     assert 1 <= len(migrations) <= 3 and migrations[0] == events.Migrate(heavy.id)
 
 
-def test_connections_migrate_to_a_default_server_that_joins_the_sooner_the_warmer_it_is():
+def test_connections_migrate_to_a_new_default_server_gradually_as_it_warms_up():
     # Otherwise new servers would get few flows, and the old ones would keep all connections.
     fleet = [
         FakeHost(4, seed=index, instance_count=40, instance_index=index, groups_share_work=True)
@@ -39,7 +39,7 @@
     assert 0 < sum(map(len, early)) < 0.4 * 40 * len(groups_of_new)
 
 
-def test_no_client_migrates_to_a_default_server_that_would_not_admit_it():
+def test_fewer_clients_migrate_to_a_default_server_that_would_not_admit_them():
     # Such a client would be sent to another server and migrate again.
     migrations = {}
     for storm_size in 0, 40:
@@ -55,7 +55,7 @@
     assert 0 < 3 * migrations[40] < migrations[0]
 
 
-def test_a_single_connection_on_an_overloaded_server_migrates_sooner():
+def test_a_single_connection_on_an_overloaded_server_migrates_with_a_higher_probability():
     # With a fixed fraction, a single connection would rarely migrate, and the server would stay overloaded.
     migrated = 0
     for index in range(40):
@@ -66,7 +66,7 @@
     assert 12 <= migrated <= 28
 
 
-def test_without_latency_reports_the_largest_group_leaves_as_a_whole_for_the_idlest_server():
+def test_without_latency_reports_the_largest_group_is_reassigned_to_the_idlest_server():
     # A group with connections on several servers costs work on each of them.
     host = FakeHost(3, groups_share_work=True)
     groups_on = {}
--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -51,7 +51,7 @@
         lambda rng: 20.0,
     ],
 )
-def test_a_healthy_fleet_rejects_no_flow_whatever_its_set_up_times(servers, sample_setup_time):
+def test_a_healthy_fleet_rejects_no_flow_for_any_distribution_of_set_up_times(servers, sample_setup_time):
     # Short set-up times vary widely by chance, so the ratio of two of them is no sign of overload.
     host, rng = FakeHost(servers), random.Random(3)
     assert host.establish_each(lambda _: sample_setup_time(rng), 400) == {events.Connect: 400}
@@ -68,7 +68,7 @@
     assert not migrations
 
 
-def test_a_server_ten_times_slower_is_deprioritized_though_its_set_ups_are_short():
+def test_a_server_ten_times_slower_is_deprioritized_even_if_its_set_ups_are_short():
     host = FakeHost(8)
     host.establish_each(lambda _: 1.0, 200)
     slow = host.request("key1").server
@@ -78,7 +78,7 @@
     }
 
 
-def test_a_stall_of_the_balancer_amid_many_set_ups_makes_no_server_overloaded():
+def test_a_stall_of_the_balancer_during_many_set_ups_marks_no_server_as_overloaded():
     host = FakeHost(8)
     host.establish_each(lambda _: 1.0, 200)
     connects = [host.request(f"key{index}") for index in range(100)]
@@ -89,7 +89,7 @@
     assert not actions_of(events.Migrate, host.advance(3000.0))
 
 
-def test_a_server_is_slow_from_a_third_of_the_latency_objective_and_overloaded_from_all_of_it():
+def test_a_server_is_slow_above_a_third_of_the_latency_objective_and_overloaded_above_the_objective():
     host = FakeHost(2, reports_latency=True, latency_objective=60.0)
     slow = host.request().server
     host.decide(events.LatencyReport(slow, 28.0))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,7 @@
     return {"live": events.ServiceType(300.0, effect, dedup_scope, 5000.0)}
 
 
-def test_failed_connects_are_retried_down_the_preference_order_then_get_one_answer():
+def test_failed_connects_are_retried_on_each_server_once_and_then_answered_once():
     host = FakeHost()
     connect, attempted = host.request(), []
     while isinstance(connect, events.Connect):
@@ -138,7 +138,7 @@
     return requests, resets, connections / 240
 
 
-def test_most_clients_that_overloaded_servers_reset_are_rejected_until_there_is_capacity():
+def test_most_clients_whose_connections_were_reset_are_rejected_until_there_is_capacity():
     # Without throttling, each client would be connected and reset repeatedly.
     requests, resets, connections = simulate_resetting_servers(3)
     assert resets < 2_000 and connections > 300, (requests, resets, connections)
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -63,7 +63,7 @@
     assert host.request(group="yard").server != other
 
 
-def test_the_prefiltered_preference_order_of_a_large_fleet_is_the_complete_one():
+def test_the_prefiltered_preference_order_of_a_large_fleet_equals_the_unfiltered_one():
     # Incident i781c5a: ranking all servers for each segment took too much CPU time.
     host, rng = FakeHost(0), random.Random(5)
     host.update_endpoints(
@@ -77,7 +77,7 @@
     assert all(len(set(map(id, order))) == 8 for order in filtered)
 
 
-def test_without_latency_reports_a_server_of_the_first_list_takes_a_segment_at_once():
+def test_without_latency_reports_a_server_of_the_first_list_is_assigned_a_segment_at_once():
     # With latency reports, even a server of the first list is excluded from rebalancing for 10 s.
     for reports_latency, is_reassigned in (False, True), (True, False):
         host = FakeHost(2)
@@ -96,7 +96,7 @@
     assert 720 <= got[True] <= 880
 
 
-def test_each_of_few_groups_has_several_replicas():
+def test_groups_get_several_replicas_if_recent_flows_show_few_groups():
     # A balancer with few open flows can only tell from its recent flows that there are few groups.
     def spread_fraction(groups):
         host, rng = FakeHost(60, instance_count=200, groups_share_work=True), random.Random(1)
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -35,7 +35,7 @@
     assert isinstance(host.request(), events.Reject)
 
 
-def test_reconnecting_clients_skip_a_server_of_which_nothing_is_known():
+def test_reconnecting_clients_often_skip_a_server_to_which_the_balancer_has_no_connections():
     # If there are many balancers, most have no connection to an overloaded server and so get no latency
     # report from it.
     host = FakeHost(8, instance_count=150, reports_latency=True)
@@ -51,7 +51,7 @@
     assert host.request(reconnecting=True).server == default
 
 
-def test_a_group_stays_on_one_server_when_its_server_drains_under_forty_balancers():
+def test_forty_balancers_move_a_group_to_a_single_server_when_its_server_drains():
     # If the drain spread the group over several servers, it would cost work on each of them.
     fleet = [
         FakeHost(8, seed=index, groups_share_work=True, instance_count=40, instance_index=index)
@@ -70,7 +70,7 @@
     assert len(servers) == 1 and draining not in servers
 
 
-def test_flows_leave_their_preference_order_before_they_are_rejected():
+def test_flows_are_sent_outside_their_preference_order_before_they_are_rejected():
     # Flows whose preference order contains only overloaded servers are sent to the four other servers.
     host = FakeHost(8)
     for server in ("s0", "s1", "s2", "s3"):
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -13,19 +13,19 @@
     ("text", "scope"),
     [("all", DedupScope.ALL), ("zone", DedupScope.ZONE), ("cell", DedupScope.CELL), ("x", DedupScope.NONE)],
 )
-def test_the_servers_that_recognize_an_idempotency_key_are_a_closed_set(text, scope):
+def test_a_dedup_scope_is_parsed_and_an_unknown_one_means_no_servers(text, scope):
     service_config = parse_service_config({**ONE_TYPE, "service_types.0.group": text})
     assert service_config.service_types["live"].dedup_scope is scope
 
 
 @pytest.mark.parametrize("text", ["", "ten", "nan", "inf"])
-def test_a_text_that_is_not_a_number_is_an_error_with_the_text(text):
+def test_a_malformed_number_raises_an_error_with_its_text(text):
     with pytest.raises(MalformedNumberError, match=f"'{text}' is not a number") as raised:
         parse_number(text)
     assert raised.value.text == text
 
 
-def test_an_unknown_key_of_a_table_is_an_error_with_its_kind_and_name():
+def test_an_unknown_key_of_a_table_raises_an_error_with_its_kind_and_name():
     with pytest.raises(UnknownNameError, match="unknown roster '9'") as raised:
         look_up({1: "a"}, 9, "roster")
     assert (raised.value.kind, raised.value.name) == ("roster", 9)
@@ -45,6 +45,6 @@
         ("rules.cold_from", "1.5", "1.5 is too large; give at most 1$"),
     ],
 )
-def test_an_invalid_setting_is_a_config_error_that_begins_with_its_path(path, value, message):
+def test_an_invalid_setting_raises_a_config_error_that_begins_with_its_path(path, value, message):
     with pytest.raises(ConfigError, match=f"^{path}: {message}"):
         parse_service_config({**ONE_TYPE, path: value})
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -36,31 +36,31 @@
 
 
 @pytest.mark.parametrize("age", [0.0, 500.0, 7_900.0])
-def test_where_the_clocks_agree_a_start_is_as_reported(starts, age):
+def test_a_start_time_is_unchanged_if_the_clocks_agree(starts, age):
     assert started(starts, NOW_MS - age) == NOW_MS - age
 
 
-def test_an_unknown_start_and_that_of_a_removed_server_are_left_as_they_are(starts):
+def test_an_unknown_start_time_and_that_of_a_removed_server_are_unchanged(starts):
     assert started(starts, 0.0) == 0.0
     assert started(starts, 5.0, state=events.EndpointState.REMOVED) == 5.0
 
 
 @pytest.mark.parametrize("ahead", [20_000.0, HOUR_MS])
-def test_with_a_clock_that_is_ahead_a_new_start_is_no_older_than_the_last_list_without_it(starts, ahead):
+def test_if_the_host_clock_is_ahead_a_new_start_is_bounded_by_the_last_list_without_it(starts, ahead):
     assert started(starts, NOW_MS - ahead) == NOW_MS - 2_000.0 - LISTING_DELAY_MS
 
 
 @pytest.mark.parametrize("behind", [3_000.0, HOUR_MS])
-def test_with_a_clock_that_is_behind_a_server_has_started_by_the_time_it_is_listed(starts, behind):
+def test_if_the_host_clock_is_behind_a_start_is_bounded_by_the_time_it_is_listed(starts, behind):
     assert started(starts, NOW_MS + behind) == NOW_MS
     assert started(starts, NOW_MS + behind, previous_list_at=None, name="s2") == NOW_MS
 
 
-def test_in_the_first_list_any_age_is_possible(starts):
+def test_a_start_time_in_the_first_list_may_be_of_any_age(starts):
     assert started(starts, NOW_MS - HOUR_MS, previous_list_at=None) == NOW_MS - HOUR_MS
 
 
-def test_a_start_keeps_its_time_in_later_lists_and_after_the_server_was_removed(starts):
+def test_a_start_time_is_kept_in_later_lists_and_after_the_server_is_removed(starts):
     first = started(starts, NOW_MS + HOUR_MS)
     started(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, state=events.EndpointState.REMOVED)
     assert started(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, previous_list_at=NOW_MS + 8_000.0) == first
@@ -91,11 +91,11 @@
 
 
 @pytest.mark.parametrize("clock_error", [-HOUR_MS, -20_000.0, 20_000.0, HOUR_MS])
-def test_a_new_server_gets_as_few_flows_as_with_a_right_clock(clock_error):
+def test_a_new_server_gets_as_few_flows_with_a_wrong_clock_as_with_a_correct_one(clock_error):
     assert connects_to_new_server(clock_error) <= connects_to_new_server(0.0) + 1 < 10
 
 
-def test_a_new_server_has_warmed_up_after_the_warm_up_time_though_the_clock_is_behind():
+def test_a_new_server_has_warmed_up_after_the_warm_up_time_even_if_the_clock_is_behind():
     host, starts = FakeHost(1), StartTimes(LISTING_DELAY_MS)
     host.now = NOW_MS
     host.update_endpoints(
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -8,13 +8,13 @@
 from lotusroute.routing.statistics import ConnectionCounts, DecayingCount, DecayingMean, TickRate
 
 
-def test_a_first_sample_is_averaged_with_the_initial_value_by_the_least_weight():
+def test_a_first_sample_is_averaged_with_the_initial_value_of_minimum_weight():
     mean = DecayingMean(10.0, time_constant=100.0, min_weight=1.0)
     mean.add(0.0, 20.0)
     assert mean.value == 15.0 and mean.weight == 2.0
 
 
-def test_samples_lose_weight_with_age_down_to_the_least_weight():
+def test_samples_lose_weight_with_age_down_to_the_minimum_weight():
     mean = DecayingMean(0.0, time_constant=100.0, min_weight=1.0)
     for _ in range(9):
         mean.add(0.0, 10.0)
@@ -51,7 +51,7 @@
     assert rate.mean == 2.5
 
 
-def test_failed_attempts_and_resets_of_established_connections_are_counted_apart():
+def test_failed_attempts_and_resets_of_established_connections_are_counted_separately():
     counts = ConnectionCounts()
     counts.count_end(False, ConnectionResult.TIMEOUT)
     counts.count_end(False, ConnectionResult.OK)
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -22,7 +22,7 @@
     assert answers[events.Connect] <= 2
 
 
-def test_a_server_that_warms_up_gets_its_budget_over_all_balancers():
+def test_a_server_that_warms_up_gets_no_more_than_its_budget_from_all_balancers():
     # Incident iab64fb: reconnecting clients must not count as first arrivals; that would raise the budget.
     sent = Counter()
     for instance in range(3):
@@ -42,7 +42,7 @@
     assert any(host.request(key).server == "s9" for key in KEYS)
 
 
-def test_flows_find_the_warmed_up_servers_of_a_fleet_that_has_grown():
+def test_flows_are_sent_to_the_warmed_up_servers_while_most_servers_warm_up():
     # Incident i781c5a: most servers of the fleet warm up, and the slots of each of many balancers are far
     # apart.
     host = FakeHost(3, instance_count=377, instance_index=300)
@@ -111,7 +111,7 @@
     return sent
 
 
-def test_one_of_many_balancers_sends_to_a_warming_server_by_its_slot_and_the_servers_size():
+def test_many_balancers_send_to_a_warming_server_by_slots_that_depend_on_its_size():
     assert 35 <= admitted_by_94_balancers(3.0, False) <= 65
     assert 20 <= admitted_by_94_balancers(3.0, True) < admitted_by_94_balancers(3.0, False)
     # A group causes the same load on a server of any size, so a smaller server gets fewer flows.
@@ -210,7 +210,7 @@
     return connects
 
 
-def test_one_group_in_a_tenth_of_a_storm_does_not_overload_its_warming_server():
+def test_a_group_with_a_tenth_of_a_connection_storm_does_not_overload_its_warming_server():
     connects = [connects_in_a_storm(seed) for seed in range(4)]
     # A server with the mean load holds 13.3 flows, and its warm-up takes 24 s. The limit is its share for
     # 2 s, times a burst of 3, at 0.31 of its capacity after it began with 0.14. A single run may reach twice
