--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -67,10 +67,10 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0  # time for which servers remember a key
 
-    def safe_to_retry(self, ran: bool) -> bool:
-        """Return whether a client may safely retry a flow; `ran` tells whether the flow may have run."""
+    def safe_to_retry(self, may_have_run: bool) -> bool:
+        """Return whether a client may safely retry a flow, given whether the flow may have run."""
         deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
-        return not ran or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
+        return not may_have_run or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
 
 
 class ServiceConfig(NamedTuple):
--- a/lotusroute/routing/migration.py
+++ b/lotusroute/routing/migration.py
@@ -78,12 +78,12 @@
     """Migrate flows to their default servers, a random subset of them in each tick."""
     for flow in [flow for flow in state.flows.values() if flow.established]:
         default = default_server(state, flow.segment, flow.replica)
-        if default is not None and default is not flow.server and _migrates_to_default(state, default):
+        if default is not None and default is not flow.server and _should_migrate_to_default(state, default):
             state.overrides.pop((flow.segment, flow.replica), None)
             state.request_migration(flow)
 
 
-def _migrates_to_default(state: RoutingState, default: ServerRecord) -> bool:
+def _should_migrate_to_default(state: RoutingState, default: ServerRecord) -> bool:
     """Decide at random whether a flow migrates to its default server in this tick.
 
     A server that warms up admits only some flows; the others would be sent elsewhere and migrate again. The
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -20,12 +20,12 @@
         return RejectReason.ATTEMPTS_EXHAUSTED
     if state.now >= flow.request.deadline:
         return RejectReason.DEADLINE_PASSED
-    if _throttles(state, flow.request):
+    if _should_throttle(state, flow.request):
         return RejectReason.THROTTLED
     return select_server(state, flow) or RejectReason.NO_SERVER_AVAILABLE
 
 
-def _throttles(state: RoutingState, request: FlowRequest) -> bool:
+def _should_throttle(state: RoutingState, request: FlowRequest) -> bool:
     """Return whether to reject a flow because many attempts fail on all servers together.
 
     The probability is the number of failures in excess of the allowed number, divided by all attempts.
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -10,7 +10,7 @@
 
 OVERLOADED_SPILL_DEPTH = 2  # while a large part of the fleet is overloaded
 OVERLOADED_FLEET_FRACTION = 0.5  # the fraction of servers that counts as a large part
-UNKNOWN_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients
+UNOBSERVED_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients; see `_should_skip_unobserved`
 FALLBACK_CANDIDATES = 8  # servers tried outside the segment's preference order
 
 
@@ -26,11 +26,12 @@
 def select_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
     """Return the first candidate that is unrestricted and admits the flow, or else the best alternative.
 
-    The alternatives are, in this order: a server that was skipped as unknown; a fallback server, if servers
-    send no latency reports; a deprioritized server; and an ejected one, unless a candidate is overloaded.
+    The alternatives are, in this order: a server that was skipped as unobserved; a fallback server, if
+    servers send no latency reports; a deprioritized server; and an ejected one, unless a candidate is
+    overloaded.
     """
     mid_flow = flow.request.mid_flow
-    unknown = deprioritized = ejected = None
+    unobserved = deprioritized = ejected = None
     any_overloaded = False
     for server in _candidates(state, flow):
         if server.failures.ejected_until > state.now:
@@ -39,18 +40,18 @@
             any_overloaded = True
         elif server.overload.deprioritized_until > state.now and not mid_flow:
             deprioritized = deprioritized or server
-        elif _skips_unknown(state, server, flow.request):
-            unknown = server
-        elif _admits(state, server, flow):
+        elif _should_skip_unobserved(state, server, flow.request):
+            unobserved = server
+        elif _try_admit_flow(state, server, flow):
             return server
-    if _admits(state, unknown, flow):
-        return unknown
+    if _try_admit_flow(state, unobserved, flow):
+        return unobserved
     fallback = _fallback_server(state, flow) if state.lacks_latency_reports else None
     if fallback is not None:
         return fallback
-    if _admits(state, deprioritized, flow):
+    if _try_admit_flow(state, deprioritized, flow):
         return deprioritized
-    return ejected if not any_overloaded and _admits(state, ejected, flow) else None
+    return ejected if not any_overloaded and _try_admit_flow(state, ejected, flow) else None
 
 
 def _candidates(state: RoutingState, flow: FlowRecord) -> Iterator[ServerRecord]:
@@ -78,18 +79,19 @@
             yield server
 
 
-def _skips_unknown(state: RoutingState, server: ServerRecord, request: FlowRequest) -> bool:
-    """Return whether a reconnecting client skips a server to which this balancer has no connections.
+def _should_skip_unobserved(state: RoutingState, server: ServerRecord, request: FlowRequest) -> bool:
+    """Return whether a reconnecting client skips an unobserved server.
 
-    This balancer cannot see whether such a server is overloaded; the reconnect may be the only sign of it.
+    A server is unobserved if this balancer has no connections to it, and so cannot see whether the server is
+    overloaded; the reconnect may be the only sign of it.
     """
     if not request.reconnecting or request.mid_flow or server.connections or warming_up(state, server):
         return False
     expected = state.now < state.reconnects_expected_until
-    return not expected and state.rng.random() < UNKNOWN_SERVER_SKIP_PROBABILITY
+    return not expected and state.rng.random() < UNOBSERVED_SERVER_SKIP_PROBABILITY
 
 
-def _admits(state: RoutingState, server: ServerRecord | None, flow: FlowRecord) -> bool:
+def _try_admit_flow(state: RoutingState, server: ServerRecord | None, flow: FlowRecord) -> bool:
     return server is not None and try_admit(state, server, flow.request.reconnecting)
 
 
@@ -118,11 +120,11 @@
         case Effect.NON_IDEMPOTENT:
             return False
         case Effect.IDEMPOTENCY_KEY:
-            is_remembered = state.now < flow.possibly_ran_at + service_type.dedup_window
-            return is_remembered and _shares_keys(service_type.dedup_scope, server, previous)
+            within_dedup_window = state.now < flow.possibly_ran_at + service_type.dedup_window
+            return within_dedup_window and _recognizes_keys_of(service_type.dedup_scope, server, previous)
 
 
-def _shares_keys(scope: DedupScope, server: ServerRecord, previous: ServerRecord) -> bool:
+def _recognizes_keys_of(scope: DedupScope, server: ServerRecord, previous: ServerRecord) -> bool:
     """Return whether a server recognizes the idempotency keys of flows that ran on `previous`."""
     match scope:
         case DedupScope.ALL:
