--- a/benchmarks/slow_start_simulation.py
+++ b/benchmarks/slow_start_simulation.py
@@ -158,7 +158,7 @@
                     self._close(action.id, events.ConnectionResult.CANCELLED, self.rng.uniform(50.0, 500.0))
                 case events.SetTimer():
                     self.schedule(
-                        action.delay, partial(self.decide, director, events.TimerFired(action.mark))
+                        action.delay, partial(self.decide, director, events.TimerFired(action.name))
                     )
 
     # Clients
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -157,8 +157,8 @@
 
 
 def _parse_timer_fired(values: list[str]) -> events.TimerFired:
-    (mark,) = values
-    return events.TimerFired(mark)
+    (name,) = values
+    return events.TimerFired(name)
 
 
 def _ignore(_values: list[str]) -> None:
@@ -214,7 +214,7 @@
         case events.Migrate():
             return f"relocate {action.id}"
         case events.SetTimer():
-            return f"remind {action.delay:.3f} {action.mark}"
+            return f"remind {action.delay:.3f} {action.name}"
         case events.Subscribe():
             return "listen 1"
         case events.OutlierEjected():
--- a/lotusroute/net/flow_commands.py
+++ b/lotusroute/net/flow_commands.py
@@ -66,7 +66,7 @@
         self._endings.migrate(command.id, MigrationReason.ROUTING)
 
     def _set_timer(self, command: events.SetTimer) -> None:
-        self._loop.call_later(command.delay, events.TimerFired(command.mark))
+        self._loop.call_later(command.delay, events.TimerFired(command.name))
 
     @staticmethod
     def _log_ejection(command: events.OutlierEjected) -> None:
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -19,10 +19,10 @@
 from lotusroute.routing.statistics import DecayingCount
 
 RATE_GAIN = 0.1  # weight of the last tick in moving averages and in decaying counts
-REBALANCE_TICKS = 5  # ticks between rebalancing steps; 1 if servers send no latency reports
+REBALANCE_INTERVAL_TICKS = 5  # ticks between rebalancing steps; 1 if servers send no latency reports
 RECONNECT_PERIOD_MS = 5_000.0  # in which the clients of servers that left the endpoint list reconnect
 SUBSCRIBE_BACKOFF_MS = 500.0  # doubles with each rejected poll, up to half of the poll interval
-TICK = "tick"  # the name of the periodic timer
+TICK_TIMER = "tick"  # name of the periodic timer
 
 
 class Director:
@@ -96,7 +96,7 @@
         if not state.ticks:
             # The first list starts the periodic timer, at a random phase.
             state.ticks = 1
-            state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK))
+            state.actions.append(events.SetTimer(state.rng.uniform(0.0, TICK_INTERVAL_MS), TICK_TIMER))
         elif state.config.polls_discovery:
             state.subscription.record_poll(accepted=True)
         if event.scope != events.ListScope.CHANGES:
@@ -187,14 +187,14 @@
 
     def _run_tick(self) -> None:
         state = self.state
-        state.actions.append(events.SetTimer(TICK_INTERVAL_MS, TICK))
+        state.actions.append(events.SetTimer(TICK_INTERVAL_MS, TICK_TIMER))
         # During the first 1 / RATE_GAIN ticks, a rate is the plain mean of all ticks so far.
         state.end_tick(max(RATE_GAIN, 1 / state.ticks), 1 - RATE_GAIN)
         self._renew_subscription()
         state.expire_overloaded()
         migration.migrate(state)
         server_selection.update_spill_depth(state)
-        if state.lacks_latency_reports or not state.ticks % REBALANCE_TICKS:
+        if state.lacks_latency_reports or not state.ticks % REBALANCE_INTERVAL_TICKS:
             segments.rebalance(state)
 
     def _renew_subscription(self) -> None:
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -169,7 +169,7 @@
 class TimerFired(NamedTuple):
     """A timer set by `SetTimer` has fired."""
 
-    mark: str  # of that `SetTimer`
+    name: str  # of that `SetTimer`
 
 
 class Connect(NamedTuple):
@@ -214,7 +214,7 @@
     """Set a timer that fires as a `TimerFired`."""
 
     delay: float
-    mark: str
+    name: str
 
 
 class Subscribe(NamedTuple):
