--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -37,7 +37,7 @@
             config=config,
             rng=random.Random(seed),
             recent_replicas=deque(maxlen=segments.RECENT_FLOWS),
-            recent_arrivals=DecayingCount(slow_start.SLOT_ROUND_MS),
+            recent_arrivals=DecayingCount(slow_start.SLOT_PERIOD_MS),
             fleet_setup_times=FleetSetupTimes(overload_detection.INITIAL_SETUP_DEVIATION),
             spill_depth=segments.SPILL_DEPTH,
         )
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -8,12 +8,12 @@
 from lotusroute.routing.segments import assigned_server, preference_order
 from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
 
-SLOT_ROUND_MS = 3_000.0  # the period in which each balancer has one slot
+SLOT_PERIOD_MS = 3_000.0  # the period in which each balancer has one slot
 GROUP_LOAD_FACTOR = 2.0  # load of a large group relative to the mean load of a server
 MIN_CAPACITY_FRACTION = 0.05  # lower bound on the fraction of its full capacity that a starting server has
 PRIOR_FLOWS_PER_TICK = 1.0  # added to rates, so that a few flows do not look like a connection storm
 RECOVERY_TIME_MS = 12_000.0
-INITIAL_RECOVERY_FRACTION = 0.5  # of the server's share of first arrivals
+INITIAL_RECOVERY_FRACTION = 0.5  # of the server's share of the arrivals of new clients
 RECOVERY_DOUBLING_TIME_MS = 4_000.0  # in which that fraction doubles
 RECOVERY_SLOT_FLOWS = 4.0  # flows per period; at higher rates there are too few slots
 MIN_RATE_PER_MS = 1e-9  # keeps intervals finite
@@ -77,7 +77,7 @@
     """
     config, admission = state.config, server.admission
     total_size = max(state.total_size, server.size)
-    fleet_arrival_rate = state.first_arrivals.mean * config.instance_count / TICK_INTERVAL_MS
+    fleet_arrival_rate = state.new_client_arrivals.mean * config.instance_count / TICK_INTERVAL_MS
     fleet_quota_rate = fleet_arrival_rate * capacity * server.size / total_size
     fleet_flows = config.instance_count if admission.quota_flows else config.instance_index + 1
     if state.now < admission.last_quota_at + fleet_flows / max(fleet_quota_rate, MIN_RATE_PER_MS):
@@ -95,9 +95,9 @@
     # A group's load does not depend on the size of the server that it is assigned to.
     fraction = capacity / GROUP_LOAD_FACTOR * (server.size * len(state.ready) / total_size)
     if reconnecting:
-        first_rate = state.first_arrivals.mean
-        all_rate = max(state.arrivals.mean, state.arrivals.count, first_rate)
-        fraction *= (first_rate + PRIOR_FLOWS_PER_TICK) / (all_rate + PRIOR_FLOWS_PER_TICK)
+        new_client_rate = state.new_client_arrivals.mean
+        total_rate = max(state.arrivals.mean, state.arrivals.count, new_client_rate)
+        fraction *= (new_client_rate + PRIOR_FLOWS_PER_TICK) / (total_rate + PRIOR_FLOWS_PER_TICK)
     return fraction
 
 
@@ -112,21 +112,21 @@
     duration = max(config.slow_start_duration, 1.0)
     capacity = config.slow_start_burst * capacity_fraction(state, server)
     # The flows that the server can take in one period, as a fraction of the mean load of a server.
-    round_budget = capacity * SLOT_ROUND_MS / (initial_capacity * duration)
+    period_budget = capacity * SLOT_PERIOD_MS / (initial_capacity * duration)
     even_share = even_share_factor(state, server)
     limit = 1.0
     if reconnecting and config.groups_share_work and state.now < state.reconnects_expected_until:
         servers_per_flow = max(1.0, len(state.ready) / len(state.recent_replicas))
-        limit = round_budget / GROUP_LOAD_FACTOR * min(1.0, even_share * servers_per_flow)
+        limit = period_budget / GROUP_LOAD_FACTOR * min(1.0, even_share * servers_per_flow)
     arrivals = max(1.0, state.recent_arrivals.value_at(state.now))
-    return min(1.0, limit, round_budget * len(state.flows) / arrivals * even_share)
+    return min(1.0, limit, period_budget * len(state.flows) / arrivals * even_share)
 
 
 def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
-    """Return the ratio of the server's even share of the load to the part of recent flows meant for it."""
+    """Return the ratio of the server's even share of the load to the part of recent flows that targets it."""
     recent = state.recent_replicas
-    meant = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
-    return server.size / max(state.total_size, server.size) * len(recent) / max(1, meant)
+    targeted = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
+    return server.size / max(state.total_size, server.size) * len(recent) / max(1, targeted)
 
 
 def warming_up_target(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
@@ -145,9 +145,9 @@
     # A recovery that is shorter than RECOVERY_TIME_MS skips the beginning of a full one.
     elapsed = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
     capacity = INITIAL_RECOVERY_FRACTION * 2 ** (elapsed / RECOVERY_DOUBLING_TIME_MS)
-    arrivals = max(state.first_arrivals.mean, state.first_arrivals.count)
+    arrivals = max(state.new_client_arrivals.mean, state.new_client_arrivals.count)
     rate = arrivals / TICK_INTERVAL_MS * capacity * server.size / state.total_size
-    if rate * SLOT_ROUND_MS <= RECOVERY_SLOT_FLOWS:
+    if rate * SLOT_PERIOD_MS <= RECOVERY_SLOT_FLOWS:
         return _try_take_slot(state, server, capacity / RECOVERY_SLOT_FLOWS)
     if state.now < server.admission.last_slot_at + 1 / rate:
         return False
@@ -157,8 +157,8 @@
 
 def _try_take_slot(state: RoutingState, server: ServerRecord, fraction: float) -> bool:
     """Use this balancer's slot, which lasts `fraction` of the period; return False if there is none now."""
-    phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_ROUND_MS) % 1
-    if phase >= fraction or state.now < server.admission.last_slot_at + fraction * SLOT_ROUND_MS:
+    phase = (state.config.instance_index / state.config.instance_count + state.now / SLOT_PERIOD_MS) % 1
+    if phase >= fraction or state.now < server.admission.last_slot_at + fraction * SLOT_PERIOD_MS:
         return False
     server.admission.last_slot_at = state.now
     return True
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -68,7 +68,7 @@
     overrides: dict[tuple[int, int], ServerRecord] = field(default_factory=dict)  # by segment and replica
 
     arrivals: TickRate = field(default_factory=TickRate)  # of requested flows
-    first_arrivals: TickRate = field(default_factory=TickRate)  # only first requests of clients
+    new_client_arrivals: TickRate = field(default_factory=TickRate)  # neither reconnecting nor mid-flow
     connects: ConnectionCounts = field(default_factory=ConnectionCounts)
     spill_depth: int = 0  # servers of its preference order that a segment may use
 
@@ -92,11 +92,11 @@
         self.arrivals.count += 1
         self.recent_arrivals.increment(self.now)
         if not (request.reconnecting or request.mid_flow):
-            self.first_arrivals.count += 1
+            self.new_client_arrivals.count += 1
 
     def end_tick(self, gain: float, decay: float) -> None:
         """Add this tick to the arrival rates with weight `gain`; multiply connection counts by `decay`."""
-        self.first_arrivals.end_tick(gain)
+        self.new_client_arrivals.end_tick(gain)
         self.arrivals.end_tick(gain)
         self.connects.decay(decay)
         self.ticks += 1
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -23,7 +23,7 @@
 
 
 def test_a_server_that_warms_up_gets_no_more_than_its_budget_from_all_balancers():
-    # Incident iab64fb: reconnecting clients must not count as first arrivals; that would raise the budget.
+    # Incident iab64fb: reconnecting clients must not count as new ones; that would raise the budget.
     sent = Counter()
     for instance in range(3):
         host = FakeHost(2, instance_index=instance, instance_count=3)
@@ -103,7 +103,7 @@
             *(events.Server(f"s{index}", size=3.0) for index in range(3)), scope=events.ListScope.COMPLETE
         )
         state = host.director.state
-        state.first_arrivals.mean = state.arrivals.mean = 0.35
+        state.new_client_arrivals.mean = state.arrivals.mean = 0.35
         host.update_endpoints(events.Server("cold", size=size, started_at=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default_server(key) == "cold")
