--- a/lotusroute/routing/failure_detection.py
+++ b/lotusroute/routing/failure_detection.py
@@ -1,7 +1,7 @@
 """Outlier ejection: servers whose connections fail get no flows for some seconds (docs/design.md)."""
 
 from lotusroute.routing.events import ConnectionResult, OutlierEjected
-from lotusroute.routing.overload_detection import record_full_queue
+from lotusroute.routing.overload_detection import record_capacity_rejection
 from lotusroute.routing.records import ServerRecord
 from lotusroute.routing.slow_start import start_recovery
 from lotusroute.routing.state import TICK_INTERVAL_MS, RoutingState
@@ -25,7 +25,7 @@
         case ConnectionResult.OK:
             record_success(server)
         case ConnectionResult.FULL:
-            record_full_queue(state, server)
+            record_capacity_rejection(state, server)
         case ConnectionResult.UNREACHABLE:
             _record_failure(state, server, UNREACHABLE_WEIGHT)
         case ConnectionResult.RESET if was_established:
--- a/lotusroute/routing/overload_detection.py
+++ b/lotusroute/routing/overload_detection.py
@@ -65,7 +65,7 @@
         state.recently_overloaded[server.id] = server
 
 
-def record_full_queue(state: RoutingState, server: ServerRecord) -> None:
+def record_capacity_rejection(state: RoutingState, server: ServerRecord) -> None:
     """Mark a server as overloaded, since it rejected a connection for lack of capacity."""
     start_recovery(state, server)
     overload = server.overload
@@ -79,7 +79,7 @@
     times = _update_setup_times(state, server, setup_time, previous_fleet_mean)
     if state.lacks_latency_reports and not warming_up(state, server):
         sample = min(setup_time, times.recent.value)
-        _compare_with_others(state, server, flow, sample, previous_fleet_mean)
+        _compare_with_expected(state, server, flow, sample, previous_fleet_mean)
 
 
 def _update_fleet_mean(state: RoutingState, setup_time: float) -> float:
@@ -113,7 +113,7 @@
     return DecayingMean(value, SETUP_TIME_CONSTANT_MS, min_weight, max_weight)
 
 
-def _compare_with_others(
+def _compare_with_expected(
     state: RoutingState, server: ServerRecord, flow: FlowRecord, sample: float, fleet_mean: float
 ) -> None:
     """Compare a sample of the server's set-up time with the time expected of a healthy server."""
@@ -137,11 +137,13 @@
     """
     fleet = state.fleet_setup_times
     if state.now >= fleet.sorted_at + SORT_INTERVAL_PER_SERVER_MS * len(state.ready):
-        fleet.quickest_first = sorted(state.ready, key=lambda s: (_mean_setup_time(state, s).value, s.id))
+        fleet.servers_by_setup_time = sorted(
+            state.ready, key=lambda s: (_mean_setup_time(state, s).value, s.id)
+        )
         fleet.sorted_at = state.now
-    rank = len(fleet.quickest_first) // REFERENCE_RANK_DIVISOR
+    rank = len(fleet.servers_by_setup_time) // REFERENCE_RANK_DIVISOR
     # Take one more server than the rank requires, since `server` itself may be among them.
-    others = [other for other in fleet.quickest_first[: rank + 2] if other is not server]
+    others = [other for other in fleet.servers_by_setup_time[: rank + 2] if other is not server]
     return _mean_setup_time(state, others[min(rank, len(others) - 1)]) if others else None
 
 
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -22,7 +22,7 @@
 
     deviation: float  # mean absolute deviation of the logarithm of set-up times
     mean: DecayingMean | None = None
-    quickest_first: list[ServerRecord] = field(default_factory=list)  # as sorted at `sorted_at`
+    servers_by_setup_time: list[ServerRecord] = field(default_factory=list)  # as of `sorted_at`
     sorted_at: float = -math.inf
 
 
