--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -36,7 +36,7 @@
         self.state = RoutingState(
             config=config,
             rng=random.Random(seed),
-            recent_replicas=deque(maxlen=segments.RECENT_FLOWS),
+            recent_replicas=deque(maxlen=segments.MAX_RECENT_FLOWS),
             recent_arrivals=DecayingCount(slow_start.SLOT_PERIOD_MS),
             fleet_setup_times=FleetSetupTimes(overload_detection.INITIAL_SETUP_DEVIATION),
             spill_depth=segments.SPILL_DEPTH,
@@ -65,7 +65,7 @@
                 self._handle_endpoint_list(event)
             case events.FlowRequest():
                 self.state.count_arrival(event)
-                self._attempt(segments.register(self.state, event))
+                self._attempt(segments.register_flow(self.state, event))
             case events.ExistingConnection():
                 self._restore_connection(event)
             case events.LatencyReport():
@@ -103,8 +103,8 @@
             state.mark_unlisted({endpoint.id for endpoint in event.servers})
         for endpoint in event.servers:
             self._update_server(endpoint)
-        servers_left = state.refresh_ready()
-        if servers_left and state.lacks_latency_reports:
+        any_server_left = state.refresh_ready_servers()
+        if any_server_left and state.lacks_latency_reports:
             state.reconnects_expected_until = state.now + RECONNECT_PERIOD_MS
 
     def _back_off_subscription(self) -> None:
@@ -149,7 +149,7 @@
 
     def _restore_connection(self, event: events.ExistingConnection) -> None:
         state = self.state
-        flow = segments.register(state, event.request)
+        flow = segments.register_flow(state, event.request)
         server = state.servers.get(event.server)
         flow.restore_connection(server)
         if server is None or server.state != events.EndpointState.READY:
@@ -191,7 +191,7 @@
         # During the first 1 / RATE_GAIN ticks, a rate is the plain mean of all ticks so far.
         state.end_tick(max(RATE_GAIN, 1 / state.ticks), 1 - RATE_GAIN)
         self._renew_subscription()
-        state.expire_overloaded()
+        state.prune_recently_overloaded()
         migration.migrate(state)
         server_selection.update_spill_depth(state)
         if state.lacks_latency_reports or not state.ticks % REBALANCE_INTERVAL_TICKS:
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -16,9 +16,9 @@
 SEGMENT_BITS = 10
 MAX_LOAD_RATIO = 1.4  # load of one server relative to the mean; a segment above it gets another replica
 PRIOR_FLOWS = 5  # added to this balancer's flows, since a large group cannot be recognized by a few flows
-RECENT_FLOWS = 64  # requested flows whose segments and replicas are kept
+MAX_RECENT_FLOWS = 64  # requested flows whose segments and replicas are kept
 PRIOR_RECENT_FLOWS = 20  # flows with the usual mix of groups, added to the recent flows
-REBALANCE_RATIO = 0.8  # no rebalancing if the usage of the idlest server is above this part of the busiest's
+REBALANCE_RATIO = 0.8  # rebalances if the least busy server's usage is below this part of the busiest one's
 MIN_CONNECTIONS_TO_REBALANCE = 4  # on the busiest server
 NEW_SERVER_PERIOD_MS = 10_000.0  # in which a new server has a low usage that means nothing
 SPILL_DEPTH = 4  # servers of its preference order that a segment may use
@@ -39,7 +39,7 @@
     return crc32((shared or request.key or str(request.id)).encode()) >> (32 - SEGMENT_BITS)
 
 
-def register(state: RoutingState, request: FlowRequest) -> FlowRecord:
+def register_flow(state: RoutingState, request: FlowRequest) -> FlowRecord:
     """Add a new flow to the state; its key selects one of its segment's replicas."""
     flow = state.add_flow(request, segment_of(state, request))
     key_hash = crc32((request.key or str(request.id)).encode())
@@ -70,10 +70,10 @@
     total = len(state.recent_replicas)
     # The probability that two recent flows belong to the same segment. It estimates the fraction of all flows
     # that the segment of a random flow has.
-    usual_fraction = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
-    if usual_fraction * servers <= MAX_LOAD_RATIO:
+    typical_fraction = sum(n * (n - 1) for n in counts.values()) / (total * (total - 1) + PRIOR_RECENT_FLOWS)
+    if typical_fraction * servers <= MAX_LOAD_RATIO:
         return None
-    fraction = (counts[segment] + PRIOR_RECENT_FLOWS * usual_fraction) / (total + PRIOR_RECENT_FLOWS)
+    fraction = (counts[segment] + PRIOR_RECENT_FLOWS * typical_fraction) / (total + PRIOR_RECENT_FLOWS)
     return min(1 + int(fraction * servers / MAX_LOAD_RATIO), MAX_REPLICAS)
 
 
@@ -92,11 +92,11 @@
         return -math.log(sample / (HASH_MASK + 2)) / server.size
 
     # Logarithms are slow, so servers are filtered by hash first: every server with a rank of at most `cutoff`
-    # has a hash of at least `least_hash`. If too few servers rank up to `cutoff`, all servers are ranked.
+    # has a hash of at least `min_hash`. If too few servers rank up to `cutoff`, all servers are ranked.
     cutoff = RANK_CUTOFF / state.total_size
-    least_hash = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
-    likely = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= least_hash]
-    ranks = sorted((rank(server), server.id, server) for server in likely)
+    min_hash = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
+    candidates = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= min_hash]
+    ranks = sorted((rank(server), server.id, server) for server in candidates)
     if sum(value <= cutoff for value, _, _ in ranks) < MAX_REPLICAS:
         ranks = sorted((rank(server), server.id, server) for server in state.ready)
     return [server for _, _, server in ranks[:MAX_REPLICAS]]
@@ -113,16 +113,16 @@
 
 
 def rebalance(state: RoutingState) -> None:
-    """Reassign one replica from the busiest to the idlest server if their usage differs widely."""
+    """Reassign one replica from the busiest to the least busy server if their usage differs widely."""
     candidates = [server for server in state.ready if _can_rebalance(state, server)]
     if not candidates:
         return
     busiest = max(candidates, key=lambda s: (s.usage, s.id))
-    idlest = min(candidates, key=lambda s: (s.usage, s.id))
+    least_busy = min(candidates, key=lambda s: (s.usage, s.id))
     connections = len(busiest.connections)
-    if connections < MIN_CONNECTIONS_TO_REBALANCE or idlest.usage >= REBALANCE_RATIO * busiest.usage:
+    if connections < MIN_CONNECTIONS_TO_REBALANCE or least_busy.usage >= REBALANCE_RATIO * busiest.usage:
         return
-    connections_to_migrate = (busiest.usage - idlest.usage) / busiest.usage * connections / 2
+    connections_to_migrate = (busiest.usage - least_busy.usage) / busiest.usage * connections / 2
     replicas = {(flow.segment, flow.replica) for flow in busiest.connections.values()}
     assigned = [replica for replica in replicas if assigned_server(state, *replica) is busiest]
     if not assigned:
@@ -131,8 +131,8 @@
         assigned, key=lambda replica: (abs(state.flow_counts[replica[0]] - connections_to_migrate), replica)
     )
     state.overrides.pop(reassigned, None)
-    if assigned_server(state, *reassigned) is not idlest:
-        state.overrides[reassigned] = idlest
+    if assigned_server(state, *reassigned) is not least_busy:
+        state.overrides[reassigned] = least_busy
 
 
 def _can_rebalance(state: RoutingState, server: ServerRecord) -> bool:
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -80,7 +80,9 @@
     @property
     def min_setup_target(self) -> float:
         """The shortest set-up target of all service types."""
-        return min((kind.setup_target for kind in self.config.service_types.values()), default=0.0)
+        return min(
+            (service_type.setup_target for service_type in self.config.service_types.values()), default=0.0
+        )
 
     def start_event(self, now: float) -> None:
         """Set the time to that of a new event, and clear the actions of the previous one."""
@@ -101,7 +103,7 @@
         self.connects.decay(decay)
         self.ticks += 1
 
-    def expire_overloaded(self) -> None:
+    def prune_recently_overloaded(self) -> None:
         """Remove servers from `recently_overloaded` that have recovered or are not ready."""
         for server in list(self.recently_overloaded.values()):
             ends_at = max(server.admission.recovering_until, server.overload.deprioritized_until)
@@ -120,7 +122,7 @@
             if server.id not in server_ids:
                 server.state = events.EndpointState.REMOVED
 
-    def refresh_ready(self) -> bool:
+    def refresh_ready_servers(self) -> bool:
         """Recompute the fields that depend on server states and sizes; drop removed, unconnected servers.
 
         Returns whether a server has stopped being ready, or no server was ready before.
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -66,7 +66,7 @@
     assert 12 <= migrated <= 28
 
 
-def test_without_latency_reports_the_largest_group_is_reassigned_to_the_idlest_server():
+def test_without_latency_reports_the_largest_group_is_reassigned_to_the_least_busy_server():
     # A group with connections on several servers costs work on each of them.
     host = FakeHost(3, groups_share_work=True)
     groups_on = {}
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -107,7 +107,7 @@
                 final=True,
             )
         found = [
-            segments.register(
+            segments.register_flow(
                 host.director.state, events.FlowRequest(-n, "live", None, f"g{n}", f"c{n}", 0.0)
             )
             for n in range(groups)
