--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -11,7 +11,7 @@
 from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.line_protocol import ERR
 from lotusroute.net.reasons import AnswerReason
-from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Effect
+from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Idempotency
 
 # By the protocol a connection is lost 40 s after its request.
 EXISTING_TIMEOUT_MS = 35_000.0
@@ -61,7 +61,7 @@
 
     def attempt_failed(self, flow: ActiveFlow, result: ConnectionResult) -> None:
         """Retry after a failed attempt if the flow has not run, or may run again."""
-        if result in NEVER_RAN or flow.service_type.effect == Effect.IDEMPOTENT:
+        if result in NEVER_RAN or flow.service_type.idempotency == Idempotency.IDEMPOTENT:
             self._retry_later(flow)
         else:
             self._give_up(flow)
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -66,7 +66,7 @@
         service_type = self.service_type
         ran_at = self.may_have_run_since
         if (
-            service_type.effect == events.Effect.IDEMPOTENCY_KEY
+            service_type.idempotency == events.Idempotency.IDEMPOTENCY_KEY
             and ran_at is not None
             and now >= ran_at + service_type.dedup_window
         ):
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -8,7 +8,7 @@
 from typing import Final, NamedTuple
 
 
-class Effect(StrEnum):
+class Idempotency(StrEnum):
     """Whether a flow of a service type may safely run more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -63,14 +63,16 @@
     """The set-up target of a service type, and the rules by which its flows may be retried."""
 
     setup_target: float  # time within which a flow should be established
-    effect: Effect = Effect.IDEMPOTENT
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0  # time for which servers remember a key
 
     def safe_to_retry(self, may_have_run: bool) -> bool:
         """Return whether a client may safely retry a flow, given whether the flow may have run."""
-        deduplicated_everywhere = self.effect == Effect.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
-        return not may_have_run or self.effect == Effect.IDEMPOTENT or deduplicated_everywhere
+        deduplicated_everywhere = (
+            self.idempotency == Idempotency.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
+        )
+        return not may_have_run or self.idempotency == Idempotency.IDEMPOTENT or deduplicated_everywhere
 
 
 class ServiceConfig(NamedTuple):
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from lotusroute.routing.events import DedupScope, Effect, FlowRequest
+from lotusroute.routing.events import DedupScope, FlowRequest, Idempotency
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.segments import SPILL_DEPTH, assigned_server, default_server, preference_order
 from lotusroute.routing.slow_start import try_admit, warming_up
@@ -114,12 +114,12 @@
     if previous is None:
         return True
     service_type = state.config.service_types[flow.request.service_type]
-    match service_type.effect:
-        case Effect.IDEMPOTENT:
+    match service_type.idempotency:
+        case Idempotency.IDEMPOTENT:
             return True
-        case Effect.NON_IDEMPOTENT:
+        case Idempotency.NON_IDEMPOTENT:
             return False
-        case Effect.IDEMPOTENCY_KEY:
+        case Idempotency.IDEMPOTENCY_KEY:
             within_dedup_window = state.now < flow.possibly_ran_at + service_type.dedup_window
             return within_dedup_window and _recognizes_keys_of(service_type.dedup_scope, server, previous)
 
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -15,12 +15,12 @@
 Value = TypeVar("Value")
 
 BOOLEANS = {"true": True, "false": False}
-EFFECTS: dict[str, events.Effect] = {
-    "read_like": events.Effect.IDEMPOTENT,
-    "idempotency_key": events.Effect.IDEMPOTENCY_KEY,
-    "non_idempotent": events.Effect.NON_IDEMPOTENT,
+IDEMPOTENCY_SETTINGS: dict[str, events.Idempotency] = {
+    "read_like": events.Idempotency.IDEMPOTENT,
+    "idempotency_key": events.Idempotency.IDEMPOTENCY_KEY,
+    "non_idempotent": events.Idempotency.NON_IDEMPOTENT,
 }
-DEFAULT_EFFECT = "non_idempotent"  # the safest one: such a flow never runs twice
+DEFAULT_IDEMPOTENCY_SETTING = "non_idempotent"  # the safest one: such a flow never runs twice
 STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that do not change between endpoint lists
 DEFAULT_POLL_INTERVAL_MS = 10_000.0
 LATENCY_OBJECTIVES_PATH = "family_info.message_aim"
@@ -112,10 +112,10 @@
 
 
 def _parse_service_type(settings: Mapping[str, str], prefix: str) -> events.ServiceType:
-    effect = settings.get(f"{prefix}.effect", DEFAULT_EFFECT)
+    idempotency = settings.get(f"{prefix}.effect", DEFAULT_IDEMPOTENCY_SETTING)
     return events.ServiceType(
         setup_target=_parse_setting(settings, f"{prefix}.setup_target"),
-        effect=_parse_choice(EFFECTS, effect, f"{prefix}.effect"),
+        idempotency=_parse_choice(IDEMPOTENCY_SETTINGS, idempotency, f"{prefix}.effect"),
         dedup_scope=_parse_dedup_scope(settings.get(f"{prefix}.group", "all")),
         dedup_window=_parse_setting(settings, f"{prefix}.window"),
     )
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -153,7 +153,7 @@
 
 
 def test_a_flow_with_an_idempotency_key_of_unknown_scope_that_may_have_run_is_not_retried():
-    kind = events.ServiceType(300.0, events.Effect.IDEMPOTENCY_KEY, "shelf", 9_000.0)
+    kind = events.ServiceType(300.0, events.Idempotency.IDEMPOTENCY_KEY, "shelf", 9_000.0)
     host = FakeHost(config=events.ServiceConfig({"live": kind}, max_attempts=4))
     assert host.end(host.request(), events.ConnectionResult.RESET) == [
         events.Abort(1, events.RejectReason.NO_SERVER_AVAILABLE)
--- a/tests/test_golden_bytes_files.py
+++ b/tests/test_golden_bytes_files.py
@@ -47,10 +47,10 @@
     config_read = net_config.load_config({"LB_CONFIG": str(file), "LB_NAME": "n2", "LB_LOG": "debug"})
     cached_list = json.loads(CONFIG)["known"]
     types = {
-        "live": (300.0, events.Effect.IDEMPOTENCY_KEY, "zone", 60000.0),
-        "a": (0.0, events.Effect.IDEMPOTENT, "all", 0.0),
+        "live": (300.0, events.Idempotency.IDEMPOTENCY_KEY, "zone", 60000.0),
+        "a": (0.0, events.Idempotency.IDEMPOTENT, "all", 0.0),
     }
-    types["b"] = (0.0, events.Effect.NON_IDEMPOTENT, "all", 0.0)
+    types["b"] = (0.0, events.Idempotency.NON_IDEMPOTENT, "all", 0.0)
     process_fields = (
         "n2",
         ("127.0.0.1", 9000),
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -9,8 +9,8 @@
 from lotusroute.routing.events import RejectReason
 
 
-def service_types(effect, dedup_scope=events.DedupScope.ALL):
-    return {"live": events.ServiceType(300.0, effect, dedup_scope, 5000.0)}
+def service_types(idempotency, dedup_scope=events.DedupScope.ALL):
+    return {"live": events.ServiceType(300.0, idempotency, dedup_scope, 5000.0)}
 
 
 def test_failed_connects_are_retried_on_each_server_once_and_then_answered_once():
@@ -43,7 +43,7 @@
 
 
 def test_a_non_idempotent_flow_is_retried_only_if_it_never_ran():
-    host = FakeHost(service_types=service_types(events.Effect.NON_IDEMPOTENT))
+    host = FakeHost(service_types=service_types(events.Idempotency.NON_IDEMPOTENT))
     second = actions_of(events.Connect, host.end(host.request(), events.ConnectionResult.FULL))[0]
     assert host.end(second, events.ConnectionResult.TIMEOUT) == [
         events.Abort(1, RejectReason.NO_SERVER_AVAILABLE)
@@ -52,14 +52,14 @@
 
 def test_a_flow_with_an_idempotency_key_is_retried_only_in_its_scope_and_window():
     for dedup_scope in (events.DedupScope.ZONE, events.DedupScope.CELL):
-        host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY, dedup_scope))
+        host = FakeHost(service_types=service_types(events.Idempotency.IDEMPOTENCY_KEY, dedup_scope))
         first = host.request()
         second = actions_of(events.Connect, host.end(first, events.ConnectionResult.RESET))[0]
         assert int(second.server[1:]) % 2 == int(first.server[1:]) % 2
         assert host.end(second, events.ConnectionResult.RESET)[-1] == events.Abort(
             1, RejectReason.NO_SERVER_AVAILABLE
         )
-    host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY))
+    host = FakeHost(service_types=service_types(events.Idempotency.IDEMPOTENCY_KEY))
     first = host.request()
     host.director.state.flows[1].request = host.director.state.flows[1].request._replace(deadline=9000.0)
     host.now = 5000.0
@@ -70,7 +70,7 @@
 
 def test_a_flow_whose_idempotency_key_no_server_recognizes_is_not_retried():
     scope = events.DedupScope.NONE
-    host = FakeHost(service_types=service_types(events.Effect.IDEMPOTENCY_KEY, scope))
+    host = FakeHost(service_types=service_types(events.Idempotency.IDEMPOTENCY_KEY, scope))
     actions = host.end(host.request(), events.ConnectionResult.RESET)
     assert actions == [events.Abort(1, RejectReason.NO_SERVER_AVAILABLE)]
 
