--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -91,7 +91,7 @@
         zone=str(value.get("site", "")),
         cell=int(value.get("block") or 0),
         state=state,
-        size=parse_number(str(value.get("share", 1.0))),
+        weight=parse_number(str(value.get("share", 1.0))),
         started_at=parse_number(str(value.get("born_ms") or 0)),
     )
     return EndpointEntry(server, address)
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -125,7 +125,7 @@
             server.restart(endpoint.started_at, state.now)
         server.update(endpoint)
         # Squared: a heavy connection or a group's shared work uses a smaller fraction of a large server.
-        server.size = endpoint.size**2 if state.config.trusts_weights and endpoint.size > 0 else 1.0
+        server.weight = endpoint.weight**2 if state.config.trusts_weights and endpoint.weight > 0 else 1.0
 
     def _add_server(self, endpoint: events.Server) -> ServerRecord:
         server = self.state.add_server(endpoint, segments.hash_text(endpoint.id))
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -101,7 +101,7 @@
     zone: str = ""
     cell: int = 0  # servers of one cell share their idempotency keys
     state: EndpointState = EndpointState.READY
-    size: float = 1.0  # its weight
+    weight: float = 1.0
     started_at: float = 0.0  # when it last started; 0: unknown or long ago
 
 
--- a/lotusroute/routing/records.py
+++ b/lotusroute/routing/records.py
@@ -66,7 +66,7 @@
     zone: str = ""
     cell: int = 0
     state: EndpointState = EndpointState.REMOVED  # until its entry in the endpoint list is read
-    size: float = 1.0  # its weight in hashing, and its share of the load relative to other servers
+    weight: float = 1.0  # in hashing, and for its share of the load
     connections: dict[int, "FlowRecord"] = field(default_factory=dict)  # of this balancer, by flow id
 
     # These are kept when the server restarts.
@@ -83,8 +83,8 @@
 
     @property
     def usage(self) -> float:
-        """The number of connections from this balancer, relative to the server's size."""
-        return len(self.connections) / self.size
+        """The number of connections from this balancer, relative to the server's weight."""
+        return len(self.connections) / self.weight
 
     @property
     def restricted_until(self) -> float:
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -23,7 +23,7 @@
 NEW_SERVER_PERIOD_MS = 10_000.0  # in which a new server has a low usage that means nothing
 SPILL_DEPTH = 4  # servers of its preference order that a segment may use
 MAX_REPLICAS = 2 * SPILL_DEPTH  # also the length of a preference order
-RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total size; usually MAX_REPLICAS servers or more rank below it
+RANK_CUTOFF = 6 * SPILL_DEPTH  # rank times total weight; usually MAX_REPLICAS servers or more rank below it
 HASH_MULTIPLIER = 0xBF58476D1CE4E5B9  # odd; from SplitMix64
 HASH_MASK = (1 << 64) - 1
 
@@ -89,12 +89,12 @@
 
     def rank(server: ServerRecord) -> float:
         sample = ((segment_hash ^ server.hash) * HASH_MULTIPLIER & HASH_MASK) + 1
-        return -math.log(sample / (HASH_MASK + 2)) / server.size
+        return -math.log(sample / (HASH_MASK + 2)) / server.weight
 
     # Logarithms are slow, so servers are filtered by hash first: every server with a rank of at most `cutoff`
     # has a hash of at least `min_hash`. If too few servers rank up to `cutoff`, all servers are ranked.
-    cutoff = RANK_CUTOFF / state.total_size
-    min_hash = int(HASH_MASK * math.exp(-cutoff * state.largest_size))
+    cutoff = RANK_CUTOFF / state.total_weight
+    min_hash = int(HASH_MASK * math.exp(-cutoff * state.max_weight))
     candidates = [s for s in state.ready if (segment_hash ^ s.hash) * HASH_MULTIPLIER & HASH_MASK >= min_hash]
     ranks = sorted((rank(server), server.id, server) for server in candidates)
     if sum(value <= cutoff for value, _, _ in ranks) < MAX_REPLICAS:
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -76,9 +76,9 @@
     The time of its first flow depends on its index, so that the balancers do not all send a flow at once.
     """
     config, admission = state.config, server.admission
-    total_size = max(state.total_size, server.size)
+    total_weight = max(state.total_weight, server.weight)
     fleet_arrival_rate = state.new_client_arrivals.mean * config.instance_count / TICK_INTERVAL_MS
-    fleet_quota_rate = fleet_arrival_rate * capacity * server.size / total_size
+    fleet_quota_rate = fleet_arrival_rate * capacity * server.weight / total_weight
     fleet_flows = config.instance_count if admission.quota_flows else config.instance_index + 1
     if state.now < admission.last_quota_at + fleet_flows / max(fleet_quota_rate, MIN_RATE_PER_MS):
         return False
@@ -91,9 +91,9 @@
     state: RoutingState, server: ServerRecord, capacity: float, reconnecting: bool
 ) -> float:
     """Return the length of a slot for a server that warms up, as a fraction of the period."""
-    total_size = max(state.total_size, server.size)
-    # A group's load does not depend on the size of the server that it is assigned to.
-    fraction = capacity / GROUP_LOAD_FACTOR * (server.size * len(state.ready) / total_size)
+    total_weight = max(state.total_weight, server.weight)
+    # A group's load does not depend on the weight of the server that it is assigned to.
+    fraction = capacity / GROUP_LOAD_FACTOR * (server.weight * len(state.ready) / total_weight)
     if reconnecting:
         new_client_rate = state.new_client_arrivals.mean
         total_rate = max(state.arrivals.mean, state.arrivals.count, new_client_rate)
@@ -126,7 +126,7 @@
     """Return the ratio of the server's even share of the load to the part of recent flows that targets it."""
     recent = state.recent_replicas
     targeted = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
-    return server.size / max(state.total_size, server.size) * len(recent) / max(1, targeted)
+    return server.weight / max(state.total_weight, server.weight) * len(recent) / max(1, targeted)
 
 
 def warming_up_target(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
@@ -146,7 +146,7 @@
     elapsed = state.now + RECOVERY_TIME_MS - server.admission.recovering_until
     capacity = INITIAL_RECOVERY_FRACTION * 2 ** (elapsed / RECOVERY_DOUBLING_TIME_MS)
     arrivals = max(state.new_client_arrivals.mean, state.new_client_arrivals.count)
-    rate = arrivals / TICK_INTERVAL_MS * capacity * server.size / state.total_size
+    rate = arrivals / TICK_INTERVAL_MS * capacity * server.weight / state.total_weight
     if rate * SLOT_PERIOD_MS <= RECOVERY_SLOT_FLOWS:
         return _try_take_slot(state, server, capacity / RECOVERY_SLOT_FLOWS)
     if state.now < server.admission.last_slot_at + 1 / rate:
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -56,8 +56,8 @@
 
     servers: dict[str, ServerRecord] = field(default_factory=dict)  # by id; removed ones until unconnected
     ready: list[ServerRecord] = field(default_factory=list)  # as of the last endpoint list
-    total_size: float = 1.0  # of the ready servers
-    largest_size: float = 1.0  # of any ready server
+    total_weight: float = 1.0  # of the ready servers
+    max_weight: float = 1.0  # of any ready server
     recently_overloaded: dict[str, ServerRecord] = field(default_factory=dict)
     reconnects_expected_until: float = 0.0  # from clients of servers that have left the endpoint list
     subscription: SubscriptionState = field(default_factory=SubscriptionState)
@@ -123,7 +123,7 @@
                 server.state = events.EndpointState.REMOVED
 
     def refresh_ready_servers(self) -> bool:
-        """Recompute the fields that depend on server states and sizes; drop removed, unconnected servers.
+        """Recompute the fields that depend on server states and weights; drop removed, unconnected servers.
 
         Returns whether a server has stopped being ready, or no server was ready before.
         """
@@ -136,8 +136,8 @@
         self.ready = [
             server for server in self.servers.values() if server.state == events.EndpointState.READY
         ]
-        self.total_size = sum(server.size for server in self.ready) or 1.0
-        self.largest_size = max((server.size for server in self.ready), default=1.0)
+        self.total_weight = sum(server.weight for server in self.ready) or 1.0
+        self.max_weight = max((server.weight for server in self.ready), default=1.0)
         self.preference_orders.clear()
         self.overrides = {
             key: server
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -67,12 +67,12 @@
     # Incident i781c5a: ranking all servers for each segment took too much CPU time.
     host, rng = FakeHost(0), random.Random(5)
     host.update_endpoints(
-        *(events.Server(f"s{index}", size=rng.choice((0.7, 1.0, 2.0))) for index in range(90))
+        *(events.Server(f"s{index}", weight=rng.choice((0.7, 1.0, 2.0))) for index in range(90))
     )
     state = host.director.state
     filtered = [segments.preference_order(state, segment) for segment in range(200)]
     state.preference_orders.clear()
-    state.total_size = 1e-9  # Now no server is filtered out.
+    state.total_weight = 1e-9  # Now no server is filtered out.
     assert filtered == [segments.preference_order(state, segment) for segment in range(200)]
     assert all(len(set(map(id, order))) == 8 for order in filtered)
 
@@ -89,9 +89,9 @@
         assert any(host.request(key).server == "s1" for key in keys) == is_reassigned
 
 
-def test_a_server_of_twice_the_size_gets_four_times_the_segments():
+def test_a_server_of_twice_the_weight_gets_four_times_the_segments():
     host = FakeHost(0)
-    host.update_endpoints(*(events.Server(f"s{index}", size=2.0 + 2.0 * (index < 4)) for index in range(8)))
+    host.update_endpoints(*(events.Server(f"s{index}", weight=2.0 + 2.0 * (index < 4)) for index in range(8)))
     got = Counter(host.request(f"key-{index}").server in ("s0", "s1", "s2", "s3") for index in range(1000))
     assert 720 <= got[True] <= 880
 
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -90,7 +90,7 @@
     assert host.establish_each(lambda _: 1.0, 100, gap=2.0) == {events.Connect: 100}
 
 
-def admitted_by_94_balancers(size, reconnecting):
+def admitted_by_94_balancers(weight, reconnecting):
     """Return how many of 94 balancers send a flow to a server in the fifth second after its start.
 
     Each balancer has a flow every 3 s.
@@ -100,21 +100,21 @@
         host = FakeHost(0, instance_count=94, instance_index=instance, reports_latency=True)
         host.now = 20_000.0
         host.update_endpoints(
-            *(events.Server(f"s{index}", size=3.0) for index in range(3)), scope=events.ListScope.COMPLETE
+            *(events.Server(f"s{index}", weight=3.0) for index in range(3)), scope=events.ListScope.COMPLETE
         )
         state = host.director.state
         state.new_client_arrivals.mean = state.arrivals.mean = 0.35
-        host.update_endpoints(events.Server("cold", size=size, started_at=host.now))
+        host.update_endpoints(events.Server("cold", weight=weight, started_at=host.now))
         host.now += 4_000.0
         key = next(key for key in KEYS if host.default_server(key) == "cold")
         sent += host.request(key, reconnecting=reconnecting).server == "cold"
     return sent
 
 
-def test_many_balancers_send_to_a_warming_server_by_slots_that_depend_on_its_size():
+def test_many_balancers_send_to_a_warming_server_by_slots_that_depend_on_its_weight():
     assert 35 <= admitted_by_94_balancers(3.0, False) <= 65
     assert 20 <= admitted_by_94_balancers(3.0, True) < admitted_by_94_balancers(3.0, False)
-    # A group causes the same load on a server of any size, so a smaller server gets fewer flows.
+    # A group causes the same load on any server, so a server with a smaller weight gets fewer flows.
     assert admitted_by_94_balancers(2.0, True) <= 0.6 * admitted_by_94_balancers(3.0, True)
 
 
