--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -84,12 +84,12 @@
             return None
         if self.incomplete_list is not None:
             missing, number = self.incomplete_list.rows_missing, self.incomplete_list.number
-            raise ProtocolError(f"{missing} rows of roster {number} are missing")
+            raise ProtocolError(f"roster {number} is incomplete: {missing} 'row' lines are missing")
         if name == "mark":
             self._begin_batch(values)
             return None
         if self.batch is None:
-            raise ProtocolError(f"'{name}' outside of a batch")
+            raise ProtocolError(f"'{name}' outside a batch: 'mark' must come first")
         if name == "your_turn":
             return self._end_batch(self.batch)
         self._read_in_batch(self.batch, name, values)
@@ -97,7 +97,7 @@
 
     def _begin_batch(self, values: list[str]) -> None:
         if self.batch is not None:
-            raise ProtocolError("'mark' within a batch; 'your_turn' ends it")
+            raise ProtocolError("'mark' inside a batch: 'your_turn' must end it first")
         wire.check_value_count("mark", values, 1)
         self.batch = Batch(parse_number(values[0]))
 
@@ -112,7 +112,7 @@
         elif name == "roster":
             self._begin_list(values)
         elif batch.instance is None:
-            raise ProtocolError(f"'{name}' before any 'at'")
+            raise ProtocolError(f"'{name}' without an instance: 'at' must come first")
         elif name == "attach":
             self._add_instance(batch.instance, values)
         else:
@@ -123,7 +123,7 @@
         number = wire.parse_integer(values[0])
         rows = wire.parse_integer(values[1])
         if number > MAX_LIST_NUMBER:
-            raise ProtocolError(f"roster {number} is not between 0 and {MAX_LIST_NUMBER}")
+            raise ProtocolError(f"roster number {number} is not between 0 and {MAX_LIST_NUMBER}")
         if rows:
             self.incomplete_list = IncompleteList(number, rows)
         else:
@@ -132,7 +132,9 @@
     def _add_server(self, values: list[str]) -> None:
         pending = self.incomplete_list
         if pending is None:
-            raise ProtocolError("'row' outside of a roster")
+            raise ProtocolError(
+                "'row' without a 'roster' line, or beyond the number of rows that it announced"
+            )
         pending.servers.append(wire.parse_server(values))
         pending.rows_missing -= 1
         if not pending.rows_missing:
@@ -141,7 +143,7 @@
 
     def _add_instance(self, number: int, values: list[str]) -> None:
         if not values:
-            raise ProtocolError("'attach' has no seed")
+            raise ProtocolError("'attach' has no values; the first one must be a seed")
         seed, *settings = values
         service = wire.parse_settings(settings)
         self.instances[number] = Instance(service, Director(service, wire.parse_integer(seed)))
@@ -149,7 +151,7 @@
     def _handle_event(self, batch: Batch, number: int, name: str, values: list[str]) -> None:
         instance = self.instances.get(number)
         if instance is None:
-            raise ProtocolError(f"'{name}' for instance {number}, which has not been attached")
+            raise ProtocolError(f"'{name}' for instance {number}, which is not attached")
         if name == "stop":
             del self.instances[number]
             return
@@ -181,4 +183,4 @@
         case _:
             return
     if service_type not in service.service_types:
-        raise ProtocolError(f"unknown class '{service_type}'")
+        raise ProtocolError(f"unknown service type '{service_type}'")
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -54,20 +54,20 @@
 def check_value_count(name: str, values: list[str], expected: int) -> None:
     """Raise `ProtocolError` if the number of values of a message is not the expected one."""
     if len(values) != expected:
-        raise ProtocolError(f"'{name}' with {len(values)} values, not {expected}")
+        raise ProtocolError(f"'{name}' has {len(values)} values; expected {expected}")
 
 
 def parse_integer(text: str) -> int:
     """Parse a non-negative integer."""
     if not (text.isascii() and text.isdigit()):
-        raise ProtocolError(f"'{text}' is not a whole number")
+        raise ProtocolError(f"'{text}' is not a non-negative integer")
     return int(text)
 
 
 def parse_boolean(text: str) -> bool:
     """Parse `1` or `0`."""
     if text not in ("1", "0"):
-        raise ProtocolError(f"'{text}' is neither 1 nor 0")
+        raise ProtocolError(f"'{text}' is not a boolean; expected 1 or 0")
     return text == "1"
 
 
@@ -82,7 +82,7 @@
     for pair in pairs:
         path, equals, value = pair.partition("=")
         if not equals:
-            raise ProtocolError(f"'{pair}' is not PATH=VALUE")
+            raise ProtocolError(f"setting '{pair}' is not of the form PATH=VALUE")
         if value not in UNSET_SETTINGS:
             settings[path] = value
     return parse_service_config(settings)
