--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -156,7 +156,7 @@
     try:
         return look_up(choices, text, "value")
     except UnknownNameError as error:
-        raise ConfigError(f"{path}: {error}; give one of {', '.join(choices)}") from None
+        raise ConfigError(f"{path}: {error}; must be one of {', '.join(choices)}") from None
 
 
 def _parse_setting(
@@ -173,7 +173,7 @@
     except MalformedNumberError as error:
         raise ConfigError(f"{path}: {error}") from None
     if value < least:
-        raise ConfigError(f"{path}: {value:g} is too small; give at least {least:g}")
+        raise ConfigError(f"{path}: {value:g} is too small; must be at least {least:g}")
     if value > most:
-        raise ConfigError(f"{path}: {value:g} is too large; give at most {most:g}")
+        raise ConfigError(f"{path}: {value:g} is too large; must be at most {most:g}")
     return value
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -37,12 +37,12 @@
         (
             "service_types.0.effect",
             "x",
-            "unknown value 'x'; give one of read_like, idempotency_key, non_idem",
+            "unknown value 'x'; must be one of read_like, idempotency_key, non_idem",
         ),
-        ("limits.retry_after", "yes", "unknown value 'yes'; give one of true, false"),
+        ("limits.retry_after", "yes", "unknown value 'yes'; must be one of true, false"),
         ("limits.max_connects", "many", "'many' is not a number"),
-        ("limits.max_connects", "0", "0 is too small; give at least 1$"),
-        ("rules.cold_from", "1.5", "1.5 is too large; give at most 1$"),
+        ("limits.max_connects", "0", "0 is too small; must be at least 1$"),
+        ("rules.cold_from", "1.5", "1.5 is too large; must be at most 1$"),
     ],
 )
 def test_an_invalid_setting_raises_a_config_error_that_begins_with_its_path(path, value, message):
