--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -32,7 +32,7 @@
         if not text:
             continue
         try:
-            reply = session.read_line(text)
+            reply = session.process_line(text)
         except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
             # The routing logic raises Python's own errors for events that contradict earlier ones.
             raise ProtocolError(f"line {line_number}: {error}") from None
@@ -47,15 +47,15 @@
     now: float  # the time of all its events
     instance: int | None = None  # the instance that the next lines are for
     reply: list[str] = field(default_factory=list)
-    replying: int | None = None  # the instance whose actions were last added to the reply
+    last_replying_instance: int | None = None  # the instance whose actions were last added to the reply
 
 
 @dataclass(slots=True)
-class IncompleteList:
+class PartialServerList:
     """A server list whose rows have not all been read."""
 
     number: int
-    rows_missing: int
+    missing_rows: int
     servers: list[events.Server] = field(default_factory=list)
 
 
@@ -73,17 +73,17 @@
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}  # by number
         self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, from 0 to MAX_LIST_NUMBER
-        self.incomplete_list: IncompleteList | None = None
+        self.partial_list: PartialServerList | None = None
         self.batch: Batch | None = None
 
-    def read_line(self, line: str) -> str | None:
+    def process_line(self, line: str) -> str | None:
         """Process one line; return the reply if the line ends a batch, else None."""
         name, *values = line.split(" ")
         if name == "row":
             self._add_server(values)
             return None
-        if self.incomplete_list is not None:
-            missing, number = self.incomplete_list.rows_missing, self.incomplete_list.number
+        if self.partial_list is not None:
+            missing, number = self.partial_list.missing_rows, self.partial_list.number
             raise ProtocolError(f"roster {number} is incomplete: {missing} 'row' lines are missing")
         if name == "mark":
             self._begin_batch(values)
@@ -125,21 +125,21 @@
         if number > MAX_LIST_NUMBER:
             raise ProtocolError(f"roster number {number} is not between 0 and {MAX_LIST_NUMBER}")
         if rows:
-            self.incomplete_list = IncompleteList(number, rows)
+            self.partial_list = PartialServerList(number, rows)
         else:
             self.lists[number] = ()
 
     def _add_server(self, values: list[str]) -> None:
-        pending = self.incomplete_list
+        pending = self.partial_list
         if pending is None:
             raise ProtocolError(
                 "'row' without a 'roster' line, or beyond the number of rows that it announced"
             )
         pending.servers.append(wire.parse_server(values))
-        pending.rows_missing -= 1
-        if not pending.rows_missing:
+        pending.missing_rows -= 1
+        if not pending.missing_rows:
             self.lists[pending.number] = tuple(pending.servers)
-            self.incomplete_list = None
+            self.partial_list = None
 
     def _add_instance(self, number: int, values: list[str]) -> None:
         if not values:
@@ -160,8 +160,8 @@
             return
         _check_service_type(instance.service, event)
         actions = instance.director.decide(batch.now, event)
-        if actions and batch.replying != number:
-            batch.replying = number
+        if actions and batch.last_replying_instance != number:
+            batch.last_replying_instance = number
             batch.reply.append(f"speaking {number}")
         batch.reply.extend(wire.format_action(action) for action in actions)
 
