--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -87,16 +87,16 @@
     return events.ServiceConfig(
         service_types=service_types,
         instance_index=int(_parse_setting(settings, "me")),
-        instance_count=int(_parse_setting(settings, "siblings", 1, least=1)),
+        instance_count=int(_parse_setting(settings, "siblings", 1, minimum=1)),
         groups_share_work=_parse_boolean(settings, "family_info.groups"),
         trusts_weights=settings.get("weights", "silent") in STABLE_WEIGHTS,
         reports_latency=_parse_boolean(settings, "family_info.tells_delay"),
         latency_objective=latency_objective,
         polls_discovery=settings.get("discovery") == "ask",
         poll_interval=_parse_setting(settings, "rules.ask_every", DEFAULT_POLL_INTERVAL_MS),
-        max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, least=1)),
+        max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, minimum=1)),
         max_retry_after=_parse_max_retry_after(settings),
-        slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, most=1.0),
+        slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, maximum=1.0),
         slow_start_duration=_parse_setting(settings, "rules.warm_after"),
         slow_start_burst=_parse_setting(settings, "rules.tip_multiple", 1.0),
     )
@@ -138,7 +138,7 @@
     texts = settings.get(path, "").split(",")
     for index in range(int(_parse_setting(settings, f"{path}.count"))):
         texts.append(settings.get(f"{path}.{index}", ""))
-    return min((_parse_amount(path, text) for text in texts if text), default=0.0)
+    return min((_parse_bounded_number(path, text) for text in texts if text), default=0.0)
 
 
 def _parse_max_retry_after(settings: Mapping[str, str]) -> float:
@@ -160,20 +160,24 @@
 
 
 def _parse_setting(
-    settings: Mapping[str, str], path: str, default: float = 0.0, least: float = 0.0, most: float = math.inf
+    settings: Mapping[str, str],
+    path: str,
+    default: float = 0.0,
+    minimum: float = 0.0,
+    maximum: float = math.inf,
 ) -> float:
     if path not in settings:
         return default
-    return _parse_amount(path, settings[path], least, most)
+    return _parse_bounded_number(path, settings[path], minimum, maximum)
 
 
-def _parse_amount(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
+def _parse_bounded_number(path: str, text: str, minimum: float = 0.0, maximum: float = math.inf) -> float:
     try:
         value = parse_number(text)
     except MalformedNumberError as error:
         raise ConfigError(f"{path}: {error}") from None
-    if value < least:
-        raise ConfigError(f"{path}: {value:g} is too small; must be at least {least:g}")
-    if value > most:
-        raise ConfigError(f"{path}: {value:g} is too large; must be at most {most:g}")
+    if value < minimum:
+        raise ConfigError(f"{path}: {value:g} is too small; must be at least {minimum:g}")
+    if value > maximum:
+        raise ConfigError(f"{path}: {value:g} is too large; must be at most {maximum:g}")
     return value
