--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -112,7 +112,9 @@
         now = self.clock()
         previous = update.previous_list_at
         previous_list_at = None if previous is None else self.loop.at_monotonic(previous)
-        servers = tuple(self._start_times.bound(server, now, previous_list_at) for server in update.servers)
+        servers = tuple(
+            self._start_times.bound_start_time(server, now, previous_list_at) for server in update.servers
+        )
         self._report_bounded_starts(update.servers, servers)
         return servers
 
--- a/lotusroute/routing/start_times.py
+++ b/lotusroute/routing/start_times.py
@@ -34,7 +34,9 @@
         # again with the same start time has not restarted.
         self._known: dict[str, _KnownStart] = {}
 
-    def bound(self, server: events.Server, now: float, previous_list_at: float | None) -> events.Server:
+    def bound_start_time(
+        self, server: events.Server, now: float, previous_list_at: float | None
+    ) -> events.Server:
         """Return a server from an endpoint list received at `now`, with its start time on the host's clock.
 
         `previous_list_at` is the last time at which the previous list was known to be current; None for the
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -23,7 +23,7 @@
     return StartTimes(LISTING_DELAY_MS)
 
 
-def started(
+def bounded_start(
     starts,
     reported,
     now=NOW_MS,
@@ -32,51 +32,56 @@
     state=events.EndpointState.READY,
 ):
     server = events.Server(name, state=state, started_at=reported)
-    return starts.bound(server, now, previous_list_at).started_at
+    return starts.bound_start_time(server, now, previous_list_at).started_at
 
 
 @pytest.mark.parametrize("age", [0.0, 500.0, 7_900.0])
 def test_a_start_time_is_unchanged_if_the_clocks_agree(starts, age):
-    assert started(starts, NOW_MS - age) == NOW_MS - age
+    assert bounded_start(starts, NOW_MS - age) == NOW_MS - age
 
 
 def test_an_unknown_start_time_and_that_of_a_removed_server_are_unchanged(starts):
-    assert started(starts, 0.0) == 0.0
-    assert started(starts, 5.0, state=events.EndpointState.REMOVED) == 5.0
+    assert bounded_start(starts, 0.0) == 0.0
+    assert bounded_start(starts, 5.0, state=events.EndpointState.REMOVED) == 5.0
 
 
 @pytest.mark.parametrize("ahead", [20_000.0, HOUR_MS])
 def test_if_the_host_clock_is_ahead_a_new_start_is_bounded_by_the_last_list_without_it(starts, ahead):
-    assert started(starts, NOW_MS - ahead) == NOW_MS - 2_000.0 - LISTING_DELAY_MS
+    assert bounded_start(starts, NOW_MS - ahead) == NOW_MS - 2_000.0 - LISTING_DELAY_MS
 
 
 @pytest.mark.parametrize("behind", [3_000.0, HOUR_MS])
 def test_if_the_host_clock_is_behind_a_start_is_bounded_by_the_time_it_is_listed(starts, behind):
-    assert started(starts, NOW_MS + behind) == NOW_MS
-    assert started(starts, NOW_MS + behind, previous_list_at=None, name="s2") == NOW_MS
+    assert bounded_start(starts, NOW_MS + behind) == NOW_MS
+    assert bounded_start(starts, NOW_MS + behind, previous_list_at=None, name="s2") == NOW_MS
 
 
 def test_a_start_time_in_the_first_list_may_be_of_any_age(starts):
-    assert started(starts, NOW_MS - HOUR_MS, previous_list_at=None) == NOW_MS - HOUR_MS
+    assert bounded_start(starts, NOW_MS - HOUR_MS, previous_list_at=None) == NOW_MS - HOUR_MS
 
 
 def test_a_start_time_is_kept_in_later_lists_and_after_the_server_is_removed(starts):
-    first = started(starts, NOW_MS + HOUR_MS)
-    started(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, state=events.EndpointState.REMOVED)
-    assert started(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, previous_list_at=NOW_MS + 8_000.0) == first
-    restarted = started(starts, NOW_MS + 2 * HOUR_MS, now=NOW_MS + 9_000.0, previous_list_at=NOW_MS + 8_000.0)
+    first = bounded_start(starts, NOW_MS + HOUR_MS)
+    bounded_start(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, state=events.EndpointState.REMOVED)
+    assert (
+        bounded_start(starts, NOW_MS + HOUR_MS, now=NOW_MS + 9_000.0, previous_list_at=NOW_MS + 8_000.0)
+        == first
+    )
+    restarted = bounded_start(
+        starts, NOW_MS + 2 * HOUR_MS, now=NOW_MS + 9_000.0, previous_list_at=NOW_MS + 8_000.0
+    )
     assert restarted == NOW_MS + 9_000.0
 
 
 def test_the_clock_of_one_server_does_not_affect_another(starts):
-    started(starts, NOW_MS + HOUR_MS)
-    assert started(starts, NOW_MS - 1_000.0, name="s2") == NOW_MS - 1_000.0
+    bounded_start(starts, NOW_MS + HOUR_MS)
+    assert bounded_start(starts, NOW_MS - 1_000.0, name="s2") == NOW_MS - 1_000.0
 
 
 def test_the_number_of_known_starts_is_bounded(starts, monkeypatch):
     monkeypatch.setattr(start_times, "MAX_KNOWN_STARTS", 2)
     for index in range(5):
-        started(starts, NOW_MS, name=f"s{index}")
+        bounded_start(starts, NOW_MS, name=f"s{index}")
     assert len(starts._known) == 2
 
 
@@ -85,7 +90,7 @@
     host, starts = FakeHost(1), StartTimes(LISTING_DELAY_MS)
     host.now = NOW_MS + clock_error
     reported = events.Server("new", started_at=NOW_MS)
-    host.update_endpoints(starts.bound(reported, host.now, host.now - 2_000.0))
+    host.update_endpoints(starts.bound_start_time(reported, host.now, host.now - 2_000.0))
     actions = [host.request(key) for key in KEYS[:40]]
     return sum(connect.server == "new" for connect in actions_of(events.Connect, actions))
 
@@ -99,7 +104,7 @@
     host, starts = FakeHost(1), StartTimes(LISTING_DELAY_MS)
     host.now = NOW_MS
     host.update_endpoints(
-        starts.bound(events.Server("new", started_at=NOW_MS + HOUR_MS), NOW_MS, NOW_MS - 2_000.0)
+        starts.bound_start_time(events.Server("new", started_at=NOW_MS + HOUR_MS), NOW_MS, NOW_MS - 2_000.0)
     )
     host.advance(21_000.0)  # Slow start takes 20 s.
     assert sum(host.request(key).server == "new" for key in KEYS[:40]) >= 10
