--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -7,11 +7,11 @@
 
 def test_an_unreachable_server_is_ejected_for_some_seconds():
     host = FakeHost()
-    dead = host.request().server
-    host.end(events.Connect(1, dead), events.ConnectionResult.UNREACHABLE)
-    assert host.request().server != dead
+    unreachable = host.request().server
+    host.end(events.Connect(1, unreachable), events.ConnectionResult.UNREACHABLE)
+    assert host.request().server != unreachable
     host.now += 6001.0
-    assert host.request().server == dead
+    assert host.request().server == unreachable
 
 
 def test_flows_are_still_connected_when_all_servers_are_ejected():
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -21,10 +21,10 @@
 def test_a_small_group_has_one_replica_and_a_large_one_spreads_over_its_preference_order():
     host = FakeHost(40, groups_share_work=True)
     for index in range(60):
-        host.establish(f"key-{index}", group=f"yard-{index}")
-    assert len({host.establish(key, group="silo").server for key in KEYS[:2]}) == 1
-    port = [host.establish(key, group="port").server for key in KEYS[:40]]
-    assert 4 <= len(set(port)) <= 8 and len(set(port[:2])) == 1
+        host.establish(f"key-{index}", group=f"group-{index}")
+    assert len({host.establish(key, group="small-group").server for key in KEYS[:2]}) == 1
+    large_group_servers = [host.establish(key, group="large-group").server for key in KEYS[:40]]
+    assert 4 <= len(set(large_group_servers)) <= 8 and len(set(large_group_servers[:2])) == 1
 
 
 def test_rebalancing_reassigns_one_segment_and_mid_flow_arrivals_keep_the_default():
@@ -54,13 +54,13 @@
 def test_a_group_is_assigned_to_the_server_of_its_existing_connections():
     # Otherwise the group would cost work both on that server and on its default server.
     host = FakeHost(groups_share_work=True)
-    default = host.request(group="yard").server
+    default = host.request(group="group").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
     host = FakeHost(groups_share_work=True)
-    host.decide(events.ExistingConnection(events.FlowRequest(99, "live", None, "yard", "k", 1800.0), other))
-    assert host.request(group="yard").server == other
+    host.decide(events.ExistingConnection(events.FlowRequest(99, "live", None, "group", "k", 1800.0), other))
+    assert host.request(group="group").server == other
     host.update_endpoints(events.Server(other, state=events.EndpointState.DRAINING))
-    assert host.request(group="yard").server != other
+    assert host.request(group="group").server != other
 
 
 def test_the_prefiltered_preference_order_of_a_large_fleet_equals_the_unfiltered_one():
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -57,14 +57,14 @@
         FakeHost(8, seed=index, groups_share_work=True, instance_count=40, instance_index=index)
         for index in range(40)
     ]
-    connects = [host.establish(f"key-{index}", group="yard") for index, host in enumerate(fleet)]
+    connects = [host.establish(f"key-{index}", group="group") for index, host in enumerate(fleet)]
     draining = connects[0].server
     for host, connect in zip(fleet, connects, strict=True):
         host.update_endpoints(events.Server(draining, state=events.EndpointState.DRAINING))
         host.end(connect, events.ConnectionResult.CANCELLED, True)
         host.now += 500.0
     servers = {
-        host.request(f"key-{39 - index}", "yard", reconnecting=True).server
+        host.request(f"key-{39 - index}", "group", reconnecting=True).server
         for index, host in enumerate(fleet)
     }
     assert len(servers) == 1 and draining not in servers
