--- a/lotusroute/__init__.py
+++ b/lotusroute/__init__.py
@@ -1,1 +1,1 @@
-"""A balancer for long-lived connections that assigns flows to servers by hash segment."""
+"""A balancer for long-lived connections that assigns hash segments of flows to servers and reassigns them."""
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -45,7 +45,7 @@
 
 
 class NoticeTopic(IntEnum):
-    """The topics of `notice` messages that the routing logic uses; other topics are ignored."""
+    """The topics of `notice` messages on an open connection that are used; other topics are ignored."""
 
     LOAD = 1
     LATENCY = 2
--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -28,8 +28,8 @@
 class Director:
     """Makes the routing decisions of one balancer for one service.
 
-    A director does no I/O and reads no clock: its host passes in events with their times, and carries out the
-    returned actions. The same seed and events always give the same actions.
+    A director does no I/O and reads no clock: its host passes in a seed and the events with their times, and
+    carries out the returned actions. The same seed and events always give the same actions.
     """
 
     def __init__(self, config: events.ServiceConfig, seed: int) -> None:
--- a/lotusroute/routing/records.py
+++ b/lotusroute/routing/records.py
@@ -51,7 +51,7 @@
     recovering_until: float = 0.0  # until then new flows are limited
     timely_setups: int = 0  # since the server last began to recover
     last_slot_at: float = -math.inf  # when an admission slot was last used
-    last_quota_at: float = 0.0  # when this balancer's quota was last used; at first, when it began
+    last_quota_at: float = 0.0  # when this balancer's quota was last used; initially, when it began
     quota_flows: int = 0  # flows admitted by this balancer's quota
 
 
--- a/lotusroute/routing/retries.py
+++ b/lotusroute/routing/retries.py
@@ -26,7 +26,7 @@
 
 
 def _should_throttle(state: RoutingState, request: FlowRequest) -> bool:
-    """Return whether to reject a flow because many attempts fail on all servers together.
+    """Return whether to reject a flow because many attempts fail, counted over all servers.
 
     The probability is the number of failures in excess of the allowed number, divided by all attempts.
     """
--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -103,7 +103,7 @@
 
 
 def default_server(state: RoutingState, segment: int, replica: int) -> ServerRecord | None:
-    """Return the default server of a replica, which follows from the preference order in all balancers."""
+    """Return the server of a replica by the preference order, which is the same in all balancers."""
     return next(iter(preference_order(state, segment)[replica:]), None)
 
 
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -11,7 +11,7 @@
 OVERLOADED_SPILL_DEPTH = 2  # while a large part of the fleet is overloaded
 OVERLOADED_FLEET_FRACTION = 0.5  # the fraction of servers that counts as a large part
 UNOBSERVED_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients; see `_should_skip_unobserved`
-FALLBACK_CANDIDATES = 8  # servers tried outside the segment's preference order
+FALLBACK_CANDIDATES = 8  # servers tried if none of the segment's preference order takes the flow
 
 
 def update_spill_depth(state: RoutingState) -> None:
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -51,7 +51,7 @@
 
 
 def try_admit(state: RoutingState, server: ServerRecord, reconnecting: bool) -> bool:
-    """Return whether a server may get a flow now; if so, the flow uses up a slot or the quota."""
+    """Return whether a server may get a flow now; if it warms up or recovers, use up a slot or the quota."""
     if warming_up(state, server):
         return _try_admit_warming_up(state, server, reconnecting)
     return server.admission.recovering_until <= state.now or _try_admit_recovering(state, server)
@@ -92,7 +92,7 @@
 ) -> float:
     """Return the length of a slot for a server that warms up, as a fraction of the period."""
     total_weight = max(state.total_weight, server.weight)
-    # A group's load does not depend on the weight of the server that it is assigned to.
+    # A group causes the same load on any server, so a server with a larger weight gets longer slots.
     fraction = capacity / GROUP_LOAD_FACTOR * (server.weight * len(state.ready) / total_weight)
     if reconnecting:
         new_client_rate = state.new_client_arrivals.mean
--- a/tests/director_host.py
+++ b/tests/director_host.py
@@ -51,13 +51,13 @@
         return self.decide(events.EndpointList(scope, servers))
 
     def request(
-        self, key: str = "k", group: str | None = None, tenant: str | None = None, **more: Any
+        self, key: str = "k", group: str | None = None, tenant: str | None = None, **fields: Any
     ) -> Any:  # an action of the type that the test expects
         """Request a new flow; returns the director's first action."""
         self.last_flow_id += 1
         deadline = self.now + FLOW_TIMEOUT_MS
         return self.decide(
-            events.FlowRequest(self.last_flow_id, "live", tenant, group, key, deadline, **more)
+            events.FlowRequest(self.last_flow_id, "live", tenant, group, key, deadline, **fields)
         )[0]
 
     def default_server(self, key: str) -> str:
@@ -66,9 +66,9 @@
         segment = segments.segment_of(state, events.FlowRequest(0, "live", None, None, key, 0.0))
         return segments.preference_order(state, segment)[0].id
 
-    def establish(self, key: str = "k", **more: Any) -> events.Connect:
+    def establish(self, key: str = "k", **fields: Any) -> events.Connect:
         """Request a flow and establish it; returns its `Connect` action."""
-        connect: events.Connect = self.request(key, **more)
+        connect: events.Connect = self.request(key, **fields)
         self.decide(events.Established(connect.id, connect.server))
         return connect
 
--- a/tests/test_warming_up.py
+++ b/tests/test_warming_up.py
@@ -140,7 +140,8 @@
 
 
 def test_two_hundred_balancers_load_a_warming_server_no_faster_than_it_warms_up():
-    # With one flow per slot of each balancer, many clients that reconnect within seconds would overload it.
+    # With one flow per slot of each balancer, many clients that reconnect within seconds would overload the
+    # server.
     hosts, sent = [], 0
     for instance in range(200):
         host = FakeHost(
