--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -68,7 +68,7 @@
     dedup_window: float = 0.0  # time for which servers remember a key
 
     def safe_to_retry(self, may_have_run: bool) -> bool:
-        """Return whether a client may safely retry a flow that may have run, or that cannot have run."""
+        """Return whether a client may safely retry, given whether its flow may have run."""
         deduplicated_everywhere = (
             self.idempotency == Idempotency.IDEMPOTENCY_KEY and self.dedup_scope == DedupScope.ALL
         )
