--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -54,7 +54,7 @@
     actions: list[events.Action] = field(default_factory=list)  # of the current event
     ticks: int = 0
 
-    servers: dict[str, ServerRecord] = field(default_factory=dict)  # by id; removed ones until unconnected
+    servers: dict[str, ServerRecord] = field(default_factory=dict)  # by id; removed ones while connected
     ready: list[ServerRecord] = field(default_factory=list)  # as of the last endpoint list
     total_weight: float = 1.0  # of the ready servers
     max_weight: float = 1.0  # of any ready server
