--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -1,9 +1,9 @@
-"""A simulation session: passes each event to its instance and collects the reply to a batch.
+"""A simulation session: passes each event to the balancer instance it is for, and builds the replies.
 
-A batch of lines begins with `mark` and ends with `your_turn`; `at` names the instance to which the next lines
-belong. A `roster` line announces a server list, whose rows follow it; `registry` events refer to the list by
-its number. Input that does not follow the protocol raises `ProtocolError` with the number of the line. Times
-are in milliseconds.
+A batch of lines begins with `mark`, which gives its time, and ends with `your_turn`. An `at` line selects the
+instance that the following lines are for. A `roster` line announces a server list; the `row` lines after it
+are its servers, and `registry` events refer to it by number. Input that violates the protocol raises
+`ProtocolError` with the line number. Times are in milliseconds.
 """
 
 from collections.abc import Iterable, Iterator
@@ -21,7 +21,7 @@
 
 
 def generate_replies(lines: Iterable[str]) -> Iterator[str]:
-    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and the reason.
+    """Yield the reply to each batch; a malformed line raises `ProtocolError` with its number and a reason.
 
     >>> list(generate_replies(["mark 8412.25", "your_turn"]))
     ['finished\\n']
@@ -32,9 +32,9 @@
         if not text:
             continue
         try:
-            reply = session.read_line(text)
+            reply = session.process_line(text)
         except (InvalidValueError, ValueError, KeyError, OverflowError) as error:
-            # The errors of Python are raised by the decisions for events that contradict earlier ones.
+            # The routing logic raises Python's own errors for events that contradict earlier ones.
             raise ProtocolError(f"line {line_number}: {error}") from None
         if reply is not None:
             yield reply
@@ -42,20 +42,20 @@
 
 @dataclass(slots=True)
 class Batch:
-    """A batch of which some lines have been read."""
+    """A batch that has not been read to its end."""
 
     now: float  # the time of all its events
-    instance: int | None = None  # to which the next lines belong
+    instance: int | None = None  # the instance that the next lines are for
     reply: list[str] = field(default_factory=list)
-    replying: int | None = None  # the instance of the last actions in the reply
+    last_replying_instance: int | None = None  # the instance whose actions were last added to the reply
 
 
 @dataclass(slots=True)
-class IncompleteList:
-    """A server list of which some rows have not been read."""
+class PartialServerList:
+    """A server list whose rows have not all been read."""
 
     number: int
-    rows_missing: int
+    missing_rows: int
     servers: list[events.Server] = field(default_factory=list)
 
 
@@ -68,28 +68,28 @@
 
 
 class SimulatorSession:
-    """The instances of a simulation, and the server lists to which their events refer."""
+    """The state of a simulation: its instances, and the server lists that their events refer to."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}  # by number
-        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, up to MAX_LIST_NUMBER
-        self.incomplete_list: IncompleteList | None = None
+        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, from 0 to MAX_LIST_NUMBER
+        self.partial_list: PartialServerList | None = None
         self.batch: Batch | None = None
 
-    def read_line(self, line: str) -> str | None:
-        """Handle one line; return the reply if the line ends a batch, else None."""
+    def process_line(self, line: str) -> str | None:
+        """Process one line; return the reply if the line ends a batch, else None."""
         name, *values = line.split(" ")
         if name == "row":
             self._add_server(values)
             return None
-        if self.incomplete_list is not None:
-            missing, number = self.incomplete_list.rows_missing, self.incomplete_list.number
-            raise ProtocolError(f"{missing} rows of roster {number} are missing")
+        if self.partial_list is not None:
+            missing, number = self.partial_list.missing_rows, self.partial_list.number
+            raise ProtocolError(f"roster {number} is incomplete: {missing} 'row' lines are missing")
         if name == "mark":
             self._begin_batch(values)
             return None
         if self.batch is None:
-            raise ProtocolError(f"'{name}' outside of a batch")
+            raise ProtocolError(f"'{name}' outside a batch: 'mark' must come first")
         if name == "your_turn":
             return self._end_batch(self.batch)
         self._read_in_batch(self.batch, name, values)
@@ -97,7 +97,7 @@
 
     def _begin_batch(self, values: list[str]) -> None:
         if self.batch is not None:
-            raise ProtocolError("'mark' within a batch; 'your_turn' ends it")
+            raise ProtocolError("'mark' inside a batch: 'your_turn' must end it first")
         wire.check_value_count("mark", values, 1)
         self.batch = Batch(parse_number(values[0]))
 
@@ -112,7 +112,7 @@
         elif name == "roster":
             self._begin_list(values)
         elif batch.instance is None:
-            raise ProtocolError(f"'{name}' before any 'at'")
+            raise ProtocolError(f"'{name}' without an instance: 'at' must come first")
         elif name == "attach":
             self._add_instance(batch.instance, values)
         else:
@@ -123,25 +123,27 @@
         number = wire.parse_integer(values[0])
         rows = wire.parse_integer(values[1])
         if number > MAX_LIST_NUMBER:
-            raise ProtocolError(f"roster {number} is not between 0 and {MAX_LIST_NUMBER}")
+            raise ProtocolError(f"roster number {number} is not between 0 and {MAX_LIST_NUMBER}")
         if rows:
-            self.incomplete_list = IncompleteList(number, rows)
+            self.partial_list = PartialServerList(number, rows)
         else:
             self.lists[number] = ()
 
     def _add_server(self, values: list[str]) -> None:
-        pending = self.incomplete_list
+        pending = self.partial_list
         if pending is None:
-            raise ProtocolError("'row' outside of a roster")
+            raise ProtocolError(
+                "'row' without a 'roster' line, or beyond the number of rows that it announced"
+            )
         pending.servers.append(wire.parse_server(values))
-        pending.rows_missing -= 1
-        if not pending.rows_missing:
+        pending.missing_rows -= 1
+        if not pending.missing_rows:
             self.lists[pending.number] = tuple(pending.servers)
-            self.incomplete_list = None
+            self.partial_list = None
 
     def _add_instance(self, number: int, values: list[str]) -> None:
         if not values:
-            raise ProtocolError("'attach' has no seed")
+            raise ProtocolError("'attach' has no values; the first one must be a seed")
         seed, *settings = values
         service = wire.parse_settings(settings)
         self.instances[number] = Instance(service, Director(service, wire.parse_integer(seed)))
@@ -149,7 +151,7 @@
     def _handle_event(self, batch: Batch, number: int, name: str, values: list[str]) -> None:
         instance = self.instances.get(number)
         if instance is None:
-            raise ProtocolError(f"'{name}' for instance {number}, which has not been attached")
+            raise ProtocolError(f"'{name}' for instance {number}, which is not attached")
         if name == "stop":
             del self.instances[number]
             return
@@ -158,8 +160,8 @@
             return
         _check_service_type(instance.service, event)
         actions = instance.director.decide(batch.now, event)
-        if actions and batch.replying != number:
-            batch.replying = number
+        if actions and batch.last_replying_instance != number:
+            batch.last_replying_instance = number
             batch.reply.append(f"speaking {number}")
         batch.reply.extend(wire.format_action(action) for action in actions)
 
@@ -181,4 +183,4 @@
         case _:
             return
     if service_type not in service.service_types:
-        raise ProtocolError(f"unknown class '{service_type}'")
+        raise ProtocolError(f"unknown service type '{service_type}'")
--- a/lotusroute/routing/server_selection.py
+++ b/lotusroute/routing/server_selection.py
@@ -1,36 +1,37 @@
-"""Server selection: which server a flow's next attempt goes to, and how far a segment spills."""
+"""Server selection: chooses the server of a flow's next attempt, and limits how far segments spill."""
 
 from collections.abc import Iterator
 
-from lotusroute.routing.events import DedupScope, Effect, FlowRequest
+from lotusroute.routing.events import DedupScope, FlowRequest, Idempotency
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.segments import SPILL_DEPTH, assigned_server, default_server, preference_order
 from lotusroute.routing.slow_start import try_admit, warming_up
 from lotusroute.routing.state import RoutingState
 
 OVERLOADED_SPILL_DEPTH = 2  # while a large part of the fleet is overloaded
-OVERLOADED_FLEET_FRACTION = 0.5  # of the servers, which counts as a large part
-UNKNOWN_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients
-FALLBACK_CANDIDATES = 8  # servers outside the segment's preference order
+OVERLOADED_FLEET_FRACTION = 0.5  # the fraction of servers that counts as a large part
+UNOBSERVED_SERVER_SKIP_PROBABILITY = 0.75  # for reconnecting clients; see `_should_skip_unobserved`
+FALLBACK_CANDIDATES = 8  # servers tried if none of the segment's preference order takes the flow
 
 
 def update_spill_depth(state: RoutingState) -> None:
     """Limit spilling while a large part of the fleet is overloaded.
 
-    Spilling spreads groups over more servers, each of which then does the work for the group.
+    Spilling spreads a group over more servers, and each of them then has to do the work for the group.
     """
     overloaded = len(state.recently_overloaded) > OVERLOADED_FLEET_FRACTION * len(state.ready)
     state.spill_depth = OVERLOADED_SPILL_DEPTH if overloaded else SPILL_DEPTH
 
 
 def select_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
-    """Return the first candidate that is unrestricted and admits the flow, else the best of the others.
+    """Return the first candidate that is unrestricted and admits the flow, or else the best alternative.
 
-    These are, in this order: a server that was skipped as unknown; without latency reports a fallback server;
-    a deprioritized server; and an ejected one, unless a candidate is overloaded.
+    The alternatives are, in this order: a server that was skipped as unobserved; a fallback server, if
+    servers send no latency reports; a deprioritized server; and an ejected one, unless a candidate is
+    overloaded.
     """
     mid_flow = flow.request.mid_flow
-    unknown = deprioritized = ejected = None
+    unobserved = deprioritized = ejected = None
     any_overloaded = False
     for server in _candidates(state, flow):
         if server.failures.ejected_until > state.now:
@@ -39,25 +40,25 @@
             any_overloaded = True
         elif server.overload.deprioritized_until > state.now and not mid_flow:
             deprioritized = deprioritized or server
-        elif _skips_unknown(state, server, flow.request):
-            unknown = server
-        elif _admits(state, server, flow):
+        elif _should_skip_unobserved(state, server, flow.request):
+            unobserved = server
+        elif _try_admit_flow(state, server, flow):
             return server
-    if _admits(state, unknown, flow):
-        return unknown
+    if _try_admit_flow(state, unobserved, flow):
+        return unobserved
     fallback = _fallback_server(state, flow) if state.lacks_latency_reports else None
     if fallback is not None:
         return fallback
-    if _admits(state, deprioritized, flow):
+    if _try_admit_flow(state, deprioritized, flow):
         return deprioritized
-    return ejected if not any_overloaded and _admits(state, ejected, flow) else None
+    return ejected if not any_overloaded and _try_admit_flow(state, ejected, flow) else None
 
 
 def _candidates(state: RoutingState, flow: FlowRecord) -> Iterator[ServerRecord]:
-    """Yield the servers that the flow may be sent to, in order of preference, as far as the segment spills.
+    """Yield the servers that the flow may be sent to, in order of preference, up to the spill depth.
 
-    At most one of the servers that warm up is yielded, and none of them counts towards the spill depth: the
-    assigned one or, without latency reports, the first.
+    Servers that warm up do not count towards the spill depth. At most one of them is yielded: the assigned
+    one or, if servers send no latency reports, the first.
     """
     server_of = default_server if flow.request.mid_flow else assigned_server
     assigned = server_of(state, flow.segment, flow.replica)
@@ -78,23 +79,24 @@
             yield server
 
 
-def _skips_unknown(state: RoutingState, server: ServerRecord, request: FlowRequest) -> bool:
-    """Return whether a reconnecting client skips a server that this balancer has no connections to.
+def _should_skip_unobserved(state: RoutingState, server: ServerRecord, request: FlowRequest) -> bool:
+    """Return whether a reconnecting client skips an unobserved server.
 
-    The reconnect may be the only indication that the server is overloaded.
+    A server is unobserved if this balancer has no connections to it, and so cannot see whether the server is
+    overloaded; the reconnect may be the only sign of it.
     """
     if not request.reconnecting or request.mid_flow or server.connections or warming_up(state, server):
         return False
     expected = state.now < state.reconnects_expected_until
-    return not expected and state.rng.random() < UNKNOWN_SERVER_SKIP_PROBABILITY
+    return not expected and state.rng.random() < UNOBSERVED_SERVER_SKIP_PROBABILITY
 
 
-def _admits(state: RoutingState, server: ServerRecord | None, flow: FlowRecord) -> bool:
+def _try_admit_flow(state: RoutingState, server: ServerRecord | None, flow: FlowRecord) -> bool:
     return server is not None and try_admit(state, server, flow.request.reconnecting)
 
 
 def _fallback_server(state: RoutingState, flow: FlowRecord) -> ServerRecord | None:
-    """Return a random server without restrictions, which may be outside the segment's preference order."""
+    """Return a random unrestricted server, which may be outside the segment's preference order."""
     start = int(state.rng.random() * len(state.ready))
     end = start + min(FALLBACK_CANDIDATES, len(state.ready))
     for server in (state.ready * 2)[start:end]:
@@ -105,24 +107,24 @@
 
 
 def _may_attempt(state: RoutingState, flow: FlowRecord, server: ServerRecord) -> bool:
-    """Return whether the flow may be sent to a server: not twice to one, and only if a retry is safe."""
+    """Return whether the flow may be sent to a server: at most once, and only if a retry is safe there."""
     if server.id in flow.attempted:
         return False
     previous = flow.possibly_ran_on
     if previous is None:
         return True
     service_type = state.config.service_types[flow.request.service_type]
-    match service_type.effect:
-        case Effect.IDEMPOTENT:
+    match service_type.idempotency:
+        case Idempotency.IDEMPOTENT:
             return True
-        case Effect.NON_IDEMPOTENT:
+        case Idempotency.NON_IDEMPOTENT:
             return False
-        case Effect.IDEMPOTENCY_KEY:
-            is_remembered = state.now < flow.possibly_ran_at + service_type.dedup_window
-            return is_remembered and _shares_keys(service_type.dedup_scope, server, previous)
+        case Idempotency.IDEMPOTENCY_KEY:
+            within_dedup_window = state.now < flow.possibly_ran_at + service_type.dedup_window
+            return within_dedup_window and _recognizes_keys_of(service_type.dedup_scope, server, previous)
 
 
-def _shares_keys(scope: DedupScope, server: ServerRecord, previous: ServerRecord) -> bool:
+def _recognizes_keys_of(scope: DedupScope, server: ServerRecord, previous: ServerRecord) -> bool:
     """Return whether a server recognizes the idempotency keys of flows that ran on `previous`."""
     match scope:
         case DedupScope.ALL:
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -1,6 +1,6 @@
-"""Parses the settings of a service, for all hosts of the routing decisions.
+"""Parses the settings of a service into the configuration of its director.
 
-The settings are a flat mapping from dotted paths to texts; `flatten` makes one from nested JSON. Unknown
+Settings are a flat mapping from dotted paths to strings, which `flatten` creates from nested JSON. Unknown
 settings are ignored. An invalid value raises `ConfigError` with its path. Times are in milliseconds.
 """
 
@@ -15,12 +15,12 @@
 Value = TypeVar("Value")
 
 BOOLEANS = {"true": True, "false": False}
-EFFECTS: dict[str, events.Effect] = {
-    "read_like": events.Effect.IDEMPOTENT,
-    "idempotency_key": events.Effect.IDEMPOTENCY_KEY,
-    "non_idempotent": events.Effect.NON_IDEMPOTENT,
+IDEMPOTENCY_SETTINGS: dict[str, events.Idempotency] = {
+    "read_like": events.Idempotency.IDEMPOTENT,
+    "idempotency_key": events.Idempotency.IDEMPOTENCY_KEY,
+    "non_idempotent": events.Idempotency.NON_IDEMPOTENT,
 }
-DEFAULT_EFFECT = "non_idempotent"  # a flow of it never runs twice
+DEFAULT_IDEMPOTENCY_SETTING = "non_idempotent"  # the safest one: such a flow never runs twice
 STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that do not change between endpoint lists
 DEFAULT_POLL_INTERVAL_MS = 10_000.0
 LATENCY_OBJECTIVES_PATH = "family_info.message_aim"
@@ -44,7 +44,7 @@
 
 
 def look_up(table: Mapping[Key, Value], key: Key, kind: str) -> Value:
-    """Return the value of a key; raises `UnknownNameError`, which calls the key a `kind`."""
+    """Return the value of a key; if it is missing, raise `UnknownNameError`, which calls it a `kind`."""
     try:
         return table[key]
     except KeyError:
@@ -52,7 +52,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield each value of nested JSON as a text, with its dotted path; a list's length is under `.count`.
+    """Yield the dotted path and the text of each value of nested JSON; a list's length is under `.count`.
 
     >>> dict(flatten({"a": {"b": True, "c": None}, "d": [{"e": 1.5}], "f": ["x", "y"]}))
     {'a.b': 'true', 'd.count': '1', 'd.0.e': '1.5', 'f.count': '2', 'f.0': 'x', 'f.1': 'y'}
@@ -87,16 +87,16 @@
     return events.ServiceConfig(
         service_types=service_types,
         instance_index=int(_parse_setting(settings, "me")),
-        instance_count=int(_parse_setting(settings, "siblings", 1, least=1)),
+        instance_count=int(_parse_setting(settings, "siblings", 1, minimum=1)),
         groups_share_work=_parse_boolean(settings, "family_info.groups"),
         trusts_weights=settings.get("weights", "silent") in STABLE_WEIGHTS,
         reports_latency=_parse_boolean(settings, "family_info.tells_delay"),
         latency_objective=latency_objective,
         polls_discovery=settings.get("discovery") == "ask",
         poll_interval=_parse_setting(settings, "rules.ask_every", DEFAULT_POLL_INTERVAL_MS),
-        max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, least=1)),
+        max_attempts=int(_parse_setting(settings, "limits.max_connects", 1, minimum=1)),
         max_retry_after=_parse_max_retry_after(settings),
-        slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, most=1.0),
+        slow_start_share=_parse_setting(settings, "rules.cold_from", 1.0, maximum=1.0),
         slow_start_duration=_parse_setting(settings, "rules.warm_after"),
         slow_start_burst=_parse_setting(settings, "rules.tip_multiple", 1.0),
     )
@@ -112,17 +112,17 @@
 
 
 def _parse_service_type(settings: Mapping[str, str], prefix: str) -> events.ServiceType:
-    effect = settings.get(f"{prefix}.effect", DEFAULT_EFFECT)
+    idempotency = settings.get(f"{prefix}.effect", DEFAULT_IDEMPOTENCY_SETTING)
     return events.ServiceType(
         setup_target=_parse_setting(settings, f"{prefix}.setup_target"),
-        effect=_parse_choice(EFFECTS, effect, f"{prefix}.effect"),
+        idempotency=_parse_choice(IDEMPOTENCY_SETTINGS, idempotency, f"{prefix}.effect"),
         dedup_scope=_parse_dedup_scope(settings.get(f"{prefix}.group", "all")),
         dedup_window=_parse_setting(settings, f"{prefix}.window"),
     )
 
 
 def _parse_dedup_scope(text: str) -> events.DedupScope:
-    """Parse the servers that recognize a repeated key; none for an unknown text."""
+    """Parse a deduplication scope; an unknown text means that no server recognizes a repeated key."""
     try:
         return events.DedupScope(text)
     except ValueError:
@@ -130,19 +130,19 @@
 
 
 def _parse_latency_objective(settings: Mapping[str, str]) -> float:
-    """Return the strictest of the service types' objectives; 0 if none is set.
+    """Return the strictest latency objective of the service types; 0 if none is set.
 
-    The simulator joins them with commas; in nested JSON they are a list.
+    The simulator joins the objectives with commas; in nested JSON they are a list.
     """
     path = LATENCY_OBJECTIVES_PATH
     texts = settings.get(path, "").split(",")
     for index in range(int(_parse_setting(settings, f"{path}.count"))):
         texts.append(settings.get(f"{path}.{index}", ""))
-    return min((_parse_amount(path, text) for text in texts if text), default=0.0)
+    return min((_parse_bounded_number(path, text) for text in texts if text), default=0.0)
 
 
 def _parse_max_retry_after(settings: Mapping[str, str]) -> float:
-    """Return the longest Retry-After that clients honour; 0 if they ignore it."""
+    """Return the longest Retry-After that clients honour; 0 if they ignore Retry-After."""
     if not _parse_boolean(settings, "limits.retry_after"):
         return 0.0
     return _parse_setting(settings, "limits.max_retry_after")
@@ -156,24 +156,28 @@
     try:
         return look_up(choices, text, "value")
     except UnknownNameError as error:
-        raise ConfigError(f"{path}: {error}; give one of {', '.join(choices)}") from None
+        raise ConfigError(f"{path}: {error}; must be one of {', '.join(choices)}") from None
 
 
 def _parse_setting(
-    settings: Mapping[str, str], path: str, default: float = 0.0, least: float = 0.0, most: float = math.inf
+    settings: Mapping[str, str],
+    path: str,
+    default: float = 0.0,
+    minimum: float = 0.0,
+    maximum: float = math.inf,
 ) -> float:
     if path not in settings:
         return default
-    return _parse_amount(path, settings[path], least, most)
+    return _parse_bounded_number(path, settings[path], minimum, maximum)
 
 
-def _parse_amount(path: str, text: str, least: float = 0.0, most: float = math.inf) -> float:
+def _parse_bounded_number(path: str, text: str, minimum: float = 0.0, maximum: float = math.inf) -> float:
     try:
         value = parse_number(text)
     except MalformedNumberError as error:
         raise ConfigError(f"{path}: {error}") from None
-    if value < least:
-        raise ConfigError(f"{path}: {value:g} is too small; give at least {least:g}")
-    if value > most:
-        raise ConfigError(f"{path}: {value:g} is too large; give at most {most:g}")
+    if value < minimum:
+        raise ConfigError(f"{path}: {value:g} is too small; must be at least {minimum:g}")
+    if value > maximum:
+        raise ConfigError(f"{path}: {value:g} is too large; must be at most {maximum:g}")
     return value
--- a/tests/test_failure_detection.py
+++ b/tests/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: servers that fail connections."""
+"""Outlier ejection of servers whose connections fail."""
 
 from director_host import FakeHost, actions_of
 
@@ -7,11 +7,11 @@
 
 def test_an_unreachable_server_is_ejected_for_some_seconds():
     host = FakeHost()
-    dead = host.request().server
-    host.end(events.Connect(1, dead), events.ConnectionResult.UNREACHABLE)
-    assert host.request().server != dead
+    unreachable = host.request().server
+    host.end(events.Connect(1, unreachable), events.ConnectionResult.UNREACHABLE)
+    assert host.request().server != unreachable
     host.now += 6001.0
-    assert host.request().server == dead
+    assert host.request().server == unreachable
 
 
 def test_flows_are_still_connected_when_all_servers_are_ejected():
@@ -24,8 +24,8 @@
     assert isinstance(host.request(), events.Connect)
 
 
-def test_an_isolated_timeout_among_many_set_ups_limits_no_server():
-    # With long-tailed set-up times a healthy server causes a timeout now and then.
+def test_isolated_timeouts_among_many_set_ups_cause_no_rejections():
+    # If set-up times have a long tail, even a healthy server causes an occasional timeout.
     host = FakeHost(2)
     for index in range(200):
         connect = host.request(f"key{index}")
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -1,4 +1,4 @@
-"""Segments: default servers, replicas, rebalancing."""
+"""Segments: default servers, replicas and rebalancing."""
 
 import random
 from collections import Counter
@@ -21,10 +21,10 @@
 def test_a_small_group_has_one_replica_and_a_large_one_spreads_over_its_preference_order():
     host = FakeHost(40, groups_share_work=True)
     for index in range(60):
-        host.establish(f"key-{index}", group=f"yard-{index}")
-    assert len({host.establish(key, group="silo").server for key in KEYS[:2]}) == 1
-    port = [host.establish(key, group="port").server for key in KEYS[:40]]
-    assert 4 <= len(set(port)) <= 8 and len(set(port[:2])) == 1
+        host.establish(f"key-{index}", group=f"group-{index}")
+    assert len({host.establish(key, group="small-group").server for key in KEYS[:2]}) == 1
+    large_group_servers = [host.establish(key, group="large-group").server for key in KEYS[:40]]
+    assert 4 <= len(set(large_group_servers)) <= 8 and len(set(large_group_servers[:2])) == 1
 
 
 def test_rebalancing_reassigns_one_segment_and_mid_flow_arrivals_keep_the_default():
@@ -47,38 +47,38 @@
     host = FakeHost(2)
     for key in keys[:20]:
         host.establish(key)
-    host.advance(5_000.0 + 10_000.0)  # New servers take no part in rebalancing for 10 s.
+    host.advance(5_000.0 + 10_000.0)  # New servers are excluded from rebalancing for 10 s.
     assert len([key for key in keys if host.request(key).server == "s1"]) >= 4
 
 
 def test_a_group_is_assigned_to_the_server_of_its_existing_connections():
-    # Otherwise the group would cost work on that server and on its default one.
+    # Otherwise the group would cost work both on that server and on its default server.
     host = FakeHost(groups_share_work=True)
-    default = host.request(group="yard").server
+    default = host.request(group="group").server
     other = next(server for server in ("s0", "s1", "s2") if server != default)
     host = FakeHost(groups_share_work=True)
-    host.decide(events.ExistingConnection(events.FlowRequest(99, "live", None, "yard", "k", 1800.0), other))
-    assert host.request(group="yard").server == other
+    host.decide(events.ExistingConnection(events.FlowRequest(99, "live", None, "group", "k", 1800.0), other))
+    assert host.request(group="group").server == other
     host.update_endpoints(events.Server(other, state=events.EndpointState.DRAINING))
-    assert host.request(group="yard").server != other
+    assert host.request(group="group").server != other
 
 
-def test_the_prefiltered_preference_order_of_a_large_fleet_is_the_complete_one():
-    # Incident i781c5a: ranking all servers for each segment takes too much CPU time.
+def test_the_prefiltered_preference_order_of_a_large_fleet_equals_the_unfiltered_one():
+    # Incident i781c5a: ranking all servers for each segment took too much CPU time.
     host, rng = FakeHost(0), random.Random(5)
     host.update_endpoints(
-        *(events.Server(f"s{index}", size=rng.choice((0.7, 1.0, 2.0))) for index in range(90))
+        *(events.Server(f"s{index}", weight=rng.choice((0.7, 1.0, 2.0))) for index in range(90))
     )
     state = host.director.state
     filtered = [segments.preference_order(state, segment) for segment in range(200)]
     state.preference_orders.clear()
-    state.total_size = 1e-9  # Now no server is filtered out.
+    state.total_weight = 1e-9  # Now no server is filtered out.
     assert filtered == [segments.preference_order(state, segment) for segment in range(200)]
     assert all(len(set(map(id, order))) == 8 for order in filtered)
 
 
-def test_without_latency_reports_a_server_of_the_first_list_takes_a_segment_at_once():
-    # With latency reports a server of the first list takes no part in rebalancing for 10 s either.
+def test_without_latency_reports_a_server_of_the_first_list_is_assigned_a_segment_at_once():
+    # With latency reports, even a server of the first list is excluded from rebalancing for 10 s.
     for reports_latency, is_reassigned in (False, True), (True, False):
         host = FakeHost(2)
         keys = [key for key in KEYS if host.request(key).server == "s0"]
@@ -89,15 +89,15 @@
         assert any(host.request(key).server == "s1" for key in keys) == is_reassigned
 
 
-def test_a_server_of_twice_the_size_gets_four_times_the_segments():
+def test_a_server_of_twice_the_weight_gets_four_times_the_segments():
     host = FakeHost(0)
-    host.update_endpoints(*(events.Server(f"s{index}", size=2.0 + 2.0 * (index < 4)) for index in range(8)))
+    host.update_endpoints(*(events.Server(f"s{index}", weight=2.0 + 2.0 * (index < 4)) for index in range(8)))
     got = Counter(host.request(f"key-{index}").server in ("s0", "s1", "s2", "s3") for index in range(1000))
     assert 720 <= got[True] <= 880
 
 
-def test_each_of_few_groups_has_several_replicas():
-    # The few open flows of a balancer do not show how few groups there are; its recent flows do.
+def test_groups_get_several_replicas_if_recent_flows_show_few_groups():
+    # A balancer with few open flows can only tell from its recent flows that there are few groups.
     def spread_fraction(groups):
         host, rng = FakeHost(60, instance_count=200, groups_share_work=True), random.Random(1)
         for n in range(20):
@@ -107,7 +107,7 @@
                 final=True,
             )
         found = [
-            segments.register(
+            segments.register_flow(
                 host.director.state, events.FlowRequest(-n, "live", None, f"g{n}", f"c{n}", 0.0)
             )
             for n in range(groups)
