--- a/lotusroute/process_control/__init__.py
+++ b/lotusroute/process_control/__init__.py
@@ -1,4 +1,5 @@
-"""Starts processes of the program on loopback for fault injection, capacity runs, benchmarks and tests.
+"""Starts, stops and observes child processes on the loopback interface.
 
-The balancer itself never imports this package. Times are in seconds unless a name has another unit.
+It is used by fault injection, capacity runs, benchmarks and tests; the balancer itself never imports this
+package. Times are in seconds unless a name has another unit.
 """
--- a/lotusroute/process_control/config_files.py
+++ b/lotusroute/process_control/config_files.py
@@ -1,7 +1,6 @@
-"""Writes the configuration files of processes: a balancer's, a fleet's, and the one that names the relays.
+"""Writes the configuration files of processes: the balancer's, the fleet's and the list of relays.
 
-The keys are those of the files that the program reads (`lotusroute.net.config`, `lotusroute.fleet.config`,
-`lotusroute.relay.config`).
+The keys are those that `lotusroute.net.config`, `lotusroute.fleet.config` and `lotusroute.relay.config` read.
 """
 
 import json
@@ -14,17 +13,17 @@
 JsonValue = None | bool | int | float | str | Sequence["JsonValue"] | Mapping[str, "JsonValue"]
 JsonObject = Mapping[str, JsonValue]
 
-EMPTY_LIST: JsonObject = {"seq": 0, "hosts": []}  # an endpoint list as it is cached in the configuration
+EMPTY_LIST: JsonObject = {"seq": 0, "hosts": []}  # cached in the configuration
 
 
 def endpoint_entry(name: str, port: int, health: str = "SERVING") -> dict[str, JsonValue]:
-    """Return a server on loopback in the form in which discovery lists it."""
+    """Return an entry of the endpoint list for a server on the loopback interface."""
     return {"host": name, "dial": f"127.0.0.1:{port}", "health": health, "share": 1.0, "born_ms": 0}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BalancerConfig:
-    """The configuration of a balancer."""
+    """The configuration of one balancer, written as JSON; options that are None are left out."""
 
     name: str
     listen: Address
@@ -35,7 +34,7 @@
     cached_list: JsonObject = field(default_factory=lambda: EMPTY_LIST)
 
     def document(self) -> dict[str, JsonValue]:
-        """Return the document that the configuration file holds."""
+        """Return the contents of the configuration file as a JSON object."""
         document: dict[str, JsonValue] = {
             "name": self.name,
             "listen": str(self.listen),
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetConfig:
-    """The configuration of one member of a fleet; what is None is left to the program's default."""
+    """The fleet configuration of one process, written as TOML; options that are None keep their defaults."""
 
     name: str
     acceptors: Sequence[str]
@@ -84,11 +83,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelaysConfig:
-    """The configuration that names the relays to a balancer."""
+    """The list of relays for one balancer, written as TOML."""
 
     name: str
-    zone: str  # the balancer's
-    relays: Mapping[str, Mapping[str, Address]]  # by zone and name
+    zone: str  # of the balancer
+    relays: Mapping[str, Mapping[str, Address]]  # address by zone and relay name
 
     def write(self, file: pathlib.Path) -> str:
         """Write the configuration file; returns its path."""
@@ -100,13 +99,13 @@
 
 
 def write_json(file: pathlib.Path, document: JsonObject) -> str:
-    """Write a document to a file; returns the file's path."""
+    """Write a JSON object to a file; returns the file's path."""
     file.write_text(json.dumps(document), encoding="utf-8")
     return str(file)
 
 
 def _toml_pair(key: str, value: JsonValue) -> str:
-    """Return a line of TOML, in which strings, numbers and lists are written as in JSON."""
+    """Return a key-value line of TOML, whose strings, numbers and arrays have the syntax of JSON."""
     return f"{key} = {json.dumps(value)}"
 
 
--- a/lotusroute/process_control/discovery_server.py
+++ b/lotusroute/process_control/discovery_server.py
@@ -1,6 +1,6 @@
-"""A discovery on loopback that runs on threads of this process, for tests and benchmarks.
+"""A discovery service on the loopback interface, run on threads of the current process.
 
-Capacity runs have a discovery in a process of its own instead (`lotusroute.capacity.discovery_stub`).
+It serves tests and benchmarks. Capacity runs use `lotusroute.capacity.discovery_stub`, a separate process.
 """
 
 import contextlib
@@ -16,46 +16,46 @@
 from lotusroute.process_control.config_files import JsonObject
 from lotusroute.process_control.free_ports import LOOPBACK
 
-CHECK_INTERVAL_S = 0.01  # at which a long poll checks for a change
+CHECK_INTERVAL_S = 0.01  # between two checks of a long poll for a change of the list
 
 
 class Poll(NamedTuple):
     """A request for the endpoint list."""
 
-    version: str | None  # that the client has; None: it asks for the complete list
-    deadline: float  # until when the client waits for a change, s of time.monotonic()
+    version: str | None  # of the client's list; None if it has none and needs the complete list
+    deadline: float  # latest time of the answer, in s of time.monotonic()
 
     @property
     def known_version(self) -> int:
-        """The version that the client has, as a number; -1 for none."""
+        """The version of the client's list as a number; -1 if it has none."""
         return -1 if self.version is None else int(self.version)
 
 
 class DiscoveryHandler(http.server.BaseHTTPRequestHandler):
-    """Answers the polls of one connection."""
+    """Answers the polls that arrive on one connection."""
 
     protocol_version = "HTTP/1.1"
     server: "DiscoveryServer"
 
     def do_GET(self) -> None:
-        """Answer one request."""
+        """Answer a poll for the endpoint list."""
         query = dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(self.path).query))
         hold_s = float(query.get("hold_ms", "0")) / 1000
         self.answer_poll(Poll(query.get("from"), time.monotonic() + hold_s))
 
     def answer_poll(self, poll: Poll) -> None:
-        """Wait until there is a change or the poll's deadline, and send the list."""
+        """Hold the poll until the list changes or the deadline passes, then send the answer."""
         while not self.can_answer(poll):
             time.sleep(CHECK_INTERVAL_S)
         self.send_list(poll)
 
     def can_answer(self, poll: Poll) -> bool:
-        """Return whether there is a list, and either a change to it or no time left."""
+        """Return whether a list exists that is newer than the client's, or any list after the deadline."""
         sequence = self.server.seq
         return sequence > 0 and (sequence > poll.known_version or time.monotonic() >= poll.deadline)
 
     def send_list(self, poll: Poll) -> None:
-        """Send the servers if they have changed, or else a list without any."""
+        """Send the current entries if they are newer than the client's list, otherwise no entries."""
         entries = self.server.entries if self.server.seq > poll.known_version else []
         document = {"seq": self.server.seq, "whole": poll.version is None, "hosts": entries}
         body = json.dumps(document).encode()
@@ -66,11 +66,11 @@
             self.wfile.write(body)
 
     def log_message(self, *_: object) -> None:
-        """Log nothing."""
+        """Discard the access log."""
 
 
 class DiscoveryServer(http.server.ThreadingHTTPServer):
-    """A discovery on a free port. Its list may be changed while it runs; `shutdown` ends it."""
+    """A discovery service on a free port; `publish` changes its list and `shutdown` stops it."""
 
     daemon_threads = True
 
@@ -82,15 +82,15 @@
     ) -> None:
         super().__init__((LOOPBACK, 0), handler)
         self.entries = entries
-        self.seq = version  # of the list; 0: no poll is answered
+        self.seq = version  # of the list; while it is 0, no poll is answered
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that the server listens on."""
         return Address(LOOPBACK, self.server_port)
 
     def publish(self, entries: Sequence[JsonObject]) -> None:
-        """Make these entries the next version of the list."""
+        """Replace the entries and increase the version of the list by 1."""
         self.entries = entries
         self.seq += 1
--- a/lotusroute/process_control/errors.py
+++ b/lotusroute/process_control/errors.py
@@ -1,18 +1,18 @@
-"""The errors of controlled processes."""
+"""Errors of starting and observing child processes."""
 
 from collections.abc import Sequence
 
 from lotusroute.errors import LotusrouteError
 
-LINES_SHOWN = 20  # in a message
+LINES_SHOWN = 20  # last log lines included in an error message
 
 
 class ProcessControlError(LotusrouteError):
-    """A controlled process did not do what its controller waited for."""
+    """A child process did not reach an expected state."""
 
 
 class LogTimeoutError(ProcessControlError):
-    """What was awaited in a log was not seen before the timeout."""
+    """An expected log line did not appear before the timeout."""
 
     def __init__(self, awaited: str, timeout: float, lines: Sequence[object]) -> None:
         super().__init__(
@@ -23,7 +23,7 @@
 
 
 class ProcessEndedError(ProcessControlError):
-    """A process ended before what was awaited in its log was seen."""
+    """A process exited before an expected log line appeared."""
 
     def __init__(self, awaited: str, exit_code: int | None, lines: Sequence[object]) -> None:
         super().__init__(
@@ -35,7 +35,7 @@
 
 
 class NotReadyError(ProcessControlError):
-    """A balancer did not answer a health check before the timeout."""
+    """No balancer on a port answered a health check before the timeout."""
 
     def __init__(self, port: int, timeout: float) -> None:
         super().__init__(f"port {port}: no balancer answered a health check within {timeout:g} s")
--- a/lotusroute/process_control/free_ports.py
+++ b/lotusroute/process_control/free_ports.py
@@ -1,4 +1,4 @@
-"""Finds ports on loopback for processes that are still to start."""
+"""Finds free loopback ports for processes that have yet to be started."""
 
 import collections
 import contextlib
@@ -7,16 +7,16 @@
 from collections.abc import Sequence
 
 LOOPBACK = "127.0.0.1"
-# Below the range from which the system assigns ports: it gives none of these to another program's connection
-# or listener before the process that the port is meant for has started.
+# Below the ephemeral range of the operating system. A port from that range could be assigned to a connection
+# or listener of another program before the process that it was allocated for has started.
 ALLOCATED_PORTS = range(10_000, 32_000)
-REMEMBERED_PORTS = 1_000
+REMEMBERED_PORTS = 1_000  # most recent allocations, which are not repeated
 
 
 class PortAllocator:
-    """Allocates ports that are free and were not allocated lately, as their processes may still be starting.
+    """Allocates free ports, except recently allocated ones, whose processes may still be starting.
 
-    Allocators of processes that run at the same time should have ports of their own.
+    Allocators in processes that run at the same time should be given disjoint ports.
     """
 
     def __init__(self, ports: Sequence[int] = ALLOCATED_PORTS) -> None:
@@ -25,7 +25,7 @@
         self._rng = random.SystemRandom()
 
     def allocate(self) -> int:
-        """Return a port on which nobody listens."""
+        """Return a port that no process listens on."""
         while True:
             port = self._rng.choice(self._ports)
             if port in self._recent_ports:
@@ -36,7 +36,7 @@
 
 
 def system_assigned_port() -> int:
-    """Return a port on which nobody listens; the system may assign it again before it is used."""
+    """Return a free ephemeral port; the operating system may assign it again before the caller uses it."""
     with socket.create_server((LOOPBACK, 0)) as listener:
         port: int = listener.getsockname()[1]
         return port
--- a/lotusroute/process_control/log_fields.py
+++ b/lotusroute/process_control/log_fields.py
@@ -2,12 +2,12 @@
 
 import re
 
-COUNTERS_EVENT = "event=counters"  # is contained in the line that a process logs on SIGUSR1
+COUNTERS_EVENT = "event=counters"  # part of the line that a process logs on SIGUSR1
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 
 
 def parse_fields(line: str) -> dict[str, str]:
-    """Return all fields of a log line; a line without any gives none.
+    """Return all fields of a log line, or an empty dictionary if it has none.
 
     >>> parse_fields('mono=12.500 event="lease acquired" task=watch')
     {'mono': '12.500', 'event': 'lease acquired', 'task': 'watch'}
@@ -16,7 +16,7 @@
 
 
 def log_field(line: str, key: str) -> str:
-    """Return one field of a log line that has it.
+    """Return one field of a log line; raises KeyError if the line lacks it.
 
     >>> log_field("time=12.500 level=info event=changed change=3", "change")
     '3'
@@ -25,7 +25,7 @@
 
 
 def parse_counters(line: str) -> dict[str, int]:
-    """Return the counters of a line that a process logged on SIGUSR1.
+    """Return the counters, all fields with integer values, of the line that a process logs on SIGUSR1.
 
     >>> parse_counters("time=12.500 level=info event=counters connects=3 flows=2")
     {'connects': 3, 'flows': 2}
--- a/lotusroute/process_control/log_follower.py
+++ b/lotusroute/process_control/log_follower.py
@@ -1,4 +1,4 @@
-"""Follows the log of a process on a thread, and lets other threads wait for what it says."""
+"""Reads the log of a process on a background thread and lets other threads wait for its lines."""
 
 import contextlib
 import threading
@@ -11,9 +11,9 @@
 
 
 class WaitableList(Generic[Item]):
-    """A list that one thread appends to while others read it or wait for its contents.
+    """A list that one thread appends to while other threads read it or wait for its items.
 
-    It is never shortened: its size is bounded by the duration of a run.
+    Items are never removed: the size of the list is bounded only by the duration of a run.
     """
 
     def __init__(self) -> None:
@@ -24,20 +24,20 @@
         return len(self._items)
 
     def append(self, item: Item) -> None:
-        """Append an item and wake the threads that wait."""
+        """Append an item and wake all waiting threads."""
         with self._changed:
             self._items.append(item)
             self._changed.notify_all()
 
     def copy(self) -> list[Item]:
-        """Return all items up to now."""
+        """Return a copy of the current items."""
         with self._changed:
             return list(self._items)
 
     def wait_for(self, condition: Callable[[list[Item]], Result | None], timeout: float) -> Result | None:
-        """Wait until `condition` of all items returns something true, and return that.
+        """Wait until `condition`, called with all items, returns a true value, and return that value.
 
-        Return None where it did not within `timeout` seconds. `condition` must not change the items.
+        Returns None after `timeout` seconds. `condition` must not change the items.
         """
         deadline = time.monotonic() + timeout
         with self._changed:
@@ -50,13 +50,13 @@
 
 
 def follow_lines(stream: IO[str], on_line: Callable[[str], object]) -> threading.Thread:
-    """Call `on_line` with each line of a stream, on a new thread that ends with the stream."""
+    """Call `on_line` with each line of a stream, on a new thread that ends at the end of the stream."""
     thread = threading.Thread(target=_read_lines, args=(stream, on_line), daemon=True)
     thread.start()
     return thread
 
 
 def _read_lines(stream: IO[str], on_line: Callable[[str], object]) -> None:
-    with contextlib.suppress(ValueError):  # raised where the stream was closed
+    with contextlib.suppress(ValueError):  # raised if another thread closes the stream
         for line in stream:
             on_line(line)
--- a/lotusroute/process_control/logged_process.py
+++ b/lotusroute/process_control/logged_process.py
@@ -1,4 +1,4 @@
-"""A process whose log, its standard error, is followed while it runs."""
+"""A child process whose log is read from its standard error while it runs."""
 
 import dataclasses
 import signal
@@ -12,12 +12,12 @@
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import ProcessOptions, start_process
 
-TIMEOUT_S = 20.0  # for a log line or the end of a process
-END_CHECK_INTERVAL_S = 0.5  # at which a wait for a log line checks whether the process has ended
+TIMEOUT_S = 20.0  # for a log line to appear or for a process to exit
+END_CHECK_INTERVAL_S = 0.5  # how often a wait for a log line checks that the process still runs
 
 
 class LoggedProcess:
-    """A process and the lines of its log. As a context manager it kills the process at the end."""
+    """A process and the lines of its log; as a context manager, it kills the process on exit."""
 
     def __init__(self, command: Sequence[str], options: ProcessOptions | None = None) -> None:
         options = dataclasses.replace(options or ProcessOptions(), stderr=subprocess.PIPE)
@@ -34,13 +34,13 @@
 
     @property
     def lines(self) -> list[str]:
-        """All lines logged up to now."""
+        """The lines logged so far."""
         return self._lines.copy()
 
     def wait_for_line(self, text: str, start: int = 0, timeout: float = TIMEOUT_S) -> str:
-        """Return the first log line from index `start` on that contains a text.
+        """Wait for a log line that contains a text, and return the first one at or after index `start`.
 
-        Raises LogTimeoutError, or ProcessEndedError where the process ends without such a line.
+        Raises LogTimeoutError after `timeout`, and ProcessEndedError if the process exits first.
         """
         deadline = time.monotonic() + timeout
         while True:
@@ -58,11 +58,11 @@
                 raise LogTimeoutError(f"'{text}'", timeout, self.lines)
 
     def is_running(self) -> bool:
-        """Return whether the process has not ended."""
+        """Return whether the process has not exited yet."""
         return self.process.poll() is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send the process a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
     def signal_and_wait(self, number: signal.Signals, text: str) -> str:
@@ -72,11 +72,11 @@
         return self.wait_for_line(text, start)
 
     def counters(self) -> dict[str, int]:
-        """Return all counters of the process, which has to handle SIGUSR1 already."""
+        """Return the counters of the process, which must have installed its handler of SIGUSR1."""
         return parse_counters(self.signal_and_wait(signal.SIGUSR1, COUNTERS_EVENT))
 
     def stop(self, number: signal.Signals = signal.SIGKILL) -> None:
-        """End the process with a signal, if it runs, and wait for its end."""
+        """Send a signal to the process if it runs, and wait until it has exited."""
         if self.is_running():
             self.send_signal(number)
         self.process.wait(TIMEOUT_S)
--- a/lotusroute/process_control/process_start.py
+++ b/lotusroute/process_control/process_start.py
@@ -1,4 +1,4 @@
-"""Starts a process. All other modules start processes of the program through this one."""
+"""Starts child processes; all other modules use this one to start lotusroute processes."""
 
 import os
 import pathlib
@@ -9,28 +9,30 @@
 from typing import IO
 
 PROGRAM = "lotusroute"
-Stream = int | IO[str] | IO[bytes] | None  # as `subprocess` takes them; None: the stream of this process
+Stream = (
+    int | IO[str] | IO[bytes] | None
+)  # as in `subprocess.Popen`; None inherits the stream of the current process
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessOptions:
-    """Where and how a process runs."""
+    """The environment, working directory and standard streams of a new process."""
 
-    environment: Mapping[str, str] = field(default_factory=dict)  # in addition to this process's own
-    working_folder: pathlib.Path | None = None  # None: the one of this process
-    initialize: Callable[[], object] | None = None  # called in the new process before its program starts
+    environment: Mapping[str, str] = field(default_factory=dict)  # added to the inherited environment
+    working_folder: pathlib.Path | None = None  # None inherits the current one
+    initialize: Callable[[], object] | None = None  # called in the child process before the exec call
     stdin: Stream = None
     stdout: Stream = None
     stderr: Stream = None
 
 
 def module_command(module: str, *arguments: str) -> list[str]:
-    """Return the command that runs a Python module with the interpreter of this process."""
+    """Return the command that runs a Python module with the current interpreter."""
     return [sys.executable, "-m", module, *arguments]
 
 
 def start_process(command: Sequence[str], options: ProcessOptions) -> subprocess.Popen[str]:
-    """Start a process whose pipes carry text. The caller ends it and waits for it."""
+    """Start a process with text-mode pipes; the caller must stop it and wait for it."""
     return subprocess.Popen(
         command,
         cwd=options.working_folder,
--- a/lotusroute/process_control/readiness.py
+++ b/lotusroute/process_control/readiness.py
@@ -8,11 +8,14 @@
 from lotusroute.process_control.free_ports import LOOPBACK
 
 CHECK_INTERVAL_S = 0.02
-CHECK_TIMEOUT_S = 1.0  # of each step of one health check
+CHECK_TIMEOUT_S = 1.0  # of each socket operation of a health check
 
 
 def wait_until_ready(port: int, timeout: float, check_timeout: float = CHECK_TIMEOUT_S) -> None:
-    """Wait until the balancer at a port of loopback answers a health check; raises NotReadyError."""
+    """Wait until the balancer on a loopback port answers a health check.
+
+    Raises NotReadyError after `timeout` seconds.
+    """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         if answers_health_check(port, check_timeout):
@@ -22,7 +25,7 @@
 
 
 def answers_health_check(port: int, check_timeout: float = CHECK_TIMEOUT_S) -> bool:
-    """Return whether the balancer at a port of loopback answers a health check in time."""
+    """Return whether the balancer on a loopback port answers a health check in time."""
     with (
         contextlib.suppress(OSError),
         socket.create_connection((LOOPBACK, port), check_timeout) as connection,
