--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -194,7 +194,7 @@
         """
         result = self._records.wait_for(condition, timeout)
         if result is None:
-            raise LogTimeoutError("the awaited records", timeout, self.records)
+            raise LogTimeoutError("matching log records", timeout, self.records)
         return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
--- a/lotusroute/process_control/errors.py
+++ b/lotusroute/process_control/errors.py
@@ -16,7 +16,8 @@
 
     def __init__(self, awaited: str, timeout: float, lines: Sequence[object]) -> None:
         super().__init__(
-            f"{awaited} not seen within {timeout:g} s; the last lines:\n{_format_last_lines(lines)}"
+            f"timed out after {timeout:g} s waiting for {awaited}; last lines of the log:\n"
+            f"{_format_last_lines(lines)}"
         )
         self.awaited = awaited
         self.timeout = timeout
@@ -27,8 +28,8 @@
 
     def __init__(self, awaited: str, exit_code: int | None, lines: Sequence[object]) -> None:
         super().__init__(
-            f"{awaited} not seen before the process ended with {exit_code}; "
-            f"the last lines:\n{_format_last_lines(lines)}"
+            f"process exited with code {exit_code} before logging {awaited}; last lines of the log:\n"
+            f"{_format_last_lines(lines)}"
         )
         self.awaited = awaited
         self.exit_code = exit_code
@@ -38,7 +39,7 @@
     """No balancer on a port answered a health check before the timeout."""
 
     def __init__(self, port: int, timeout: float) -> None:
-        super().__init__(f"port {port}: no balancer answered a health check within {timeout:g} s")
+        super().__init__(f"port {port}: no answer to a health check within {timeout:g} s")
         self.port = port
         self.timeout = timeout
 
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -96,7 +96,7 @@
 
 def test_a_wait_for_a_line_ends_with_the_process_and_shows_its_log():
     process = LoggedProcess(script_command("import sys; sys.exit('no configuration')"))
-    message = "'ready' not seen before the process ended with 1; the last lines:\nno configuration"
+    message = "process exited with code 1 before logging 'ready'; last lines of the log:\nno configuration"
     with pytest.raises(ProcessEndedError, match=message) as error:
         process.wait_for_line("ready")
     assert error.value.exit_code == 1
