--- a/lotusroute/process_control/config_files.py
+++ b/lotusroute/process_control/config_files.py
@@ -13,7 +13,7 @@
 JsonValue = None | bool | int | float | str | Sequence["JsonValue"] | Mapping[str, "JsonValue"]
 JsonObject = Mapping[str, JsonValue]
 
-EMPTY_LIST: JsonObject = {"seq": 0, "hosts": []}  # cached in the configuration
+EMPTY_ENDPOINT_LIST: JsonObject = {"seq": 0, "hosts": []}  # cached in the configuration
 
 
 def endpoint_entry(name: str, port: int, health: str = "SERVING") -> dict[str, JsonValue]:
@@ -31,7 +31,7 @@
     settings: JsonObject
     seed: str | None = None
     limits: JsonObject | None = None
-    cached_list: JsonObject = field(default_factory=lambda: EMPTY_LIST)
+    cached_list: JsonObject = field(default_factory=lambda: EMPTY_ENDPOINT_LIST)
 
     def document(self) -> dict[str, JsonValue]:
         """Return the contents of the configuration file as a JSON object."""
--- a/lotusroute/process_control/free_ports.py
+++ b/lotusroute/process_control/free_ports.py
@@ -9,8 +9,8 @@
 LOOPBACK = "127.0.0.1"
 # Below the ephemeral range of the operating system. A port from that range could be assigned to a connection
 # or listener of another program before the process that it was allocated for has started.
-ALLOCATED_PORTS = range(10_000, 32_000)
-REMEMBERED_PORTS = 1_000  # most recent allocations, which are not repeated
+ALLOCATABLE_PORTS = range(10_000, 32_000)
+MAX_RECENT_PORTS = 1_000  # most recent allocations, which are not repeated
 
 
 class PortAllocator:
@@ -19,9 +19,9 @@
     Allocators in processes that run at the same time should be given disjoint ports.
     """
 
-    def __init__(self, ports: Sequence[int] = ALLOCATED_PORTS) -> None:
+    def __init__(self, ports: Sequence[int] = ALLOCATABLE_PORTS) -> None:
         self._ports = ports
-        self._recent_ports: collections.deque[int] = collections.deque(maxlen=REMEMBERED_PORTS)
+        self._recent_ports: collections.deque[int] = collections.deque(maxlen=MAX_RECENT_PORTS)
         self._rng = random.SystemRandom()
 
     def allocate(self) -> int:
--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -18,7 +18,7 @@
 from lotusroute.address import Address
 from lotusroute.process_control.config_files import BalancerConfig, JsonObject, JsonValue
 from lotusroute.process_control.errors import NotReadyError
-from lotusroute.process_control.free_ports import ALLOCATED_PORTS, LOOPBACK, PortAllocator
+from lotusroute.process_control.free_ports import ALLOCATABLE_PORTS, LOOPBACK, PortAllocator
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
 from lotusroute.process_control.readiness import wait_until_ready
 
@@ -31,7 +31,7 @@
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
 # Each worker of pytest has ports of its own: a process that takes seconds to start finds its port free.
-PORTS = PortAllocator(ALLOCATED_PORTS[WORKER::WORKER_COUNT])
+PORTS = PortAllocator(ALLOCATABLE_PORTS[WORKER::WORKER_COUNT])
 
 
 def free_port() -> int:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -11,7 +11,7 @@
 from lotusroute.fault_injection.invariants import find_violations
 from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.fault_injection.random_scenarios import run_scenario
-from lotusroute.process_control.free_ports import ALLOCATED_PORTS
+from lotusroute.process_control.free_ports import ALLOCATABLE_PORTS
 
 
 def show_leases(fleet):
@@ -29,7 +29,7 @@
             json.loads((fleet_file.parent / "config.json").read_text())["listen"],
             tomllib.loads(fleet_file.read_text())["peers"]["n1"],
         ]
-    assert {int(address.rpartition(":")[2]) in ALLOCATED_PORTS for address in addresses} == {True}
+    assert {int(address.rpartition(":")[2]) in ALLOCATABLE_PORTS for address in addresses} == {True}
 
 
 def test_a_lease_moves_on_when_its_holder_is_terminated_killed_or_paused():
