--- a/benchmarks/loopback_processes.py
+++ b/benchmarks/loopback_processes.py
@@ -99,7 +99,7 @@
         self.log_file = folder / "log"
         with self.log_file.open("w") as log:
             options = ProcessOptions(
-                environment=environment, working_folder=root, initialize=pin_to({core}), stderr=log
+                environment=environment, working_directory=root, initialize=pin_to({core}), stderr=log
             )
             self.process = start_process(module_command(PROGRAM), options)
 
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -67,7 +67,7 @@
     def __init__(
         self, build: pathlib.Path, arguments: Sequence[str] = (), environment: Mapping[str, str] | None = None
     ) -> None:
-        options = ProcessOptions(environment=environment or {}, working_folder=build)
+        options = ProcessOptions(environment=environment or {}, working_directory=build)
         super().__init__(module_command(PROGRAM, *arguments), options)
 
     def fencing_tokens(self) -> list[int]:
@@ -174,7 +174,7 @@
             acceptors=list(self._addresses),
             tasks=[task],
             peers=self._addresses,
-            state_folder=self._state_folder(name),
+            state_directory=self._state_folder(name),
             lease_ms=LEASE_MS,
             max_subscribers=MAX_SUBSCRIBERS,
         ).write(self.folder / f"{name}.toml")
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -74,7 +74,7 @@
     def _start_balancer(self, folder: pathlib.Path, name: str) -> MeasuredProcess:
         state = folder / name
         state.mkdir()
-        config = dataclasses.replace(fleet_config(self._ports, self.acceptors, LEASE), state_folder=state)
+        config = dataclasses.replace(fleet_config(self._ports, self.acceptors, LEASE), state_directory=state)
         file = config.write(folder / f"{name}.toml")
         return start_balancer(folder, name, allocate_port(), self.discovery.port, {"LB_FLEET": file})
 
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -133,7 +133,7 @@
             state.mkdir()
             config = replace(
                 fleet_config(self._relay_ports, acceptors, LEASE),
-                state_folder=state,
+                state_directory=state,
                 lease_ms=LEASE_DURATION_MS,
                 max_subscribers=MAX_SUBSCRIBERS,
             )
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -74,7 +74,7 @@
         self.log_level = log_level
         self.environments = environments or {}
         self._records: WaitableList[LogRecord] = WaitableList()
-        self._folder = tempfile.TemporaryDirectory(prefix="lotusroute-fault-injection-")
+        self._directory = tempfile.TemporaryDirectory(prefix="lotusroute-fault-injection-")
         self._ports = {name: _port_allocator.allocate() for name in self.names}
         self._running: dict[str, RunningProcess] = {}
         self.proxy = NetworkProxy(self.names, self._ports)
@@ -95,15 +95,15 @@
         for name in list(self._running):
             self.kill(name)
         self.proxy.close()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
     def start(self, name: str) -> None:
         """Start a balancer, which finds the state of an earlier process of that name."""
-        state_folder = pathlib.Path(self._folder.name, name)
-        state_folder.mkdir(exist_ok=True)
+        state_directory = pathlib.Path(self._directory.name, name)
+        state_directory.mkdir(exist_ok=True)
         environment = {
-            "LB_CONFIG": self._config(name).write(state_folder / "config.json"),
-            "LB_FLEET": self._fleet_config(name, state_folder).write(pathlib.Path(self.fleet_file(name))),
+            "LB_CONFIG": self._config(name).write(state_directory / "config.json"),
+            "LB_FLEET": self._fleet_config(name, state_directory).write(pathlib.Path(self.fleet_file(name))),
             "LB_LOG": self.log_level,
             **self.environments.get(name, {}),
         }
@@ -117,7 +117,7 @@
 
     def fleet_file(self, name: str) -> str:
         """Return the path of a balancer's fleet configuration, for commands that query the fleet."""
-        return str(pathlib.Path(self._folder.name, name, "fleet.toml"))
+        return str(pathlib.Path(self._directory.name, name, "fleet.toml"))
 
     def _config(self, name: str) -> BalancerConfig:
         return BalancerConfig(
@@ -128,7 +128,7 @@
             seed=name,
         )
 
-    def _fleet_config(self, name: str, state_folder: pathlib.Path) -> FleetConfig:
+    def _fleet_config(self, name: str, state_directory: pathlib.Path) -> FleetConfig:
         ports = {peer: self.proxy.port(Link(name, peer)) for peer in self.names if peer != name}
         ports[name] = self._ports[name]
         return FleetConfig(
@@ -136,7 +136,7 @@
             acceptors=self.acceptors,
             tasks=TASKS,
             peers={peer: Address(LOOPBACK, ports[peer]) for peer in self.names},
-            state_folder=state_folder,
+            state_directory=state_directory,
             lease_ms=self.lease_ms,
         )
 
--- a/lotusroute/process_control/config_files.py
+++ b/lotusroute/process_control/config_files.py
@@ -61,7 +61,7 @@
     acceptors: Sequence[str]
     tasks: Sequence[str]
     peers: Mapping[str, Address]
-    state_folder: pathlib.Path | None = None
+    state_directory: pathlib.Path | None = None
     lease_ms: float | None = None
     max_subscribers: int | None = None
 
@@ -71,7 +71,7 @@
             "name": self.name,
             "keepers": list(self.acceptors),
             "tasks": list(self.tasks),
-            "state": None if self.state_folder is None else str(self.state_folder),
+            "state": None if self.state_directory is None else str(self.state_directory),
             "lease_ms": self.lease_ms,
             "guests": self.max_subscribers,
         }
--- a/lotusroute/process_control/process_start.py
+++ b/lotusroute/process_control/process_start.py
@@ -19,7 +19,7 @@
     """The environment, working directory and standard streams of a new process."""
 
     environment: Mapping[str, str] = field(default_factory=dict)  # added to the inherited environment
-    working_folder: pathlib.Path | None = None  # None inherits the current one
+    working_directory: pathlib.Path | None = None  # None inherits the current one
     initialize: Callable[[], object] | None = None  # called in the child process before the exec call
     stdin: Stream = None
     stdout: Stream = None
@@ -35,7 +35,7 @@
     """Start a process with text-mode pipes; the caller must stop it and wait for it."""
     return subprocess.Popen(
         command,
-        cwd=options.working_folder,
+        cwd=options.working_directory,
         env={**os.environ, **options.environment},
         preexec_fn=options.initialize,
         stdin=options.stdin,
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -70,7 +70,7 @@
             acceptors=RELAYS,
             tasks=["origin"],
             peers=self.addresses,
-            state_folder=state_folder,
+            state_directory=state_folder,
             lease_ms=LEASE_MS,
             max_subscribers=MAX_SUBSCRIBERS,
         ).write(self._fleet_file(name))
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -58,7 +58,7 @@
     script += "; print(oct(os.umask(0)))"
     options = ProcessOptions(
         environment={"ADDED": "yes"},
-        working_folder=tmp_path,
+        working_directory=tmp_path,
         initialize=lambda: os.umask(0o077),
         stdout=subprocess.PIPE,
     )
@@ -195,7 +195,7 @@
         acceptors=names,
         tasks=["watch"],
         peers={name: Address("127.0.0.1", 9000 + index) for index, name in enumerate(names)},
-        state_folder=tmp_path,
+        state_directory=tmp_path,
         lease_ms=1_500.0,
     )
     file = tmp_path / "fleet.toml"
