--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -157,9 +157,9 @@
         self.record_fault(FaultKind.TERMINATE, target=name)
         return exit_code
 
-    def _end(self, name: str, number: signal.Signals) -> int:
+    def _end(self, name: str, signal_number: signal.Signals) -> int:
         process, log_reader = self._running.pop(name)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         exit_code = process.wait(TIMEOUT_S)
         # The invariants go by the order of the records: the whole log has to be read before the fault is
         # recorded.
--- a/lotusroute/process_control/logged_process.py
+++ b/lotusroute/process_control/logged_process.py
@@ -61,22 +61,22 @@
         """Return whether the process has not exited yet."""
         return self.process.poll() is None
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process."""
-        self.process.send_signal(number)
+        self.process.send_signal(signal_number)
 
-    def signal_and_wait(self, number: signal.Signals, text: str) -> str:
+    def signal_and_wait(self, signal_number: signal.Signals, text: str) -> str:
         """Send a signal and return the first line logged after it that contains a text."""
         start = len(self._lines)
-        self.send_signal(number)
+        self.send_signal(signal_number)
         return self.wait_for_line(text, start)
 
     def counters(self) -> dict[str, int]:
         """Return the counters of the process, which must have installed its handler of SIGUSR1."""
         return parse_counters(self.signal_and_wait(signal.SIGUSR1, COUNTERS_EVENT))
 
-    def stop(self, number: signal.Signals = signal.SIGKILL) -> None:
+    def stop(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
         """Send a signal to the process if it runs, and wait until it has exited."""
         if self.is_running():
-            self.send_signal(number)
+            self.send_signal(signal_number)
         self.process.wait(TIMEOUT_S)
