--- a/lotusroute/fault_injection/__init__.py
+++ b/lotusroute/fault_injection/__init__.py
@@ -1,1 +1,4 @@
-"""Fault injection: tests the fleet's parts with faults and checks invariants. `run` imports none of it."""
+"""Tests of a fleet under faults: fault injection into real processes, and model checkers of protocols.
+
+The balancer itself never imports this package.
+"""
--- a/lotusroute/fault_injection/fault_injector.py
+++ b/lotusroute/fault_injection/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects random faults into a fleet of processes and its network."""
+"""Injects random faults into the processes and the network of a fleet."""
 
 import random
 import time
@@ -7,6 +7,7 @@
 from lotusroute.fault_injection.network_proxy import Link
 from lotusroute.fault_injection.processes import ProcessFleet
 
+# How often each kind of fault is drawn, relative to the others.
 WEIGHTS = {
     FaultKind.KILL: 3,
     FaultKind.TERMINATE: 2,
@@ -18,26 +19,27 @@
     FaultKind.THROTTLE: 1,
     FaultKind.KILL_ACCEPTORS: 1,
 }
-HOLDER_FRACTION = 0.5  # of the faults hit the last holder of the lease
-STAYS_DOWN_FRACTION = 0.3  # of the ended processes start again only when all faults are healed
-TEMPORARY_PARTITION_FRACTION = 0.7  # of the partitions are healed at once, the others with all faults
+HOLDER_FRACTION = 0.5  # probability that a fault targets the last lease holder
+STAYS_DOWN_FRACTION = 0.3  # probability that an ended process is restarted only when all faults are healed
+# Probability that a partition is healed after one of PARTITIONS_S; the others are healed with all faults.
+TEMPORARY_PARTITION_FRACTION = 0.7
 RESTART_DELAYS_S = (0.0, 0.05)
 PAUSES_S = (0.1, 0.6, 1.5, 3.0)
 PARTITIONS_S = (0.2, 1.0, 2.5)
 LINK_DELAYS_S = (0.05, 0.3, 0.8)
-LINK_RATES = (20.0, 200.0)  # bytes a second
+LINK_RATES = (20.0, 200.0)  # bytes per second
 
 
 class FaultInjector:
-    """Injects random faults into a fleet; each method that injects one returns its description."""
+    """Injects random faults into a fleet; methods that inject a fault return a description of it."""
 
     def __init__(self, fleet: ProcessFleet, rng: random.Random) -> None:
         self.fleet = fleet
         self.rng = rng
-        self.down: set[str] = set()  # processes that were ended and not started again
+        self.down: set[str] = set()  # processes that were killed or terminated and not restarted yet
 
     def inject(self) -> str:
-        """Inject one fault that the fleet can tolerate in its present state."""
+        """Inject one random fault that the fleet can tolerate in its current state."""
         kind = self.rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
         process = self._choose_process()
         peer = self.rng.choice([name for name in self.fleet.names if name != process])
@@ -54,7 +56,7 @@
                 return self._disturb_link(kind, Link(process, peer))
 
     def heal(self) -> None:
-        """Start all processes that are down and remove all network faults."""
+        """Restart all processes that are down and remove all network faults."""
         for process in sorted(self.down):
             self.fleet.start(process)
         self.fleet.proxy.delays.clear()
@@ -66,7 +68,7 @@
         return sorted(set(self.fleet.names) - self.down)
 
     def _choose_process(self) -> str:
-        """Choose the last holder of the lease, as most can go wrong there, or any running process."""
+        """Choose the last lease holder, where faults are most likely to do harm, or any running process."""
         running = self._running()
         holders = [
             record.process
@@ -78,7 +80,7 @@
         return self.rng.choice(running)
 
     def _end_process(self, kind: FaultKind, process: str) -> str:
-        """End a process; start it again at once most of the time, and always if it is the last one."""
+        """Kill or terminate a process; in most cases, and always if no other one runs, restart it at once."""
         several_running = len(self._running()) > 1
         if kind == FaultKind.KILL:
             self.fleet.kill(process)
@@ -92,7 +94,7 @@
         return f"{kind} {process}"
 
     def _kill_acceptors(self) -> str:
-        """Kill all acceptors that run, and start each at once."""
+        """Kill all running acceptors, and restart each one at once."""
         running = self._running()
         for acceptor in self.fleet.acceptors:
             if acceptor in running:
@@ -107,7 +109,7 @@
         return f"{FaultKind.PAUSE} {process} {duration_s}"
 
     def _partition(self) -> str:
-        """Partition the fleet in two, most of the time only for a while."""
+        """Partition the fleet into two sides; most partitions are healed after a short time."""
         names = self.fleet.names
         minority = self.rng.sample(names, self.rng.randint(1, len(names) // 2))
         joined_names = ",".join(minority)
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -1,7 +1,7 @@
-"""Checks the lease invariants in the log records of a fleet, with the faults injected into it.
+"""Checks the lease invariants against the log records of a fleet and the faults injected into it.
 
-At most one process holds the lease on a task at any time, and fencing tokens grow from one holder to the
-next. Times are seconds of the clock of the process that reads the logs.
+At most one process holds the lease of a task at any time, and each holder has a higher fencing token than the
+holder before it. Times are in seconds, by the monotonic clock of the process that reads the logs.
 """
 
 from typing import NamedTuple
@@ -9,21 +9,21 @@
 from lotusroute.errors import LotusrouteError
 from lotusroute.fault_injection.log_records import INJECTOR, LEASE_ACQUIRED, LEASE_LOST, FaultKind, LogRecord
 
-MAX_READ_DELAY_S = 0.25  # from writing a record to reading it, on a busy machine
-CONTEXT_RECORDS = 20  # shown with a violation
+MAX_READ_DELAY_S = 0.25  # between the write and the read of a record, on a busy machine
+CONTEXT_RECORDS = 20  # records before a violation that are shown with it
 
 
 class InvariantViolationError(LotusrouteError):
-    """A model checker found a state that violates an invariant; the message says which."""
+    """A model checker reached a state that violates an invariant; the message describes it."""
 
 
 class Violation(NamedTuple):
-    """A violation of an invariant in log records."""
+    """A violation of an invariant, found in log records."""
 
     task: str
     time: float
     description: str
-    context: tuple[LogRecord, ...]  # the last records, up to the one that shows it
+    context: tuple[LogRecord, ...]  # the records up to and including the one that shows the violation
 
     def __str__(self) -> str:
         lines = [f"{self.task} at {self.time:.3f} s: {self.description}"]
@@ -36,9 +36,9 @@
 def find_violations(records: list[LogRecord]) -> list[Violation]:
     """Return all violations, in the order of the records.
 
-    A process is not a holder any more when it logs that it lost the lease, or when it is killed. It does not
-    count as a holder while it is paused: it does nothing then, and the acts after its pause are rejected by
-    their fencing token.
+    A process stops being a holder when it logs that it lost the lease or when it is killed. A paused process
+    does not count as a holder: it cannot act during the pause, and what it sends after the pause is rejected
+    because its fencing token is too low.
 
     >>> def record(time, process, event, **fields):
     ...     return LogRecord(time, process, event, {"task": "t", **fields})
@@ -59,17 +59,17 @@
 
 
 class _LeaseChecker:
-    """The holders after the records checked so far, and the violations in them."""
+    """Tracks the lease holders record by record and collects the violations."""
 
     def __init__(self, records: list[LogRecord]) -> None:
         self.records = records
         self.violations: list[Violation] = []
-        self.holders: dict[str, dict[str, int]] = {}  # by task, the fencing token by process
+        self.holders: dict[str, dict[str, int]] = {}  # fencing tokens by task and process
         self.highest_tokens: dict[str, int] = {}  # by task
         self.paused: set[str] = set()  # processes
 
     def check(self, index: int) -> None:
-        """Check the record at an index; all records before it have been checked."""
+        """Check the record at an index; all earlier records must have been checked before."""
         record = self.records[index]
         task = record.fields.get("task", "")
         if record.process == INJECTOR:
@@ -109,7 +109,10 @@
         tokens[process] = token
 
     def _loses_lease_soon(self, process: str, task: str, index: int) -> bool:
-        """Return whether the loss of the lease was read shortly after the record of the next holder."""
+        """Return whether the process logged the loss of its lease shortly after the record at `index`.
+
+        Logs of different processes are read independently, so the order of close records is not reliable.
+        """
         deadline = self.records[index].time + MAX_READ_DELAY_S
         return any(
             (record.process, record.event) == (process, LEASE_LOST)
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -1,11 +1,12 @@
-"""Model of the lease protocol for the model checker: pure proposers and acceptors, a network and a clock.
+"""Model of the lease protocol for the model checker: proposers and acceptors, a network and clocks.
 
-Messages are delayed, lost, duplicated and reordered. Processes crash and stall, and their clocks drift. Two
-invariants are checked in each state: at most one proposer holds the lease, and fencing tokens only grow.
+Proposers and acceptors are the program's own state machines, which do no I/O. Messages are delayed, lost,
+duplicated and reordered; processes crash and stall, and their clocks drift. Two invariants are checked in
+each state: at most one proposer holds the lease, and fencing tokens only increase.
 
-Real time advances in steps. The clocks of acceptors are fast and those of proposers slow, both at the limit
-of the drift, which is the worst case for a lease. A proposer reads its clock only when it is ticked or
-receives a message; at all other times it is stalled. Every promised ballot is persisted.
+Real time advances in steps. The clocks of acceptors are fast and those of proposers slow, both by the maximum
+drift, which is the worst case for a lease. A proposer reads its clock only when it is ticked or receives a
+message; at all other times it is stalled. Every promised ballot is persisted.
 """
 
 import random
@@ -28,15 +29,15 @@
 )
 from lotusroute.leases.proposer import Proposer, ProposerState
 
-STEP_MS = 500.0  # of real time; a lease ends after six steps
+STEP_MS = 500.0  # of real time; a lease expires after six steps
 TASK = "task"
-MAX_IN_FLIGHT = 16  # messages; the oldest is lost if there are more
-DRIFT_FRACTION = 0.2  # far more than real clocks have, so that it amounts to whole steps
-NO_TARGET = -1  # of a transition that concerns no single process or message
+MAX_IN_FLIGHT = 16  # messages; beyond it, the oldest ones are lost
+DRIFT_FRACTION = 0.2  # far above that of real clocks, so that the drift amounts to whole steps
+NO_TARGET = -1  # target of a transition that affects no single process or message
 
 
 class LowerBoundRng(random.Random):
-    """Returns the lower bound of every range, because the checker explores interleavings, not backoffs."""
+    """Always returns the lower bound of a range: the checker explores interleavings, not backoff times."""
 
     def uniform(self, a: float, b: float) -> float:
         """Return the lower bound."""
@@ -47,18 +48,18 @@
 
 
 class TransitionKind(StrEnum):
-    """The kind of a transition; the values are shown in counterexamples."""
+    """Kinds of transitions; the values are shown in counterexamples."""
 
     ADVANCE_TIME = "advance time"
     TICK = "tick"
     DELIVER = "deliver"
-    DUPLICATE = "duplicate"  # deliver a message that stays in flight
+    DUPLICATE = "duplicate"  # deliver a message and keep it in flight
     CRASH_ACCEPTOR = "crash acceptor"
     CRASH_PROPOSER = "crash proposer"
 
 
 class Transition(NamedTuple):
-    """A transition of the model."""
+    """One transition of the model."""
 
     kind: TransitionKind
     target: int = NO_TARGET  # index of the process, or of the message in flight
@@ -70,7 +71,7 @@
 
 
 class RequestInFlight(NamedTuple):
-    """A request on its way to an acceptor; processes by index."""
+    """A request in flight to an acceptor; processes are given by index."""
 
     acceptor: int
     proposer: int
@@ -78,16 +79,16 @@
 
 
 class EventInFlight(NamedTuple):
-    """A reply or a notification on its way to a proposer; processes by index."""
+    """A reply or notification in flight to a proposer; processes are given by index."""
 
     proposer: int
     acceptor: int
-    proposer_name: str  # of the incarnation that it is sent to
+    proposer_name: str  # of the incarnation that the event is addressed to
     event: ReplyReceived | LeaseReleased
 
 
 class AcceptorSnapshot(NamedTuple):
-    """The state of an acceptor."""
+    """The state of an acceptor, as an immutable value."""
 
     states: tuple[tuple[str, AcceptorState], ...]
     serving_from: float
@@ -95,29 +96,29 @@
 
 
 class ProposerSnapshot(NamedTuple):
-    """The state of a proposer."""
+    """The state of a proposer, as an immutable value."""
 
-    name: str  # index and incarnation
+    name: str  # "proposer<index>.<incarnation>"
     state: ProposerState
     last_event_at: float
     round: int
 
 
 class ModelState(NamedTuple):
-    """The state of the whole model; hashable, and equal for the same state."""
+    """The state of the whole model; hashable, and compared by value."""
 
     now: int  # steps of real time
     acceptors: tuple[AcceptorSnapshot, ...]
     proposers: tuple[ProposerSnapshot, ...]
     in_flight: tuple[RequestInFlight | EventInFlight, ...]  # oldest first
-    fencing_token: int  # the highest of all holders
-    holder: str  # the proposer that had it
-    duplicates: int  # messages that may still be duplicated
-    crashes: int  # processes that may still crash
+    fencing_token: int  # the highest of all holders so far
+    holder: str  # name of the last proposer that acquired the lease
+    duplicates: int  # how many more messages may be duplicated
+    crashes: int  # how many more crashes may occur
 
 
 class LeaseModel:
-    """The transition system: the initial state, and the transitions of each state."""
+    """The transition system: the initial state and the possible transitions of each state."""
 
     def __init__(
         self,
@@ -128,9 +129,9 @@
         drift: float = DRIFT_FRACTION,
         known_drift: float = DRIFT_FRACTION,
     ) -> None:
-        """`drift` is how far the clocks are off, `known_drift` what the lease terms allow for; fractions."""
+        """`drift` is the drift of the clocks, `known_drift` the one that the terms allow for; fractions."""
         names = tuple(f"acceptor{index}" for index in range(acceptors))
-        # The default terms, except for durations that would only make interleavings longer.
+        # Default terms, except for durations whose defaults would only lengthen the interleavings.
         self.terms = LeaseTerms(
             names, drift=known_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
         )
@@ -182,7 +183,7 @@
                 yield Transition(TransitionKind.DUPLICATE, index)
 
     def apply(self, state: ModelState, transition: Transition) -> ModelState:
-        """Return the next state; raises `InvariantViolationError` if it violates an invariant."""
+        """Return the next state; raises `InvariantViolationError` if that state violates an invariant."""
         index = transition.target
         match transition.kind:
             case TransitionKind.ADVANCE_TIME:
@@ -205,7 +206,7 @@
         return state
 
     def _crash_acceptor(self, state: ModelState, index: int) -> ModelState:
-        """Restart an acceptor, which loses its memory but not its disk.
+        """Restart an acceptor with only its persisted state.
 
         It restarts at once, which is the worst case.
         """
@@ -216,7 +217,7 @@
         return self._store_acceptor(state, index, acceptor)
 
     def _crash_proposer(self, state: ModelState, index: int) -> ModelState:
-        """Restart a proposer under the name of its next incarnation."""
+        """Restart a proposer as its next incarnation, which requests the lease again."""
         name, incarnation = state.proposers[index].name.split(".")
         proposer = Proposer(f"{name}.{int(incarnation) + 1}", self.terms, LOWER_BOUND_RNG)
         actions = proposer.handle(self._proposer_clock(state), RequestLease(TASK))
@@ -245,7 +246,7 @@
     def _deliver_event(self, state: ModelState, message: EventInFlight) -> ModelState:
         proposer = self._restore_proposer(state, message.proposer)
         if proposer.name != message.proposer_name:
-            return state  # that incarnation has crashed
+            return state  # the addressed incarnation has crashed
         actions = proposer.handle(self._proposer_clock(state), message.event)
         return self._store_proposer(state, message.proposer, proposer, actions)
 
@@ -257,7 +258,7 @@
     def _proposer_clock(self, state: ModelState) -> float:
         return state.now * STEP_MS * self.proposer_clock_rate
 
-    # Conversion of snapshots to state machines and back
+    # Conversion between snapshots and state machines
 
     def _restore_acceptor(self, state: ModelState, index: int) -> Acceptor:
         snapshot = state.acceptors[index]
@@ -286,7 +287,7 @@
     def _store_proposer(
         self, state: ModelState, index: int, proposer: Proposer, actions: list[LeaseAction]
     ) -> ModelState:
-        """Store a proposer, put its requests in flight, and check the leases that it acquired."""
+        """Store a proposer, put its requests in flight, and check the fencing token of an acquired lease."""
         snapshot = ProposerSnapshot(
             proposer.name, proposer.states[TASK], proposer.last_event_at, proposer.round
         )
@@ -305,16 +306,16 @@
 
     @staticmethod
     def _record_holder(state: ModelState, name: str, fencing_token: int) -> ModelState:
-        """Store who acquired the lease; raises `InvariantViolationError` if its fencing token is too low."""
+        """Record the new holder; raises `InvariantViolationError` if its fencing token is too low."""
         if fencing_token <= state.fencing_token and name != state.holder:
             raise InvariantViolationError(
                 f"{name} acquired the lease with fencing token {fencing_token}, "
-                f"which is not higher than {state.fencing_token} of {state.holder}"
+                f"not higher than the token {state.fencing_token} of {state.holder}"
             )
         return state._replace(fencing_token=max(fencing_token, state.fencing_token), holder=name)
 
     def _check_single_holder(self, state: ModelState) -> None:
-        """Raise `InvariantViolationError` if two proposers consider themselves holders by their clocks."""
+        """Raise `InvariantViolationError` if two proposers hold the lease by their own clocks."""
         now = self._proposer_clock(state)
         holders = [proposer.name for proposer in state.proposers if proposer.state.holds(now)]
         if len(holders) > 1:
--- a/lotusroute/fault_injection/log_records.py
+++ b/lotusroute/fault_injection/log_records.py
@@ -1,4 +1,4 @@
-"""Records of what the processes of a fleet logged and of the faults that were injected into them."""
+"""Records of the log lines of a fleet's processes and of the faults injected into them."""
 
 import time
 from enum import StrEnum
@@ -6,37 +6,38 @@
 
 from lotusroute.process_control.log_fields import parse_fields
 
-INJECTOR = "injector"  # the process of records of injected faults
-LEASE_ACQUIRED = "lease acquired"  # events that processes log
+INJECTOR = "injector"  # in place of the process name, in the records of injected faults
+# Log events of the processes
+LEASE_ACQUIRED = "lease acquired"
 LEASE_LOST = "lease lost"
 
 
 class FaultKind(StrEnum):
-    """The injected faults and their ends, as records and output name them."""
+    """The kinds of injected faults and of their ends; the values appear in records and in the output."""
 
     KILL = "kill"
     TERMINATE = "terminate"
     PAUSE = "pause"
-    RESUME = "resume"  # a paused process continues
+    RESUME = "resume"  # ends PAUSE
     PARTITION = "partition"
     BLOCK = "block"
     RESET = "reset"
     DELAY = "delay"
     THROTTLE = "throttle"
     KILL_ACCEPTORS = "kill acceptors"
-    HEAL = "heal"  # all processes run and all network faults are removed
+    HEAL = "heal"  # all processes were restarted and all network faults removed
 
 
 class LogRecord(NamedTuple):
-    """One line of a process's log, or one injected fault."""
+    """One line of the log of a process, or one injected fault."""
 
-    time: float  # s of time.monotonic() when it was read
+    time: float  # when it was read or injected, in s of time.monotonic()
     process: str
     event: str
     fields: dict[str, str]
 
 
 def parse_log_line(process: str, line: str) -> LogRecord:
-    """Return the record of a line read now; the event of a line without fields is the line itself."""
+    """Return the record of a line that was just read; without an event field, the event is the whole line."""
     fields = parse_fields(line)
     return LogRecord(time.monotonic(), process, fields.get("event", line.strip()), fields)
