--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -1,4 +1,4 @@
-"""Model checker of the lease protocol: explores the states of `LeaseModel` at random or breadth first.
+"""Model checker of the lease protocol: explores the states of `LeaseModel` by random walk or breadth first.
 
 Examples:
 python -m lotusroute.fault_injection.lease_model_checker --walks 20000 --seed 1
@@ -20,17 +20,20 @@
     TransitionKind,
 )
 
-WALK_LENGTH = 120  # transitions of a random walk
-SHOWN_TRANSITIONS = 20  # the last ones before a violation
+WALK_LENGTH = 120  # transitions in a random walk
+SHOWN_TRANSITIONS = 20  # number of last transitions that the message of a violation shows
 
 
 def random_walk(model: LeaseModel, rng: random.Random, length: int) -> int:
-    """Take random transitions; returns the number of changes of holder."""
+    """Take `length` random transitions; returns how often the lease changed its holder.
+
+    Raises `InvariantViolationError`, with the last transitions, on a violation.
+    """
     state = model.initial
     taken: list[Transition] = []
     fencing_tokens = set()
-    # Each walk has weights of its own, so that networks are fast or slow and crashes frequent or rare. Time
-    # advances less often than messages are delivered; otherwise no proposer would win a majority.
+    # Each walk draws its own weights, so that the network is fast or slow and crashes are frequent or rare.
+    # Time must advance less often than messages are delivered: otherwise no proposer would win a majority.
     weights = {
         TransitionKind.ADVANCE_TIME: rng.choice((0.3, 1.0, 2.0)),
         TransitionKind.TICK: rng.choice((0.5, 2.0)),
@@ -47,21 +50,24 @@
             fencing_tokens.add(state.fencing_token)
     except InvariantViolationError as violation:
         raise InvariantViolationError(
-            f"{violation}; after {len(taken)} transitions, the last are {taken[-SHOWN_TRANSITIONS:]}"
+            f"{violation}; after {len(taken)} transitions, ending with {taken[-SHOWN_TRANSITIONS:]}"
         ) from None
     return len(fencing_tokens) - 1
 
 
 class SearchResult(NamedTuple):
-    """The extent of a search."""
+    """How much of the state space a search covered."""
 
-    states: int  # visited
-    depth: int  # transitions from the initial state
+    states: int  # distinct states visited
+    depth: int  # transitions from the initial state to the last expanded state
     exhaustive: bool  # whether all reachable states were visited
 
 
 def search(model: LeaseModel, max_states: int) -> SearchResult:
-    """Visit all states breadth first, up to a maximum."""
+    """Visit states breadth first until all reachable ones or `max_states` of them are visited.
+
+    Raises `InvariantViolationError`, with the path to it, on a violation.
+    """
     seen = {model.initial}
     queue: deque[tuple[ModelState, tuple[Transition, ...]]] = deque([(model.initial, ())])
     depth = 0
@@ -86,7 +92,7 @@
 
 
 def run_search(model: LeaseModel, max_states: int, started: float) -> None:
-    """Search, and print the extent."""
+    """Search breadth first and print how much was covered."""
     result = search(model, max_states)
     extent = "exhaustive" if result.exhaustive else "cut off"
     print(
@@ -96,7 +102,7 @@
 
 
 def run_walks(model: LeaseModel, walks: int, length: int, seed: int, started: float) -> None:
-    """Take random walks, and print the number of changes of holder."""
+    """Take random walks and print how often the lease changed its holder."""
     rng = random.Random(seed)
     changes = sum(random_walk(model, rng, length) for _ in range(walks))
     print(
@@ -105,7 +111,7 @@
     )
 
 
-OLDER_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden, as scripts may use them
+OLDER_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden; scripts may still use them
 
 
 def create_parser() -> argparse.ArgumentParser:
@@ -115,25 +121,25 @@
         epilog="example: python -m lotusroute.fault_injection.lease_model_checker --walks 500 --proposers 3",
     )
     parser.add_argument("--walks", type=int, default=0, help="number of random walks")
-    parser.add_argument("--length", type=int, default=WALK_LENGTH, help="transitions of each walk")
-    parser.add_argument("--seed", type=int, default=1, help="seed of the random walks")
+    parser.add_argument("--length", type=int, default=WALK_LENGTH, help="transitions in each walk")
+    parser.add_argument("--seed", type=int, default=1, help="random seed of the walks")
     parser.add_argument(
         "--search",
         type=int,
         default=0,
         metavar="STATES",
-        help="visit all states breadth first, up to this number",
+        help="search breadth first, up to this number of states",
     )
     parser.add_argument("--proposers", type=int, default=2, help="number of proposers")
     parser.add_argument("--acceptors", type=int, default=3, help="number of acceptors")
-    parser.add_argument("--crashes", type=int, default=1, help="processes that crash in one interleaving")
+    parser.add_argument("--crashes", type=int, default=1, help="maximum number of crashes in an interleaving")
     for older, current in OLDER_OPTIONS.items():
         parser.add_argument(older, dest=current, type=int, default=argparse.SUPPRESS, help=argparse.SUPPRESS)
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the checker; return 0 if no invariant was violated, otherwise 1. Exits with 2 on wrong usage."""
+    """Run the checker; returns 0, or 1 if an invariant was violated. Exits with 2 on a usage error."""
     parser = create_parser()
     options = parser.parse_args(arguments)
     if not options.walks and not options.search:
--- a/lotusroute/fault_injection/network_proxy.py
+++ b/lotusroute/fault_injection/network_proxy.py
@@ -1,8 +1,9 @@
 """A TCP proxy between processes on loopback that blocks, delays, throttles and resets connections.
 
-It listens on one port for each ordered pair of processes (dialer, peer) and forwards each connection to the
-peer's own port. All I/O runs on an event loop in a thread of its own; the methods may be called from any
-other thread. Memory is bounded by READ_SIZE_BYTES for each direction of a connection.
+It listens on a separate port for each ordered pair of processes (dialer, peer) and forwards connections to
+the peer's own port. All I/O runs on an event loop in a dedicated thread; methods may be called from any other
+thread. Memory is bounded: each direction of a connection holds one read of at most READ_SIZE_BYTES, besides
+the limited buffers of its streams.
 """
 
 import asyncio
@@ -14,38 +15,38 @@
 from lotusroute.process_control.free_ports import LOOPBACK
 from lotusroute.process_control.tcp_reset import reset_on_close
 
-READ_SIZE_BYTES = 16_384  # read at a time, and buffered while a link is blocked
-CALL_TIMEOUT_S = 10.0  # for the event loop to carry out a call
+READ_SIZE_BYTES = 16_384  # maximum size of a read, which is buffered while the link is blocked
+CALL_TIMEOUT_S = 10.0  # for a call to complete on the event loop
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Link(NamedTuple):
-    """One direction between two processes."""
+    """One direction of the traffic between two processes."""
 
     sender: str
     receiver: str
 
     def reversed(self) -> "Link":
-        """Return the other direction."""
+        """Return the link in the opposite direction."""
         return Link(self.receiver, self.sender)
 
 
 class NetworkProxy:
-    """Links between named processes.
+    """Proxies the links between named processes and injects faults into them.
 
-    `ports` has the port at which each process listens; entries may be added after the proxy was made.
-    `delays`, `rates` and `reset_after` may be changed at any time and apply from the next read on.
+    `ports` maps each process to the port that it listens on; entries may be added later. `delays`, `rates`
+    and `reset_after` may be changed at any time and take effect at the next read.
     """
 
     def __init__(self, names: Iterable[str], ports: dict[str, int]) -> None:
         self.names = list(names)
         self.ports = ports
         self.blocked: set[Link] = set()
-        self.delays: dict[Link, float] = {}  # s before what was read is forwarded
-        self.rates: dict[Link, float] = {}  # bytes a second
-        self.reset_after: dict[Link, int] = {}  # bytes after which one connection is reset, once
-        # The key of a connection is the link from its dialer to its peer.
+        self.delays: dict[Link, float] = {}  # s between reading and forwarding data
+        self.rates: dict[Link, float] = {}  # bytes per second
+        self.reset_after: dict[Link, int] = {}  # bytes forwarded until one connection is reset, once
+        # The keys are links from the dialer of a connection to its peer.
         self._listen_ports: dict[Link, int] = {}
         self._open_writers: dict[Link, set[asyncio.StreamWriter]] = {}
         self._servers: list[asyncio.Server] = []
@@ -56,11 +57,11 @@
         self._call(self._listen())
 
     def port(self, link: Link) -> int:
-        """Return the port at which the sender of a link reaches its receiver."""
+        """Return the proxy's port through which the sender of a link connects to its receiver."""
         return self._listen_ports[link]
 
     def close(self) -> None:
-        """Reset all connections and end the event loop."""
+        """Reset all connections and stop the event loop."""
         self.reset_all()
         self._call(self._shut_down())
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -70,11 +71,11 @@
     # Faults
 
     def block(self, *links: Link) -> None:
-        """Forward nothing on these links; what was sent is forwarded once they are unblocked."""
+        """Stop forwarding on these links; data sent meanwhile is forwarded once they are unblocked."""
         self._change(lambda: self.blocked.update(links))
 
     def unblock(self, *links: Link) -> None:
-        """Unblock these links; all of them where none is given."""
+        """Unblock these links, or all links if none are given."""
         self._change(lambda: self.blocked.difference_update(links or set(self.blocked)))
 
     def partition(self, names: Iterable[str], others: Iterable[str]) -> None:
@@ -93,11 +94,11 @@
     # On the event loop
 
     def _call(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run a coroutine on the event loop and wait for its end."""
+        """Run a coroutine on the event loop and wait until it has finished."""
         asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(CALL_TIMEOUT_S)
 
     def _change(self, change: Callable[[], None]) -> None:
-        """Call a function on the event loop, and wake the connections that wait for a blocked link."""
+        """Call a function on the event loop, then wake all connections that wait for a blocked link."""
 
         async def apply() -> None:
             change()
@@ -107,7 +108,7 @@
         self._call(apply())
 
     def _reset_connections(self, processes: set[str] | None = None) -> None:
-        """Reset the connections between two processes; all connections where none are given."""
+        """Reset the connections between two processes, or all connections if none are given."""
         for link, writers in self._open_writers.items():
             if processes is None or processes == set(link):
                 for writer in list(writers):
@@ -125,14 +126,14 @@
     async def _shut_down(self) -> None:
         for server in self._servers:
             server.close()
-        # A task that waits for a blocked link would never end by itself.
+        # Tasks that wait for a blocked link would never finish by themselves.
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _connection_handler(self, link: Link) -> ConnectionHandler:
-        """Return the handler of connections from the sender of a link to its receiver."""
+        """Return the handler of the connections that the sender of a link opens to its receiver."""
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             open_writers = self._open_writers.setdefault(link, set())
@@ -149,7 +150,7 @@
                     self._forward(peer_reader, writer, link.reversed()),
                 )
             except (OSError, asyncio.CancelledError):
-                pass  # only this connection ends
+                pass  # ends only this connection
             finally:
                 for end in (writer, peer_writer):
                     if end is not None:
@@ -163,7 +164,7 @@
             await self._unblocked.wait_for(lambda: link not in self.blocked)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: Link) -> None:
-        """Forward one direction of a connection up to its end."""
+        """Forward one direction of a connection until end of file."""
         while data := await reader.read(READ_SIZE_BYTES):
             await asyncio.sleep(self.delays.get(link, 0.0))
             await self._wait_unblocked(link)
@@ -173,11 +174,11 @@
             else:
                 writer.write(data)
                 await writer.drain()
-        with contextlib.suppress(OSError, RuntimeError):  # the connection may have ended meanwhile
+        with contextlib.suppress(OSError, RuntimeError):  # the connection may be closed by now
             writer.write_eof()
 
     async def _reset_if_due(self, writer: asyncio.StreamWriter, data: bytes, link: Link) -> None:
-        """Count `data` towards `reset_after`; once that is reached, send what is due and reset."""
+        """Count `data` towards `reset_after`; at the limit, forward the bytes up to it and reset."""
         remaining = self.reset_after.get(link)
         if remaining is None:
             return
@@ -192,7 +193,7 @@
 
 
 async def _write_throttled(writer: asyncio.StreamWriter, data: bytes, rate: float) -> None:
-    """Write bytes one by one at a rate in bytes a second."""
+    """Write data byte by byte, at a rate in bytes per second."""
     for byte in data:
         writer.write(bytes((byte,)))
         await writer.drain()
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -1,7 +1,7 @@
-"""Starts balancers of the real program on loopback, injects faults into them and collects their logs.
+"""Starts real balancer processes on the loopback interface, injects faults into them and collects their logs.
 
-The records of all processes and of the injected faults are in one list, ordered by the clock of this process.
-Only processes that were started here are signalled, and all of them are killed at the end.
+The records of all processes and of the injected faults are kept in one list, in the order in which this
+process read or injected them. Only processes that were started here are signalled; all are killed at the end.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
 
-TIMEOUT_S = 15.0  # for a log record, and for the end of a process
+TIMEOUT_S = 15.0  # for a log record to appear and for a process to exit
 TASKS = ("watch",)
 SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800}],
@@ -42,16 +42,16 @@
 
 
 class RunningProcess(NamedTuple):
-    """A balancer that runs."""
+    """A running balancer and the thread that reads its log."""
 
     process: subprocess.Popen[str]
     log_reader: threading.Thread
 
 
 class ProcessFleet:
-    """Balancers named n1, n2, and so on, the first of which are the lease acceptors; a context manager.
+    """Context manager of balancers named n1, n2, and so on, the first of which are the lease acceptors.
 
-    They reach each other through `proxy` only.
+    They connect to each other only through `proxy`.
     """
 
     def __init__(
@@ -63,9 +63,9 @@
         log_level: str = "INFO",
         environments: Mapping[str, Mapping[str, str]] | None = None,
     ) -> None:
-        """`environments` has further variables of single balancers, by name.
+        """`environments` has additional environment variables for individual balancers, by name.
 
-        Without a `discovery_port`, the balancers poll a port on which nobody listens.
+        Without a `discovery_port`, the balancers poll a port that no process listens on.
         """
         self.names = [f"n{number + 1}" for number in range(count)]
         self.acceptors = self.names[:acceptor_count]
@@ -91,14 +91,14 @@
         self.close()
 
     def close(self) -> None:
-        """Kill all balancers and remove their files."""
+        """Kill all balancers, close the proxy and remove all files."""
         for name in list(self._running):
             self.kill(name)
         self.proxy.close()
         self._directory.cleanup()
 
     def start(self, name: str) -> None:
-        """Start a balancer, which finds the state of an earlier process of that name."""
+        """Start a balancer; it loads the state that an earlier process of the same name persisted."""
         state_directory = pathlib.Path(self._directory.name, name)
         state_directory.mkdir(exist_ok=True)
         environment = {
@@ -116,7 +116,7 @@
         self._running[name] = RunningProcess(process, log_reader)
 
     def fleet_file(self, name: str) -> str:
-        """Return the path of a balancer's fleet configuration, for commands that query the fleet."""
+        """Return the path of a balancer's fleet configuration, which commands that query the fleet need."""
         return str(pathlib.Path(self._directory.name, name, "fleet.toml"))
 
     def _config(self, name: str) -> BalancerConfig:
@@ -143,16 +143,16 @@
     # Faults
 
     def record_fault(self, kind: FaultKind, **fields: str) -> None:
-        """Append a fault to the records."""
+        """Append an injected fault to the records."""
         self._records.append(LogRecord(time.monotonic(), INJECTOR, kind, fields))
 
     def kill(self, name: str) -> None:
-        """End a balancer by SIGKILL."""
+        """Kill a balancer with SIGKILL."""
         self._end(name, signal.SIGKILL)
         self.record_fault(FaultKind.KILL, target=name)
 
     def terminate(self, name: str) -> int:
-        """Shut a balancer down gracefully by SIGTERM; returns its exit code."""
+        """Shut down a balancer gracefully with SIGTERM; returns its exit code."""
         exit_code = self._end(name, signal.SIGTERM)
         self.record_fault(FaultKind.TERMINATE, target=name)
         return exit_code
@@ -161,14 +161,14 @@
         process, log_reader = self._running.pop(name)
         process.send_signal(signal_number)
         exit_code = process.wait(TIMEOUT_S)
-        # The invariants go by the order of the records: the whole log has to be read before the fault is
+        # The invariants depend on the order of the records: the whole log must be read before the fault is
         # recorded.
         log_reader.join(TIMEOUT_S)
         return exit_code
 
     @contextlib.contextmanager
     def paused(self, name: str) -> Iterator[None]:
-        """Pause a balancer by SIGSTOP and let it continue at the end."""
+        """Pause a balancer with SIGSTOP, and resume it with SIGCONT on exit from the context."""
         process = self._running[name].process
         process.send_signal(signal.SIGSTOP)
         self.record_fault(FaultKind.PAUSE, target=name)
@@ -182,13 +182,13 @@
 
     @property
     def records(self) -> list[LogRecord]:
-        """The records up to now, in the order in which they were read."""
+        """A copy of the current records, in the order in which they were read or injected."""
         return self._records.copy()
 
     def wait_for(
         self, condition: Callable[[list[LogRecord]], Result | None], timeout: float = TIMEOUT_S
     ) -> Result:
-        """Wait until `condition` of the records returns something true, and return that.
+        """Wait until `condition`, called with all records, returns a true value, and return that value.
 
         Raises LogTimeoutError, with the last records, after `timeout` seconds.
         """
@@ -198,7 +198,7 @@
         return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
-        """Wait for a lease that is acquired after a time, by one of these processes if any are given."""
+        """Wait for the first lease acquired after a time, by one of the processes in `among` if any are given."""
 
         def find(records: list[LogRecord]) -> LogRecord | None:
             for record in records:
--- a/lotusroute/fault_injection/random_scenarios.py
+++ b/lotusroute/fault_injection/random_scenarios.py
@@ -1,8 +1,9 @@
-"""Random fault scenarios between several processes: faults from a seed, then a check of the invariants.
+"""Random fault scenarios: injects faults drawn from a seed into a fleet, then checks the lease invariants.
 
     python -m lotusroute fault-injection run --seconds 60 --processes 5 --seed 1
 
-A seed determines the faults of a scenario and the pauses between them, but not the schedule of the processes.
+The seed determines the faults and the pauses between them, but not how the operating system schedules the
+processes.
 """
 
 import random
@@ -15,32 +16,33 @@
 from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.process_control.errors import LogTimeoutError
 
-LEASE_MS = 1_000.0  # short, so that a scenario has several changes of holder
+LEASE_MS = 1_000.0  # short, so that the lease changes its holder several times in a scenario
 LEASE_S = LEASE_MS / 1000
-MIN_FAULTS = 2  # of one scenario
+MIN_FAULTS = 2  # in a scenario
 MAX_FAULTS = 6
 PAUSES_BETWEEN_FAULTS_S = (0.0, 0.05, 0.3, 1.2)
-# From the last fault until a process holds the lease: a start, an acceptor's silence and a lease.
+# From healing all faults until a process holds the lease: time for the start of a process, the silence of an
+# acceptor after its restart, and one lease.
 RECOVERY_TIMEOUT_S = 3 * LEASE_S + 5.0
 
 
 class ScenarioOutcome(NamedTuple):
-    """The outcome of one scenario."""
+    """The result of one scenario."""
 
     seed: int
     faults: tuple[str, ...]
     violations: tuple[Violation, ...]
-    holder_changes: int
-    recovery_time: float  # s from the end of the last fault until a process held the lease; -1 if none did
+    holder_changes: int  # acquisitions of the lease, including the first
+    recovery_time: float  # s from healing all faults until a process held the lease; -1 if none did
 
     @property
     def failed(self) -> bool:
-        """Whether an invariant was violated, or no process held the lease in the end."""
+        """Whether an invariant was violated or no process held the lease at the end."""
         return bool(self.violations) or self.recovery_time < 0
 
 
 def run_scenario(seed: int, process_count: int = 3, acceptor_count: int = 3) -> ScenarioOutcome:
-    """Run one random scenario."""
+    """Run one random scenario and check the invariants."""
     rng = random.Random(seed)
     with ProcessFleet(process_count, acceptor_count, lease_ms=LEASE_MS) as fleet:
         fleet.wait_for_holder()
@@ -58,7 +60,7 @@
 
 
 def _wait_for_recovery(fleet: ProcessFleet, healed_at: float) -> float:
-    """Return the s until a process holds the lease; -1 if none does in time."""
+    """Return the seconds from `healed_at` until a process holds the lease; -1 on a timeout."""
     try:
         acquired_at = fleet.wait_for(
             lambda records: _current_lease_start(records, healed_at), RECOVERY_TIMEOUT_S
@@ -79,13 +81,13 @@
     if holder is None:
         return None
     if holder.time <= healed_at and time.monotonic() < healed_at + LEASE_S:
-        # It may have lost the lease by a fault without having noticed yet.
+        # The holder may have lost the lease through a fault and not have noticed yet.
         return None
     return holder.time
 
 
 def _ends_lease(record: LogRecord, holder: str) -> bool:
-    """Return whether the record says that the holder lost the lease or was killed."""
+    """Return whether a record shows that the holder lost the lease or was killed."""
     if record.event == LEASE_LOST:
         return record.process == holder
     return record.event == FaultKind.KILL and record.fields.get("target") == holder
