--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -198,7 +198,7 @@
         return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
-        """Wait for the first lease acquired after a time, by one of the processes in `among` if any are given."""
+        """Wait for the first lease acquired after a time, by a process in `among` if any are given."""
 
         def find(records: list[LogRecord]) -> LogRecord | None:
             for record in records:
