--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -1,15 +1,17 @@
-"""Random model checker of relays: explores orders of messages, crashes and changes of the origin.
+"""Random model checker of relays: explores message orders, crashes and changes of the origin.
 
     python -m lotusroute.fault_injection.relay_model_checker --walks 2000 --seed 1
 
-The model runs the stores and fan-outs of the program, without a clock or a socket. Messages are delayed,
-lost, duplicated, reordered and corrupted, and processes crash. The relays become the origin in turns; several
-may consider themselves the origin at a time, as a deposed one continues to publish until it receives the
-later fencing token. Two subscribers change between relays. These invariants are checked after each step:
+The model runs the stores and fan-outs of the program without a real clock or sockets. Messages are delayed,
+lost, duplicated, reordered and corrupted, and processes crash. Random relays become the origin; several may
+consider themselves the origin at the same time, because a deposed origin continues to publish until it
+receives a later fencing token. Two subscribers switch between relays. After each step, two invariants are
+checked:
 
-- No process goes back to an older version.
-- The items of each process are those that an origin published under its version.
-- Once faults end, all processes receive the items of the last origin.
+- No process reverts to an older version, except to an empty store by a crash.
+- Each process has exactly the items that an origin published under the version of the process.
+
+At the end, faults stop and all processes must converge to the version and items of the last origin.
 
 Times are in milliseconds of the model's clock.
 """
@@ -43,23 +45,23 @@
 RELAYS = ("r1", "r2", "r3")
 SUBSCRIBERS = ("s1", "s2")
 KEYS = tuple("abcd")
-CHANGED_KEYS = 2  # of one change
+CHANGED_KEYS = 2  # in one change
 VALUES = 3  # distinct values of an item
 CORRUPT_VALUE = b"corrupt"
-LAST_VALUE = b"last"  # published once faults have ended
-MAX_SUBSCRIBERS = 8  # of each relay
-MAX_IN_FLIGHT = 12  # messages; one of them is lost when there are more
-STEPS = 120  # of a walk
-RECOVERY_TICKS = 400  # without faults, within which all processes have to converge
+LAST_VALUE = b"last"  # published after faults have stopped
+MAX_SUBSCRIBERS = 8  # per relay
+MAX_IN_FLIGHT = 12  # messages; beyond it, a random message is lost
+STEPS = 120  # in a walk
+RECOVERY_TICKS = 400  # ticks without faults within which all processes must converge
 
-# How often each of these steps is drawn for one draw of each fault.
+# How often each of these steps is drawn, relative to each kind of fault.
 DELIVER_WEIGHT = 8
 TICK_WEIGHT = 4
 CHANGE_WEIGHT = 2
 
 
 class Envelope(NamedTuple):
-    """A message in flight: an update, or the acknowledged version."""
+    """A message in flight: an update, or a version as its acknowledgement."""
 
     source: str
     destination: str
@@ -67,20 +69,20 @@
 
 
 class Model:
-    """All processes and the messages between them."""
+    """The states of all processes and the messages in flight between them."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.fencing_token = 0  # of the last lease that was granted
-        self.origins: dict[str, int] = {}  # fencing tokens of the relays that consider themselves the origin
-        self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # received by each relay
+        self.fencing_token = 0  # of the most recent lease grant
+        self.origins: dict[str, int] = {}  # fencing token by relay that considers itself the origin
+        self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # highest token received or granted, by relay
         self.stores = {name: VersionedStore() for name in RELAYS + SUBSCRIBERS}
         self.fanouts = {name: FanOut(self.stores[name], MAX_SUBSCRIBERS) for name in RELAYS}
-        self.subscriptions: dict[str, str] = {}  # relay by subscriber
+        self.subscriptions: dict[str, str] = {}  # the relay of each subscriber
         self.in_flight: list[Envelope] = []
         self.published: dict[Version, dict[str, bytes]] = {Version(): {}}
-        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # of each process
+        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # since the last crash
         self.outcomes: Counter[str] = Counter()
 
     # Steps
@@ -101,7 +103,7 @@
         self.check_invariants()
 
     def change_origin(self) -> None:
-        """Grant the lease to a relay; the previous origin does not notice yet."""
+        """Grant the lease to a random relay; the previous origin does not notice yet."""
         self.fencing_token += 1
         name = self.rng.choice(RELAYS)
         self.origins[name] = self.fencing_token
@@ -109,7 +111,7 @@
         self.publish(name, {})
 
     def publish(self, name: str, changes: Changes) -> None:
-        """Publish as an origin, or stop being one after a later fencing token has been received."""
+        """Publish changes as an origin, or stop being one if a later fencing token was received."""
         store = self.stores[name]
         try:
             new_version = store.publish(self.origins[name], changes)
@@ -120,11 +122,11 @@
             return
         self.fanouts[name].on_store_changed(self.now)
         if self.published.get(store.version, store.items) != store.items:
-            raise InvariantViolationError(f"{store.version} published twice with different items")
+            raise InvariantViolationError(f"version {store.version} was published twice with different items")
         self.published[store.version] = dict(store.items)
 
     def change_items(self) -> None:
-        """Have an origin publish changes, additions or removals of random items."""
+        """Let a random origin add, change or remove random items."""
         if not self.origins:
             return
         name = self.rng.choice(sorted(self.origins))
@@ -132,7 +134,7 @@
         self.publish(name, dict(self.rng.sample(sorted(values.items()), CHANGED_KEYS)))
 
     def subscribe(self) -> None:
-        """Have a subscriber join a relay, in place of its current one if it has one."""
+        """Subscribe a random subscriber to a random relay in place of its current one."""
         name = self.rng.choice(SUBSCRIBERS)
         relay = self.rng.choice(RELAYS)
         if name in self.subscriptions:
@@ -140,12 +142,12 @@
         self.join(name, relay)
 
     def join(self, name: str, relay: str) -> None:
-        """Subscribe a process to a relay, from the process's current version."""
+        """Subscribe a process to a relay, starting from the process's current version."""
         self.subscriptions[name] = relay
         self.send(relay, self.fanouts[relay].join(self.now, name, self.stores[name].version))
 
     def crash(self) -> None:
-        """Restart a process with an empty store; messages to it are lost."""
+        """Restart a random process with an empty store; messages in flight to it are lost."""
         name = self.rng.choice(RELAYS + SUBSCRIBERS)
         self.stores[name] = VersionedStore()
         self.highest_versions[name] = Version()
@@ -163,7 +165,7 @@
                 fanout.remove(name)
 
     def tick(self) -> None:
-        """Advance the clock by a random time and have all relays send what is due."""
+        """Advance the clock by a random duration and let all relays send what is due."""
         self.now += self.rng.choice(
             (COALESCE_DELAY_MS, HEARTBEAT_INTERVAL_MS, ACKNOWLEDGEMENT_TIMEOUT_MS / 2)
         )
@@ -173,24 +175,24 @@
             self.send(name, fanout.tick(self.now, 0.0))
 
     def join_other_relays(self, origin: str) -> None:
-        """Subscribe all other relays to an origin."""
+        """Subscribe to an origin all other relays that are not subscribed."""
         fanout = self.fanouts[origin]
         for peer in RELAYS:
             if peer != origin and peer not in fanout.subscribers:
                 self.send(origin, fanout.join(self.now, peer, self.stores[origin].version))
 
     def lose_message(self) -> None:
-        """Lose a random message."""
+        """Drop a random message in flight."""
         if self.in_flight:
             self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
     def duplicate_message(self) -> None:
-        """Add a copy of a random message, which is delivered separately."""
+        """Add a copy of a random message in flight; the copy is delivered separately."""
         if self.in_flight:
             self.in_flight.append(self.rng.choice(self.in_flight))
 
     def corrupt_message(self) -> None:
-        """Change a value in the first delta that is in flight."""
+        """Corrupt a value in the first delta in flight that has changes."""
         for index, envelope in enumerate(self.in_flight):
             delta = envelope.payload
             if isinstance(delta, Delta) and delta.changes:
@@ -199,7 +201,7 @@
                 return
 
     def deliver(self) -> None:
-        """Deliver a random message."""
+        """Deliver a random message in flight."""
         if not self.in_flight:
             return
         envelope = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
@@ -212,7 +214,7 @@
             self.in_flight.append(Envelope(destination, source, acknowledged))
 
     def accepts(self, source: str, destination: str, fencing_token: int) -> bool:
-        """Return whether a process accepts an update; a relay notes the fencing token of the origin."""
+        """Return whether a process accepts an update; a relay also records the origin's fencing token."""
         if destination in SUBSCRIBERS:
             return self.subscriptions.get(destination) == source
         deposed = fencing_token < self.highest_fencing_tokens[destination]
@@ -222,7 +224,7 @@
         return True
 
     def apply(self, name: str, message: Message) -> Version:
-        """Apply a message at a process and return the version that the process acknowledges."""
+        """Apply a message to the store of a process and return the version that the process acknowledges."""
         store = self.stores[name]
         if isinstance(message, Heartbeat):
             return store.version
@@ -236,7 +238,7 @@
         return store.version
 
     def send(self, source: str, actions: list[Action]) -> None:
-        """Put the messages that a fan-out sends in flight."""
+        """Put the messages sent by a fan-out in flight."""
         for action in actions:
             if isinstance(action, Send):
                 if len(self.in_flight) >= MAX_IN_FLIGHT:
@@ -246,20 +248,20 @@
     # Invariants
 
     def check_invariants(self) -> None:
-        """Raise `InvariantViolationError` if an invariant does not hold in the current state."""
+        """Raise `InvariantViolationError` if the current state violates an invariant."""
         for name, store in self.stores.items():
             highest = self.highest_versions[name]
             if store.version < highest:
-                raise InvariantViolationError(f"{name} went back from {highest} to {store.version}")
+                raise InvariantViolationError(f"{name} reverted from version {highest} to {store.version}")
             self.highest_versions[name] = store.version
             published = self.published.get(store.version)
             if published != store.items:
                 raise InvariantViolationError(
-                    f"{name} has {store.items} as version {store.version}, published was {published}"
+                    f"{name} has items {store.items} at version {store.version}, published were {published}"
                 )
 
     def recover(self) -> None:
-        """End all faults; raises `InvariantViolationError` if some process does not converge."""
+        """Stop all faults; raises `InvariantViolationError` if a process does not converge to the origin."""
         self.change_origin()
         origin = max(self.origins, key=self.origins.__getitem__)
         self.publish(origin, {KEYS[0]: LAST_VALUE})
@@ -280,10 +282,12 @@
             if self.has_converged(self.stores[origin]):
                 return
         versions = {name: str(store.version) for name, store in self.stores.items()}
-        raise InvariantViolationError(f"not all have {self.stores[origin].version} of {origin}: {versions}")
+        raise InvariantViolationError(
+            f"not all processes have version {self.stores[origin].version} of {origin}: {versions}"
+        )
 
     def has_converged(self, expected: VersionedStore) -> bool:
-        """Return whether all processes have this store's version and items."""
+        """Return whether all processes have the version and the items of a store."""
         return all(
             store.version == expected.version and store.items == expected.items
             for store in self.stores.values()
@@ -291,9 +295,9 @@
 
 
 def walk(seed: int, steps: int = STEPS) -> Counter[str]:
-    """Take random steps, then recover, and return how often each outcome of an update occurred.
+    """Take random steps, recover from all faults, and return how often each outcome of an update occurred.
 
-    Raises `InvariantViolationError`.
+    Raises `InvariantViolationError` on a violation or if the processes do not converge.
     """
     model = Model(seed)
     for _ in range(steps):
@@ -303,11 +307,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the walks and return the exit code: 0 if all invariants held, else 1."""
+    """Run the walks and return the exit code: 0 if all invariants held, otherwise 1."""
     name = "python -m lotusroute.fault_injection.relay_model_checker"
     parser = argparse.ArgumentParser(prog=name, description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--walks", type=int, default=1_000)
-    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--walks", type=int, default=1_000, help="number of random walks")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the first walk; each further one adds 1")
     options = parser.parse_args(arguments)
     outcomes: Counter[str] = Counter()
     for seed in range(options.seed, options.seed + options.walks):
