--- a/lotusroute/fault_injection/fault_injector.py
+++ b/lotusroute/fault_injection/fault_injector.py
@@ -8,7 +8,7 @@
 from lotusroute.fault_injection.processes import ProcessFleet
 
 # How often each kind of fault is drawn, relative to the others.
-WEIGHTS = {
+FAULT_WEIGHTS = {
     FaultKind.KILL: 3,
     FaultKind.TERMINATE: 2,
     FaultKind.PAUSE: 3,
@@ -19,10 +19,10 @@
     FaultKind.THROTTLE: 1,
     FaultKind.KILL_ACCEPTORS: 1,
 }
-HOLDER_FRACTION = 0.5  # probability that a fault targets the last lease holder
-STAYS_DOWN_FRACTION = 0.3  # probability that an ended process is restarted only when all faults are healed
+HOLDER_PROBABILITY = 0.5  # that a fault targets the last lease holder
+STAY_DOWN_PROBABILITY = 0.3  # that an ended process is restarted only when all faults are healed
 # Probability that a partition is healed after one of PARTITIONS_S; the others are healed with all faults.
-TEMPORARY_PARTITION_FRACTION = 0.7
+TEMPORARY_PARTITION_PROBABILITY = 0.7
 RESTART_DELAYS_S = (0.0, 0.05)
 PAUSES_S = (0.1, 0.6, 1.5, 3.0)
 PARTITIONS_S = (0.2, 1.0, 2.5)
@@ -40,7 +40,7 @@
 
     def inject(self) -> str:
         """Inject one random fault that the fleet can tolerate in its current state."""
-        kind = self.rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+        kind = self.rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
         process = self._choose_process()
         peer = self.rng.choice([name for name in self.fleet.names if name != process])
         match kind:
@@ -53,7 +53,7 @@
             case FaultKind.PARTITION:
                 return self._partition()
             case _:
-                return self._disturb_link(kind, Link(process, peer))
+                return self._inject_link_fault(kind, Link(process, peer))
 
     def heal(self) -> None:
         """Restart all processes that are down and remove all network faults."""
@@ -75,7 +75,7 @@
             for record in self.fleet.records
             if record.event == LEASE_ACQUIRED and record.process in running
         ]
-        if holders and self.rng.random() < HOLDER_FRACTION:
+        if holders and self.rng.random() < HOLDER_PROBABILITY:
             return holders[-1]
         return self.rng.choice(running)
 
@@ -86,7 +86,7 @@
             self.fleet.kill(process)
         else:
             self.fleet.terminate(process)
-        if several_running and self.rng.random() < STAYS_DOWN_FRACTION:
+        if several_running and self.rng.random() < STAY_DOWN_PROBABILITY:
             self.down.add(process)
         else:
             time.sleep(self.rng.choice(RESTART_DELAYS_S))
@@ -115,12 +115,12 @@
         joined_names = ",".join(minority)
         self.fleet.record_fault(FaultKind.PARTITION, targets=joined_names)
         self.fleet.proxy.partition(minority, [name for name in names if name not in minority])
-        if self.rng.random() < TEMPORARY_PARTITION_FRACTION:
+        if self.rng.random() < TEMPORARY_PARTITION_PROBABILITY:
             time.sleep(self.rng.choice(PARTITIONS_S))
             self.fleet.proxy.unblock()
         return f"{FaultKind.PARTITION} {joined_names}"
 
-    def _disturb_link(self, kind: FaultKind, link: Link) -> str:
+    def _inject_link_fault(self, kind: FaultKind, link: Link) -> str:
         proxy = self.fleet.proxy
         self.fleet.record_fault(kind, sender=link.sender, receiver=link.receiver)
         match kind:
