--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -127,13 +127,13 @@
         duplicates: int = 1,
         crashes: int = 1,
         drift: float = DRIFT_FRACTION,
-        known_drift: float = DRIFT_FRACTION,
+        assumed_drift: float = DRIFT_FRACTION,
     ) -> None:
-        """`drift` is the drift of the clocks, `known_drift` the one that the terms allow for; fractions."""
+        """`drift` is the drift of the clocks, `assumed_drift` the one that the terms allow for; fractions."""
         names = tuple(f"acceptor{index}" for index in range(acceptors))
         # Default terms, except for durations whose defaults would only lengthen the interleavings.
         self.terms = LeaseTerms(
-            names, drift=known_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
+            names, drift=assumed_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
         )
         self.acceptor_clock_rate = 1 + drift
         self.proposer_clock_rate = 1 - drift
--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -91,27 +91,27 @@
     return SearchResult(len(seen), depth, exhaustive=True)
 
 
-def run_search(model: LeaseModel, max_states: int, started: float) -> None:
+def run_search(model: LeaseModel, max_states: int, started_at: float) -> None:
     """Search breadth first and print how much was covered."""
     result = search(model, max_states)
     extent = "exhaustive" if result.exhaustive else "cut off"
     print(
         f"search: {result.states} states, {result.depth} transitions deep, {extent}, "
-        f"{time.monotonic() - started:.1f} s, no violation"
+        f"{time.monotonic() - started_at:.1f} s, no violation"
     )
 
 
-def run_walks(model: LeaseModel, walks: int, length: int, seed: int, started: float) -> None:
+def run_walks(model: LeaseModel, walks: int, length: int, seed: int, started_at: float) -> None:
     """Take random walks and print how often the lease changed its holder."""
     rng = random.Random(seed)
     changes = sum(random_walk(model, rng, length) for _ in range(walks))
     print(
         f"walks: {walks} of {length} transitions, {changes} changes of holder, "
-        f"{time.monotonic() - started:.1f} s, no violation"
+        f"{time.monotonic() - started_at:.1f} s, no violation"
     )
 
 
-OLDER_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden; scripts may still use them
+LEGACY_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden; scripts may still use them
 
 
 def create_parser() -> argparse.ArgumentParser:
@@ -133,8 +133,8 @@
     parser.add_argument("--proposers", type=int, default=2, help="number of proposers")
     parser.add_argument("--acceptors", type=int, default=3, help="number of acceptors")
     parser.add_argument("--crashes", type=int, default=1, help="maximum number of crashes in an interleaving")
-    for older, current in OLDER_OPTIONS.items():
-        parser.add_argument(older, dest=current, type=int, default=argparse.SUPPRESS, help=argparse.SUPPRESS)
+    for legacy, current in LEGACY_OPTIONS.items():
+        parser.add_argument(legacy, dest=current, type=int, default=argparse.SUPPRESS, help=argparse.SUPPRESS)
     return parser
 
 
@@ -145,12 +145,12 @@
     if not options.walks and not options.search:
         parser.error("nothing to do: give --walks N or --search STATES")
     model = LeaseModel(options.proposers, options.acceptors, crashes=options.crashes)
-    started = time.monotonic()
+    started_at = time.monotonic()
     try:
         if options.search:
-            run_search(model, options.search, started)
+            run_search(model, options.search, started_at)
         if options.walks:
-            run_walks(model, options.walks, options.length, options.seed, started)
+            run_walks(model, options.walks, options.length, options.seed, started_at)
     except InvariantViolationError as violation:
         print(f"violation: {violation}", file=sys.stderr)
         return 1
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -68,7 +68,7 @@
     payload: Message | Version
 
 
-class Model:
+class RelayModel:
     """The states of all processes and the messages in flight between them."""
 
     def __init__(self, seed: int) -> None:
@@ -299,7 +299,7 @@
 
     Raises `InvariantViolationError` on a violation or if the processes do not converge.
     """
-    model = Model(seed)
+    model = RelayModel(seed)
     for _ in range(steps):
         model.step()
     model.recover()
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -89,7 +89,7 @@
         pytest.param(forget_promised_ballot, {}, id="lower ballot accepted"),
         pytest.param(lose_persisted_ballot, {"crashes": 3}, id="ballots not persisted"),
         pytest.param(accept_half_as_majority, {}, id="half of the acceptors as majority"),
-        pytest.param(change_nothing, {"known_drift": 0.0}, id="no allowance for clock drift"),
+        pytest.param(change_nothing, {"assumed_drift": 0.0}, id="no allowance for clock drift"),
     ],
 )
 def test_the_model_checker_detects_a_broken_protocol(mutate, options, monkeypatch):
