--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -16,11 +16,11 @@
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
 
 ROLE_NAMES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
-EARLIER_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # earlier names, still accepted
+EARLIER_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # still accepted
 
 
 def parse_role(text: str) -> str:
-    """Return the present name of a role from its present or earlier name.
+    """Return the current name of a role, given its current or a legacy name.
 
     >>> parse_role("plane")
     'data-plane'
@@ -33,13 +33,17 @@
 
 @click.command()
 @click.argument("role", type=parse_role, metavar=f"[{'|'.join(ROLE_NAMES)}]")
-@click.option("--sizes", default="", help="as 8,30,65,125; at least two, four for a reliable line")
-@click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="measured at each size")
+@click.option("--sizes", default="", help="sizes, as in 8,30,65,125; at least two, four for a reliable fit")
+@click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="duration in s at each size")
 @click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the endpoint list")
-@click.option("--json", "file", type=click.Path(dir_okay=False), help="write the points here, for `compare`")
-@click.option("--plot", type=click.Path(dir_okay=False), help="plot them here (needs matplotlib)")
+@click.option(
+    "--json", "file", type=click.Path(dir_okay=False), help="write the points to this file, for `compare`"
+)
+@click.option(
+    "--plot", type=click.Path(dir_okay=False), help="plot the lines to this file (needs matplotlib)"
+)
 def measure(role: str, sizes: str, seconds: float, hosts: int, file: str | None, plot: str | None) -> None:
-    """Measure one role at several sizes and fit lines.
+    """Measure one role at several sizes and fit a line to each figure.
 
     Example: lotusroute capacity measure fleet --sizes 8,30,65,125 --json fleet.json
     """
@@ -68,9 +72,11 @@
     try:
         sizes = [int(size) for size in text.split(",")]
     except ValueError:
-        raise click.UsageError(f"--sizes {text}: give whole numbers, as 8,30,65,125") from None
+        raise click.UsageError(
+            f"--sizes {text}: give whole numbers separated by commas, as in 8,30,65,125"
+        ) from None
     if len(set(sizes)) < 2 or min(sizes) < 1:
-        raise click.UsageError(f"--sizes {text}: give two or more, each above 0")
+        raise click.UsageError(f"--sizes {text}: give two or more different sizes, each above 0")
     return sizes
 
 
@@ -91,7 +97,7 @@
     try:
         import matplotlib
     except ImportError:
-        raise click.UsageError("--plot: install lotusroute[bench] for matplotlib") from None
+        raise click.UsageError("--plot: matplotlib is not installed; install lotusroute[bench]") from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
@@ -110,7 +116,7 @@
 @click.argument("before", type=click.Path(exists=True, dir_okay=False))
 @click.argument("after", type=click.Path(exists=True, dir_okay=False))
 def compare(before: str, after: str) -> None:
-    """Compare two runs of `measure --json`; exit 1 where a line of the second grew by over a quarter.
+    """Compare two files of `measure --json`; exit with 1 if a line of AFTER grew by more than a quarter.
 
     Example: lotusroute capacity compare before.json after.json
     """
@@ -124,18 +130,34 @@
 
 
 @click.command()
-@click.option("--relays", type=click.IntRange(3, 64), default=6, help="real relays; one becomes the origin")
-@click.option("--real", type=click.IntRange(0, 64), default=3, help="balancers that are the program itself")
-@click.option("--hollow", type=click.IntRange(1, 20_000), default=160, help="hollow balancers beside them")
-@click.option("--zones", type=click.IntRange(1, 64), default=3, help="zones that all are spread over")
+@click.option(
+    "--relays", type=click.IntRange(3, 64), default=6, help="relay processes; one becomes the origin"
+)
+@click.option("--real", type=click.IntRange(0, 64), default=3, help="balancers that run the whole program")
+@click.option(
+    "--hollow",
+    type=click.IntRange(1, 20_000),
+    default=160,
+    help="hollow balancers: further ones, without flows",
+)
+@click.option(
+    "--zones", type=click.IntRange(1, 64), default=3, help="zones that all processes are spread over"
+)
 @click.option("--hosts", type=click.IntRange(1, 20_000), default=60, help="servers in the endpoint list")
-@click.option("--scenario", "scenarios", multiple=True, help="calm, burst, kill, stop, two, origin, zone")
-@click.option("--within", type=click.FloatRange(0.1), default=4.0, help="s for an update to be in force")
+@click.option(
+    "--scenario",
+    "scenarios",
+    multiple=True,
+    help="one of calm, burst, kill, stop, two, origin, zone; may be repeated; default: all",
+)
+@click.option(
+    "--within", type=click.FloatRange(0.1), default=4.0, help="limit in s for an update to be in force"
+)
 @JSON_OPTION
 def propagation(scenarios: tuple[str, ...], within: float, as_json: bool, **sizes: int) -> None:
     """Measure how long an update of the endpoint list takes to be in force everywhere.
 
-    Exit 1 where one took longer than `--within`.
+    Exit with 1 if an update took longer than `--within`.
 
     Example: lotusroute capacity propagation --relays 40 --real 20 --hollow 6140 --zones 19
     """
@@ -163,26 +185,30 @@
 @click.command()
 @click.option(
     "--clients",
-    "--followers",  # an earlier name
+    "--followers",  # legacy name
     "clients",
     type=click.IntRange(1, 2_000),
     default=200,
-    help="hollow balancers",
+    help="balancers; only their discovery clients run",
 )
-@click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="of discovery, a second")
+@click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="answers of discovery per second")
 @click.option("--hosts", type=click.IntRange(1, 100_000), default=60, help="servers in the endpoint list")
-@click.option("--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s without any answer at first")
-@click.option("--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="duration after that")
-@click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="ms, grace period of a drain")
+@click.option(
+    "--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s at the start in which discovery is down"
+)
+@click.option(
+    "--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="s from the first answers to the end"
+)
+@click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="grace period of a drain in ms")
 @JSON_OPTION
 def reconnect_storm(as_json: bool, **options: float) -> None:
-    """Let many balancers poll discovery as it comes back; exit 1 where one has no endpoint list at the end.
+    """Let many balancers poll discovery after an outage; exit with 1 if one has no endpoint list at the end.
 
     Example: lotusroute capacity reconnect-storm --clients 200 --answers 150 --down 8
     """
     from lotusroute.net import monotonic_reactor
 
-    # The next import loads Twisted's reactor, which has to be the one that balancers use.
+    # The next import loads Twisted's reactor, which must be the one that balancers use.
     monotonic_reactor.install()
     from lotusroute.capacity.reconnect_storm import StormOptions, run_storm
 
@@ -207,7 +233,7 @@
 @click.command()
 @JSON_OPTION
 def target(as_json: bool) -> None:
-    """Print the capacity target and the figures that follow from it by division.
+    """Print the capacity target and the figures derived from it by division.
 
     Example: lotusroute capacity target --json
     """
@@ -224,7 +250,7 @@
     "propagation": propagation,
     "reconnect-storm": reconnect_storm,
     "target": target,
-    # Earlier names of two commands, which operators' scripts use.
+    # Legacy names of two commands, which operators' scripts still use.
     "herd": hidden_alias(reconnect_storm),
     "news": hidden_alias(propagation),
 }
--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -13,14 +13,14 @@
 
 
 class RecoveryTimes(TypedDict):
-    """Seconds from the last fault of a scenario until a process held the lease; empty if none ever did."""
+    """Seconds from healing all faults of a scenario until a process held the lease; empty if none did."""
 
     p50: NotRequired[float]
     worst: NotRequired[float]
 
 
 class Summary(TypedDict):
-    """The outcomes of all scenarios, as `--json` prints them."""
+    """The results of all scenarios, as `--json` prints them."""
 
     scenarios: int
     violations: list[int]  # seeds of the scenarios that failed
@@ -29,16 +29,26 @@
 
 
 @click.command()
-@click.option("--seconds", type=click.FloatRange(1.0), default=60.0, help="duration; the last scenario ends")
-@click.option("--seed", type=int, default=1, help="of the first scenario; each further one adds 1")
-@click.option("--processes", type=click.IntRange(3, 25), default=3, help="balancers of each scenario")
-@click.option("--acceptors", type=click.Choice(["3", "5", "7"]), default="3", help="of them, lease acceptors")
-@click.option("--keepers", "older_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # older name
+@click.option(
+    "--seconds",
+    type=click.FloatRange(1.0),
+    default=60.0,
+    help="duration in s; the last scenario is completed",
+)
+@click.option("--seed", type=int, default=1, help="seed of the first scenario; each further one adds 1")
+@click.option("--processes", type=click.IntRange(3, 25), default=3, help="balancers in each scenario")
+@click.option(
+    "--acceptors",
+    type=click.Choice(["3", "5", "7"]),
+    default="3",
+    help="how many of them are lease acceptors",
+)
+@click.option("--keepers", "older_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # legacy name
 @JSON_OPTION
 def run(
     seconds: float, seed: int, processes: int, acceptors: str, older_acceptors: str | None, as_json: bool
 ) -> None:
-    """Run random scenarios with processes and check invariants; exit 1 where one is violated.
+    """Run random fault scenarios and check the lease invariants; exit with 1 if a scenario fails.
 
     Example: lotusroute fault-injection run --seconds 60 --processes 5 --acceptors 5 --seed 1
     """
--- a/lotusroute/cli/fleet.py
+++ b/lotusroute/cli/fleet.py
@@ -12,7 +12,7 @@
 @PEER_OPTION
 @JSON_OPTION
 def show(file: str, peers: tuple[str, ...], as_json: bool) -> None:
-    """Show which peers each balancer is connected with.
+    """Show which peers each balancer is connected to.
 
     Example: lotusroute fleet show --fleet deploy/fleet.toml --json
     """
--- a/lotusroute/cli/leases.py
+++ b/lotusroute/cli/leases.py
@@ -33,7 +33,7 @@
 
 
 def _describe_lease(lease: LeaseStatus) -> str:
-    """Return what a proposer knows of a lease.
+    """Describe a lease as a proposer knows it.
 
     >>> _describe_lease(LeaseStatus(True, 7, 1500, "idle", 0, 7))
     'holds the lease, fencing token 7, 1500 ms left'
@@ -46,7 +46,7 @@
 
 
 def _describe_grant(grant: GrantStatus) -> str:
-    """Return what an acceptor knows of a lease.
+    """Describe a lease as an acceptor knows it.
 
     >>> _describe_grant(GrantStatus("n1#0a1b2c3d", 7, 7, 1500))
     'granted to n1#0a1b2c3d, fencing token 7, 1500 ms left'
--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -1,4 +1,4 @@
-"""Options, exit codes and the report of wrong use that all commands share. It needs nothing but click."""
+"""Options, exit codes and usage errors that all commands share. This module depends only on click."""
 
 import copy
 import enum
@@ -13,7 +13,7 @@
 
     OK = 0
     FAILED = 1  # a peer did not answer, an invariant was violated, a figure grew or a limit was exceeded
-    WRONG_USE = 2  # the same as click's own; also for a configuration file that cannot be used
+    WRONG_USE = 2  # the code of click's usage errors; also for an unusable configuration file
 
 
 FLEET_FILE_OPTION = click.option(
@@ -29,13 +29,13 @@
 
 
 def hidden_alias(command: click.Command) -> click.Command:
-    """Return a copy of a command, to be registered under an older name that `--help` does not list."""
+    """Return a copy of a command, to be registered under a legacy name that `--help` does not list."""
     alias = copy.copy(command)
     alias.hidden = True
     return alias
 
 
 def exit_with_wrong_use(message: str) -> NoReturn:
-    """Print why the command cannot be carried out as given, and exit."""
+    """Print the reason why the command cannot run as given, and exit."""
     click.echo(f"lotusroute: {message}", err=True)
     sys.exit(ExitCode.WRONG_USE)
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -1,4 +1,4 @@
-"""The status of running processes for the `show` commands: how it is queried and printed."""
+"""Queries the status of running processes and prints it, for the `show` commands."""
 
 import json
 import sys
@@ -23,19 +23,19 @@
 
 
 class PeerAnswers(NamedTuple):
-    """The answers of the queried peers, by the peer's name."""
+    """The answers of the queried peers, by name of the peer."""
 
     statuses: dict[str, ProcessStatus]
     relay_statuses: dict[str, RelayStatus | None]  # None for a process that is not a relay
-    documents: dict[str, ProcessDocument]  # all of a status as `--json` prints it
-    errors: dict[str, str]  # the reason, for peers without a usable answer
+    documents: dict[str, ProcessDocument]  # the complete status, as `--json` prints it
+    errors: dict[str, str]  # the reasons of peers without a usable answer
 
 
 def query_peers(file: str, peers: Sequence[str]) -> PeerAnswers:
     """Query the status of `peers`, or of all peers in the fleet's file if none is named.
 
-    Exits with `ExitCode.WRONG_USE` if the file cannot be used or lacks a peer. It runs the reactor, which can
-    be done once in a process.
+    Exits with `ExitCode.WRONG_USE` if the file is unusable or lacks a peer. This runs the reactor, which is
+    possible only once per process.
     """
     config = _load_config(file, peers)
     answers = PeerAnswers({}, {}, {}, {})
@@ -58,7 +58,7 @@
 
 
 async def _query_all(config: FleetConfig, names: Sequence[str], answers: PeerAnswers) -> None:
-    """Query all peers at once, record the answers in the order of `names`, and stop the reactor."""
+    """Query all peers concurrently, record the answers in the order of `names`, and stop the reactor."""
     queries = [query_status(reactor, config, name) for name in names]
     for name, query in zip(names, queries, strict=True):
         try:
@@ -67,7 +67,7 @@
             document = status_document(body)
             relay_status = decode_relay_status(document)
             printed_document = printed_process_status(document)
-        except Exception as error:  # whatever fails concerns this peer only
+        except Exception as error:  # any failure affects only this peer
             answers.errors[name] = str(error) or type(error).__name__
             continue
         answers.statuses[name] = status
@@ -77,7 +77,7 @@
 
 
 def print_and_exit(answers: PeerAnswers, as_json: bool, lines: Iterable[str]) -> NoReturn:
-    """Print the answers as one JSON object, or else `lines` and the peers without an answer, and exit."""
+    """Print the answers as one JSON object, or print `lines` and the peers without an answer; then exit."""
     if as_json:
         click.echo(json.dumps({"balancers": answers.documents, "errors": answers.errors}, indent=1))
     else:
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -17,13 +17,15 @@
 from lotusroute.relay.status import RelayStatus
 from lotusroute.relay.versioned_store import Version
 
-SHUTDOWN_DELAY_S = 0.1  # for the release of the lease to be sent
+SHUTDOWN_DELAY_S = 0.1  # time to send the release of the lease
 
 
 @click.command()
 @FLEET_FILE_OPTION
 @click.option("--name", required=True, help="this relay's name in the file")
-@click.option("--discovery", required=True, help="HOST:PORT, polled while this relay is the origin")
+@click.option(
+    "--discovery", required=True, help="HOST:PORT of discovery, polled while this relay is the origin"
+)
 def run(file: str, name: str, discovery: str) -> None:
     """Run one relay until SIGTERM or SIGINT; SIGUSR1 prints its counters.
 
@@ -86,7 +88,7 @@
 
 def _status_line(name: str, status: RelayStatus | None) -> str:
     if status is None:
-        return f"{name}: no relay"
+        return f"{name}: not a relay"
     version = Version(*status.version)
     oldest_version = Version(*status.oldest_version)
     origin = ""
