--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -13,10 +13,10 @@
 from lotusroute.capacity.regression_line import MIN_SIZES, RegressionLine, find_growth, fit_line
 from lotusroute.capacity.run_file import Run, read_run, write_run
 from lotusroute.capacity.target import Target
-from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
+from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_usage_error, hidden_alias
 
 ROLE_NAMES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
-EARLIER_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # still accepted
+LEGACY_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # still accepted
 
 
 def parse_role(text: str) -> str:
@@ -25,7 +25,7 @@
     >>> parse_role("plane")
     'data-plane'
     """
-    role = EARLIER_ROLE_NAMES.get(text, text)
+    role = LEGACY_ROLE_NAMES.get(text, text)
     if role not in ROLE_NAMES:
         raise click.BadParameter(f"'{text}' is not one of {', '.join(map(repr, ROLE_NAMES))}")
     return role
@@ -54,16 +54,16 @@
     measurements: list[Measurement] = []
     try:
         for size in size_list:
-            report = functools.partial(_report, prefix=f"{role} {size}: ")
+            report = functools.partial(_print_progress, prefix=f"{role} {size}: ")
             measurements += measured_role.measure(size, MeasurementOptions(seconds, hosts, report))
     except RunTooLargeError as error:
-        exit_with_wrong_use(f"{role}: {error}")
-    series = group_into_series(measurements)
-    lines = [fit_line(one) for one in series]
+        exit_with_usage_error(f"{role}: {error}")
+    all_series = group_into_series(measurements)
+    lines = [fit_line(series) for series in all_series]
     for line in lines:
         click.echo(_line_summary(line, len(size_list)))
     if file:
-        write_run(file, Run(series, role, seconds))
+        write_run(file, Run(all_series, role, seconds))
     if plot:
         _plot(lines, plot)
 
@@ -80,16 +80,16 @@
     return sizes
 
 
-def _report(text: str, prefix: str = "") -> None:
+def _print_progress(text: str, prefix: str = "") -> None:
     click.echo(prefix + text, err=True)
 
 
 def _line_summary(line: RegressionLine, size_count: int) -> str:
     points = " ".join(f"{point.size:g}:{point.value:.4g}" for point in line.points)
-    caution = "" if size_count >= MIN_SIZES else f"  (only {size_count} sizes)"
+    warning = "" if size_count >= MIN_SIZES else f"  (only {size_count} sizes)"
     return (
         f"{line.name}: slope {line.slope:.5g} +- {line.slope_error:.2g} {line.unit}, "
-        f"{line.intercept:.4g} at size 0; {points}{caution}"
+        f"{line.intercept:.4g} at size 0; {points}{warning}"
     )
 
 
@@ -123,7 +123,7 @@
     try:
         findings = find_growth(read_run(before).lines, read_run(after).lines)
     except (RunFileError, TooFewSizesError) as error:
-        exit_with_wrong_use(str(error))
+        exit_with_usage_error(str(error))
     for finding in findings:
         click.echo(finding)
     sys.exit(ExitCode.FAILED if findings else ExitCode.OK)
@@ -169,9 +169,9 @@
             raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
     chosen = [Scenario(scenario) for scenario in scenarios] or list(SCENARIOS)
     try:
-        run = run_scenarios(FleetSize(**sizes), chosen, _report)
+        run = run_scenarios(FleetSize(**sizes), chosen, _print_progress)
     except RunTooLargeError as error:
-        exit_with_wrong_use(f"propagation: {error}")
+        exit_with_usage_error(f"propagation: {error}")
     figures: dict[str, dict[str, object]] = {"rest": asdict(run.rest)}
     figures.update((scenario.value, asdict(result)) for scenario, result in run.scenarios.items())
     if as_json:
--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -43,16 +43,16 @@
     default="3",
     help="how many of them are lease acceptors",
 )
-@click.option("--keepers", "older_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # legacy name
+@click.option("--keepers", "legacy_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # legacy name
 @JSON_OPTION
 def run(
-    seconds: float, seed: int, processes: int, acceptors: str, older_acceptors: str | None, as_json: bool
+    seconds: float, seed: int, processes: int, acceptors: str, legacy_acceptors: str | None, as_json: bool
 ) -> None:
     """Run random fault scenarios and check the lease invariants; exit with 1 if a scenario fails.
 
     Example: lotusroute fault-injection run --seconds 60 --processes 5 --acceptors 5 --seed 1
     """
-    acceptor_count = int(older_acceptors or acceptors)
+    acceptor_count = int(legacy_acceptors or acceptors)
     if acceptor_count > processes:
         raise click.UsageError(
             f"--acceptors {acceptor_count}: more than the {processes} processes; give fewer"
--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -13,7 +13,7 @@
 
     OK = 0
     FAILED = 1  # a peer did not answer, an invariant was violated, a figure grew or a limit was exceeded
-    WRONG_USE = 2  # the code of click's usage errors; also for an unusable configuration file
+    USAGE_ERROR = 2  # the code of click's usage errors; also for an unusable configuration file
 
 
 FLEET_FILE_OPTION = click.option(
@@ -35,7 +35,7 @@
     return alias
 
 
-def exit_with_wrong_use(message: str) -> NoReturn:
+def exit_with_usage_error(message: str) -> NoReturn:
     """Print the reason why the command cannot run as given, and exit."""
     click.echo(f"lotusroute: {message}", err=True)
-    sys.exit(ExitCode.WRONG_USE)
+    sys.exit(ExitCode.USAGE_ERROR)
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -8,7 +8,7 @@
 import click
 from twisted.internet import defer
 
-from lotusroute.cli.options import ExitCode, exit_with_wrong_use
+from lotusroute.cli.options import ExitCode, exit_with_usage_error
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import FleetConfig, load_fleet_config
 from lotusroute.fleet.process_status import ProcessStatus, decode_status, status_document
@@ -34,7 +34,7 @@
 def query_peers(file: str, peers: Sequence[str]) -> PeerAnswers:
     """Query the status of `peers`, or of all peers in the fleet's file if none is named.
 
-    Exits with `ExitCode.WRONG_USE` if the file is unusable or lacks a peer. This runs the reactor, which is
+    Exits with `ExitCode.USAGE_ERROR` if the file is unusable or lacks a peer. This runs the reactor, which is
     possible only once per process.
     """
     config = _load_config(file, peers)
@@ -49,11 +49,11 @@
     try:
         config = load_fleet_config(file)
     except InvalidValueError as error:
-        exit_with_wrong_use(str(error))
+        exit_with_usage_error(str(error))
     for peer in peers:
         if peer not in config.peers:
             known_peers = ", ".join(config.peers)
-            exit_with_wrong_use(f"--peer {peer}: not among the peers of {file}: {known_peers}")
+            exit_with_usage_error(f"--peer {peer}: not among the peers of {file}: {known_peers}")
     return config
 
 
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from lotusroute.address import parse_address
-from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_wrong_use
+from lotusroute.cli.options import FLEET_FILE_OPTION, JSON_OPTION, PEER_OPTION, exit_with_usage_error
 from lotusroute.cli.peer_query import print_and_exit, query_peers
 from lotusroute.errors import InvalidValueError
 from lotusroute.fleet.config import load_fleet_config
@@ -40,7 +40,7 @@
         discovery_address = parse_address(discovery)
         lease_service = LeaseService(reactor, fleet_config, name, counters)
     except InvalidValueError as error:
-        exit_with_wrong_use(str(error))
+        exit_with_usage_error(str(error))
     server = RelayServer(lease_service, discovery_address, counters)
 
     def report_start_failure(failure: Failure) -> None:
