--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,7 +13,7 @@
 from lotusroute.cli import root_group
 
 GROUPS = ("capacity", "fault-injection", "fleet", "leases", "relay")
-OLDER_NAMES = {
+LEGACY_NAMES = {
     ("scale", "compare"): ("capacity", "compare"),
     ("scale", "herd"): ("capacity", "reconnect-storm"),
     ("scale", "measure"): ("capacity", "measure"),
@@ -43,13 +43,13 @@
     return re.findall(r"^  (\S+)", table, re.MULTILINE)
 
 
-def test_root_help_lists_the_groups_and_no_older_name(invoke):
+def test_root_help_lists_the_groups_and_no_legacy_name(invoke):
     result = invoke("--help")
     assert result.exit_code == 0
     assert shown_commands(result.stdout) == list(GROUPS)
 
 
-def test_capacity_help_lists_the_commands_and_no_older_name(invoke):
+def test_capacity_help_lists_the_commands_and_no_legacy_name(invoke):
     result = invoke("capacity", "--help")
     assert result.exit_code == 0
     assert shown_commands(result.stdout) == [
@@ -71,25 +71,25 @@
     assert shown_commands(result.stdout) == commands
 
 
-@pytest.mark.parametrize(("older", "current"), OLDER_NAMES.items(), ids=" ".join)
-def test_older_name_runs_the_same_command(older, current):
+@pytest.mark.parametrize(("legacy", "current"), LEGACY_NAMES.items(), ids=" ".join)
+def test_legacy_name_runs_the_same_command(legacy, current):
     commands = []
-    for group_name, command_name in (older, current):
+    for group_name, command_name in (legacy, current):
         group = root_group.get_command(None, group_name)
         commands.append(group.get_command(None, command_name))
     assert commands[0].callback is commands[1].callback
     assert commands[0].params == commands[1].params
 
 
-@pytest.mark.parametrize("older", OLDER_NAMES, ids=" ".join)
-def test_older_name_shows_help_with_the_current_example(invoke, older):
-    result = invoke(*older, "--help")
+@pytest.mark.parametrize("legacy", LEGACY_NAMES, ids=" ".join)
+def test_legacy_name_shows_help_with_the_current_example(invoke, legacy):
+    result = invoke(*legacy, "--help")
     assert result.exit_code == 0
-    assert f"Example: lotusroute {' '.join(OLDER_NAMES[older])}" in " ".join(result.stdout.split())
+    assert f"Example: lotusroute {' '.join(LEGACY_NAMES[legacy])}" in " ".join(result.stdout.split())
 
 
 @pytest.mark.parametrize("group", ["capacity", "scale"])
-def test_target_prints_the_same_json_by_the_older_name(invoke, group):
+def test_target_prints_the_same_json_by_the_legacy_name(invoke, group):
     result = invoke(group, "target", "--json")
     assert result.exit_code == 0
     figures = json.loads(result.stdout)
@@ -98,18 +98,18 @@
 
 @pytest.mark.parametrize("option", ["--acceptors", "--keepers"])
 @pytest.mark.parametrize("command", [("fault-injection", "run"), ("rig", "hunt")], ids=" ".join)
-def test_a_fault_injection_run_rejects_more_acceptors_than_processes(invoke, command, option):
+def test_fault_injection_run_rejects_more_acceptors_than_processes(invoke, command, option):
     result = invoke(*command, "--processes", "3", option, "5")
     assert result.exit_code == 2
     assert "--acceptors 5: more than the 3 processes; give fewer" in result.stderr
 
 
-def test_the_help_of_a_fault_injection_run_lists_no_older_option(invoke):
+def test_fault_injection_run_help_lists_no_legacy_option(invoke):
     result = invoke("fault-injection", "run", "--help")
     assert "--acceptors" in result.stdout and "--keepers" not in result.stdout
 
 
-def test_a_fault_injection_run_prints_its_summary_as_json():
+def test_fault_injection_run_prints_its_summary_as_json():
     call = [sys.executable, "-m", "lotusroute", "rig", "hunt", "--seconds", "1", "--json"]
     result = subprocess.run(call, capture_output=True, text=True, timeout=60, check=False)
     assert result.returncode == 0, result.stderr
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("arguments", [("no-such-group",), ("capacity", "no-such-command")])
-def test_unknown_command_is_wrong_use(invoke, arguments):
+def test_unknown_command_is_a_usage_error(invoke, arguments):
     result = invoke(*arguments)
     assert result.exit_code == 2 and arguments[-1] in result.stderr
 
@@ -132,7 +132,7 @@
     return set(subprocess.run(call, capture_output=True, text=True, timeout=20, check=True).stdout.split())
 
 
-def test_the_balancer_imports_no_command():
+def test_balancer_does_not_import_the_command_line():
     assert "lotusroute.cli" not in loaded_modules("import lotusroute.__main__")
 
 
