--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the command line: groups, lazy imports, older names of commands, exit codes."""
+"""Tests of the command line: command groups, lazy imports, legacy names and exit codes."""
 
 import json
 import pathlib
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def invoke():
-    """Run one command in this process and return its result."""
+    """A function that runs a command in the current process and returns its result."""
 
     def run(*arguments):
         return CliRunner().invoke(root_group, list(arguments), prog_name="lotusroute")
@@ -38,7 +38,7 @@
 
 
 def shown_commands(help_text):
-    """Return the names under "Commands:" of a help text."""
+    """Return the command names listed under "Commands:" in a help text."""
     _, _, table = help_text.partition("Commands:\n")
     return re.findall(r"^  (\S+)", table, re.MULTILINE)
 
@@ -126,7 +126,7 @@
 
 
 def loaded_modules(statement):
-    """Return the modules that a new interpreter has loaded after one statement."""
+    """Return the names of the modules that a new interpreter has loaded after executing a statement."""
     code = f"import sys; {statement}; print(*sys.modules)"
     call = [sys.executable, "-c", code]
     return set(subprocess.run(call, capture_output=True, text=True, timeout=20, check=True).stdout.split())
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -1,6 +1,6 @@
-"""The model checker of the lease protocol.
+"""Tests of the model checker of the lease protocol.
 
-It is also run on variants of the protocol that are broken on purpose, which it has to detect.
+It must find no violation in the protocol, and one in each variant of the protocol that is broken on purpose.
 """
 
 import random
--- a/tests/test_network_proxy.py
+++ b/tests/test_network_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the TCP proxy that injects faults between processes."""
+"""Tests of the TCP proxy that injects network faults between processes."""
 
 import contextlib
 import socket
@@ -10,7 +10,7 @@
 from lotusroute.fault_injection.network_proxy import Link, NetworkProxy
 
 TIMEOUT_S = 5.0
-BLOCKED_TIMEOUT_S = 0.2  # without data, after which a link counts as blocked
+BLOCKED_TIMEOUT_S = 0.2  # a link on which no data arrives within this time is considered blocked
 A_TO_B = Link("a", "b")
 B_TO_A = Link("b", "a")
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def proxy():
-    """Links between a and b, where b echoes."""
+    """A proxy between processes a and b, where b echoes all data."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         threading.Thread(target=_echo, args=(listener,), daemon=True).start()
         proxy = NetworkProxy(["a", "b"], {"b": listener.getsockname()[1]})
@@ -40,14 +40,14 @@
 
 @pytest.fixture
 def connection(proxy):
-    """A connection from a to b whose echo works."""
+    """A connection from a to b that has already echoed data."""
     with socket.create_connection(("127.0.0.1", proxy.port(A_TO_B)), TIMEOUT_S) as connection:
         exchange(connection, b"first")
         yield connection
 
 
 def exchange(connection, data):
-    """Send data, wait for its echo, and return the seconds that took."""
+    """Send data, wait for its echo, and return the elapsed seconds."""
     sent_at = time.monotonic()
     connection.sendall(data)
     received = b""
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -1,4 +1,4 @@
-"""Tests of the package that starts processes of the program: logs, ports, readiness, configuration files."""
+"""Tests of `lotusroute.process_control`, which starts lotusroute processes and observes them."""
 
 import io
 import json
@@ -53,8 +53,8 @@
 
 
 def test_a_process_gets_its_options(tmp_path, monkeypatch):
-    monkeypatch.setenv("WALL_CLOCK_JUMPS_OF_THIS_TEST", "7")
-    script = "import os; print(os.getcwd(), os.environ['WALL_CLOCK_JUMPS_OF_THIS_TEST'], os.environ['ADDED'])"
+    monkeypatch.setenv("INHERITED", "7")
+    script = "import os; print(os.getcwd(), os.environ['INHERITED'], os.environ['ADDED'])"
     script += "; print(oct(os.umask(0)))"
     options = ProcessOptions(
         environment={"ADDED": "yes"},
--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the model checker of relays: the invariants hold, and it finds seeded defects."""
+"""Tests of the model checker of relays: the invariants hold, and it detects faulty stores and fan-outs."""
 
 from collections import Counter
 
@@ -22,7 +22,7 @@
 
 
 class AppliesStale(VersionedStore):
-    """Goes back to an older version."""
+    """Reverts to an older version when it receives an older update."""
 
     def apply(self, update):
         if update.version >= self.version:
@@ -35,7 +35,7 @@
 
 
 class IgnoresDigest(VersionedStore):
-    """Applies corrupt updates."""
+    """Applies updates whose digest does not match, that is, corrupt ones."""
 
     def apply(self, update):
         self.digest_after = lambda changes: update.digest
@@ -46,7 +46,7 @@
 
 
 class IgnoresBaseVersion(IgnoresDigest):
-    """Applies deltas from other versions than its own."""
+    """Applies deltas whose base version is not its own version."""
 
     def apply(self, update):
         if isinstance(update, Delta):
