--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -98,21 +98,21 @@
         random_walks(4_000, **options)
 
 
-def test_the_model_checker_prints_the_states_that_it_visited(capsys):
+def test_the_model_checker_prints_the_number_of_visited_states(capsys):
     assert lease_model_checker.main(["--walks", "20", "--search", "200"]) == 0
     assert "search: 200 states" in capsys.readouterr().out
 
 
-def test_the_model_checker_requires_something_to_do(capsys):
+def test_the_model_checker_requires_walks_or_a_search(capsys):
     with pytest.raises(SystemExit) as exit_info:
         lease_model_checker.main([])
     assert exit_info.value.code == 2
     assert "give --walks N" in capsys.readouterr().err
 
 
-def test_the_model_checker_accepts_the_older_names_of_its_options():
+def test_the_model_checker_accepts_the_legacy_names_of_its_options():
     parser = lease_model_checker.create_parser()
-    older = parser.parse_args(["--walks", "1", "--askers", "3", "--keepers", "5"])
-    assert older == parser.parse_args(["--walks", "1", "--proposers", "3", "--acceptors", "5"])
-    assert (older.proposers, older.acceptors) == (3, 5)
+    legacy = parser.parse_args(["--walks", "1", "--askers", "3", "--keepers", "5"])
+    assert legacy == parser.parse_args(["--walks", "1", "--proposers", "3", "--acceptors", "5"])
+    assert (legacy.proposers, legacy.acceptors) == (3, 5)
     assert "--askers" not in parser.format_help()
--- a/tests/test_network_proxy.py
+++ b/tests/test_network_proxy.py
@@ -15,7 +15,7 @@
 B_TO_A = Link("b", "a")
 
 
-def _echo(listener):
+def _serve_echo(listener):
     with contextlib.suppress(OSError):
         while True:
             connection, _ = listener.accept()
@@ -32,7 +32,7 @@
 def proxy():
     """A proxy between processes a and b, where b echoes all data."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        threading.Thread(target=_echo, args=(listener,), daemon=True).start()
+        threading.Thread(target=_serve_echo, args=(listener,), daemon=True).start()
         proxy = NetworkProxy(["a", "b"], {"b": listener.getsockname()[1]})
         yield proxy
         proxy.close()
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("link", [A_TO_B, B_TO_A])
-def test_what_is_sent_on_a_blocked_link_arrives_once_it_is_unblocked(proxy, connection, link):
+def test_data_sent_on_a_blocked_link_arrives_after_it_is_unblocked(proxy, connection, link):
     proxy.block(link)
     connection.sendall(b"late")
     connection.settimeout(BLOCKED_TIMEOUT_S)
@@ -69,14 +69,14 @@
     assert connection.recv(1024) == b"late"
 
 
-def test_partition_blocks_both_directions_and_unblock_frees_all(proxy):
+def test_partition_blocks_both_directions_and_unblock_removes_all_blocks(proxy):
     proxy.partition(["a"], ["b"])
     assert proxy.blocked == {A_TO_B, B_TO_A}
     proxy.unblock()
     assert proxy.blocked == set()
 
 
-def test_a_connection_made_while_its_link_is_blocked_is_forwarded_later(proxy):
+def test_a_connection_opened_on_a_blocked_link_is_forwarded_after_it_is_unblocked(proxy):
     proxy.block(A_TO_B)
     with socket.create_connection(("127.0.0.1", proxy.port(A_TO_B)), TIMEOUT_S) as connection:
         proxy.unblock(A_TO_B)
@@ -93,12 +93,12 @@
         connection.recv(1024)
 
 
-def test_reset_spares_connections_of_other_pairs(proxy, connection):
+def test_reset_keeps_connections_of_other_pairs_open(proxy, connection):
     proxy.reset("a", "c")
     exchange(connection, b"alive")
 
 
-def test_reset_after_a_number_of_bytes_forwards_these_and_resets_once(proxy, connection):
+def test_reset_after_forwards_the_given_bytes_and_resets_once(proxy, connection):
     proxy.reset_after[B_TO_A] = 3
     connection.sendall(b"abcdef")
     received = b""
@@ -109,7 +109,7 @@
     assert proxy.reset_after == {}
 
 
-def test_delay_holds_back_each_read(proxy, connection):
+def test_delay_defers_forwarding(proxy, connection):
     proxy.delays[A_TO_B] = 0.2
     assert exchange(connection, b"slow") >= 0.2
 
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -25,7 +25,7 @@
 from lotusroute.process_control.process_start import ProcessOptions, module_command, start_process
 from lotusroute.process_control.readiness import wait_until_ready
 
-COUNTING_SCRIPT = """
+COUNTERS_SCRIPT = """
 import signal, sys
 def log_counters(*_):
     print("event=counters calls=3 share=0.5", file=sys.stderr, flush=True)
@@ -66,20 +66,20 @@
     assert output == f"{tmp_path} 7 yes\n0o77\n"
 
 
-def test_a_module_runs_with_the_interpreter_of_this_process():
+def test_module_command_uses_the_current_interpreter():
     assert module_command("lotusroute", "leases") == [sys.executable, "-m", "lotusroute", "leases"]
 
 
 # Logs
 
 
-def test_lines_of_a_stream_are_followed_to_its_end():
+def test_lines_of_a_stream_are_read_to_its_end():
     lines = WaitableList()
     follow_lines(io.StringIO("a\nb\n"), lines.append).join(5.0)
     assert lines.copy() == ["a\n", "b\n"] and len(lines) == 2
 
 
-def test_a_thread_waits_for_an_item_that_another_one_appends():
+def test_a_thread_waits_for_an_item_that_another_thread_appends():
     items = WaitableList()
     threading.Timer(0.05, items.append, [3]).start()
     assert items.wait_for(sum, 5.0) == 3
@@ -87,14 +87,14 @@
 
 
 def test_the_counters_of_a_process_are_read_from_its_log():
-    with LoggedProcess(script_command(COUNTING_SCRIPT)) as process:
+    with LoggedProcess(script_command(COUNTERS_SCRIPT)) as process:
         process.wait_for_line("event=ready")
         assert process.counters() == {"calls": 3}
         assert process.is_running()
     assert process.process.returncode == -signal.SIGKILL
 
 
-def test_a_wait_for_a_line_ends_with_the_process_and_shows_its_log():
+def test_a_wait_for_a_line_fails_when_the_process_exits_and_shows_its_log():
     process = LoggedProcess(script_command("import sys; sys.exit('no configuration')"))
     message = "process exited with code 1 before logging 'ready'; last lines of the log:\nno configuration"
     with pytest.raises(ProcessEndedError, match=message) as error:
@@ -103,22 +103,22 @@
     process.stop()
 
 
-def test_a_wait_for_a_line_ends_after_its_timeout():
-    with LoggedProcess(script_command(COUNTING_SCRIPT)) as process, pytest.raises(LogTimeoutError):
+def test_a_wait_for_a_line_fails_after_its_timeout():
+    with LoggedProcess(script_command(COUNTERS_SCRIPT)) as process, pytest.raises(LogTimeoutError):
         process.wait_for_line("no such line", timeout=0.1)
 
 
 # Ports and readiness
 
 
-def test_a_port_is_not_allocated_twice_nor_while_somebody_listens_on_it():
+def test_allocator_returns_neither_recent_ports_nor_ports_in_use():
     first, second, third = (free_port() for _ in range(3))
     allocator = PortAllocator([first, second, third])
     with socket.create_server(("127.0.0.1", third)):
         assert {allocator.allocate(), allocator.allocate()} == {first, second}
 
 
-def test_nobody_listens_on_a_port_that_the_system_assigned():
+def test_system_assigned_port_is_free():
     with socket.create_server(("127.0.0.1", system_assigned_port())) as listener:
         assert listener.getsockname()[0] == "127.0.0.1"
 
@@ -163,7 +163,7 @@
     assert [entry["host"] for entry in answer["hosts"]] == ["s-1"]
 
 
-def test_a_long_poll_gets_a_change_or_an_empty_list_once_its_time_is_over(discovery_server):
+def test_a_long_poll_gets_a_change_or_an_empty_list_at_its_deadline(discovery_server):
     assert poll(discovery_server, "?from=1&hold_ms=50") == {"seq": 1, "whole": False, "hosts": []}
     changed = [config_files.endpoint_entry("s-2", 9)]
     threading.Timer(0.1, discovery_server.publish, [changed]).start()
--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -12,16 +12,16 @@
 WALKS = 300
 
 
-def check_model():
+def run_walks():
     return sum((relay_model_checker.walk(seed) for seed in range(WALKS)), start=Counter())
 
 
-def test_invariants_hold_and_all_outcomes_are_met():
-    outcomes = check_model()
+def test_invariants_hold_and_all_update_outcomes_occur():
+    outcomes = run_walks()
     assert min(outcomes[outcome] for outcome in UpdateOutcome) > 10
 
 
-class AppliesStale(VersionedStore):
+class AppliesStaleUpdates(VersionedStore):
     """Reverts to an older version when it receives an older update."""
 
     def apply(self, update):
@@ -61,14 +61,16 @@
         return super().publish(max(fencing_token, self.version.fencing_token), changes)
 
 
-@pytest.mark.parametrize("store", [AppliesStale, IgnoresDigest, IgnoresBaseVersion, IgnoresFencingToken])
-def test_the_model_checker_finds_a_faulty_store(store, monkeypatch):
+@pytest.mark.parametrize(
+    "store", [AppliesStaleUpdates, IgnoresDigest, IgnoresBaseVersion, IgnoresFencingToken]
+)
+def test_the_model_checker_detects_a_faulty_store(store, monkeypatch):
     monkeypatch.setattr(relay_model_checker, "VersionedStore", store)
     with pytest.raises(InvariantViolationError):
-        check_model()
+        run_walks()
 
 
-def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
+def test_the_model_checker_detects_that_lost_messages_are_not_retransmitted(monkeypatch):
     monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT_MS", 1e12)
     with pytest.raises(InvariantViolationError):
-        check_model()
+        run_walks()
