--- a/lotusroute/fault_injection/log_records.py
+++ b/lotusroute/fault_injection/log_records.py
@@ -25,7 +25,7 @@
     DELAY = "delay"
     THROTTLE = "throttle"
     KILL_ACCEPTORS = "kill acceptors"
-    HEAL = "heal"  # all processes were restarted and all network faults removed
+    HEAL = "heal"  # all processes run again and all network faults are removed
 
 
 class LogRecord(NamedTuple):
--- a/lotusroute/process_control/log_fields.py
+++ b/lotusroute/process_control/log_fields.py
@@ -25,7 +25,7 @@
 
 
 def parse_counters(line: str) -> dict[str, int]:
-    """Return the counters, all fields with integer values, of the line that a process logs on SIGUSR1.
+    """Return the counters, the fields with integer values, of the line that a process logs on SIGUSR1.
 
     >>> parse_counters("time=12.500 level=info event=counters connects=3 flows=2")
     {'connects': 3, 'flows': 2}
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -24,11 +24,11 @@
 
 
 def test_random_walks_find_no_violation_with_two_proposers():
-    assert random_walks(600) > 600
+    assert random_walks(600) > 600  # more than one change of holder per walk
 
 
 def test_random_walks_find_no_violation_with_three_proposers():
-    assert random_walks(300, proposers=3) > 300
+    assert random_walks(300, proposers=3) > 300  # more than one change of holder per walk
 
 
 def test_a_breadth_first_search_finds_no_violation():
@@ -37,6 +37,7 @@
 
 
 def count_lease_from_reply(monkeypatch):
+    """The holder counts its lease from the reply that completes the majority, not from its own proposal."""
     on_majority = Proposer._on_majority
 
     def start_now(self, task, state, now):
@@ -46,6 +47,7 @@
 
 
 def serve_right_after_restart(monkeypatch):
+    """A restarted acceptor serves at once, though it has forgotten the leases that it granted."""
     init = Acceptor.__init__
 
     def init_serving(self, terms, now, ballot_floor):
@@ -56,6 +58,7 @@
 
 
 def forget_promised_ballot(monkeypatch):
+    """An acceptor accepts ballots that are lower than the one that it promised."""
     apply_request = acceptor_module.apply_request
 
     def apply_without_promise(state, now, request, terms):
@@ -65,6 +68,7 @@
 
 
 def lose_persisted_ballot(monkeypatch):
+    """An acceptor restarts without the ballot that it persisted."""
     init = Acceptor.__init__
 
     def init_without_floor(self, terms, now, ballot_floor):
@@ -74,11 +78,12 @@
 
 
 def accept_half_as_majority(monkeypatch):
+    """Half of the acceptors, rounded down, are enough for a majority."""
     monkeypatch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.acceptors) // 2))
 
 
 def change_nothing(monkeypatch):
-    pass
+    """The protocol is unchanged; only the options of the model differ."""
 
 
 @pytest.mark.parametrize(
