--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -1,6 +1,6 @@
-"""The model checker of the lease protocol.
+"""Tests of the model checker of the lease protocol.
 
-It is also run on variants of the protocol that are broken on purpose, which it has to detect.
+It must find no violation in the protocol, and one in each variant of the protocol that is broken on purpose.
 """
 
 import random
@@ -24,11 +24,11 @@
 
 
 def test_random_walks_find_no_violation_with_two_proposers():
-    assert random_walks(600) > 600
+    assert random_walks(600) > 600  # more than one change of holder per walk
 
 
 def test_random_walks_find_no_violation_with_three_proposers():
-    assert random_walks(300, proposers=3) > 300
+    assert random_walks(300, proposers=3) > 300  # more than one change of holder per walk
 
 
 def test_a_breadth_first_search_finds_no_violation():
@@ -37,6 +37,7 @@
 
 
 def count_lease_from_reply(monkeypatch):
+    """The holder counts its lease from the reply that completes the majority, not from its own proposal."""
     on_majority = Proposer._on_majority
 
     def start_now(self, task, state, now):
@@ -46,6 +47,7 @@
 
 
 def serve_right_after_restart(monkeypatch):
+    """A restarted acceptor serves at once, though it has forgotten the leases that it granted."""
     init = Acceptor.__init__
 
     def init_serving(self, terms, now, ballot_floor):
@@ -56,6 +58,7 @@
 
 
 def forget_promised_ballot(monkeypatch):
+    """An acceptor accepts ballots that are lower than the one that it promised."""
     apply_request = acceptor_module.apply_request
 
     def apply_without_promise(state, now, request, terms):
@@ -65,6 +68,7 @@
 
 
 def lose_persisted_ballot(monkeypatch):
+    """An acceptor restarts without the ballot that it persisted."""
     init = Acceptor.__init__
 
     def init_without_floor(self, terms, now, ballot_floor):
@@ -74,11 +78,12 @@
 
 
 def accept_half_as_majority(monkeypatch):
+    """Half of the acceptors, rounded down, are enough for a majority."""
     monkeypatch.setattr(LeaseTerms, "majority", property(lambda terms: len(terms.acceptors) // 2))
 
 
 def change_nothing(monkeypatch):
-    pass
+    """The protocol is unchanged; only the options of the model differ."""
 
 
 @pytest.mark.parametrize(
@@ -89,7 +94,7 @@
         pytest.param(forget_promised_ballot, {}, id="lower ballot accepted"),
         pytest.param(lose_persisted_ballot, {"crashes": 3}, id="ballots not persisted"),
         pytest.param(accept_half_as_majority, {}, id="half of the acceptors as majority"),
-        pytest.param(change_nothing, {"known_drift": 0.0}, id="no allowance for clock drift"),
+        pytest.param(change_nothing, {"assumed_drift": 0.0}, id="no allowance for clock drift"),
     ],
 )
 def test_the_model_checker_detects_a_broken_protocol(mutate, options, monkeypatch):
@@ -98,21 +103,21 @@
         random_walks(4_000, **options)
 
 
-def test_the_model_checker_prints_the_states_that_it_visited(capsys):
+def test_the_model_checker_prints_the_number_of_visited_states(capsys):
     assert lease_model_checker.main(["--walks", "20", "--search", "200"]) == 0
     assert "search: 200 states" in capsys.readouterr().out
 
 
-def test_the_model_checker_requires_something_to_do(capsys):
+def test_the_model_checker_requires_walks_or_a_search(capsys):
     with pytest.raises(SystemExit) as exit_info:
         lease_model_checker.main([])
     assert exit_info.value.code == 2
     assert "give --walks N" in capsys.readouterr().err
 
 
-def test_the_model_checker_accepts_the_older_names_of_its_options():
+def test_the_model_checker_accepts_the_legacy_names_of_its_options():
     parser = lease_model_checker.create_parser()
-    older = parser.parse_args(["--walks", "1", "--askers", "3", "--keepers", "5"])
-    assert older == parser.parse_args(["--walks", "1", "--proposers", "3", "--acceptors", "5"])
-    assert (older.proposers, older.acceptors) == (3, 5)
+    legacy = parser.parse_args(["--walks", "1", "--askers", "3", "--keepers", "5"])
+    assert legacy == parser.parse_args(["--walks", "1", "--proposers", "3", "--acceptors", "5"])
+    assert (legacy.proposers, legacy.acceptors) == (3, 5)
     assert "--askers" not in parser.format_help()
