--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -44,7 +44,7 @@
 class Batch:
     """A batch that has not been read to its end."""
 
-    now: float  # the time of all its events
+    now: float  # the time of all events of the batch
     instance: int | None = None  # the instance that the next lines are for
     reply: list[str] = field(default_factory=list)
     last_replying_instance: int | None = None  # the instance whose actions were last added to the reply
@@ -71,8 +71,9 @@
     """The state of a simulation: its instances, and the server lists that their events refer to."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}  # by number
-        self.lists: dict[int, tuple[events.Server, ...]] = {}  # by number, from 0 to MAX_LIST_NUMBER
+        self.instances: dict[int, Instance] = {}  # attached instances, by their numbers
+        # Server lists by their numbers, which are between 0 and MAX_LIST_NUMBER.
+        self.lists: dict[int, tuple[events.Server, ...]] = {}
         self.partial_list: PartialServerList | None = None
         self.batch: Batch | None = None
 
--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -38,7 +38,8 @@
     "X": events.ConnectionResult.CANCELLED,
     "N": events.ConnectionResult.UNSENT,
 }
-# Bits of the flags of a new flow. They are parsed for every flow, for which an IntFlag is too slow.
+# Bits of the flags of a new flow. They are plain integers, since an IntFlag is too slow to be parsed for
+# every flow of a simulated day.
 RETRY_FLAG = 2
 MID_FLOW_FLAG = 8
 RECONNECTING_FLAG = 16
@@ -130,7 +131,7 @@
 
 def _parse_connection_ended(values: list[str]) -> events.ConnectionEnded:
     flow, final, server, latency, attempt, result, _load_report = values
-    # The routing logic uses neither value, but a malformed one is still an error.
+    # The routing logic uses neither the latency nor the attempt, but a malformed value is still an error.
     parse_number(latency)
     parse_integer(attempt)
     return events.ConnectionEnded(
--- a/lotusroute/routing/events.py
+++ b/lotusroute/routing/events.py
@@ -1,7 +1,7 @@
 """The events that a director handles, the actions that it returns, and the configuration of a service.
 
 Times are in milliseconds on the host's clock and may have fractions. The host assigns the ids of flows. Enum
-values appear in logs and in counter names.
+values appear in logs and in counter names, so they must not change, even if the names of their members do.
 """
 
 from enum import StrEnum
@@ -19,9 +19,9 @@
 class DedupScope(StrEnum):
     """Which servers recognize a repeated idempotency key."""
 
-    ALL = "all"
-    ZONE = "zone"  # those in the zone of the server that ran the flow
-    CELL = "cell"  # those in its cell
+    ALL = "all"  # all servers
+    ZONE = "zone"  # servers in the zone of the server that ran the flow
+    CELL = "cell"  # servers in the cell of the server that ran the flow
     NONE = "none"
 
 
@@ -36,10 +36,10 @@
 class ListScope(StrEnum):
     """Which servers an endpoint list contains."""
 
-    CHANGES = "changes"  # those that changed since the last list
+    CHANGES = "changes"  # the servers that changed since the last list
     COMPLETE = "complete"  # all servers; servers that are not listed are removed
     CACHED = "cached"  # all servers, as saved by an earlier run; possibly outdated
-    REJECTED = "rejected"  # none, because discovery rejected the poll
+    REJECTED = "rejected"  # no servers, because discovery rejected the poll
 
 
 class ConnectionResult(StrEnum):
@@ -79,18 +79,18 @@
     """The configuration of the service that a director routes flows for."""
 
     service_types: dict[str, ServiceType]
-    instance_index: int = 0  # of this balancer among the `instance_count` balancers of the service
+    instance_index: int = 0  # index of this balancer among the `instance_count` balancers of the service
     instance_count: int = 1
     groups_share_work: bool = False  # connections of one group to the same server share work there
     trusts_weights: bool = True  # weights are used, since they do not change between endpoint lists
     reports_latency: bool = False  # servers send latency reports when they are slow
-    latency_objective: float = 0.0  # per message, the strictest of all service types; 0: not set
+    latency_objective: float = 0.0  # strictest latency objective for a message, over all types; 0: not set
     polls_discovery: bool = False  # discovery sends endpoint lists only on request
     poll_interval: float = 10_000.0
     max_attempts: int = 1  # connection attempts per flow
-    max_retry_after: float = 0.0  # the longest Retry-After that clients honour; 0: they ignore it
+    max_retry_after: float = 0.0  # the longest Retry-After that clients honour; 0: clients ignore it
     slow_start_share: float = 1.0  # fraction of its full capacity that a server has when it starts
-    slow_start_duration: float = 0.0  # time from its start until a server has its full capacity
+    slow_start_duration: float = 0.0  # time from the start of a server until it has its full capacity
     slow_start_burst: float = 1.0  # multiple of its capacity above which a server is overloaded
 
 
@@ -102,7 +102,7 @@
     cell: int = 0  # servers of one cell share their idempotency keys
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started_at: float = 0.0  # when it last started; 0: unknown or long ago
+    started_at: float = 0.0  # when the server last started; 0: unknown or long ago
 
 
 class EndpointList(NamedTuple):
@@ -158,20 +158,20 @@
     """A server has reported the load of a connection."""
 
     id: int
-    load: float  # work per second
+    load: float  # work per second that the connection causes on the server
 
 
 class LatencyReport(NamedTuple):
     """A server has reported its latency, or the host has measured it."""
 
     server: str
-    latency: float  # per message
+    latency: float  # time that a message takes on the server
 
 
 class TimerFired(NamedTuple):
     """A timer set by `SetTimer` has fired."""
 
-    name: str  # of that `SetTimer`
+    name: str  # the name that `SetTimer` gave to the timer
 
 
 class Connect(NamedTuple):
@@ -179,7 +179,7 @@
 
     id: int
     server: str
-    timeout: float = 0.0  # of the attempt; 0: until the client's deadline
+    timeout: float = 0.0  # time that the attempt may take; 0: until the client's deadline
 
 
 class RejectReason(StrEnum):
@@ -240,6 +240,6 @@
     | LatencyReport
     | TimerFired
 )
-# Events that concern an unfinished flow, by its id.
+# Events that concern an unfinished flow, which they name by its id.
 FlowEvent = Established | ConnectionEnded | ClientDisconnected | LoadReport
 Action = Connect | Reject | Abort | Migrate | SetTimer | Subscribe | OutlierEjected
--- a/lotusroute/routing/records.py
+++ b/lotusroute/routing/records.py
@@ -14,7 +14,8 @@
 class FailureState:
     """Connection failures of one server; written by `failure_detection.py`."""
 
-    score: float = 0.0  # between 0 and 1; rises with each failed connection, falls with each success
+    # Failure score between 0 and 1, which rises with each failed connection and falls with each success.
+    score: float = 0.0
     ejected_until: float = 0.0
 
 
@@ -23,7 +24,7 @@
     """Set-up times of one server; written by `overload_detection.py`."""
 
     mean: DecayingMean
-    recent: DecayingMean  # over the last few set-ups
+    recent: DecayingMean  # mean of the last few set-up times
 
     def add(self, now: float, sample: float) -> None:
         """Add a set-up time that was measured at `now`."""
@@ -35,12 +36,13 @@
 class OverloadState:
     """Overload of one server by set-up times and latency reports; written by `overload_detection.py`."""
 
-    overloaded_until: float = 0.0  # until then the server gets no new flows
-    deprioritized_until: float = 0.0  # until then it gets new flows only if no other server can take them
-    confirmed_slow_until: float = 0.0  # until then its connections are migrated
+    overloaded_until: float = 0.0  # until this time, the server gets no new flows
+    # Until this time, the server gets new flows only if no other server can take them.
+    deprioritized_until: float = 0.0
+    confirmed_slow_until: float = 0.0  # until this time, connections are migrated away from the server
     setup_times: SetupTimes | None = None  # None before the first set-up
     accumulated_delay: float = 0.0  # sum over consecutive slow set-ups of the excess over the expected time
-    slow_samples: int = 0  # since the server was last neither slow nor deprioritized
+    slow_samples: int = 0  # slow samples since the server was last neither slow nor deprioritized
     last_slow_attempt_at: float = 0.0  # when the attempt of the last slow sample began
 
 
@@ -48,10 +50,11 @@
 class AdmissionState:
     """Admission limits of one server that warms up or recovers; written by `slow_start.py`."""
 
-    recovering_until: float = 0.0  # until then new flows are limited
-    timely_setups: int = 0  # since the server last began to recover
+    recovering_until: float = 0.0  # until this time, new flows to the server are limited
+    timely_setups: int = 0  # timely set-ups since the server last began to recover
     last_slot_at: float = -math.inf  # when an admission slot was last used
-    last_quota_at: float = 0.0  # when this balancer's quota was last used; initially, when it began
+    # When this balancer's quota was last used; before its first use, when the quota began.
+    last_quota_at: float = 0.0
     quota_flows: int = 0  # flows admitted by this balancer's quota
 
 
@@ -62,15 +65,18 @@
     id: str
     hash: int
     started_at: float
-    first_seen_at: float  # by this process; set to an earlier time for a server that is not treated as new
+    # When this process first saw the server; set to an earlier time for a server that is not treated as new.
+    first_seen_at: float
     zone: str = ""
     cell: int = 0
-    state: EndpointState = EndpointState.REMOVED  # until its entry in the endpoint list is read
-    weight: float = 1.0  # in hashing, and for its share of the load
-    connections: dict[int, "FlowRecord"] = field(default_factory=dict)  # of this balancer, by flow id
-
-    # These are kept when the server restarts.
-    reported_latency: float = 0.0  # written by overload_detection.py
+    # The state in the endpoint list; REMOVED until the server's entry in the list has been read.
+    state: EndpointState = EndpointState.REMOVED
+    weight: float = 1.0  # weight of the server in hashing, and for its share of the load
+    # This balancer's connections to the server, by flow id.
+    connections: dict[int, "FlowRecord"] = field(default_factory=dict)
+
+    # The next two fields are kept when the server restarts.
+    reported_latency: float = 0.0  # latency in the last report; written by overload_detection.py
     migrated_at: float = 0.0  # when clients were last migrated away; written by migration.py
 
     failures: FailureState = field(default_factory=FailureState)
@@ -118,13 +124,14 @@
     request: FlowRequest
     segment: int
     replica: int = 0  # index of the flow's default server in the preference order of its segment
-    attempted: list[str] = field(default_factory=list)  # ids of the servers, in order of the attempts
+    attempted: list[str] = field(default_factory=list)  # ids of the attempted servers, in order
     possibly_ran_on: ServerRecord | None = None  # the first server on which the flow may have run
-    possibly_ran_at: float = 0.0  # when the attempt on that server began
-    server: ServerRecord | None = None  # of the last attempt
+    possibly_ran_at: float = 0.0  # when the attempt on `possibly_ran_on` began
+    server: ServerRecord | None = None  # the server of the last attempt or of the open connection
     attempted_at: float = 0.0  # when the last attempt began
-    established: bool = False  # reset to False when the client is asked to migrate
-    load: float = 0.0  # work per second, from the last load report
+    # Whether the connection is established; False again when the client has been asked to migrate.
+    established: bool = False
+    load: float = 0.0  # work per second that the flow causes, from the last load report
 
     def begin_attempt(self, server: ServerRecord, now: float) -> None:
         """Record that an attempt to connect to `server` begins."""
--- a/lotusroute/routing/state.py
+++ b/lotusroute/routing/state.py
@@ -13,7 +13,7 @@
 from lotusroute.routing.records import FlowRecord, ServerRecord
 from lotusroute.routing.statistics import ConnectionCounts, DecayingCount, DecayingMean, TickRate
 
-TICK_INTERVAL_MS = 1_000.0  # also the interval of the servers' latency reports
+TICK_INTERVAL_MS = 1_000.0  # interval of the periodic timer, and of the servers' latency reports
 
 
 @dataclass(slots=True)
@@ -22,7 +22,8 @@
 
     deviation: float  # mean absolute deviation of the logarithm of set-up times
     mean: DecayingMean | None = None
-    servers_by_setup_time: list[ServerRecord] = field(default_factory=list)  # as of `sorted_at`
+    # The ready servers as of `sorted_at`, the quickest first.
+    servers_by_setup_time: list[ServerRecord] = field(default_factory=list)
     sorted_at: float = -math.inf
 
 
@@ -47,30 +48,36 @@
     config: events.ServiceConfig
     rng: random.Random
     recent_replicas: deque[tuple[int, int]]  # segment and replica of each recently requested flow
-    recent_arrivals: DecayingCount  # of requested flows
+    recent_arrivals: DecayingCount  # count of recently requested flows
     fleet_setup_times: FleetSetupTimes
 
     now: float = 0.0
-    actions: list[events.Action] = field(default_factory=list)  # of the current event
+    actions: list[events.Action] = field(default_factory=list)  # actions in response to the current event
     ticks: int = 0
 
-    servers: dict[str, ServerRecord] = field(default_factory=dict)  # by id; removed ones while connected
-    ready: list[ServerRecord] = field(default_factory=list)  # as of the last endpoint list
-    total_weight: float = 1.0  # of the ready servers
-    max_weight: float = 1.0  # of any ready server
+    # Listed servers, and removed servers while this balancer has connections to them, by id.
+    servers: dict[str, ServerRecord] = field(default_factory=dict)
+    ready: list[ServerRecord] = field(default_factory=list)  # the ready servers of the last endpoint list
+    total_weight: float = 1.0  # sum of the weights of the ready servers
+    max_weight: float = 1.0  # largest weight of a ready server
+    # Servers that recover from overload or are deprioritized, by id.
     recently_overloaded: dict[str, ServerRecord] = field(default_factory=dict)
-    reconnects_expected_until: float = 0.0  # from clients of servers that have left the endpoint list
+    # Until this time, clients of servers that have left the endpoint list may reconnect.
+    reconnects_expected_until: float = 0.0
     subscription: SubscriptionState = field(default_factory=SubscriptionState)
 
     flows: dict[int, FlowRecord] = field(default_factory=dict)  # flows that have not ended, by id
-    flow_counts: Counter[int] = field(default_factory=Counter)  # the number of these flows, by segment
-    preference_orders: dict[int, list[ServerRecord]] = field(default_factory=dict)  # cache, by segment
-    overrides: dict[tuple[int, int], ServerRecord] = field(default_factory=dict)  # by segment and replica
-
-    arrivals: TickRate = field(default_factory=TickRate)  # of requested flows
-    new_client_arrivals: TickRate = field(default_factory=TickRate)  # neither reconnecting nor mid-flow
+    flow_counts: Counter[int] = field(default_factory=Counter)  # number of flows, by segment
+    # Cache of the preference orders, by segment.
+    preference_orders: dict[int, list[ServerRecord]] = field(default_factory=dict)
+    # Servers assigned instead of the default servers, by segment and replica.
+    overrides: dict[tuple[int, int], ServerRecord] = field(default_factory=dict)
+
+    arrivals: TickRate = field(default_factory=TickRate)  # rate of requested flows
+    # Rate of requested flows that are neither reconnecting nor mid-flow.
+    new_client_arrivals: TickRate = field(default_factory=TickRate)
     connects: ConnectionCounts = field(default_factory=ConnectionCounts)
-    spill_depth: int = 0  # servers of its preference order that a segment may use
+    spill_depth: int = 0  # number of servers of its preference order that a segment may use
 
     @property
     def lacks_latency_reports(self) -> bool:
--- a/lotusroute/routing/statistics.py
+++ b/lotusroute/routing/statistics.py
@@ -65,8 +65,8 @@
     """Counts of connection attempts and of reset connections, which decay with each tick."""
 
     failed: float = 0.0  # attempts that failed or were throttled
-    established: float = 0.0
-    resets: float = 0.0  # of established connections
+    established: float = 0.0  # attempts that succeeded
+    resets: float = 0.0  # established connections that were reset
 
     def count_end(self, was_established: bool, result: ConnectionResult) -> None:
         """Count the end of an attempt or of an established connection."""
