--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -60,12 +60,12 @@
         """
         self.state.start_event(now)
         if not isinstance(event, events.FlowEvent):
-            self._handle(event)
+            self._handle_event(event)
         elif (flow := self.state.flows.get(event.id)) is not None:
             self._handle_flow_event(flow, event)
         return self.state.actions
 
-    def _handle(self, event: events.Event) -> None:
+    def _handle_event(self, event: events.Event) -> None:
         match event:
             case events.EndpointList():
                 self._handle_endpoint_list(event)
