--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -71,7 +71,7 @@
                 self._handle_endpoint_list(event)
             case events.FlowRequest():
                 self.state.count_arrival(event)
-                self._attempt(segments.register_flow(self.state, event))
+                self._start_next_attempt(segments.register_flow(self.state, event))
             case events.ExistingConnection():
                 self._restore_connection(event)
             case events.LatencyReport():
@@ -150,7 +150,7 @@
 
     # Flows
 
-    def _attempt(self, flow: FlowRecord) -> None:
+    def _start_next_attempt(self, flow: FlowRecord) -> None:
         """Start the flow's next connection attempt; if there is none, send the final answer."""
         server = retries.next_server(self.state, flow)
         if isinstance(server, events.RejectReason):
@@ -191,7 +191,7 @@
             return
         if event.result not in events.NEVER_RAN:
             flow.record_possible_run()
-        self._attempt(flow)
+        self._start_next_attempt(flow)
 
     # Reports and ticks
 
