--- a/lotusroute/routing/director.py
+++ b/lotusroute/routing/director.py
@@ -109,8 +109,8 @@
             state.mark_unlisted({endpoint.id for endpoint in event.servers})
         for endpoint in event.servers:
             self._update_server(endpoint)
-        any_server_left = state.refresh_ready_servers()
-        if any_server_left and state.lacks_latency_reports:
+        expects_reconnects = state.refresh_ready_servers()
+        if expects_reconnects and state.lacks_latency_reports:
             # Clients that reconnect now may come from a server that left the list or, after a restart of this
             # balancer, from another balancer that failed at the same time.
             state.reconnects_expected_until = state.now + RECONNECT_PERIOD_MS
