--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -162,7 +162,7 @@
     return events.TimerFired(name)
 
 
-def _ignore(_values: list[str]) -> None:
+def _ignore_message(_values: list[str]) -> None:
     """Ignore the result of a health check or a message from a peer; this balancer requests neither."""
 
 
@@ -181,8 +181,8 @@
     "resolved": EventFormat(7, _parse_connection_ended),
     "withdrawn": EventFormat(1, _parse_client_disconnected),
     "alarm": EventFormat(1, _parse_timer_fired),
-    "checked": EventFormat(4, _ignore),
-    "from_peer": EventFormat(2, _ignore),
+    "checked": EventFormat(4, _ignore_message),
+    "from_peer": EventFormat(2, _ignore_message),
 }
 
 
