--- a/lotusroute/adapter/session.py
+++ b/lotusroute/adapter/session.py
@@ -184,4 +184,5 @@
         case _:
             return
     if service_type not in service.service_types:
-        raise ProtocolError(f"unknown service type '{service_type}'")
+        known = ", ".join(service.service_types) or "none"
+        raise ProtocolError(f"unknown service type '{service_type}'; service types of the instance: {known}")
