--- a/lotusroute/routing/segments.py
+++ b/lotusroute/routing/segments.py
@@ -32,7 +32,7 @@
 # A replica is reassigned if the usage of the least busy server is below this fraction of that of the busiest
 # one. This is the value in SlimeMold; values from 0.6 to 0.9 lead to similar results.
 REBALANCE_RATIO = 0.8
-# Connections on the busiest server below which nothing is rebalanced; so few differ by chance.
+# Connections on the busiest server below which nothing is rebalanced: differences of so few are chance.
 MIN_CONNECTIONS_TO_REBALANCE = 4
 # Time in which a new server is excluded from rebalancing, since its low usage means nothing yet.
 NEW_SERVER_PERIOD_MS = 10_000.0
--- a/lotusroute/routing/slow_start.py
+++ b/lotusroute/routing/slow_start.py
@@ -135,7 +135,10 @@
 
 
 def even_share_factor(state: RoutingState, server: ServerRecord) -> float:
-    """Return the ratio of the server's even share of the load to the part of recent flows that targets it."""
+    """Return the ratio of the server's even share of the load to the part of recent flows that targets it.
+
+    Multiplied by this factor, the admitted flows are no more than the even share.
+    """
     recent = state.recent_replicas
     targeted = sum(warming_up_target(state, segment, replica) is server for segment, replica in recent)
     return server.weight / max(state.total_weight, server.weight) * len(recent) / max(1, targeted)
