--- a/lotusroute/adapter/wire.py
+++ b/lotusroute/adapter/wire.py
@@ -38,7 +38,8 @@
     "X": events.ConnectionResult.CANCELLED,
     "N": events.ConnectionResult.UNSENT,
 }
-# Bits of the flags of a new flow. They are parsed for every flow, for which an IntFlag is too slow.
+# Bits of the flags of a new flow. They are plain integers, since an IntFlag is too slow to be parsed for
+# every flow of a simulated day.
 RETRY_FLAG = 2
 MID_FLOW_FLAG = 8
 RECONNECTING_FLAG = 16
@@ -130,7 +131,7 @@
 
 def _parse_connection_ended(values: list[str]) -> events.ConnectionEnded:
     flow, final, server, latency, attempt, result, _load_report = values
-    # The routing logic uses neither value, but a malformed one is still an error.
+    # The routing logic uses neither the latency nor the attempt, but a malformed value is still an error.
     parse_number(latency)
     parse_integer(attempt)
     return events.ConnectionEnded(
@@ -161,7 +162,7 @@
     return events.TimerFired(name)
 
 
-def _ignore(_values: list[str]) -> None:
+def _ignore_message(_values: list[str]) -> None:
     """Ignore the result of a health check or a message from a peer; this balancer requests neither."""
 
 
@@ -180,8 +181,8 @@
     "resolved": EventFormat(7, _parse_connection_ended),
     "withdrawn": EventFormat(1, _parse_client_disconnected),
     "alarm": EventFormat(1, _parse_timer_fired),
-    "checked": EventFormat(4, _ignore),
-    "from_peer": EventFormat(2, _ignore),
+    "checked": EventFormat(4, _ignore_message),
+    "from_peer": EventFormat(2, _ignore_message),
 }
 
 
