--- a/tests/director_host.py
+++ b/tests/director_host.py
@@ -30,9 +30,10 @@
         servers: int = 4,
         config: events.ServiceConfig = SERVICE_CONFIG,
         seed: int = 7,
-        **changes: Any,  # of fields of `config`
+        **config_changes: Any,
     ) -> None:
-        self.director = Director(config._replace(**changes), seed)
+        """Start the director with `config` and these changes to its fields, and list this many servers."""
+        self.director = Director(config._replace(**config_changes), seed)
         self.now = 0.0
         self.last_flow_id = 0
         self.update_endpoints(
