--- a/lotusroute/leases/acceptor.py
+++ b/lotusroute/leases/acceptor.py
@@ -19,21 +19,29 @@
     Reply,
 )
 
-MAX_WAITERS = 8  # proposers notified of a release; the others retry on their timers
-MAX_TASKS = 256  # the program uses only a few; more indicate a defect or a malicious peer
-BALLOT_BLOCK = 1_024  # ballots reserved by one write to disk
-BALLOT_LIMIT = 2**62  # ballots from here on are rejected, so that fencing tokens can always grow
+# The largest number of waiting proposers that are notified of a release. One of them acquires the lease; all
+# others retry on their timers.
+MAX_WAITERS = 8
+# The names of the tasks come from the program, which uses only a few. More tasks than this indicate a defect
+# or a malicious peer.
+MAX_TASKS = 256
+# Ballots reserved by one write to disk. An acceptor writes once at its start, and then only once for this
+# many changes of holder if each takes one ballot.
+BALLOT_BLOCK = 1_024
+# Ballots from this one on come from a malicious or defective peer. They are rejected, so that fencing tokens
+# can always grow.
+BALLOT_LIMIT = 2**62
 
 
 class AcceptorState(NamedTuple):
     """An acceptor's state for one task; times are by its own clock."""
 
     promised_ballot: int = 0  # the highest promised ballot
-    ballot: int = 0  # of the last holder
-    holder: str = ""  # the proposer that it last granted the lease to
+    ballot: int = 0  # the ballot under which the last holder was granted the lease
+    holder: str = ""  # the last proposer that was granted the lease; empty if none was
     expires_at: float = -math.inf
     contended_at: float = -math.inf  # when a proposer other than the holder last requested the lease
-    waiters: tuple[str, ...] = ()  # the last MAX_WAITERS rejected proposers; cleared when they are notified
+    waiters: tuple[str, ...] = ()  # the last MAX_WAITERS rejected proposers; cleared by their notification
 
 
 class PersistBallots(NamedTuple):
@@ -62,8 +70,9 @@
         self.terms = terms
         self.serving_from = now + terms.lease_duration + terms.margin
         self.ballot_floor = ballot_floor  # the highest ballot of an earlier run or of an evicted task
-        self.persisted_below = ballot_floor  # ballots below it may be promised without another write
-        self.states: dict[str, AcceptorState] = {}  # by task; at most MAX_TASKS, expired ones are evicted
+        self.persisted_below = ballot_floor  # ballots below this one may be promised without another write
+        # The state of each task, by the task's name. At most MAX_TASKS are kept; expired ones are evicted.
+        self.states: dict[str, AcceptorState] = {}
 
     def handle(self, now: float, request: LeaseRequest) -> AcceptorDecision:
         """Handle one request.
@@ -138,7 +147,8 @@
             return _apply_release(state, now, request)
         case _ if now < state.expires_at and state.holder != request.proposer:
             # The request's ballot is not promised either: after a promise, this acceptor would reject the
-            # holder's renewals, and the task would have no holder once the lease expires.
+            # holder's renewals although no other proposer gets the lease, and the task would have no holder
+            # once the lease expires.
             return _reject_while_leased(state, now, request)
         case Prepare():
             return _apply_prepare(state, request)
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -10,15 +10,26 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LEASE_DURATION_MS = 3_000.0  # after its holder is killed, a task has no holder for up to this time
-CLOCK_DRIFT_FRACTION = 0.01  # assumed maximum rate error of any clock, far more than real clocks have
-SAFETY_MARGIN_MS = 50.0  # subtracted from the holder's duration, so that an operation in progress can finish
-RENEW_FRACTION = 0.5  # of the holder's duration, after which it renews; the rest allows two more attempts
-REQUEST_TIMEOUT_MS = 400.0  # for the replies of a majority of acceptors
-MIN_RETRY_BACKOFF_MS = 100.0  # the backoff is random, so that competing proposers retry at different times
+# After its holder is killed, a task has no holder for up to this time. A stall of one second could outlast a
+# much shorter lease, of which only half remains when the renewal is due.
+LEASE_DURATION_MS = 3_000.0
+# The assumed maximum rate error of any clock: a hundred times the error of real clocks.
+CLOCK_DRIFT_FRACTION = 0.01
+# Subtracted from the holder's duration. It covers one iteration of the reactor, so that an operation in
+# progress can finish within the lease.
+SAFETY_MARGIN_MS = 50.0
+# The fraction of the holder's duration after which the holder renews its lease. The rest of the duration
+# allows two more attempts.
+RENEW_FRACTION = 0.5
+# The time within which a majority of acceptors has to reply. It is long enough for long network paths and
+# busy CPU cores, and so short that several attempts fit into a lease duration.
+REQUEST_TIMEOUT_MS = 400.0
+# The backoff after a failed attempt is random, so that competing proposers retry at different times.
+MIN_RETRY_BACKOFF_MS = 100.0
 MAX_RETRY_BACKOFF_MS = 400.0
 MAX_TENURE_MS = 60_000.0  # after this time, a holder yields if another proposer requests the task
-STALL_THRESHOLD_MS = 1_000.0  # after a longer gap between two events, a holder yields: it was stalled
+# After a longer gap between two events, a holder assumes that its process was stalled, and yields.
+STALL_THRESHOLD_MS = 1_000.0
 
 
 class RequestKind(StrEnum):
@@ -32,20 +43,22 @@
 class RejectReason(StrEnum):
     """Why an acceptor rejects a request; the value is sent on the wire and is part of a counter's name."""
 
-    NOT_READY = "silent"  # it started less than a lease duration ago, or the ballot is not persisted yet
-    LEASED = "held"  # it has granted the lease to another proposer
-    BALLOT_TOO_LOW = "low"  # it has promised an equal or higher ballot
+    # The acceptor started less than a lease duration and the safety margin ago, or has yet to persist the
+    # ballot.
+    NOT_READY = "silent"
+    LEASED = "held"  # the acceptor has granted the lease to another proposer
+    BALLOT_TOO_LOW = "low"  # the acceptor has promised an equal or higher ballot
     OUT_OF_RANGE = "long"  # the ballot or the lease duration is outside the permitted range
-    TASK_LIMIT = "full"  # it already has the maximum number of tasks
+    TASK_LIMIT = "full"  # the acceptor already has the maximum number of tasks
 
 
 class LossReason(StrEnum):
     """Why a proposer no longer holds a lease; the value is logged and is part of a counter's name."""
 
-    RELEASED = "released"  # at the request of this process
-    EXPIRED = "expired"
-    STALLED = "stalled"
-    TENURE_ENDED = "tenure ended"  # it reached the maximum tenure, and another proposer requested the task
+    RELEASED = "released"  # this process released the lease
+    EXPIRED = "expired"  # the lease was not renewed in time
+    STALLED = "stalled"  # the proposer handled no event for longer than the stall threshold
+    TENURE_ENDED = "tenure ended"  # the maximum tenure was reached, and another proposer requested the task
 
 
 class LeaseTerms(NamedTuple):
@@ -145,9 +158,11 @@
     kind: str  # a RequestKind
     round: int
     accepted: bool
-    reason: str = ""  # a RejectReason, unless accepted
+    reason: str = ""  # the RejectReason; empty if the request was accepted
     highest_ballot: int = 0  # the highest ballot that the acceptor has promised
-    remaining: float = 0.0  # ms until the other holder's lease expires there
+    # The ms until another holder's lease expires at the acceptor, or until an acceptor that has just started
+    # serves; otherwise 0.
+    remaining: float = 0.0
     contended: bool = False  # another proposer requested the task within the last lease duration
 
 
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -34,7 +34,7 @@
     Tick,
 )
 
-MAX_TASKS = 64  # of one proposer; the names of the tasks come from the program
+MAX_TASKS = 64  # the largest number of tasks of one proposer; the names of the tasks come from the program
 NEVER_MS = -math.inf  # a time before any other
 
 
@@ -51,20 +51,20 @@
 
     requested: bool = False  # this process wants to hold the lease
     phase: Phase = Phase.IDLE
-    ballot: int = 0  # of the current phase; the fencing token while it holds the lease
-    round: int = 0  # of the current phase
+    ballot: int = 0  # the ballot of the current phase; the fencing token while the proposer holds the lease
+    round: int = 0  # the round of the current phase
     phase_started_at: float = 0.0  # the holder's duration is counted from the start of the propose phase
     accepted_by: frozenset[str] = frozenset()
     rejected_by: frozenset[str] = frozenset()
-    expires_at: float = NEVER_MS  # it considers itself the holder until this time
-    acquired_at: float = 0.0  # when it became the holder; renewals do not change it
-    retry_at: float = NEVER_MS  # it neither prepares nor renews before this time
-    highest_ballot: int = 0  # the highest ballot of its own requests and in any reply
+    expires_at: float = NEVER_MS  # the proposer considers itself the holder until this time
+    acquired_at: float = 0.0  # the time at which the proposer became the holder; unchanged by renewals
+    retry_at: float = NEVER_MS  # the proposer neither prepares nor renews before this time
+    highest_ballot: int = 0  # the highest ballot in the proposer's requests and the replies to them
     contended: bool = False  # an acceptor reported that another proposer requested the task
 
     @property
     def has_lease(self) -> bool:
-        """Whether it holds a lease, or held one whose expiry has not been handled yet."""
+        """Whether the proposer holds a lease, or held one whose expiry has not been handled yet."""
         return self.expires_at > NEVER_MS
 
     def holds(self, now: float) -> bool:
@@ -83,9 +83,11 @@
         self.name = name
         self.terms = terms
         self.rng = rng
-        self.states: dict[str, ProposerState] = {}  # by task; at most MAX_TASKS, removed when released
+        # The state of each requested task, by the task's name. At most MAX_TASKS are kept; a released task is
+        # removed.
+        self.states: dict[str, ProposerState] = {}
         self.last_event_at = NEVER_MS
-        self.round = 0  # of all phases started so far
+        self.round = 0  # the number of phases started so far, for all tasks
         self.actions: list[LeaseAction] = []
 
     def handle(self, now: float, event: LeaseEvent) -> list[LeaseAction]:
@@ -125,7 +127,8 @@
         """Return the ms until the next `Tick` is due; infinite if no lease is requested.
 
         Ticks are at most half the stall threshold apart. Otherwise a proposer that has to wait for longer
-        than the threshold would consider itself stalled when it wakes up, and back off again.
+        than the threshold would consider itself stalled when it wakes up, and back off for a lease duration.
+        If that wait exceeds the threshold too, this would repeat forever, in all waiting proposers.
         """
         if not self.states:
             return math.inf
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
 from lotusroute.leases.proposer import Proposer
 
 TERMS = LeaseTerms(("acceptor1", "acceptor2", "acceptor3"))
-LONG_AGO = -10_000.0  # ms; an acceptor started then is serving at 0
+LONG_AGO = -10_000.0  # time in ms so long before 0 that an acceptor started then serves at 0
 
 
 def serving_acceptor(terms=TERMS):
@@ -46,12 +46,12 @@
     def __init__(self, *proposers, terms=TERMS):
         self.now = 0.0
         self.terms = terms
-        self.broken_links = set()  # (proposer, acceptor), both directions
+        self.broken_links = set()  # pairs (proposer, acceptor); messages are lost in both directions
         self.acceptors = {name: serving_acceptor(terms) for name in terms.acceptors}
         self.proposers = {}
         for seed, name in enumerate(proposers):
             self.add_proposer(name, seed)
-        self.lease_changes = []  # (proposer, LeaseAcquired or LeaseLost)
+        self.lease_changes = []  # pairs of a proposer's name and its LeaseAcquired or LeaseLost, in order
 
     def add_proposer(self, name, seed):
         self.proposers[name] = Proposer(name, self.terms, random.Random(seed))
@@ -146,8 +146,10 @@
 
 
 def test_a_proposer_that_waits_longer_than_the_stall_threshold_does_not_consider_itself_stalled():
-    # A proposer that considers itself stalled when it wakes up backs off for a lease duration. It would then
-    # wait for longer than the threshold again, and not request the lease.
+    # Guards against proposers that take their own waiting for a stall. With a lease of 1 s, a rejected
+    # proposer may have to wait for 1.1 s, which is above the stall threshold of 1 s. Without ticks meanwhile,
+    # it would consider itself stalled when it wakes up, back off for a lease duration, and so on forever. If
+    # all processes of a fleet of three wait like this, the task stays without a holder.
     cluster = Cluster("a", "b")
     cluster.request("a", "b")
     cluster.cut_off("a")
@@ -261,6 +263,7 @@
 
 def fencing_token_after_a_late_reply():
     """Renew a lease at one acceptor, and deliver the reply of another to the first proposal late.
+
     All three acceptors accept the proposal at 0 ms, but the reply of acceptor3 arrives only after the renewal
     at 1,500 ms, which acceptor1 alone accepts. Returns the fencing token at 3,500 ms, when the leases of two
     acceptors have expired.
