--- a/lotusroute/fleet/acceptor_host.py
+++ b/lotusroute/fleet/acceptor_host.py
@@ -16,8 +16,8 @@
 from lotusroute.leases.messages import REQUEST_TYPES, LeaseReleased, LeaseRequest, Reply
 from lotusroute.net.structured_log import log_event
 
-RELEASED_CALL = "freed"  # the kind of the call that notifies a waiting proposer of a release, on the wire
-MAX_LOGGED_REASON_LENGTH = 200  # characters
+RELEASED_CALL = "freed"  # the kind, on the wire, of the call that notifies a waiting proposer of a release
+MAX_LOGGED_REASON_LENGTH = 200  # the longest reason in a log record, in characters
 
 
 def peer_of(proposer: str) -> str:
--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -10,7 +10,7 @@
 
 from lotusroute.errors import ConfigError
 
-FILE_NAME = "promised"  # in the state directory
+FILE_NAME = "promised"  # the name of the acceptor's file in the state directory
 
 
 class CorruptBallotFileError(ConfigError):
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -22,13 +22,19 @@
 from lotusroute.errors import ConfigError
 from lotusroute.leases.messages import LEASE_DURATION_MS, MAX_TENURE_MS, LeaseTerms
 
-ACCEPTOR_COUNTS = (3, 5, 7)  # an even number tolerates no more failures than the odd number below it
+# An even number of acceptors tolerates no more failures than the odd number below it, but takes more
+# messages.
+ACCEPTOR_COUNTS = (3, 5, 7)
 SHORTEST_LEASE_MS = 500.0  # a shorter lease would expire during a stall of its holder
-LONGEST_LEASE_MS = 60_000.0  # for a lease's duration, a task may have no holder after a failure
+# After its holder fails, a task may have no holder for the lease duration; a longer lease would leave it
+# without one for minutes.
+LONGEST_LEASE_MS = 60_000.0
 SHORTEST_MAX_TENURE_MS = 1_000.0
 LONGEST_MAX_TENURE_MS = 1e9
 TASKS = ("watch", "cold", "check", "origin")  # the tasks that a process may request
-MAX_PEERS = 1_024  # processes of one fleet; each is connected to the acceptors only
+# The largest number of processes of one fleet. For leases, a process connects to the acceptors only; the
+# holder of the task `watch` connects to all processes.
+MAX_PEERS = 1_024
 MAX_SUBSCRIBERS = 4_096  # each connection of a subscriber occupies a file descriptor
 KEYS = {"name", "state", "keepers", "tasks", "lease_ms", "term_ms", "peers", "guests"}
 
@@ -36,10 +42,10 @@
 class FleetConfig(NamedTuple):
     """The configuration of the fleet at one process."""
 
-    name: str  # of the fleet; connections of processes of another fleet are rejected
-    state_dir: str  # persistent directory of the acceptor; empty if this process is not an acceptor
-    peers: dict[str, Address]  # by name, the address at which this process reaches the peer
-    tasks: tuple[str, ...]  # whose leases this process requests
+    name: str  # the name of the fleet; connections of processes of another fleet are rejected
+    state_dir: str  # the acceptor's persistent directory; may be empty if this process is not an acceptor
+    peers: dict[str, Address]  # the address at which this process reaches each peer, by the peer's name
+    tasks: tuple[str, ...]  # the tasks whose leases this process requests
     terms: LeaseTerms
     max_subscribers: int = 0  # the limit of relay subscribers, which connect without being peers
 
--- a/lotusroute/fleet/lease_service.py
+++ b/lotusroute/fleet/lease_service.py
@@ -143,7 +143,8 @@
             ),
         )
 
-    # These look up the callback at each call, because services replace it after the construction.
+    # The following methods look up the callback at each call, because services replace callbacks after the
+    # construction.
 
     def _on_lease_changed(self, task: str, fencing_token: int) -> None:
         self.on_lease_changed(task, fencing_token)
--- a/lotusroute/fleet/outbound_connections.py
+++ b/lotusroute/fleet/outbound_connections.py
@@ -12,7 +12,7 @@
 from lotusroute.fleet.peer_connection import HELLO_TIMEOUT_S, ConnectionManager, PeerConnection
 from lotusroute.net.structured_log import log_event
 
-MIN_RECONNECT_BACKOFF_S = 0.1  # doubled after each failure, up to the maximum
+MIN_RECONNECT_BACKOFF_S = 0.1  # the first backoff; each failure doubles the backoff, up to the maximum
 MAX_RECONNECT_BACKOFF_S = 5.0
 MIN_JITTER_FRACTION = 0.5  # the shortest random delay, as a fraction of the backoff
 CONNECT_TIMEOUT_S = 2.0
@@ -21,7 +21,7 @@
 class OutboundManager(ConnectionManager, Protocol):
     """What the outbound connections need from the transport that they belong to."""
 
-    closed: bool  # no more connections are opened
+    closed: bool  # whether the transport is closed and opens no more connections
 
 
 class OutboundConnections:
@@ -30,10 +30,12 @@
     def __init__(self, transport: OutboundManager) -> None:
         self.transport = transport
         self.process = transport.process
-        self.established: dict[str, PeerConnection] = {}  # by peer
+        self.established: dict[str, PeerConnection] = {}  # the established connections, by the peer's name
         self.wanted_peers: set[str] = set()  # peers to stay connected to; removed by `disconnect`
-        self.next_backoffs: dict[str, float] = {}  # by peer being connected; doubled at each failure
-        self.reconnect_timers: dict[str, DelayedCall] = {}  # by peer, the start of the next attempt
+        # The backoff after the next failure to connect, by the peer's name; each failure doubles it. A peer
+        # has an entry while it is being connected to.
+        self.next_backoffs: dict[str, float] = {}
+        self.reconnect_timers: dict[str, DelayedCall] = {}  # timers of the next attempts, by the peer's name
 
     def connect(self, peer: str) -> None:
         """Keep a connection to a peer established from now on."""
@@ -98,7 +100,8 @@
         connection.abort()
         self.process.counters["peer_connect_failures"] += 1
         if peer not in self.next_backoffs or peer in self.reconnect_timers:
-            return  # `disconnect` was called, or another attempt is scheduled already
+            # `disconnect` was called, or another attempt is scheduled already.
+            return
         backoff = self.next_backoffs[peer]
         self.next_backoffs[peer] = min(2 * backoff, MAX_RECONNECT_BACKOFF_S)
         delay = backoff * self.process.rng.uniform(MIN_JITTER_FRACTION, 1.0)
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -28,18 +28,25 @@
 from lotusroute.net.structured_log import log_event
 
 PROTOCOL_VERSION = 1  # processes with another version are rejected
-MAX_BODY_BYTES = 60_000  # of one call or response; an AMP value carries at most 65,535
-MAX_CALLS_IN_FLIGHT = 64  # to one peer; further calls fail at once instead of being queued
-MAX_BYTES_IN_FLIGHT = 262_144  # to one peer; bounds the memory that a stalled peer can occupy
-CALL_TIMEOUT_S = 1.0  # endpoint lists take longer than lease requests, which have a timeout of their own
-MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many, the connection is closed
+MAX_BODY_BYTES = 60_000  # the largest body of a call or response; an AMP value carries at most 65,535 bytes
+# The largest number of calls in flight to one peer. Further calls fail at once instead of being queued.
+MAX_CALLS_IN_FLIGHT = 64
+# The largest total size of the bodies of calls in flight to one peer. It bounds the memory that a stalled
+# peer can occupy.
+MAX_BYTES_IN_FLIGHT = 262_144
+# The time to wait for the response to a call. It is longer than the timeout of lease requests, because
+# endpoint lists take longer.
+CALL_TIMEOUT_S = 1.0
+MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many calls in a row have timed out, the connection is closed
 HELLO_TIMEOUT_S = 2.0  # the time in which a new connection has to identify itself
-MAX_DESCRIPTION_LENGTH = 200  # characters of an error's message that are sent to the caller
-MAX_LOGGED_NAME_LENGTH = 64  # characters of the names that an unknown process sends
+MAX_DESCRIPTION_LENGTH = 200  # the longest text of an error that is sent to the caller, in characters
+MAX_LOGGED_NAME_LENGTH = 64  # the longest name from an unknown process in a log record, in characters
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
-STATUS_CALL = "show"  # the kind of the call that reads a process's status, on the wire
+STATUS_CALL = "show"  # the kind, on the wire, of the call that reads a process's status
 
-CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]  # (peer, kind, body)
+# Handles a call, given the peer's name, the call's kind and the body. Returns the response's body, or raises
+# `CallError` to reject the call.
+CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]
 
 
 def ignore_peer_event(peer: str) -> None:
@@ -50,9 +57,11 @@
 class PeerHandlers:
     """The callbacks through which a transport passes calls and events to the service above it."""
 
-    handle_call: CallHandler  # returns the response's body, or raises `CallError` to reject the call
-    on_connected: Callable[[str], object] = ignore_peer_event  # an outbound connection is established
-    # An outbound connection is lost or could not be opened, or a peer's last inbound connection is lost.
+    handle_call: CallHandler  # called for each call of an identified peer
+    # Called with the peer's name when an outbound connection is established.
+    on_connected: Callable[[str], object] = ignore_peer_event
+    # Called with the peer's name when an outbound connection is lost or could not be opened, or when the
+    # peer's last inbound connection is lost.
     on_disconnected: Callable[[str], object] = ignore_peer_event
 
 
@@ -100,7 +109,7 @@
         self.manager = manager
         self._process = manager.process
         self.peer = peer
-        self.identified = False  # whether Hello has been exchanged
+        self.identified = False  # whether a valid Hello has been exchanged
         self.calls_in_flight = 0
         self.bytes_in_flight = 0
         self.consecutive_timeouts = 0
--- a/lotusroute/fleet/process.py
+++ b/lotusroute/fleet/process.py
@@ -17,7 +17,7 @@
 
     reactor: ReactorBase
     config: FleetConfig
-    name: str  # of a peer in the configuration, or of a subscriber or an observer
+    name: str  # the name of this process: a peer in the configuration, a subscriber or an observer
     counters: Counter[str]
     rng: random.Random
-    clock: Callable[[], float] = monotonic_ms  # ms
+    clock: Callable[[], float] = monotonic_ms  # returns the monotonic time in ms
--- a/lotusroute/fleet/process_status.py
+++ b/lotusroute/fleet/process_status.py
@@ -26,11 +26,11 @@
     """The lease on one task as its proposer sees it."""
 
     holds: bool
-    fencing_token: int  # 0 unless it holds the lease
-    remaining_ms: int  # 0 unless it holds the lease
-    phase: str  # a `Phase` of the proposer
-    retry_in_ms: int  # until it may send the next request; 0 if it may at once
-    highest_ballot: int  # the highest ballot of its own requests and in any reply
+    fencing_token: int  # 0 unless the proposer holds the lease
+    remaining_ms: int  # the time until the lease expires; 0 unless the proposer holds the lease
+    phase: str  # the `Phase` of the proposer
+    retry_in_ms: int  # the time until the proposer may prepare or renew; 0 if it may at once
+    highest_ballot: int  # the highest ballot in the proposer's requests and the replies to them
 
 
 class GrantStatus(
@@ -40,10 +40,10 @@
 ):
     """The lease on one task as an acceptor sees it."""
 
-    holder: str  # the proposer that it last granted the lease to; empty if none
-    fencing_token: int  # of that holder
+    holder: str  # the last proposer that was granted the lease; empty if none was
+    fencing_token: int  # the fencing token of `holder`
     promised_ballot: int  # the highest promised ballot
-    remaining_ms: int  # 0 if the lease has expired
+    remaining_ms: int  # the time until the lease expires; 0 if it has expired
 
 
 class ConnectionsStatus(msgspec.Struct, frozen=True, rename={"outbound": "out", "inbound": "in"}):
@@ -67,10 +67,10 @@
 
     name: str
     fleet: str
-    leases: dict[str, LeaseStatus]  # by task, of its proposer
-    grants: dict[str, GrantStatus]  # by task, of its acceptor
+    leases: dict[str, LeaseStatus]  # the status of each task at the process's proposer, by the task's name
+    grants: dict[str, GrantStatus]  # the status of each task at the process's acceptor, by the task's name
     is_acceptor: bool
-    acceptor_silent_ms: int  # until its acceptor serves; 0 if it does, or if there is none
+    acceptor_silent_ms: int  # the time until the acceptor serves; 0 if it serves, or if there is no acceptor
     connections: ConnectionsStatus
 
 
--- a/lotusroute/fleet/proposer_host.py
+++ b/lotusroute/fleet/proposer_host.py
@@ -89,7 +89,8 @@
 
     def _send_request(self, acceptor: str, request: LeaseRequest) -> None:
         if acceptor == self.process.name:
-            # Deferred to the reactor's next iteration, because the proposer is still handling an event.
+            # The request is answered in the reactor's next iteration, because the proposer is still handling
+            # an event.
             self.process.reactor.callLater(0, self._request_locally, request)
             return
         call = self.transport.call(acceptor, request.kind, msgspec.msgpack.encode(request))
--- a/lotusroute/fleet/shared_discovery.py
+++ b/lotusroute/fleet/shared_discovery.py
@@ -22,14 +22,18 @@
 from lotusroute.net.structured_log import log_event
 
 TASK = "watch"  # the leased task, and the kind of the call that carries an update
-HEARTBEAT_INTERVAL_S = 0.4  # three fit into HOLDER_TIMEOUT_MS, so that the loss of one has no effect
+# Three heartbeats fit into HOLDER_TIMEOUT_MS, so that the loss of one has no effect.
+HEARTBEAT_INTERVAL_S = 0.4
 # After this time without a message, a balancer polls discovery itself. The rest of the limit of 2 s for a
 # drain remains for the poll.
 HOLDER_TIMEOUT_MS = 1_500.0
-MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0  # no heartbeats if discovery's last response is older
-MAX_SEND_DURATION_MS = 50.0  # the time that must be left of the lease when a message is sent
+# If discovery's last response is older than this, the holder sends no heartbeats. Discovery may hold a poll
+# for LONG_POLL_HOLD_MS before it responds.
+MAX_RESPONSE_AGE_MS = LONG_POLL_HOLD_MS + 1_000.0
+# The longest time that sending a message may take; no message is sent if less time is left of the lease.
+MAX_SEND_DURATION_MS = 50.0
 NEVER_MS = -1e12  # a time before any other
-NO_SEQ = -1  # instead of a version
+NO_SEQ = -1  # stands for the absence of a version
 
 
 class SharedUpdate(msgspec.Struct, array_like=True):
@@ -50,12 +54,12 @@
         self.lease_service = lease_service
         self.reactor = lease_service.reactor
         self.counters = lease_service.counters
-        self.discovery: DiscoveryClient | None = None  # the current one; replaced at a reload
-        self.fencing_token = 0  # of the lease; 0 unless this balancer holds it
-        self.highest_fencing_token = 0  # of the messages accepted so far
-        self.last_update_at = NEVER_MS  # ms, when a message was last accepted
+        self.discovery: DiscoveryClient | None = None  # the current discovery client; replaced at a reload
+        self.fencing_token = 0  # the fencing token of the lease; 0 unless this balancer holds the lease
+        self.highest_fencing_token = 0  # the highest fencing token of the messages accepted so far
+        self.last_update_at = NEVER_MS  # the time in ms at which the holder's last message was accepted
         self.holder_seq = NO_SEQ  # the version that the holder had at its last message
-        self.last_response_at = NEVER_MS  # ms, when discovery last responded to this balancer
+        self.last_response_at = NEVER_MS  # the time in ms of discovery's last response to this balancer
         self._wait = InterruptibleWait(self.reactor)  # used by `wait_until_poll_due`
         lease_service.call_handlers[TASK] = self.on_update
         lease_service.on_lease_changed = self.on_lease_changed
--- a/lotusroute/fleet/transport.py
+++ b/lotusroute/fleet/transport.py
@@ -17,9 +17,11 @@
 from lotusroute.fleet.peer_connection import PeerConnection, PeerHandlers
 from lotusroute.fleet.process import FleetProcess
 
-LISTEN_BACKLOG = 64  # connections waiting to be accepted
+LISTEN_BACKLOG = 64  # the largest number of connections that wait to be accepted
 SUBSCRIBER_NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,63}")  # names of processes that are not peers
-MAX_CONNECTIONS_PER_PEER = 4  # inbound: one in use, and lost ones whose end has not been detected yet
+# The largest number of inbound connections of one peer: the one in use, and lost ones whose end has not been
+# detected yet.
+MAX_CONNECTIONS_PER_PEER = 4
 
 
 class PeerTransport:
@@ -29,7 +31,8 @@
         """Set up without connecting."""
         self.process = process
         self.handlers = handlers
-        # By peer, at most MAX_CONNECTIONS_PER_PEER established inbound connections, the newest last.
+        # The identified inbound connections of each peer, by the peer's name: at most
+        # MAX_CONNECTIONS_PER_PEER, of which the newest is the last.
         self.inbound: dict[str, list[PeerConnection]] = {}
         self._outbound_connections = OutboundConnections(self)
         self.port: tcp.Port | None = None
--- a/lotusroute/leases/proposer.py
+++ b/lotusroute/leases/proposer.py
@@ -261,7 +261,7 @@
         `remaining` is the number of ms until another holder's lease expires.
         """
         if state.phase == Phase.PROPOSE and not state.holds(now):
-            # Otherwise the acceptors that accepted would reject other proposers for a full lease duration.
+            # Without this release, acceptors that accepted would reject other proposers for a lease duration.
             self._broadcast(Release(task, state.ballot, self.name, state.round))
         retry_at = now + remaining + self.rng.uniform(MIN_RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS)
         return state._replace(phase=Phase.IDLE, retry_at=retry_at)
--- a/tests/test_acceptor_storage.py
+++ b/tests/test_acceptor_storage.py
@@ -10,7 +10,8 @@
     acceptor_storage.store(tmp_path, 1024)
     acceptor_storage.store(tmp_path, 2048)
     assert acceptor_storage.load(tmp_path) == 2048
-    (tmp_path / "promised.new").write_text("40")  # as after a crash during the next write
+    # A crash during the next write leaves an incomplete temporary file.
+    (tmp_path / "promised.new").write_text("40")
     assert acceptor_storage.load(tmp_path) == 2048
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -53,7 +53,8 @@
         fleet.kill(second.process)
         third = fleet.wait_for_holder(killed_at)
         assert third.process != second.process
-        assert third.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease duration, and one attempt
+        # The limit in s is the lease duration, and the time of one attempt.
+        assert third.time - killed_at < 1.0 + 0.5 + 0.5
 
         with fleet.paused(third.process):
             # One of the three acceptors is dead and one is paused, so no process can hold the lease until the
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -94,12 +94,14 @@
     assert received == 2 * [("b", "prepare", b"\x01\xff")]
 
 
-ZERO_MS = b"\xcb" + bytes(8)  # 0.0
+ZERO_MS = b"\xcb" + bytes(8)  # the float 0.0
 MS_3000 = b"\xcb\x40\xa7\x70\0\0\0\0\0"
-FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"  # prepare or release: task, ballot, proposer, round
+# The body of a prepare or release request of b: task, ballot, proposer, round.
+FROM_B = b"\x94\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03"
 FROM_C, PROPOSE_C = (body.replace(b"b#", b"c#") for body in (FROM_B, PROPOSE_B))
-TOO_LONG = b"\x95" + FROM_B[1:] + b"\xcb\x40\xc1\x94\0\0\0\0\0"  # 9000 ms
-# A reply up to its ballot; kind, round, accepted, reason, highest ballot, remaining, contended follow.
+TOO_LONG = b"\x95" + FROM_B[1:] + b"\xcb\x40\xc1\x94\0\0\0\0\0"  # a lease of 9000 ms
+# The start of a reply: task and ballot. The kind, round, accepted, reason, highest ballot, remaining and
+# contended follow.
 REPLY = b"\x99\xa5watch\xcd\x08\x01"
 GRANTED = b"\x03\xc3\xa0\xcd\x08\x01" + ZERO_MS + b"\xc2"
 
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -1,6 +1,6 @@
 """The model checker of the lease protocol.
 
-It is also run on variants of the protocol that are broken on purpose, which it has to detect.
+The model checker also runs on variants of the protocol that are broken on purpose, and has to detect them.
 """
 
 import random
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -73,7 +73,7 @@
     holder = fleet.wait_for_holder()
     others = other_processes(fleet, holder.process)
     shared.wait_until_shared(others)
-    time.sleep(4.2)  # until the polls that the followers had started before have ended
+    time.sleep(4.2)  # waits until the polls that the followers started earlier have ended
     assert shared.count_polls(3.0) <= 2  # one process makes long polls of 2 s; three processes make more
     assert shared.propagation_delay(fleet.names, "draining", shared.change_health("DRAINING")) < 0.5
 
--- a/tests/test_wall_clock_fleet.py
+++ b/tests/test_wall_clock_fleet.py
@@ -40,7 +40,8 @@
     fleet.kill(holder.process)
     second = fleet.wait_for_holder(killed_at)
     assert second.process != holder.process
-    assert second.time - killed_at < 1.0 + 0.5 + 0.5  # s: the lease duration, and one attempt
+    # The limit in s is the lease duration, and the time of one attempt.
+    assert second.time - killed_at < 1.0 + 0.5 + 0.5
     assert find_violations(fleet.records) == []
 
 
