--- a/lotusroute/fleet/acceptor_storage.py
+++ b/lotusroute/fleet/acceptor_storage.py
@@ -11,16 +11,19 @@
 from lotusroute.errors import ConfigError
 
 FILE_NAME = "promised"  # the name of the acceptor's file in the state directory
+MAX_QUOTED_LENGTH = 64  # the longest part of a corrupt file that an error quotes, in characters
 
 
 class CorruptBallotFileError(ConfigError):
     """The acceptor's file does not contain a ballot and its checksum."""
 
-    def __init__(self, path: pathlib.Path) -> None:
+    def __init__(self, path: pathlib.Path, text: str) -> None:
         super().__init__(
-            f"{path}: corrupt; restore a backup, or remove it while no process of the fleet is running"
+            f"{path}: corrupt: expected a ballot and its CRC-32, read {text[:MAX_QUOTED_LENGTH]!r}; "
+            "restore a backup, or remove the file while no process of the fleet is running"
         )
         self.path = path
+        self.text = text
 
 
 def load(state_dir: str | os.PathLike[str]) -> int:
@@ -38,7 +41,7 @@
         raise ConfigError(f"{path}: {error}") from None
     ballot, _, checksum = text.strip().partition(" ")
     if not ballot.isdecimal() or checksum != _checksum(ballot):
-        raise CorruptBallotFileError(path)
+        raise CorruptBallotFileError(path, text)
     return int(ballot)
 
 
--- a/lotusroute/fleet/config.py
+++ b/lotusroute/fleet/config.py
@@ -79,14 +79,17 @@
 def _parse_state_dir(document: Document) -> str:
     state_dir = document.get("state", "")
     if not isinstance(state_dir, str):
-        raise ConfigError("state: give the path of a directory")
+        raise ConfigError(f"state: {state_dir!r} is not a string; give the path of a directory")
     return state_dir
 
 
 def _parse_peers(document: Document) -> dict[str, Address]:
     table = document.get("peers")
     if not isinstance(table, dict) or not 0 < len(table) <= MAX_PEERS:
-        raise ConfigError(f'peers: give 1 to {MAX_PEERS} balancers, each as NAME = "HOST:PORT"')
+        count = len(table) if isinstance(table, dict) else 0
+        raise ConfigError(
+            f'peers: {count} named; give 1 to {MAX_PEERS} balancers, each as NAME = "HOST:PORT"'
+        )
     return {peer: parse_address_entry(f"peers.{peer}", address) for peer, address in table.items()}
 
 
--- a/lotusroute/fleet/errors.py
+++ b/lotusroute/fleet/errors.py
@@ -35,13 +35,20 @@
 
 
 class CallLimitError(CallError):
-    """Too many calls, or too many bytes, to the peer are in flight."""
-
-    def __init__(self, peer: str, calls_in_flight: int, bytes_in_flight: int) -> None:
-        super().__init__(f"{calls_in_flight} calls, {bytes_in_flight} bytes to '{peer}' are in flight")
+    """Another call to the peer would exceed the limit of calls or of bytes in flight."""
+
+    def __init__(
+        self, peer: str, calls_in_flight: int, bytes_in_flight: int, max_calls: int, max_bytes: int
+    ) -> None:
+        super().__init__(
+            f"{calls_in_flight} calls, {bytes_in_flight} bytes to '{peer}' are in flight; "
+            f"another call would exceed {max_calls} calls or {max_bytes} bytes"
+        )
         self.peer = peer
         self.calls_in_flight = calls_in_flight
         self.bytes_in_flight = bytes_in_flight
+        self.max_calls = max_calls
+        self.max_bytes = max_bytes
 
 
 class BodyTooLargeError(CallError):
@@ -60,7 +67,7 @@
     """The caller has not sent a valid `Hello`."""
 
     def __init__(self) -> None:
-        super().__init__("a call before a valid Hello")
+        super().__init__("the peer rejected a call that it received before a valid Hello")
 
 
 class ObserverCallError(CallError):
--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -40,7 +40,7 @@
 MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many calls in a row have timed out, the connection is closed
 HELLO_TIMEOUT_S = 2.0  # the time in which a new connection has to identify itself
 MAX_DESCRIPTION_LENGTH = 200  # the longest text of an error that is sent to the caller, in characters
-MAX_LOGGED_NAME_LENGTH = 64  # the longest name from an unknown process in a log record, in characters
+MAX_LOGGED_NAME_LENGTH = 64  # the longest name or kind from an unknown process in a log record
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
 STATUS_CALL = "show"  # the kind, on the wire, of the call that reads a process's status
 
@@ -149,7 +149,9 @@
         bytes_in_flight = self.bytes_in_flight + len(body)
         if self.calls_in_flight >= MAX_CALLS_IN_FLIGHT or bytes_in_flight > MAX_BYTES_IN_FLIGHT:
             self._process.counters["peer_calls_over_limit"] += 1
-            return defer.fail(CallLimitError(self.peer, self.calls_in_flight, self.bytes_in_flight))
+            in_flight = (self.calls_in_flight, self.bytes_in_flight)
+            limits = (MAX_CALLS_IN_FLIGHT, MAX_BYTES_IN_FLIGHT)
+            return defer.fail(CallLimitError(self.peer, *in_flight, *limits))
         self.calls_in_flight += 1
         self.bytes_in_flight = bytes_in_flight
         self._process.counters["peer_calls_sent"] += 1
@@ -200,7 +202,10 @@
         if self.identified or self.peer or not same_protocol or not known:
             # The connection is aborted on the reactor's next iteration, after AMP has written the response.
             fleet, name = fleet[:MAX_LOGGED_NAME_LENGTH], name[:MAX_LOGGED_NAME_LENGTH]
-            reason = f"fleet {fleet} version {form} name {name}"
+            reason = (
+                f"received Hello with fleet {fleet}, version {form}, name {name}; expected a first Hello "
+                f"with fleet {config.name}, version {PROTOCOL_VERSION}, name of a peer or subscriber"
+            )
             self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
             return {"name": self._process.name}
         self._cancel_hello_timer()
@@ -213,7 +218,8 @@
     def on_call(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
         """Handle a call of the peer."""
         if not self.identified:
-            self._process.reactor.callLater(0, self._reject_unknown_peer, "call before Hello")
+            reason = f"expected Hello, received call {kind[:MAX_LOGGED_NAME_LENGTH]}"
+            self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
             raise CallError(UNIDENTIFIED_PEER_DESCRIPTION)
         self._process.counters["peer_calls_received"] += 1
         response = defer.maybeDeferred(self.manager.handlers.handle_call, self.peer, kind, body)
@@ -242,7 +248,7 @@
         self.socket.setTcpKeepAlive(True)
         if not self.peer:
             self._hello_timer = self._process.reactor.callLater(
-                HELLO_TIMEOUT_S, self._reject_unknown_peer, "no Hello"
+                HELLO_TIMEOUT_S, self._reject_unknown_peer, f"no Hello within {HELLO_TIMEOUT_S:g} s"
             )
 
     def sendBox(self, box: amp.Box) -> None:
--- a/tests/test_acceptor_storage.py
+++ b/tests/test_acceptor_storage.py
@@ -18,5 +18,6 @@
 def test_a_corrupt_ballot_file_is_an_error(tmp_path):
     acceptor_storage.store(tmp_path, 2048)
     (tmp_path / acceptor_storage.FILE_NAME).write_text("2049 00000000\n")
-    with pytest.raises(acceptor_storage.CorruptBallotFileError, match="corrupt"):
+    text = r"corrupt: expected .*, read '2049 00000000\\n'; restore a backup"
+    with pytest.raises(acceptor_storage.CorruptBallotFileError, match=text):
         acceptor_storage.load(tmp_path)
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -19,7 +19,8 @@
         ({"keepers": ["a", "a", "b"]}, "keepers: a name is given twice"),
         ({"name": ""}, "name: not set"),
         ({"term_ms": True}, "term_ms: give milliseconds"),
-        ({"peers": []}, "peers: give 1 to 1024"),
+        ({"peers": []}, "peers: 0 named; give 1 to 1024"),
+        ({"state": 3}, "state: 3 is not a string; give the path of a directory"),
     ],
 )
 def test_a_configuration_error_names_the_key_and_the_correction(change, message):
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -1,5 +1,6 @@
 """Connections between peers: identification, malformed input, and the bounds on calls in flight."""
 
+import logging
 import random
 from collections import Counter
 
@@ -26,6 +27,7 @@
 
 HELLO = amp_box(ask=b"1", command=b"Hello", fleet=b"f", form=b"1", name=b"b")
 CALL = amp_box(ask=b"2", command=b"Call", kind=b"show", body=b"x")
+EXPECTED_HELLO = "expected a first Hello with fleet f, version 1, name of a peer or subscriber"
 
 
 class InboundConnection:
@@ -107,20 +109,35 @@
 
 
 @pytest.mark.parametrize(
-    "first_data",
+    ("first_data", "reason"),
     [
-        pytest.param(HELLO.replace(b"\0\1f", b"\0\1g"), id="of another fleet"),
-        pytest.param(HELLO.replace(b"\0\1b", b"\0\1z"), id="of an unknown name"),
-        pytest.param(b"", id="silent"),
-        pytest.param(amp_box(ask=b"1", command=b"Call", kind=b"show", body=b""), id="calls before its Hello"),
+        pytest.param(
+            HELLO.replace(b"\0\1f", b"\0\1g"),
+            f"received Hello with fleet g, version 1, name b; {EXPECTED_HELLO}",
+            id="Hello of another fleet",
+        ),
+        pytest.param(
+            HELLO.replace(b"\0\1b", b"\0\1z"),
+            f"received Hello with fleet f, version 1, name z; {EXPECTED_HELLO}",
+            id="Hello with an unknown name",
+        ),
+        pytest.param(b"", "no Hello within 2 s", id="no data"),
+        pytest.param(
+            amp_box(ask=b"1", command=b"Call", kind=b"show", body=b""),
+            "expected Hello, received call show",
+            id="call before its Hello",
+        ),
     ],
 )
-def test_an_unknown_peer_is_disconnected(first_data, inbound):
+def test_an_unknown_peer_is_disconnected_and_the_reason_is_logged(first_data, reason, inbound, caplog):
+    caplog.set_level(logging.INFO)
     if first_data:
         inbound.receive(first_data)
     inbound.clock.advance(2.1)
     assert inbound.aborted
     assert inbound.counters["unknown_peers"] == 1
+    records = [record for record in caplog.records if record.message == "unknown peer disconnected"]
+    assert [record.fields["reason"] for record in records] == [reason]
 
 
 def test_an_identified_peer_stays_connected(identified):
@@ -133,7 +150,9 @@
     for _ in range(70):
         identified.call(b"x" * 100)
     assert [type(error) for error in identified.failures] == [CallLimitError] * 6
-    assert str(identified.failures[0]) == "64 calls, 6400 bytes to 'b' are in flight"
+    assert str(identified.failures[0]) == (
+        "64 calls, 6400 bytes to 'b' are in flight; another call would exceed 64 calls or 262144 bytes"
+    )
     assert identified.counters["peer_calls_over_limit"] == 6
     identified.clock.advance(1.1)
     assert [type(error) for error in identified.failures[6:]] == [CallTimeoutError] * 64
