--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -85,7 +85,7 @@
     ("mutate", "options"),
     [
         pytest.param(count_lease_from_reply, {}, id="lease counted from the reply"),
-        pytest.param(serve_right_after_restart, {}, id="no silence after a restart"),
+        pytest.param(serve_right_after_restart, {}, id="leases granted right after a restart"),
         pytest.param(forget_promised_ballot, {}, id="lower ballot accepted"),
         pytest.param(lose_persisted_ballot, {"crashes": 3}, id="ballots not persisted"),
         pytest.param(accept_half_as_majority, {}, id="half of the acceptors as majority"),
@@ -98,12 +98,12 @@
         random_walks(4_000, **options)
 
 
-def test_the_model_checker_prints_the_states_that_it_visited(capsys):
+def test_the_model_checker_prints_the_number_of_states_that_it_visited(capsys):
     assert lease_model_checker.main(["--walks", "20", "--search", "200"]) == 0
     assert "search: 200 states" in capsys.readouterr().out
 
 
-def test_the_model_checker_requires_something_to_do(capsys):
+def test_the_model_checker_rejects_a_command_line_without_walks_or_search(capsys):
     with pytest.raises(SystemExit) as exit_info:
         lease_model_checker.main([])
     assert exit_info.value.code == 2
