--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -40,7 +40,8 @@
 MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many calls in a row have timed out, the connection is closed
 HELLO_TIMEOUT_S = 2.0  # the time in which a new connection has to identify itself
 MAX_DESCRIPTION_LENGTH = 200  # the longest text of an error that is sent to the caller, in characters
-MAX_LOGGED_NAME_LENGTH = 64  # the longest name or kind from an unknown process in a log record
+# The longest name, or kind of a call, that an unknown process sends and a log record quotes, in characters.
+MAX_LOGGED_NAME_LENGTH = 64
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
 STATUS_CALL = "show"  # the kind, on the wire, of the call that reads a process's status
 
--- a/lotusroute/leases/messages.py
+++ b/lotusroute/leases/messages.py
@@ -155,7 +155,7 @@
 
     task: str
     ballot: int
-    kind: str  # a RequestKind
+    kind: str  # the RequestKind of the request
     round: int
     accepted: bool
     reason: str = ""  # the RejectReason; empty if the request was accepted
