--- a/lotusroute/fleet/peer_connection.py
+++ b/lotusroute/fleet/peer_connection.py
@@ -28,18 +28,26 @@
 from lotusroute.net.structured_log import log_event
 
 PROTOCOL_VERSION = 1  # processes with another version are rejected
-MAX_BODY_BYTES = 60_000  # of one call or response; an AMP value carries at most 65,535
-MAX_CALLS_IN_FLIGHT = 64  # to one peer; further calls fail at once instead of being queued
-MAX_BYTES_IN_FLIGHT = 262_144  # to one peer; bounds the memory that a stalled peer can occupy
-CALL_TIMEOUT_S = 1.0  # endpoint lists take longer than lease requests, which have a timeout of their own
-MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many, the connection is closed
+MAX_BODY_BYTES = 60_000  # the largest body of a call or response; an AMP value carries at most 65,535 bytes
+# The largest number of calls in flight to one peer. Further calls fail at once instead of being queued.
+MAX_CALLS_IN_FLIGHT = 64
+# The largest total size of the bodies of calls in flight to one peer. It bounds the memory that a stalled
+# peer can occupy.
+MAX_BYTES_IN_FLIGHT = 262_144
+# The time to wait for the response to a call. It is longer than the timeout of lease requests, because
+# endpoint lists take longer.
+CALL_TIMEOUT_S = 1.0
+MAX_CONSECUTIVE_TIMEOUTS = 3  # after this many calls in a row have timed out, the connection is closed
 HELLO_TIMEOUT_S = 2.0  # the time in which a new connection has to identify itself
-MAX_DESCRIPTION_LENGTH = 200  # characters of an error's message that are sent to the caller
-MAX_LOGGED_NAME_LENGTH = 64  # characters of the names that an unknown process sends
+MAX_DESCRIPTION_LENGTH = 200  # the longest text of an error that is sent to the caller, in characters
+# The longest name, or kind of a call, that an unknown process sends and a log record quotes, in characters.
+MAX_LOGGED_NAME_LENGTH = 64
 OBSERVER = "-"  # the name of a command-line client, which may only read the status
-STATUS_CALL = "show"  # the kind of the call that reads a process's status, on the wire
+STATUS_CALL = "show"  # the kind, on the wire, of the call that reads a process's status
 
-CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]  # (peer, kind, body)
+# Handles a call, given the peer's name, the call's kind and the body. Returns the response's body, or raises
+# `CallError` to reject the call.
+CallHandler = Callable[[str, str, bytes], "bytes | defer.Deferred[bytes]"]
 
 
 def ignore_peer_event(peer: str) -> None:
@@ -50,9 +58,11 @@
 class PeerHandlers:
     """The callbacks through which a transport passes calls and events to the service above it."""
 
-    handle_call: CallHandler  # returns the response's body, or raises `CallError` to reject the call
-    on_connected: Callable[[str], object] = ignore_peer_event  # an outbound connection is established
-    # An outbound connection is lost or could not be opened, or a peer's last inbound connection is lost.
+    handle_call: CallHandler  # called for each call of an identified peer
+    # Called with the peer's name when an outbound connection is established.
+    on_connected: Callable[[str], object] = ignore_peer_event
+    # Called with the peer's name when an outbound connection is lost or could not be opened, or when the
+    # peer's last inbound connection is lost.
     on_disconnected: Callable[[str], object] = ignore_peer_event
 
 
@@ -100,7 +110,7 @@
         self.manager = manager
         self._process = manager.process
         self.peer = peer
-        self.identified = False  # whether Hello has been exchanged
+        self.identified = False  # whether a valid Hello has been exchanged
         self.calls_in_flight = 0
         self.bytes_in_flight = 0
         self.consecutive_timeouts = 0
@@ -140,7 +150,9 @@
         bytes_in_flight = self.bytes_in_flight + len(body)
         if self.calls_in_flight >= MAX_CALLS_IN_FLIGHT or bytes_in_flight > MAX_BYTES_IN_FLIGHT:
             self._process.counters["peer_calls_over_limit"] += 1
-            return defer.fail(CallLimitError(self.peer, self.calls_in_flight, self.bytes_in_flight))
+            in_flight = (self.calls_in_flight, self.bytes_in_flight)
+            limits = (MAX_CALLS_IN_FLIGHT, MAX_BYTES_IN_FLIGHT)
+            return defer.fail(CallLimitError(self.peer, *in_flight, *limits))
         self.calls_in_flight += 1
         self.bytes_in_flight = bytes_in_flight
         self._process.counters["peer_calls_sent"] += 1
@@ -191,7 +203,10 @@
         if self.identified or self.peer or not same_protocol or not known:
             # The connection is aborted on the reactor's next iteration, after AMP has written the response.
             fleet, name = fleet[:MAX_LOGGED_NAME_LENGTH], name[:MAX_LOGGED_NAME_LENGTH]
-            reason = f"fleet {fleet} version {form} name {name}"
+            reason = (
+                f"received Hello with fleet {fleet}, version {form}, name {name}; expected a first Hello "
+                f"with fleet {config.name}, version {PROTOCOL_VERSION}, name of a peer or subscriber"
+            )
             self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
             return {"name": self._process.name}
         self._cancel_hello_timer()
@@ -204,7 +219,8 @@
     def on_call(self, kind: str, body: bytes) -> "defer.Deferred[dict[str, bytes]]":
         """Handle a call of the peer."""
         if not self.identified:
-            self._process.reactor.callLater(0, self._reject_unknown_peer, "call before Hello")
+            reason = f"expected Hello, received call {kind[:MAX_LOGGED_NAME_LENGTH]}"
+            self._process.reactor.callLater(0, self._reject_unknown_peer, reason)
             raise CallError(UNIDENTIFIED_PEER_DESCRIPTION)
         self._process.counters["peer_calls_received"] += 1
         response = defer.maybeDeferred(self.manager.handlers.handle_call, self.peer, kind, body)
@@ -233,7 +249,7 @@
         self.socket.setTcpKeepAlive(True)
         if not self.peer:
             self._hello_timer = self._process.reactor.callLater(
-                HELLO_TIMEOUT_S, self._reject_unknown_peer, "no Hello"
+                HELLO_TIMEOUT_S, self._reject_unknown_peer, f"no Hello within {HELLO_TIMEOUT_S:g} s"
             )
 
     def sendBox(self, box: amp.Box) -> None:
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -90,7 +90,7 @@
     ("mutate", "options"),
     [
         pytest.param(count_lease_from_reply, {}, id="lease counted from the reply"),
-        pytest.param(serve_right_after_restart, {}, id="no silence after a restart"),
+        pytest.param(serve_right_after_restart, {}, id="leases granted right after a restart"),
         pytest.param(forget_promised_ballot, {}, id="lower ballot accepted"),
         pytest.param(lose_persisted_ballot, {"crashes": 3}, id="ballots not persisted"),
         pytest.param(accept_half_as_majority, {}, id="half of the acceptors as majority"),
