--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -14,7 +14,8 @@
 
 KEYS = {"name", "zone", "relays"}
 
-ZoneTables = dict[str, dict[str, object]]  # by zone: unvalidated addresses by relay name
+# The unvalidated addresses of the relays: a table for each zone, with an address for each relay name.
+ZoneTables = dict[str, dict[str, object]]
 
 
 class RelaysConfig(NamedTuple):
--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -1,8 +1,8 @@
 """Fan-out of a versioned store: which message is sent to which subscriber, and when.
 
 Each subscriber has at most one message in flight, and is sent the update from the version that it last
-acknowledged to the current one. Nothing is queued for a slow subscriber: all changes made while it was busy
-are sent as a single delta. It does not delay the other subscribers.
+acknowledged to the current one. Nothing is queued for a slow subscriber: all changes made while it was busy,
+even 50 within a second, are sent as a single delta. It does not delay the other subscribers.
 
 This module is pure: it does no I/O and reads no clock. Times are in milliseconds of the caller's clock.
 """
@@ -14,16 +14,26 @@
 
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version, VersionedStore
 
+# Time without another message after which a subscriber is sent a heartbeat. More than two intervals must fit
+# into the 1,500 ms after which a subscriber that receives no message changes to another relay.
 HEARTBEAT_INTERVAL_MS = 600.0
-MIN_TICKS_PER_HEARTBEAT = 4  # ticks are more frequent while a change is pending
-ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0  # a subscriber that takes longer is dropped
-COALESCE_DELAY_MS = 50.0  # for which a change waits, so that later ones are sent with it
-MIN_UPDATE_INTERVAL_MS = 250.0  # between two updates to the same subscriber
-MAX_SNAPSHOTS_IN_FLIGHT = 8  # bounds the load when a whole zone reconnects
+# Smallest number of ticks in a heartbeat interval; ticks are more frequent while a change is pending.
+MIN_TICKS_PER_HEARTBEAT = 4
+# Time after which a subscriber that has not acknowledged a message is dropped. A balancer that has received
+# nothing for so long has already left the relay: it does so after 1,500 ms without a message.
+ACKNOWLEDGEMENT_TIMEOUT_MS = 2_500.0
+# Time for which a change waits before it is sent, so that changes that follow soon are sent with it.
+COALESCE_DELAY_MS = 50.0
+# Shortest time between two updates to the same subscriber. It limits a burst of 50 changes within a second to
+# 5 updates; COALESCE_DELAY_MS alone would allow 20.
+MIN_UPDATE_INTERVAL_MS = 250.0
+# Largest number of snapshots in flight; other subscribers wait in a queue. This bounds the load when all
+# balancers of a zone reconnect at once.
+MAX_SNAPSHOTS_IN_FLIGHT = 8
 
 
 class Heartbeat(NamedTuple):
-    """States the current version of the store, which discovery confirmed `age_ms` ago."""
+    """States that nothing has changed since `version`, which discovery confirmed `age_ms` ago."""
 
     version: Version
     age_ms: float
@@ -60,11 +70,11 @@
 class Subscriber:
     """The state of one subscriber."""
 
-    version: Version  # that it last acknowledged
-    sent_at: float = math.inf  # time of the message in flight; infinity if there is none
+    version: Version  # the version that the subscriber last acknowledged
+    sent_at: float = math.inf  # time at which the message in flight was sent; infinity if there is none
     snapshot_in_flight: bool = False  # whether the message in flight is a snapshot
-    last_message_at: float = -math.inf
-    last_update_at: float = -math.inf  # of the last delta or snapshot
+    last_message_at: float = -math.inf  # time at which the last message was sent, heartbeats included
+    last_update_at: float = -math.inf  # time at which the last delta or snapshot was sent
 
 
 class FanOut:
@@ -166,7 +176,7 @@
                 return []
             return [self._send(now, name, Heartbeat(self.store.version, age_ms))]
         if now - subscriber.last_update_at < MIN_UPDATE_INTERVAL_MS:
-            return []  # a later tick sends it, together with the changes made until then
+            return []  # a later tick sends the update, together with the changes made until then
         if isinstance(update, Snapshot):
             if self.snapshots_in_flight >= MAX_SNAPSHOTS_IN_FLIGHT:
                 self.snapshot_queue[name] = None
--- a/lotusroute/relay/messages.py
+++ b/lotusroute/relay/messages.py
@@ -9,25 +9,29 @@
 from lotusroute.relay.fanout import Heartbeat, Message
 from lotusroute.relay.versioned_store import Delta, Snapshot, Update, Version, split_snapshot
 
-# Call kinds.
-SUBSCRIBE_CALL = "follow"  # carries the subscriber's version, encoded as an acknowledgement
-UPDATE_CALL = "news"  # carries an UpdateMessage, and is answered with an acknowledgement
-MAX_PART_BYTES = 40_000  # of items in one call; the transport accepts 60,000 bytes per call
-MAX_SNAPSHOT_ITEMS = 1_000_000  # bounds the memory that a faulty sender can make a receiver use
-MAX_ITEM_OVERHEAD_BYTES = 8  # upper bound of what the encoding adds to an item
+# Kind of the call that carries the version of a process that subscribes, encoded as an acknowledgement.
+SUBSCRIBE_CALL = "follow"
+# Kind of the call that carries an UpdateMessage, and is answered with an acknowledgement.
+UPDATE_CALL = "news"
+# Largest size of the items in one call. The transport accepts calls of at most 60,000 bytes.
+MAX_PART_BYTES = 40_000
+# Number of items in an incomplete snapshot above which no further part is accepted. It bounds the memory that
+# a faulty or malicious sender can make a receiver use.
+MAX_SNAPSHOT_ITEMS = 1_000_000
+MAX_ITEM_OVERHEAD_BYTES = 8  # upper bound of the bytes that the encoding adds to an item
 
-EncodedVersion = tuple[int, int]  # fencing token, sequence number
+EncodedVersion = tuple[int, int]  # a fencing token and a sequence number
 
 
 class UpdateMessage(msgspec.Struct, array_like=True):
     """A heartbeat, a delta, or a part of a snapshot."""
 
     version: EncodedVersion
-    age_ms: float  # since discovery confirmed the sender's list to the origin
+    age_ms: float  # time since discovery confirmed the sender's list to the origin
     digest: int = 0
-    base_version: EncodedVersion | None = None  # only in a delta
+    base_version: EncodedVersion | None = None  # set only in a delta
     part_index: int = 0
-    part_count: int = 0  # only in a part of a snapshot
+    part_count: int = 0  # set only in a part of a snapshot
     items: dict[str, bytes | None] = {}
 
     @property
@@ -82,9 +86,10 @@
     """Assembles a snapshot from its parts, one snapshot at a time."""
 
     def __init__(self) -> None:
-        self.version: EncodedVersion | None = None  # of the incomplete snapshot, if there is one
-        self.items: dict[str, bytes] = {}  # bounded by MAX_SNAPSHOT_ITEMS and the items of one part
-        self.next_index = 0
+        # The version of the incomplete snapshot; None if there is no incomplete snapshot.
+        self.version: EncodedVersion | None = None
+        self.items: dict[str, bytes] = {}  # at most MAX_SNAPSHOT_ITEMS and the items of one part
+        self.next_index = 0  # index of the part that has to follow
 
     def add(self, message: UpdateMessage) -> Update | None:
         """Add a message and return the update that it completes; a delta is complete by itself.
--- a/lotusroute/relay/origin.py
+++ b/lotusroute/relay/origin.py
@@ -14,9 +14,13 @@
 from lotusroute.relay.context import RelayContext
 from lotusroute.relay.errors import DeposedError
 
-ORIGIN_TASK = "origin"  # the task that the lease is for
-POLL_HOLD_MS = 500  # short, so that an origin that cannot reach discovery is noticed soon
-MAX_PUBLISH_DURATION_MS = 50.0  # a response is published only if the lease is valid for longer
+ORIGIN_TASK = "origin"  # the task whose lease the origin holds
+# Longest time for which discovery may hold a poll of the origin; the age of the list grows in that time. It
+# is short, so that an origin that cannot reach discovery is noticed soon by the age of its list.
+POLL_HOLD_MS = 500
+# Longest time that the publication of a response may take. A response is published only if the lease is valid
+# for longer, so that it is not published after the lease has expired.
+MAX_PUBLISH_DURATION_MS = 50.0
 
 
 class Origin:
@@ -37,7 +41,7 @@
         self.discovery_address = discovery_address
         self.seed = seed
         self.on_store_changed = on_store_changed
-        self.fencing_token = 0  # of the lease; 0 while this relay is not the origin
+        self.fencing_token = 0  # fencing token of the lease; 0 while this relay is not the origin
         self.discovery: DiscoveryClient | None = None
         self._client: Discovery | None = None
 
--- a/lotusroute/relay/origin_follower.py
+++ b/lotusroute/relay/origin_follower.py
@@ -16,13 +16,13 @@
     def __init__(self, context: RelayContext, on_store_changed: Callable[[], None]) -> None:
         self.context = context
         self.on_store_changed = on_store_changed
-        self.highest_fencing_token = 0  # of all known origins, including this relay
+        self.highest_fencing_token = 0  # highest fencing token of all known origins, including this relay
 
     def on_update(self, peer: str, body: bytes, own_fencing_token: int) -> bytes:
         """Apply an update and return the acknowledgement.
 
-        `own_fencing_token` is that of this relay while it is the origin, else 0. Raises a `RelayError` to
-        reject an update.
+        `own_fencing_token` is the fencing token of this relay while it is the origin, else 0. Raises a
+        `RelayError` to reject an update.
         """
         message = messages.decode_update(body)
         fencing_token, _ = message.version
--- a/lotusroute/relay/relay_selector.py
+++ b/lotusroute/relay/relay_selector.py
@@ -13,13 +13,20 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-JOIN_TIMEOUT_MS = 600.0  # from the connection attempt until the subscription is accepted
-SILENCE_TIMEOUT_MS = 1_500.0  # without a message; more than two heartbeat intervals
-STALENESS_LIMIT_MS = 1_800.0  # since discovery last confirmed the list to the origin
+# Longest time from the connection attempt until the subscription is accepted. It is long enough for the
+# network, and short enough that a relay whose process is suspended is left soon.
+JOIN_TIMEOUT_MS = 600.0
+# Time without a message after which a relay is left. It must be longer than two heartbeat intervals of 600 ms
+# and well below the 4 s within which a change has to be in force everywhere.
+SILENCE_TIMEOUT_MS = 1_500.0
+# Time since discovery last confirmed the list to the origin, after which the list is stale. It must be longer
+# than the 1,500 ms that a poll of the origin may take: discovery holds it for up to 500 ms, and it times out
+# 1,000 ms later unless polls are queued at discovery.
+STALENESS_LIMIT_MS = 1_800.0
 # The backoff after all relays have failed; it doubles with each round of failures.
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 2_000.0
-MIN_BACKOFF_FRACTION = 0.5  # minimum part of a backoff; the rest is random
+MIN_BACKOFF_FRACTION = 0.5  # the fraction of a backoff that is always waited; the rest is random
 # The delay before a return to the own zone is random, so that subscribers do not return all at once.
 MIN_FAILBACK_DELAY_MS = 20_000.0
 MAX_FAILBACK_DELAY_MS = 60_000.0
@@ -63,8 +70,8 @@
         self.relays = preference_order(name, local, remote)
         self.local_relays = frozenset(local)
         self.rng = rng
-        self.index = 0  # in `relays`: position of the current relay or the one being joined
-        self.joining = ""  # relay that has been asked for a subscription; empty if none
+        self.index = 0  # position in `relays` of the current relay, or of the relay being joined
+        self.joining = ""  # relay that is being joined and has not accepted the subscription; empty if none
         self.current = ""  # relay that has accepted the subscription; empty if none
         self.consecutive_failures = 0
         self.retry_at = -math.inf  # end of the backoff after all relays have failed
@@ -99,7 +106,7 @@
             self.failback_at = now + self.rng.uniform(MIN_FAILBACK_DELAY_MS, MAX_FAILBACK_DELAY_MS)
 
     def on_message(self, now: float, relay: str) -> bool:
-        """Record a message of a relay; return whether to use it: only if it is from the current relay."""
+        """Record a message of a relay; return whether it is from the current relay and may be used."""
         if relay != self.current:
             return False
         self.last_message_at = now
--- a/lotusroute/relay/replica.py
+++ b/lotusroute/relay/replica.py
@@ -9,7 +9,8 @@
 from lotusroute.relay import messages
 from lotusroute.relay.versioned_store import Update, UpdateOutcome, Version, VersionedStore
 
-UNKNOWN_AGE_MS = 1e9  # before anything has been received from discovery or an origin
+# Age of the list of a relay that has received nothing from discovery or an origin.
+UNKNOWN_AGE_MS = 1e9
 
 
 class ReceivedUpdate(NamedTuple):
--- a/lotusroute/relay/status.py
+++ b/lotusroute/relay/status.py
@@ -31,12 +31,13 @@
     version: EncodedVersion
     digest: str
     items: int
-    age_ms: int  # since discovery confirmed this version to the origin
+    age_ms: int  # time since discovery confirmed this version to the origin
     origin_fencing_token: int  # 0 if this relay is not the origin
     subscribers: int
-    lagging: int  # subscribers with an older version
-    snapshot_queue: int  # subscribers that wait for a snapshot
-    oldest_version: EncodedVersion  # that a subscriber has; the version of the relay if it has no subscribers
+    lagging: int  # number of subscribers with an older version than the relay
+    snapshot_queue: int  # number of subscribers that wait for a snapshot
+    # The oldest version that a subscriber has, or the version of the relay if it has no subscribers.
+    oldest_version: EncodedVersion
 
 
 def decode_relay_status(process_status: ProcessDocument) -> RelayStatus | None:
--- a/lotusroute/relay/subscription.py
+++ b/lotusroute/relay/subscription.py
@@ -61,7 +61,7 @@
             handle_call=self.handle_call, on_connected=self.on_connected, on_disconnected=self._on_lost
         )
         self.transport = PeerTransport(process, handlers)
-        self._timer: DelayedCall | None = None  # the next tick
+        self._timer: DelayedCall | None = None  # timer of the next tick
 
     def start(self) -> None:
         """Subscribe to a relay, and change to another whenever the subscription is lost."""
--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -16,7 +16,7 @@
 from lotusroute.relay.fanout import Action, Drop, FanOut, Heartbeat, Message, Send
 from lotusroute.relay.versioned_store import Delta, Snapshot, Version
 
-MIN_TICK_DELAY_MS = 5.0
+MIN_TICK_DELAY_MS = 5.0  # shortest delay of a scheduled tick, also of one that is overdue
 
 SENT_COUNTERS: dict[type[Message], str] = {
     Heartbeat: "heartbeats_sent",
@@ -28,8 +28,8 @@
 class ConnectionDirection(Enum):
     """The direction of the connection on which a subscriber is called."""
 
-    INBOUND = "inbound"  # opened by the subscriber
-    OUTBOUND = "outbound"  # opened by this relay as the origin, to another relay
+    INBOUND = "inbound"  # a connection that the subscriber opened
+    OUTBOUND = "outbound"  # a connection that this relay, as the origin, opened to another relay
 
 
 class UpdateSender:
@@ -40,8 +40,8 @@
         config = context.lease_service.config
         self.fanout = FanOut(context.replica.store, config.max_subscribers + len(config.peers))
         self.serves_peers = False  # whether this relay is the origin, with the other relays as subscribers
-        self.directions: dict[str, ConnectionDirection] = {}  # by the subscriber's name
-        self._timer: DelayedCall | None = None  # the next tick
+        self.directions: dict[str, ConnectionDirection] = {}  # direction of the connection by subscriber name
+        self._timer: DelayedCall | None = None  # timer of the next tick
 
     def start(self) -> None:
         """Start to send messages when they are due."""
@@ -55,7 +55,10 @@
         self.context.lease_service.reactor.callLater(0, self._join, peer, version)
 
     def has_capacity_for(self, peer: str) -> bool:
-        """Return whether a process may subscribe: it already has, or the limit has not been reached."""
+        """Return whether a process may subscribe.
+
+        It may if it has already subscribed on its current connection, or if the limit has not been reached.
+        """
         return peer in self.directions or len(self.fanout.subscribers) < self.fanout.max_subscribers
 
     def remove(self, peer: str) -> None:
--- a/lotusroute/relay/update_source.py
+++ b/lotusroute/relay/update_source.py
@@ -1,7 +1,8 @@
 """The `UpdateSource` of a balancer that subscribes to a relay: decides when to poll discovery instead.
 
-The balancer polls discovery once its list is stale, and until a relay has sent a fresh list again. Times are
-in milliseconds unless a name or a comment says seconds.
+Once its list is stale, the balancer polls discovery until a relay has sent a fresh list. The first poll is
+sent early enough that a change is in force by the deadline of the protocol. Times are in milliseconds unless
+a name or a comment says seconds.
 """
 
 import math
@@ -18,8 +19,9 @@
 from lotusroute.relay.discovery_forwarder import DiscoveryForwarder
 from lotusroute.relay.relay_selector import RelaySelector
 
-CHECK_INTERVAL_S = 0.1
-FIRST_UPDATE_TIMEOUT_S = 0.8  # from the start; without a list by then, discovery is polled
+CHECK_INTERVAL_S = 0.1  # time between two checks of whether to poll discovery
+# Time from the start of the balancer after which it polls discovery if it has received no list from a relay.
+FIRST_UPDATE_TIMEOUT_S = 0.8
 
 
 class RelayUpdateSource:
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -18,8 +18,11 @@
 
 from lotusroute.relay.errors import DeposedError
 
-HISTORY_LIMIT = 512  # versions; a subscriber that lags further behind is sent a snapshot
-TOMBSTONE_LIMIT = 4_096  # removed keys that deltas can still report
+# Number of versions from which a delta can be made; a subscriber that lags further behind is sent a snapshot.
+HISTORY_LIMIT = 512
+# Number of removed keys that deltas can still report. Beyond it, the versions from which a delta would need a
+# discarded key are removed from the history.
+TOMBSTONE_LIMIT = 4_096
 DIGEST_MASK = (1 << 64) - 1
 
 Changes = dict[str, bytes | None]  # new values by key; None if the key was removed
@@ -30,7 +33,7 @@
 
     APPLIED = "applied"
     DUPLICATE = "duplicate"  # the store already has this version
-    STALE = "stale"  # the store has a later version
+    STALE = "stale"  # the store has a later version than the update
     GAP = "gap"  # the base version of the delta is not the store's version
     CORRUPT = "corrupt"  # the digest does not match the items
 
@@ -96,9 +99,10 @@
     def __init__(self) -> None:
         self.version = Version()
         self.digest = 0
-        self.items: dict[str, bytes] = {}
+        self.items: dict[str, bytes] = {}  # not limited in number: as many as the origin publishes
         self.item_versions: dict[str, Version] = {}  # the version in which each item last changed
-        self.tombstones: dict[str, Version] = {}  # the version in which each key was removed, oldest first
+        # The version in which each key was removed, oldest first, for at most TOMBSTONE_LIMIT keys.
+        self.tombstones: dict[str, Version] = {}
         self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # bases of possible deltas, newest last
 
     def publish(self, fencing_token: int, changes: Changes) -> bool:
