--- a/lotusroute/relay/config.py
+++ b/lotusroute/relay/config.py
@@ -41,14 +41,16 @@
     check_known_keys(settings, KEYS)
     fleet = parse_fleet_name(settings)
     own_zone = settings.get("zone")
+    if own_zone is None:
+        raise ConfigError("zone: not set; give the name of this balancer's zone")
     if not isinstance(own_zone, str):
-        raise ConfigError("zone: give the name of this balancer's zone")
+        raise ConfigError(f"zone: {own_zone!r} is not a string; give the name of this balancer's zone")
     config = RelaysConfig(fleet, {}, {})
     for zone, table in _zone_tables(settings.get("relays")).items():
         for relay, address in table.items():
             key = f"relays.{zone}.{relay}"
             if relay in config.local or relay in config.remote:
-                raise ConfigError(f"{key}: another relay has this name; give each its own")
+                raise ConfigError(f"{key}: another relay has this name; give each relay its own name")
             relays = config.local if zone == own_zone else config.remote
             relays[relay] = parse_address_entry(key, address)
     return config
--- a/lotusroute/relay/errors.py
+++ b/lotusroute/relay/errors.py
@@ -20,7 +20,10 @@
     """An origin published or sent an update under a fencing token that a later origin has superseded."""
 
     def __init__(self, fencing_token: int, highest_fencing_token: int) -> None:
-        super().__init__(f"deposed: fencing token {fencing_token} is lower than {highest_fencing_token}")
+        super().__init__(
+            f"deposed: fencing token {fencing_token} is lower than {highest_fencing_token}, "
+            "that of a later origin"
+        )
         self.fencing_token = fencing_token
         self.highest_fencing_token = highest_fencing_token
 
@@ -29,7 +32,9 @@
     """A relay received an update from a process that is not one of its peers."""
 
     def __init__(self, process: str) -> None:
-        super().__init__(f"'{process}' is not among the peers of this relay")
+        super().__init__(
+            f"updates are accepted only from peers of this relay; '{process}' is not one of them"
+        )
         self.process = process
 
 
@@ -37,7 +42,9 @@
     """A relay received an update to an older version than its own."""
 
     def __init__(self, version: "Version", current_version: "Version") -> None:
-        super().__init__(f"stale: version {version} is older than {current_version}")
+        super().__init__(
+            f"stale: version {version} of the update is older than version {current_version} of this relay"
+        )
         self.version = version
         self.current_version = current_version
 
@@ -46,7 +53,7 @@
     """A process tried to subscribe to a relay that has not received an endpoint list yet."""
 
     def __init__(self) -> None:
-        super().__init__("no snapshot available yet")
+        super().__init__("this relay has not received an endpoint list yet")
 
 
 class SubscriberLimitError(RelayError):
--- a/tests/test_relay_config.py
+++ b/tests/test_relay_config.py
@@ -14,13 +14,14 @@
     ("key", "value", "message"),
     [
         ("name", "", "name: not set"),
-        ("zone", 3, "zone: give"),
+        ("zone", None, "zone: not set; give the name of this balancer's zone"),
+        ("zone", 3, "zone: 3 is not a string; give the name of this balancer's zone"),
         ("relays", {}, "relays: give a table"),
         ("relays", {"a": {"r1": "nowhere"}}, "relays.a.r1: 'nowhere' is not host:port"),
         (
             "relays",
             {"a": {"r": "127.0.0.1:1"}, "b": {"r": "127.0.0.1:2"}},
-            "b.r: another relay has this name; give each its own",
+            "b.r: another relay has this name; give each relay its own name",
         ),
         ("relay", 1, "relay: no such key"),
     ],
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -51,7 +51,7 @@
 
 
 def test_a_relay_without_a_list_accepts_no_subscriber(relay):
-    with pytest.raises(NoSnapshotError, match=r"^no snapshot available yet$"):
+    with pytest.raises(NoSnapshotError, match=r"^this relay has not received an endpoint list yet$"):
         call(relay, "n1", messages.SUBSCRIBE_CALL, EMPTY_VERSION)
 
 
@@ -69,20 +69,24 @@
 
 def test_an_update_of_a_deposed_origin_is_rejected(relay):
     call(relay, "b", messages.UPDATE_CALL, heartbeat(9))
-    with pytest.raises(DeposedError, match=r"^deposed: fencing token 7 is lower than 9$"):
+    with pytest.raises(
+        DeposedError, match=r"^deposed: fencing token 7 is lower than 9, that of a later origin$"
+    ):
         call(relay, "c", messages.UPDATE_CALL, heartbeat(7))
     assert relay.context.counters["updates_fenced"] == 1
 
 
 def test_an_update_from_a_process_that_is_not_a_peer_is_rejected(relay):
-    with pytest.raises(UnknownOriginError, match="'n1'"):
+    expected = r"^updates are accepted only from peers of this relay; 'n1' is not one of them$"
+    with pytest.raises(UnknownOriginError, match=expected):
         call(relay, "n1", messages.UPDATE_CALL, heartbeat(9))
     assert relay.context.counters["updates_fenced"] == 1
 
 
 def test_an_update_that_is_older_than_the_list_is_rejected(relay):
     call(relay, "b", messages.UPDATE_CALL, snapshot(9, versions=2))
-    with pytest.raises(StaleUpdateError, match=r"^stale: version 9\.1 is older than 9\.2$"):
+    expected = r"^stale: version 9\.1 of the update is older than version 9\.2 of this relay$"
+    with pytest.raises(StaleUpdateError, match=expected):
         call(relay, "b", messages.UPDATE_CALL, snapshot(9, versions=1))
 
 
