--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -25,12 +25,12 @@
 FLEET_NAME = "f"
 LEASE_MS = 1_500
 MAX_SUBSCRIBERS = 50
-SHOW_TIMEOUT_S = 30.0  # for the status command
+SHOW_TIMEOUT_S = 30.0  # longest run time of the status command
 RELAYS = ["r1", "r2", "r3"]  # all are acceptors of the lease
 ZONES = ["a", "b"]
 SERVERS = 4
 BALANCERS = 2
-DRAIN_CHECK_CLIENTS = 4  # clients tested per draining server, which is their default server
+DRAIN_CHECK_CLIENTS = 4  # number of clients that test a draining server, which is their default server
 DRAIN_CHECK_INTERVAL_S = 0.1
 
 # Client keys by default server: a balancer sends these clients there until it knows that the server drains.
@@ -49,7 +49,7 @@
         self.directory = directory
         self.discovery = discovery
         self.addresses = {name: Address(LOOPBACK, free_port()) for name in RELAYS}
-        self.processes: dict[str, subprocess.Popen[str]] = {}  # the running processes by relay
+        self.processes: dict[str, subprocess.Popen[str]] = {}  # the running processes by relay name
 
     def __enter__(self) -> Self:
         for name in RELAYS:
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -28,12 +28,17 @@
 
 
 def test_a_burst_of_changes_is_coalesced_and_a_busy_subscriber_gets_a_single_delta(origin):
+    """Of 50 changes in a second, a fast subscriber gets at most 5 updates, one every 250 ms.
+
+    A busy subscriber gets nothing until it acknowledges its heartbeat, and then a delta with all changes.
+    """
     fanout = FanOut(origin, 10)
     join_current(fanout, "fast")
     join_current(fanout, "slow")
     sent = {"fast": [], "slow": []}
     now = 1_000.0
-    for action in fanout.tick(now, 0.0):  # heartbeats, of which "slow" does not acknowledge its own
+    # Both subscribers are sent a heartbeat, which "slow" does not acknowledge.
+    for action in fanout.tick(now, 0.0):
         if action.subscriber == "fast":
             fanout.on_acknowledgement(now, "fast", origin.version, 0.0)
     for number in range(50):
@@ -52,6 +57,7 @@
 
 
 def test_an_unresponsive_subscriber_is_dropped_without_delaying_the_others(origin):
+    """A subscriber that never acknowledges its first heartbeat must not hold up the heartbeats of another."""
     fanout = FanOut(origin, 10)
     fanout.join(0.0, "unresponsive", origin.version)
     join_current(fanout, "healthy")
@@ -74,7 +80,7 @@
     assert list(fanout.subscribers) == ["healthy"]
 
 
-ZONE_SIZE = 326  # balancers
+ZONE_SIZE = 326  # number of balancers in a zone
 
 
 @pytest.fixture
@@ -89,6 +95,7 @@
 
 
 def test_snapshots_in_flight_are_bounded_and_all_subscribers_get_one(origin, zone_fanout):
+    """A whole zone that reconnects at once must not make a relay send 326 snapshots at the same time."""
     sent = join_zone(zone_fanout)
     assert len(sent) == MAX_SNAPSHOTS_IN_FLIGHT
     assert len(zone_fanout.snapshot_queue) == ZONE_SIZE - MAX_SNAPSHOTS_IN_FLIGHT
--- a/tests/test_relay_messages.py
+++ b/tests/test_relay_messages.py
@@ -36,12 +36,14 @@
 
 
 def test_a_snapshot_with_a_missing_part_is_not_assembled(snapshot):
+    """The first part is received and the second is lost, so that none of the later parts may be used."""
     assembler = messages.SnapshotAssembler()
     first, _, *others = snapshot_parts(snapshot)
     assert [assembler.add(part) for part in [first, *others]] == [None] * (1 + len(others))
 
 
 def test_parts_of_two_versions_are_not_assembled(snapshot):
+    """A part of another version arrives in place of the second part, which ends the assembly."""
     assembler = messages.SnapshotAssembler()
     first, second, third, *_ = snapshot_parts(snapshot)
     other_version = msgspec.structs.replace(second, version=(9, 9))
--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -22,7 +22,7 @@
 
 
 class AppliesStale(VersionedStore):
-    """Goes back to an older version."""
+    """A store that goes back to an older version."""
 
     def apply(self, update):
         if update.version >= self.version:
@@ -35,7 +35,7 @@
 
 
 class IgnoresDigest(VersionedStore):
-    """Applies corrupt updates."""
+    """A store that applies updates with a wrong digest."""
 
     def apply(self, update):
         self.digest_after = lambda changes: update.digest
@@ -46,7 +46,7 @@
 
 
 class IgnoresBaseVersion(IgnoresDigest):
-    """Applies deltas from other versions than its own."""
+    """A store that applies deltas whose base version is not its own version."""
 
     def apply(self, update):
         if isinstance(update, Delta):
@@ -55,7 +55,7 @@
 
 
 class IgnoresFencingToken(VersionedStore):
-    """Lets a deposed origin publish."""
+    """A store that lets a deposed origin publish."""
 
     def publish(self, fencing_token, changes):
         return super().publish(max(fencing_token, self.version.fencing_token), changes)
@@ -69,6 +69,7 @@
 
 
 def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
+    """Without the timeout, a subscriber whose message was lost stays busy and is sent nothing more."""
     monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT_MS", 1e12)
     with pytest.raises(InvariantViolationError):
         check_model()
--- a/tests/test_relay_selector.py
+++ b/tests/test_relay_selector.py
@@ -48,6 +48,7 @@
 
 
 def test_a_relay_with_a_stale_list_is_left_even_if_it_sends_heartbeats():
+    """A relay that is cut off from the origin is not silent: only the age of its list shows the failure."""
     selector = RelaySelector("n1", ["a1"], ["b1"], random.Random(1))
     selector.tick(0.0)
     selector.on_joined(0.0, "a1")
@@ -55,7 +56,7 @@
     while not (actions := selector.tick(now)):
         now += 100.0
         selector.on_message(now, "a1")
-        selector.on_confirmed(now, 50.0 + now)  # the age of the list grows with the time
+        selector.on_confirmed(now, 50.0 + now)  # the list grows older as time passes
     assert actions == [Leave("a1"), Join("b1")]
     assert now <= STALENESS_LIMIT_MS + SILENCE_TIMEOUT_MS + 200.0
 
@@ -72,7 +73,8 @@
         else:
             now += 50.0
             actions = selector.tick(now)
-    assert 20 <= attempts <= 60  # two per round, and a round every 1 to 2 s
+    # Each round has two attempts, one for each relay, and soon there is a round every 1 to 2 s.
+    assert 20 <= attempts <= 60
 
 
 def test_subscribers_of_a_failed_relay_spread_over_the_others():
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -24,7 +24,8 @@
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
 EMPTY_VERSION = messages.encode_acknowledgement(Version())
-PEER_COUNT = 4  # processes of the fleet: they may subscribe in addition to `max_subscribers`, here 0
+# Number of processes of the fleet. They may subscribe in addition to `max_subscribers` others, here 0.
+PEER_COUNT = 4
 
 
 @pytest.fixture
--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -16,7 +16,7 @@
 from lotusroute.relay.versioned_store import VersionedStore
 
 LIST = EndpointListUpdate(12, True, [{"host": "s-1"}])
-ADDRESS = "10.0.0.9:8500"  # of the discovery service that RecordingDiscovery polls
+ADDRESS = "10.0.0.9:8500"  # address of the discovery service that RecordingDiscovery polls
 
 
 class PolledDiscovery(RecordingDiscovery):
@@ -93,6 +93,7 @@
 
 
 def test_the_list_of_another_discovery_service_is_not_used(reactor, source):
+    """After a reload, the relays may still have the list of the discovery service that was polled before."""
     receive_list(source)
     source.discovery = PolledDiscovery()
     advance(reactor, FIRST_UPDATE_TIMEOUT_S + CHECK_INTERVAL_S)
