--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -94,7 +94,7 @@
     return [action for index in range(ZONE_SIZE) for action in fanout.join(0.0, f"n{index}", Version())]
 
 
-def test_snapshots_in_flight_are_bounded_and_all_subscribers_get_one(origin, zone_fanout):
+def test_snapshots_in_flight_are_bounded_and_every_subscriber_gets_a_snapshot(origin, zone_fanout):
     """A whole zone that reconnects at once must not make a relay send 326 snapshots at the same time."""
     sent = join_zone(zone_fanout)
     assert len(sent) == MAX_SNAPSHOTS_IN_FLIGHT
