--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -84,7 +84,7 @@
     assert not due.called
 
 
-def test_a_client_without_a_list_gets_the_complete_one(reactor, source):
+def test_a_client_without_a_list_gets_the_complete_list(reactor, source):
     receive_list(source)
     discovery = PolledDiscovery()
     discovery.version = None
