--- a/tests/test_versioned_store.py
+++ b/tests/test_versioned_store.py
@@ -24,7 +24,7 @@
     return VersionedStore()
 
 
-def test_outcomes_are_parts_of_counter_names():
+def test_update_outcomes_have_the_values_used_in_counter_names():
     assert [str(outcome) for outcome in UpdateOutcome] == ["applied", "duplicate", "stale", "gap", "corrupt"]
 
 
