--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -68,7 +68,7 @@
         check_model()
 
 
-def test_the_model_checker_finds_that_a_lost_message_is_never_sent_again(monkeypatch):
+def test_the_model_checker_finds_a_fan_out_that_never_resends_a_lost_message(monkeypatch):
     """Without the timeout, a subscriber whose message was lost stays busy and is sent nothing more."""
     monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT_MS", 1e12)
     with pytest.raises(InvariantViolationError):
