--- a/lotusroute/relay/fanout.py
+++ b/lotusroute/relay/fanout.py
@@ -2,7 +2,7 @@
 
 Each subscriber has at most one message in flight, and is sent the update from the version that it last
 acknowledged to the current one. Nothing is queued for a slow subscriber: all changes made while it was busy,
-even 50 within a second, are sent as a single delta. It does not delay the other subscribers.
+even 50 within a second, are sent as a single delta. A slow subscriber does not delay the others.
 
 This module is pure: it does no I/O and reads no clock. Times are in milliseconds of the caller's clock.
 """
@@ -84,12 +84,12 @@
         self.store = store
         self.max_subscribers = max_subscribers
         self.subscribers: dict[str, Subscriber] = {}
-        self.snapshot_queue: dict[str, None] = {}  # subscribers that wait for a snapshot, in order
+        self.snapshot_queue: dict[str, None] = {}  # subscribers that wait for a snapshot, in order of arrival
         self.snapshots_in_flight = 0
         self.pending_since = math.inf  # time of the oldest change that no tick has sent; infinity if none
 
     def join(self, now: float, name: str, version: Version) -> list[Action]:
-        """Add a subscriber that has `version`, or restart its subscription; reject it above the limit."""
+        """Add a subscriber that has `version`, or restart its subscription; reject a new one at the limit."""
         if name not in self.subscribers and len(self.subscribers) >= self.max_subscribers:
             return [Drop(name, DropReason.FULL)]
         self.remove(name)
--- a/lotusroute/relay/server.py
+++ b/lotusroute/relay/server.py
@@ -31,7 +31,7 @@
         counters: "Counter[str]",
         seed: int = 0,
     ) -> None:
-        """`discovery_address` is polled while this relay is the origin; `seed` is for random backoff."""
+        """While this relay is the origin, it polls `discovery_address`; `seed` is for its random backoff."""
         self.context = RelayContext(lease_service, RelayReplica(counters), counters)
         self.sender = UpdateSender(self.context)
         self.follower = OriginFollower(self.context, self.sender.on_store_changed)
--- a/lotusroute/relay/update_sender.py
+++ b/lotusroute/relay/update_sender.py
@@ -110,7 +110,8 @@
     def _join_connected_peers(self, now: float) -> None:
         connected = self.context.lease_service.transport.outbound.keys()
         for peer in connected - self.fanout.subscribers.keys():
-            # Until its first acknowledgement, the peer is assumed to have the version of this relay.
+            # The version of the peer is unknown until its first acknowledgement. Until then, the peer is
+            # assumed to have the version of this relay, and is sent a heartbeat.
             self.directions[peer] = ConnectionDirection.OUTBOUND
             self.perform(self.fanout.join(now, peer, self.fanout.store.version))
 
--- a/lotusroute/relay/versioned_store.py
+++ b/lotusroute/relay/versioned_store.py
@@ -103,7 +103,8 @@
         self.item_versions: dict[str, Version] = {}  # the version in which each item last changed
         # The version in which each key was removed, oldest first, for at most TOMBSTONE_LIMIT keys.
         self.tombstones: dict[str, Version] = {}
-        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)  # bases of possible deltas, newest last
+        # The versions from which a delta can be made, newest last.
+        self.history: deque[Version] = deque(maxlen=HISTORY_LIMIT)
 
     def publish(self, fencing_token: int, changes: Changes) -> bool:
         """Make a new version of those changes that have an effect; return whether there is a new version.
--- a/tests/test_relay_status.py
+++ b/tests/test_relay_status.py
@@ -48,7 +48,7 @@
         decode_relay_status({"news": {**SECTION, "lack": "two"}})
 
 
-# Calls functions at once that a reactor calls when it starts to run.
+# A reactor that calls functions at once, which other reactors call when they start to run.
 IMMEDIATE_REACTOR = SimpleNamespace(
     callWhenRunning=lambda function, *arguments: function(*arguments),
     run=lambda **_: None,
