--- a/tests/test_relay_selector.py
+++ b/tests/test_relay_selector.py
@@ -80,6 +80,6 @@
 def test_subscribers_of_a_failed_relay_spread_over_the_others():
     relays = [f"r{index}" for index in range(8)]
     orders = [preference_order(f"n{index}", relays, []) for index in range(800)]
-    seconds = Counter(order[1] for order in orders if order[0] == "r0")
-    assert seconds.total() > 60
-    assert max(seconds.values()) < seconds.total() / 3
+    second_choices = Counter(order[1] for order in orders if order[0] == "r0")
+    assert second_choices.total() > 60
+    assert max(second_choices.values()) < second_choices.total() / 3
