--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -55,7 +55,7 @@
 
 
 class IgnoresFencingToken(VersionedStore):
-    """Lets a deposed origin publish."""
+    """A store that lets a deposed origin publish."""
 
     def publish(self, fencing_token, changes):
         return super().publish(max(fencing_token, self.version.fencing_token), changes)
@@ -71,6 +71,7 @@
 
 
 def test_the_model_checker_detects_that_lost_messages_are_not_retransmitted(monkeypatch):
+    """Without the timeout, a subscriber whose message was lost stays busy and is sent nothing more."""
     monkeypatch.setattr(fanout, "ACKNOWLEDGEMENT_TIMEOUT_MS", 1e12)
     with pytest.raises(InvariantViolationError):
         run_walks()
