--- a/lotusroute/capacity/__init__.py
+++ b/lotusroute/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what the program costs by size and compares it with the capacity target. No balancer uses it."""
+"""Measures how resource usage grows with size, and states the capacity target. Balancers do not import it."""
--- a/lotusroute/capacity/client_stub.py
+++ b/lotusroute/capacity/client_stub.py
@@ -1,4 +1,4 @@
-"""A stub of a client that opens a connection through a balancer and exchanges lines over it."""
+"""A stub client that opens connections through a balancer and exchanges lines over them."""
 
 import asyncio
 import contextlib
@@ -9,12 +9,12 @@
 
 MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"
 
-# Each connection has an id of its own, because a balancer remembers ids for a while.
+# Each connection has a unique id, because a balancer keeps the ids of closed flows reserved for a while.
 _client_ids = itertools.count(1)
 
 
 class StubClient:
-    """An open connection."""
+    """One open connection to a balancer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -22,7 +22,10 @@
 
     @classmethod
     async def open(cls, port: int, key: int) -> "StubClient":
-        """Open a connection and wait until a server accepts it; raises `ConnectionRejectedError`."""
+        """Open a connection and wait until a server has accepted it.
+
+        Raises `ConnectionRejectedError` for any other answer.
+        """
         reader, writer = await asyncio.open_connection(LOOPBACK, port)
         writer.write(b"OPEN i%d k%d c=live,d=1800\r\n" % (next(_client_ids), key))
         answer = await reader.readline()
@@ -37,7 +40,7 @@
         await self._reader.readline()
 
     async def close(self) -> None:
-        """End the connection and discard what the server still sends."""
+        """Close the sending side, discard what the server still sends, then close the connection."""
         self._writer.write_eof()
         with contextlib.suppress(OSError):
             await self._reader.read()
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -1,6 +1,7 @@
-"""Measures the data plane of one balancer at several numbers of connections: flows, idle connections, lines.
+"""Measures one balancer's CPU time and memory for flows, idle connections and relayed lines.
 
-The balancer is the program itself. Servers and discovery are stubs; clients run in the measuring process.
+The size is the number of connections. The balancer is the real program. Servers and discovery are stub
+processes; the stub clients run in the measuring process.
 """
 
 import asyncio
@@ -23,17 +24,17 @@
 from lotusroute.capacity.processes import MeasuredProcess, RunTooLargeError, check_footprint
 from lotusroute.process_control.config_files import endpoint_entry
 
-SETTLE_DELAY_S = 4.0  # after the last connection was opened, before idle ones are measured
-SERVERS = 8  # names of one stub; several, as single servers may be ejected
-LINES_PER_CLIENT = 20  # exchanged one after the other
-CONCURRENT_CLIENTS = 16  # that open flows or exchange lines
-CONCURRENT_OPENS = 32
-UNMEASURED_FLOWS = 32  # the first ones, which are slower
-SPARE_DESCRIPTORS = 256
+SETTLE_DELAY_S = 4.0  # between opening the last connection and measuring idle connections
+SERVERS = 8  # list entries, all for one stub process; several, because a balancer may eject single servers
+LINES_PER_CLIENT = 20  # sent one at a time, each after the echo of the previous one
+CONCURRENT_CLIENTS = 16  # flows opened, or lines exchanged, at the same time
+CONCURRENT_OPENS = 32  # connections opened at the same time before the idle interval
+UNMEASURED_FLOWS = 32  # opened before measuring, because the first flows are slower
+SPARE_DESCRIPTORS = 256  # beyond the two per connection
 
 
 class RunningBalancer(NamedTuple):
-    """The measured balancer."""
+    """The process of the measured balancer and the port on which it accepts clients."""
 
     process: MeasuredProcess
     port: int
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerSample:
-    """What the balancer has used until one moment."""
+    """The balancer's CPU time since its start and its memory, at one point in time."""
 
     timestamp: float  # s of the monotonic clock
     cpu_seconds: float
@@ -50,26 +51,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSamples:
-    """Samples of the balancer at the ends of two intervals."""
+    """Samples at the bounds of two consecutive intervals: one idle, one with lines exchanged."""
 
-    idle: BalancerSample  # all connections are open and idle
-    exchange: BalancerSample  # clients begin to exchange lines
+    idle: BalancerSample  # start of the idle interval, with all connections open
+    exchange: BalancerSample  # end of the idle interval; clients start to exchange lines
     end: BalancerSample  # all lines have been exchanged
 
     def idle_cpu_fraction(self) -> float:
-        """Return the fraction of a core that idle connections use."""
+        """Return the fraction of a core that the balancer uses while all connections are idle."""
         cpu_seconds = self.exchange.cpu_seconds - self.idle.cpu_seconds
         return cpu_seconds / (self.exchange.timestamp - self.idle.timestamp)
 
     def exchange_cpu_seconds(self) -> float:
-        """Return the CPU time of all lines in s, without that of the same connections if idle."""
+        """Return the CPU time of the exchange in s, less what the idle connections would have used meanwhile.
+
+        Never negative.
+        """
         cpu_seconds = self.end.cpu_seconds - self.exchange.cpu_seconds
         idle_cpu_seconds = self.idle_cpu_fraction() * (self.end.timestamp - self.exchange.timestamp)
         return max(0.0, cpu_seconds - idle_cpu_seconds)
 
 
 def measure_data_plane(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure a balancer with `size` connections."""
+    """Measure a balancer with `size` connections.
+
+    Raises `RunTooLargeError` if the machine lacks the memory or the process the descriptors for them.
+    """
     options.report(check_footprint(3))
     _raise_descriptor_limit(size)
     with _run_balancer() as (balancer, port):
@@ -104,7 +111,7 @@
 
 @contextlib.contextmanager
 def _run_balancer() -> Iterator[RunningBalancer]:
-    """Run a balancer with its discovery and servers."""
+    """Run a balancer, its discovery stub and its server stub."""
     server_port = allocate_port()
     port = allocate_port()
     hosts = [endpoint_entry(f"s-{index}", server_port) for index in range(SERVERS)]
@@ -119,7 +126,7 @@
 
 
 async def _open_flows(port: int, count: int) -> None:
-    """Open and close connections, CONCURRENT_CLIENTS at a time."""
+    """Open and close `count` connections, CONCURRENT_CLIENTS at a time."""
 
     async def open_part(first: int) -> None:
         for key in range(first, count, CONCURRENT_CLIENTS):
@@ -132,7 +139,7 @@
 async def _use_connections(
     port: int, count: int, seconds: float, sample: Callable[[], BalancerSample]
 ) -> ConnectionSamples:
-    """Open connections, leave them idle for `seconds`, then exchange lines over all of them."""
+    """Open connections, leave them idle for `seconds`, then exchange lines over all; sample at each bound."""
     clients: list[StubClient] = []
     for first in range(0, count, CONCURRENT_OPENS):
         keys = range(first, min(count, first + CONCURRENT_OPENS))
--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -1,4 +1,4 @@
-"""Starts the processes of measured roles and writes their operators' files, all on loopback."""
+"""Starts the processes of a capacity run on loopback and writes their configuration files."""
 
 import contextlib
 import pathlib
@@ -18,9 +18,9 @@
 
 FLEET_NAME = "scale"
 LEASE_CHECK_INTERVAL_S = 0.05
-# Arguments of a discovery stub.
-UNLIMITED_ANSWERS_PER_S = "1e6"
-NO_CHANGES = "0"
+# Command-line arguments of `discovery_stub`.
+UNLIMITED_ANSWERS_PER_S = "1e6"  # more than any run asks for
+NO_CHANGES = "0"  # interval of periodic changes; 0 turns them off
 BALANCER_SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
@@ -31,7 +31,7 @@
 
 
 class RunningDiscovery(NamedTuple):
-    """A discovery stub."""
+    """The process of a discovery stub and its port."""
 
     process: MeasuredProcess
     port: int
@@ -46,20 +46,20 @@
 
 
 def address(port: int) -> str:
-    """Return the address of a port on loopback in the form of operators' files."""
+    """Return a loopback port as HOST:PORT, the form that configuration files use."""
     return f"{LOOPBACK}:{port}"
 
 
 @contextlib.contextmanager
 def run_folder() -> Iterator[pathlib.Path]:
-    """Provide a folder for the files of a run, and remove it at the end."""
+    """Provide a temporary folder for the files of a run; it is removed at the end."""
     with tempfile.TemporaryDirectory(prefix="lotusroute-scale-") as name:
         yield pathlib.Path(name)
 
 
 @contextlib.contextmanager
 def run_discovery(hosts: int, server_port: int = DISCARD_PORT) -> Iterator[RunningDiscovery]:
-    """Run a discovery stub that lists `hosts` servers, all on one port."""
+    """Run a discovery stub whose list has `hosts` servers, all on `server_port`."""
     port = allocate_port()
     arguments = [str(port), str(hosts), UNLIMITED_ANSWERS_PER_S, NO_CHANGES, str(server_port)]
     with MeasuredProcess("lotusroute.capacity.discovery_stub", arguments) as process:
@@ -75,7 +75,7 @@
     environment: Mapping[str, str],
     hosts: Sequence[EndpointDocument] = (),
 ) -> MeasuredProcess:
-    """Start a balancer, the program itself, that has `hosts` as its endpoint list at the start."""
+    """Start the real balancer program with `hosts` as its cached endpoint list."""
     config = BalancerConfig(
         name=name,
         listen=Address(LOOPBACK, listen_port),
@@ -101,9 +101,10 @@
 
 
 def wait_for_lease_holder(members: Mapping[str, MeasuredProcess], lease: str, timeout_s: float) -> str:
-    """Wait until a member has logged that it acquired its lease, and return its name.
+    """Wait until a member logs that it acquired the lease, and return its name.
 
-    Raises `NoLeaseHolderError`.
+    `lease` appears in the error only: the members compete for one lease, so any acquisition counts.
+    Raises `NoLeaseHolderError` after `timeout_s`.
     """
     deadline = time.monotonic() + timeout_s
     while time.monotonic() <= deadline:
@@ -115,9 +116,9 @@
 
 
 def write_relays_file(file: pathlib.Path, zone: str, relays: Mapping[str, Mapping[str, str]]) -> str:
-    """Write an operator's file that names the relays to a balancer of a zone; return its path.
+    """Write the configuration file that lists the relays for a balancer in `zone`; return its path.
 
-    `relays` are addresses by zone and name.
+    `relays` maps a zone and a relay's name to the relay's address.
     """
     addresses = {
         relay_zone: {name: parse_address(relay) for name, relay in zone_relays.items()}
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -1,6 +1,7 @@
-"""Counts the messages and bytes that a role sends in a fixed script, without a process or a clock.
+"""Counts the messages and bytes that a relay or a lease holder sends in a fixed simulated scenario.
 
-The counts do not depend on the machine: they grow only if the code sends more.
+No process and no clock is involved, so the counts do not depend on the machine: they grow only if the code
+sends more.
 """
 
 from typing import NamedTuple
@@ -16,24 +17,24 @@
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
-ENDPOINTS = 20  # in the list
-IDLE_TIME_MS = 6_000.0  # without a change, at the end of the script
-CHANGES = 3
+ENDPOINTS = 20  # in the endpoint list
+IDLE_TIME_MS = 6_000.0  # without a change, at the end of the scenario
+CHANGES = 3  # published one after the other
 CHANGE_INTERVAL_MS = 10.0
 TICK_INTERVAL_MS = 100.0
-AGE_MS = 100.0  # of the endpoint list, in all messages
+AGE_MS = 100.0  # age of the endpoint list that every message states
 DISCOVERY_ADDRESS = "d:1"
 
 
 class SentCounts(NamedTuple):
-    """What a role sent to all its receivers together."""
+    """What a sender sent to all its receivers together."""
 
     messages: int
     size_bytes: int
 
 
 class RelayScript:
-    """A relay and its subscribers, which acknowledge each message at once."""
+    """A simulated relay and its subscribers, which acknowledge each message immediately."""
 
     def __init__(self, subscribers: int) -> None:
         self.now = 0.0
@@ -44,20 +45,20 @@
         self.size_bytes = 0
 
     def publish(self, update: EndpointListUpdate) -> None:
-        """Publish an answer of discovery."""
+        """Store an update as if discovery had sent it."""
         self.store.publish(1, endpoint_items.item_changes(self.store, update, DISCOVERY_ADDRESS))
 
     def join_all(self) -> None:
-        """Have all subscribers join with an empty list."""
+        """Let all subscribers join with an empty list."""
         for name in self.subscribers:
             self.perform(self.fanout.join(self.now, name, Version()))
 
     def tick(self) -> None:
-        """Have the relay send what is due."""
+        """Let the relay send what is due."""
         self.perform(self.fanout.tick(self.now, AGE_MS))
 
     def perform(self, actions: list[Action]) -> None:
-        """Deliver all messages, and those that their acknowledgements cause."""
+        """Deliver the messages of `actions` and those that the acknowledgements trigger."""
         pending = list(actions)
         while pending:
             action = pending.pop(0)
@@ -73,7 +74,7 @@
 
 
 def relay(size: int) -> SentCounts:
-    """Count for a relay with `size` subscribers that join with an empty list: some changes, then idle time.
+    """Count what a relay sends to `size` subscribers that join with an empty list: changes, then idle time.
 
     >>> few, many = relay(10), relay(20)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
@@ -100,7 +101,9 @@
 
 
 def holder(size: int) -> SentCounts:
-    """Count for the holder of the lease `watch` in a fleet of `size` balancers: one change, then idle time.
+    """Count what the holder of the lease `watch` sends in a fleet of `size` balancers.
+
+    It sends one change to each of the others, then heartbeats while idle.
 
     >>> few, many = holder(11), holder(21)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
--- a/lotusroute/capacity/direct_discovery_clients.py
+++ b/lotusroute/capacity/direct_discovery_clients.py
@@ -1,6 +1,6 @@
-"""A process of clients that each poll discovery directly, as a balancer without a fleet does.
+"""A process of many clients that each poll discovery directly, as a balancer outside a fleet does.
 
-Each client is the program's own `Discovery`. SIGUSR1 logs the counters of all.
+Each client is the balancer's own `Discovery` class. SIGUSR1 logs the counters, summed over all clients.
 
     python -m lotusroute.capacity.direct_discovery_clients settings.json
 """
@@ -15,11 +15,11 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
-START_INTERVAL_S = 0.005
+START_INTERVAL_S = 0.005  # between two clients
 
 
 def main(file: str) -> None:
-    """Run the clients that a settings file names until killed."""
+    """Run the clients named in a settings file until the process is killed."""
     settings = MemberSettings.read(file)
     counters = structured_log.Counters()
 
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -1,4 +1,4 @@
-"""Measures discovery at several numbers of clients that poll it directly."""
+"""Measures the discovery stub by the number of clients that poll it directly."""
 
 import time
 
@@ -7,11 +7,11 @@
 from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.capacity.processes import MeasuredProcess, check_footprint, usage_between
 
-SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
+SETTLE_DELAY_S = 4.0  # between the start of the last client and the measurement
 
 
 def measure_direct_discovery(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure discovery with `size` clients, all of one process."""
+    """Measure discovery with `size` clients, which all run in one process."""
     options.report(check_footprint(2, size))
     with run_folder() as folder, run_discovery(options.hosts) as discovery:
         names = [f"n{index + 1}" for index in range(size)]
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -1,6 +1,6 @@
-"""A discovery stub as a web resource: polls wait in a queue and are answered at a limited rate.
+"""The web resource of a discovery stub: polls wait in a queue and are answered at a limited rate.
 
-Times are in seconds of the reactor's clock.
+Times are in seconds on the reactor's clock.
 """
 
 import json
@@ -12,7 +12,7 @@
 from lotusroute.capacity.stubs import EndpointDocument
 from lotusroute.net.reactor import reactor
 
-QUEUE_TIMEOUT_S = 2.0  # after which a poll in the queue is rejected
+QUEUE_TIMEOUT_S = 2.0  # a poll that waited longer is rejected when its turn comes
 MAX_QUEUE_LENGTH = 64  # polls; further ones are rejected at once
 UNLIMITED_ANSWERS_PER_S = 1e6
 STATUS_REJECTED = 503
@@ -24,10 +24,10 @@
 
     request: server.Request
     received_at: float
-    connected: bool = True  # the client has not closed the connection
+    connected: bool = True  # false once the client has closed the connection
 
     def mark_disconnected(self, _reason: object) -> None:
-        """Note that the client closed the connection."""
+        """Record that the client closed the connection."""
         self.connected = False
 
 
@@ -42,24 +42,24 @@
         answers_per_s: float = UNLIMITED_ANSWERS_PER_S,
         available_from: float = 0.0,
     ) -> None:
-        """`hosts` is the endpoint list; no poll that comes before `available_from` is answered."""
+        """`hosts` is the endpoint list; polls that arrive before `available_from` are never answered."""
         super().__init__()
         self.hosts = hosts
         self.sequence = 1  # version of the list
         self.available_from = available_from
-        self.poll_times: list[float] = []  # of polls from `available_from` on
-        self.bytes_sent = 0  # in answers
+        self.poll_times: list[float] = []  # of the polls that arrived from `available_from` on
+        self.bytes_sent = 0  # in the bodies of answers
         self.counters: Counter[str] = Counter()
         self._answer_interval = 1 / answers_per_s
         self._next_answer_at = 0.0
         self._queue: deque[PendingPoll] = deque()
-        # Long polls that wait for a change or the end of their hold time.
+        # Long polls that are held until the list changes or their hold time ends.
         self._watches: list[PendingPoll] = []
-        # Polls that came before `available_from`, until their clients close the connection.
+        # Polls that arrived before `available_from`, until their clients close the connection.
         self._unanswered: set[server.Request] = set()
 
     def change(self, hosts: list[EndpointDocument]) -> None:
-        """Replace or add these servers, and answer all watches with them."""
+        """Replace or add these servers, and answer all held long polls with them."""
         self.sequence += 1
         by_name = {str(host["host"]): host for host in [*self.hosts, *hosts]}
         self.hosts = list(by_name.values())
@@ -90,7 +90,7 @@
         reactor.callLater(max(0.0, self._next_answer_at - reactor.seconds()), self._process_next)
 
     def _process_next(self) -> None:
-        """Answer the first poll of the queue that can still be answered."""
+        """Answer the first queued poll that can still be answered; schedule the next one."""
         while self._queue:
             poll = self._queue.popleft()
             if not poll.connected:
@@ -114,7 +114,7 @@
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
         self.counters["watches" if hold else "answers"] += 1
         if 0 <= known_sequence == self.sequence - 1:
-            # The stub does not remember which hosts the last change concerned.
+            # The stub does not record which hosts the last change affected, so it sends all as changes.
             self._answer(poll, self.hosts)
         elif known_sequence < self.sequence:
             self._write(poll, self.hosts, complete=True)
--- a/lotusroute/capacity/discovery_stub.py
+++ b/lotusroute/capacity/discovery_stub.py
@@ -1,10 +1,11 @@
-"""A stub of discovery as a process on loopback.
+"""A stub of the discovery service that runs as a process on loopback.
 
     python -m lotusroute.capacity.discovery_stub PORT HOSTS ANSWERS [INTERVAL [SERVER_PORT]]
 
-The list has HOSTS servers, all on SERVER_PORT. ANSWERS polls a second are answered. Every INTERVAL seconds
-one entry of the list changes. SIGUSR1 logs the counters, SIGUSR2 makes one change, SIGHUP a burst of changes.
-Each change is logged with its number and with the time of the monotonic clock, which all processes share.
+The endpoint list has HOSTS servers, all on SERVER_PORT. At most ANSWERS polls are answered per second. Every
+INTERVAL seconds one entry of the list changes; 0 means never. SIGUSR1 logs the counters, SIGUSR2 makes one
+change, SIGHUP makes a burst of changes. Each change is logged with its number and with the time on the
+monotonic clock, which all processes share.
 """
 
 import itertools
@@ -25,7 +26,7 @@
 
 
 class DiscoveryStub:
-    """The resource, and changes of its list."""
+    """The discovery resource with the changes that are made to its list."""
 
     def __init__(self, hosts: int, answers_per_s: float, server_port: int) -> None:
         self.server_port = server_port
@@ -42,13 +43,13 @@
         self.counters.print()
 
     def change(self) -> None:
-        """Change one entry of the list."""
+        """Change one entry of the list; its field `block` carries the number of the change."""
         number = next(self._change_numbers)
         self.resource.change([{**endpoint_entry(CHANGED_HOST, self.server_port), "block": number}])
         structured_log.log_event("changed", change=number, at=time.monotonic(), server=CHANGED_HOST)
 
     def change_in_burst(self) -> None:
-        """Change the entry BURST_CHANGES times within a second."""
+        """Change the same entry BURST_CHANGES times, spread over one second."""
         for index in range(BURST_CHANGES):
             reactor.callLater(index / BURST_CHANGES, self.change)
 
@@ -56,7 +57,7 @@
 def main(
     port: str, hosts: str, answers: str, interval: str = "0", server_port: str = str(DISCARD_PORT)
 ) -> None:
-    """Run until killed."""
+    """Run until the process is killed."""
     structured_log.configure_logging("INFO")
     stub = DiscoveryStub(int(hosts), float(answers), int(server_port))
     reactor.listenTCP(int(port), server.Site(stub.resource), interface=LOOPBACK)
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -1,4 +1,4 @@
-"""Measures an endpoint list at several numbers of servers: its size, and parsing, applying and using it."""
+"""Measures endpoint lists by number of servers: their size, and the CPU time of parsing, applying, routing."""
 
 import itertools
 import json
@@ -12,8 +12,8 @@
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
-REPETITIONS = 3  # of each timing, of which the shortest counts
-FLOWS = 200  # of one timing
+REPETITIONS = 3  # of each timing; the shortest counts
+FLOWS = 200  # routed in one timing
 SETUP_TARGET_MS = 300.0
 FLOW_DEADLINE_MS = 2_000.0
 SERVER_PORT = 9_000
