--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -1,4 +1,4 @@
-"""Measures endpoint lists by number of servers: their size, and the CPU time of parsing, applying, routing."""
+"""Measures endpoint lists by number of servers: size, and the CPU time of parsing, applying and routing."""
 
 import itertools
 import json
