--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -1,4 +1,4 @@
-"""The errors of capacity runs; each message can be shown to an operator as it is."""
+"""The errors of capacity runs; their messages are meant to be shown to operators unchanged."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
 
 
 class ConnectionRejectedError(CapacityError):
-    """A balancer rejected a stub client."""
+    """A balancer did not accept a stub client's connection."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__(f"rejected: {answer!r}")
@@ -18,7 +18,7 @@
 
 
 class NoLeaseHolderError(CapacityError):
-    """No process acquired a lease in time."""
+    """No process acquired the lease within the timeout."""
 
     def __init__(self, lease: str, timeout_s: float) -> None:
         super().__init__(f"no process has acquired the lease '{lease}' within {timeout_s:g} s")
@@ -27,7 +27,7 @@
 
 
 class NoUpdateSentError(CapacityError):
-    """The lease holder sent no update while it was measured."""
+    """The lease holder sent no update during the measurement."""
 
     def __init__(self, lease_holder: str) -> None:
         super().__init__(f"{lease_holder} held the lease but sent no update")
@@ -35,7 +35,7 @@
 
 
 class NoReportError(CapacityError):
-    """A process of hollow subscribers did not write its report in time."""
+    """A process of hollow subscribers did not write its report within the timeout."""
 
     def __init__(self, file: pathlib.Path, timeout_s: float) -> None:
         super().__init__(f"{file.name} was not written within {timeout_s:g} s")
@@ -44,7 +44,7 @@
 
 
 class TooFewSizesError(CapacityError):
-    """A series was measured at fewer sizes than a line needs."""
+    """A series has too few different sizes to fit a line."""
 
     def __init__(self, series: str, points: int) -> None:
         super().__init__(f"{series}: all {points} points are at one size; measure two or more sizes")
@@ -53,4 +53,4 @@
 
 
 class RunFileError(CapacityError):
-    """A file does not hold a run of `capacity measure --json`."""
+    """A file does not contain a run written by `capacity measure --json`."""
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -1,7 +1,7 @@
-"""Measures a fleet at rest whose members compete for the lease `watch`, at several numbers of members.
+"""Measures a fleet at rest, by the number of its members, which compete for the lease `watch`.
 
-Up to five members are real balancers, the others are hollow. There are figures of the lease holder, which
-polls discovery and sends its updates to all others, of the acceptors of leases, of other balancers and of
+Up to five members are real balancers, the others are hollow. Measured are the lease holder, which polls
+discovery and sends updates to all other members, the acceptors of the lease, the other real balancers, and
 discovery.
 """
 
@@ -29,21 +29,21 @@
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 from lotusroute.process_control.logged_process import TIMEOUT_S
 
-SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
+SETTLE_DELAY_S = 4.0  # between the start of the last process and the measurement
 MAX_REAL_BALANCERS = 5
-HOLLOW_PER_PROCESS = 60  # more would limit the fleet by this process's CPU
+HOLLOW_PER_PROCESS = 60  # with more, the CPU of this one process would limit the fleet
 ACCEPTORS = 3
 LEASE = "watch"
-HOLLOW_LEASE = "check"  # another one, so that the holder of LEASE is a process of its own
-DISCOVERY = "discovery"  # its name among the measured processes
+HOLLOW_LEASE = "check"  # differs from LEASE, so that a real balancer with its own process holds LEASE
+DISCOVERY = "discovery"  # key of the discovery stub among the measured processes
 
-# Units of figures.
+# Units of measurements.
 CPU = "% of a core"
 BYTES = "B a second, both ways"
 
 
 class LinkedFleet:
-    """The processes of a fleet and of its discovery; a context manager that starts and kills them."""
+    """The processes of a fleet and its discovery stub; a context manager that starts and kills them."""
 
     def __init__(self, size: int, hosts: int) -> None:
         self.names = [f"n{index + 1}" for index in range(size)]
@@ -87,19 +87,19 @@
             yield MeasuredProcess("lotusroute.capacity.hollow_balancers", [settings_file])
 
     def other_balancers(self) -> list[str]:
-        """Return the real balancers that neither hold the lease nor are acceptors.
+        """Return the real balancers that are neither lease holder nor acceptors.
 
-        If there are none, all real balancers that do not hold the lease are returned.
+        If there are none, return all real balancers except the lease holder.
         """
         non_holders = [name for name in self.balancers if name != self.lease_holder]
         return [name for name in non_holders if name not in self.acceptors] or non_holders
 
     def other_acceptors(self) -> list[str]:
-        """Return the acceptors that do not hold the lease."""
+        """Return the acceptors other than the lease holder."""
         return [name for name in self.acceptors if name != self.lease_holder]
 
     def measure_usage(self, seconds: float) -> dict[str, ProcessUsage]:
-        """Measure the real balancers and discovery; return the usage by name."""
+        """Measure the real balancers and discovery for `seconds`; return their usage by name."""
         measured = {**self.balancers, DISCOVERY: self.discovery.process}
         before = processes.sample_all(measured)
         started = time.monotonic()
@@ -110,7 +110,10 @@
 
 
 def measure_fleet(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure a fleet of `size` members."""
+    """Measure a fleet of `size` members.
+
+    Raises `NoUpdateSentError` if the lease holder sent no update during the measurement.
+    """
     real = min(MAX_REAL_BALANCERS, size)
     hollow = size - real
     hollow_processes = (hollow + HOLLOW_PER_PROCESS - 1) // HOLLOW_PER_PROCESS
--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -1,7 +1,7 @@
-"""A process of hollow balancers: members of a fleet without flows.
+"""A process of many hollow balancers: fleet members that handle no flows.
 
-Each consists of the components of a balancer that need no flows: transport, leases, shared discovery and
-discovery client. SIGUSR1 logs the counters of all.
+Each consists of those components of a balancer that work without flows: transport, leases, shared discovery
+and discovery client. SIGUSR1 logs the counters, summed over all of them.
 
     python -m lotusroute.capacity.hollow_balancers settings.json
 """
@@ -19,7 +19,7 @@
 from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 
-START_INTERVAL_S = 0.01
+START_INTERVAL_S = 0.01  # between two hollow balancers
 DRAIN_GRACE_MS = 2_000.0
 
 
@@ -32,7 +32,7 @@
         self.counters = structured_log.Counters()
 
     def start(self, name: str, seed: int) -> None:
-        """Start a hollow balancer."""
+        """Start a hollow balancer; `seed` is that of its discovery client."""
         leases = lease_service.LeaseService(reactor, self.fleet, name, self.counters)
         limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
         discovery = Discovery(self.discovery_address, 0, seed, self._count_update, self.counters, limits)
@@ -50,7 +50,7 @@
 
 
 def main(file: str) -> None:
-    """Run the balancers that a settings file names until killed."""
+    """Run the hollow balancers named in a settings file until the process is killed."""
     settings = HollowBalancerSettings.read(file)
     balancers = HollowBalancers(settings)
     handlers = {signal.SIGUSR1: balancers.counters.print}
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -1,8 +1,8 @@
-"""A process of hollow subscribers of relays: balancers without flows.
+"""A process of many hollow subscribers: balancers that subscribe to relays and handle no flows.
 
-Each consists of the program's own `Subscription` and `Discovery`. The process records when each subscriber
-received which change. SIGUSR1 writes a SubscriberReport; SIGUSR2 makes all subscribers lose their state and
-restart at once.
+Each consists of the balancer's own `Subscription` and `Discovery`. The process records when each subscriber
+received each change. SIGUSR1 writes a SubscriberReport; on SIGUSR2 all subscribers lose their state and
+restart at the same time.
 
     python -m lotusroute.capacity.hollow_subscribers settings.json
 """
@@ -26,26 +26,26 @@
 from lotusroute.relay.config import parse_relays_config
 from lotusroute.relay.subscription import Subscription
 
-# Long enough for relays to accept each subscriber: one that is not accepted in time polls discovery, and many
-# such polls would take the CPU that the relays need.
+# Between two subscribers. Long enough for the relays to accept each one: a subscriber that is not accepted in
+# time falls back to polling discovery, and many such polls would take the CPU that the relays need.
 START_INTERVAL_S = 0.15
 DRAIN_GRACE_MS = 500.0
-RESTART_SEED = 1_000  # first seed of restarted subscribers
+RESTART_SEED = 1_000  # seed of the first restarted subscriber; the next ones count up from it
 
 
 class HollowSubscriber(NamedTuple):
-    """One hollow subscriber."""
+    """The components of one hollow subscriber."""
 
     subscription: Subscription
     discovery: Discovery
 
     def stop(self) -> None:
-        """End the subscription and the polling of discovery."""
+        """End the subscription and stop polling discovery."""
         self.subscription.stop()
         self.discovery.close()
 
     def list_digest(self) -> str:
-        """Return a text that identifies the endpoint list of this subscriber."""
+        """Return version and digest of this subscriber's endpoint list, as one text."""
         store = self.subscription.replica.store
         return f"{store.version} {store.digest}"
 
@@ -60,7 +60,7 @@
         self.subscribers: dict[str, HollowSubscriber] = {}
 
     def start(self, name: str, seed: int) -> None:
-        """Start a hollow subscriber."""
+        """Start a hollow subscriber; `seed` is that of its discovery client."""
         relays = parse_relays_config(
             {"name": FLEET_NAME, "zone": self.settings.zone, "relays": self.settings.relays}
         )
@@ -82,17 +82,17 @@
         now = time.monotonic()
         for server in update.servers:
             if server.id == stubs.CHANGED_HOST:
-                # A discovery stub writes the number of the change into the field that is decoded as `cell`.
+                # The discovery stub sends a change's number in the field `block`, which is decoded as `cell`.
                 self.received[name].setdefault(server.cell, now)
 
     def write_report(self) -> None:
-        """Write what each subscriber has received, and a digest of its list."""
+        """Write a SubscriberReport: what each subscriber has received, and the digest of its list."""
         digests = {name: subscriber.list_digest() for name, subscriber in self.subscribers.items()}
         report = SubscriberReport(self.received, digests, dict(self.counters))
         report.write(pathlib.Path(self.settings.report_file))
 
     def restart(self) -> None:
-        """Stop all subscribers and start new ones of the same names at once."""
+        """Stop all subscribers, then start new ones with the same names without a delay between them."""
         for name, subscriber in self.subscribers.items():
             subscriber.stop()
             self.received[name] = {}
@@ -101,7 +101,7 @@
 
 
 def main(file: str) -> None:
-    """Run the subscribers that a settings file names until killed."""
+    """Run the subscribers named in a settings file until the process is killed."""
     settings = HollowSubscriberSettings.read(file)
     subscribers = HollowSubscribers(settings)
     handlers = {signal.SIGUSR1: subscribers.write_report, signal.SIGUSR2: subscribers.restart}
--- a/lotusroute/capacity/measurement.py
+++ b/lotusroute/capacity/measurement.py
@@ -1,4 +1,7 @@
-"""The figures that are measured for a role at one size, and their series over several sizes."""
+"""The figures that are measured for a role at one size, and their series over several sizes.
+
+A role is a part of the system whose resource usage is measured by size: the data plane, a fleet, relays.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -35,14 +38,14 @@
 class MeasurementOptions:
     """The options of a run that apply to all sizes."""
 
-    seconds: float  # how long the role is measured at each size
-    hosts: int  # servers in the endpoint list, unless the role determines their number
-    report: Callable[[str], None]  # called with a line of progress for the operator
+    seconds: float  # duration of the measurement at each size
+    hosts: int  # servers in the endpoint list, for roles that do not set their number themselves
+    report: Callable[[str], None]  # called with each line of progress to show to the operator
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A role that can be measured at several sizes."""
+    """How a role is measured, and its sizes if the operator gives none."""
 
     measure: Callable[[int, MeasurementOptions], list[Measurement]]
     default_sizes: tuple[int, ...]
--- a/lotusroute/capacity/member_process.py
+++ b/lotusroute/capacity/member_process.py
@@ -1,4 +1,7 @@
-"""Runs many members of a fleet in one process, on the reactor that the program uses."""
+"""Runs many members (hollow balancers, subscribers or discovery clients) in one process, on one reactor.
+
+It is the reactor that the program uses.
+"""
 
 import signal
 import sys
@@ -16,10 +19,10 @@
     signal_handlers: Mapping[signal.Signals, Callable[[], object]],
     log_level: str = "INFO",
 ) -> None:
-    """Start a member each `interval_s`, with its name and its index, and run until killed.
+    """Start a member every `interval_s` with its name and index, and run until the process is killed.
 
-    The starts are spread because starting many members at once would block the reactor. After the last one,
-    `event=ready` is printed on standard error at any log level.
+    Starts are spread out because starting many members at once would block the reactor. After the last one,
+    `event=ready` is printed to standard error, whatever the log level.
     """
     structured_log.configure_logging(log_level)
     for index, name in enumerate(names):
--- a/lotusroute/capacity/member_settings.py
+++ b/lotusroute/capacity/member_settings.py
@@ -1,4 +1,4 @@
-"""The JSON files that a measuring process and a process of many members exchange."""
+"""The JSON files that the measuring process exchanges with processes of many members."""
 
 import json
 import pathlib
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """Settings of any process of members."""
+    """Settings that all processes of members have."""
 
     names: list[str]  # of the members
-    discovery: str  # HOST:PORT
+    discovery: str  # address as HOST:PORT
 
     @classmethod
     def read(cls, file: str) -> Self:
@@ -32,25 +32,25 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowBalancerSettings(MemberSettings):
-    """Settings of a process of hollow balancers that are members of a fleet."""
+    """Settings of a process of hollow balancers."""
 
     fleet: str  # path of the fleet's configuration file
 
 
 @dataclass(frozen=True, slots=True)
 class HollowSubscriberSettings(MemberSettings):
-    """Settings of a process of hollow subscribers of relays."""
+    """Settings of a process of hollow subscribers."""
 
     zone: str  # of all subscribers
-    relays: dict[str, dict[str, str]]  # addresses by zone and name
-    report_file: str  # path of the SubscriberReport
+    relays: dict[str, dict[str, str]]  # addresses of the relays, by zone and name
+    report_file: str  # path to which the SubscriberReport is written
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriberReport:
-    """What the hollow subscribers of one process received."""
+    """What the hollow subscribers of one process have received."""
 
-    # By subscriber and number of the change, when it was first received, in s of the monotonic clock.
+    # By subscriber and number of the change: when it was first received, in s on the monotonic clock.
     received: dict[str, dict[int, float]]
     digests: dict[str, str]  # by subscriber, a digest of its endpoint list
     counters: dict[str, int]  # sums over all subscribers
@@ -66,7 +66,7 @@
         return cls(received, document["digests"], document["counters"])
 
     def write(self, file: pathlib.Path) -> None:
-        """Write the report atomically."""
+        """Write the report atomically, so that a reader never sees part of it."""
         partial = file.with_suffix(".part")
         write_json(partial, asdict(self))
         partial.rename(file)
