--- a/lotusroute/capacity/processes.py
+++ b/lotusroute/capacity/processes.py
@@ -1,6 +1,6 @@
-"""Starts the processes that are measured and reads their CPU time, memory, log and counters.
+"""Starts the processes that are measured and reads their CPU time, memory, logs and counters.
 
-Times are in seconds, memory in MB of 2**20 bytes. A run that would take too many processes or too much memory
+Times are in seconds, memory is in MB of 2**20 bytes. A run that needs too many processes or too much memory
 is rejected before it starts (RunTooLargeError).
 """
 
@@ -15,8 +15,8 @@
 
 MAX_PROCESSES = 200
 MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
-PROCESS_MB = 40.0  # upper estimate for a process of the program
-HOLLOW_BALANCER_MB = 0.35  # upper estimate
+PROCESS_MB = 40.0  # upper estimate for one process of the program
+HOLLOW_BALANCER_MB = 0.35  # upper estimate for one hollow balancer
 PEER_BYTE_COUNTERS = ("peer_bytes_received", "peer_bytes_sent")
 KIB_PER_MIB = 1_024
 BYTES_PER_MIB = 2**20
@@ -24,11 +24,11 @@
 
 
 class RunTooLargeError(LotusrouteError):
-    """A run does not fit on this machine; the message says what it would take."""
+    """A run does not fit on this machine; the message says what it needs."""
 
 
 def check_footprint(processes: int, hollow: int = 0) -> str:
-    """Return a description of what a run will take; raises RunTooLargeError where that is too much.
+    """Return a description of what a run needs; raises RunTooLargeError if that exceeds the limits.
 
     >>> check_footprint(5, 100).split(",")[0]
     '5 processes'
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSample:
-    """CPU time and counters of a process since its start."""
+    """CPU time and counters of a process, counted from its start."""
 
     cpu_seconds: float
     counters: dict[str, int]
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """CPU and counters of a process over an interval."""
+    """CPU usage and counter rates of a process over an interval."""
 
     cpu_percent: float  # of one core
-    counter_rates: dict[str, float]  # a second
+    counter_rates: dict[str, float]  # increments per second, by counter
 
     def rate(self, *keys: str) -> float:
-        """Return the sum of some counters a second; a counter that was never incremented is 0."""
+        """Return the sum of some counters' rates per second; one that was never incremented counts as 0."""
         return sum(self.counter_rates.get(key, 0.0) for key in keys)
 
 
@@ -81,7 +81,7 @@
 
 
 class MeasuredProcess(LoggedProcess):
-    """A Python module that runs as a process of its own, with its log and its use of resources.
+    """A Python module that runs as a separate process, with its log and its resource usage.
 
     As a context manager it kills the process at the end.
     """
@@ -93,7 +93,7 @@
         super().__init__(module_command(module, *arguments), options)
 
     def cpu_seconds(self) -> float:
-        """Return the CPU time of all threads; 0.0 for a thread that ends meanwhile."""
+        """Return the CPU time of all threads; a thread that ends while it is read counts as 0."""
         total = 0.0
         for task in pathlib.Path(f"/proc/{self.process.pid}/task").iterdir():
             try:
@@ -111,7 +111,7 @@
         return 0.0
 
     def sample(self) -> ProcessSample:
-        """Return CPU time and counters as they are now."""
+        """Return the current CPU time and counters."""
         return ProcessSample(self.cpu_seconds(), self.counters())
 
 
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -1,6 +1,6 @@
-"""The processes of a run of update propagation: discovery, relays, balancers and hollow subscribers.
+"""The processes for measuring update propagation: discovery, relays, balancers and hollow subscribers.
 
-Times are in seconds of the monotonic clock, which all processes of a machine share.
+Times are in seconds on the monotonic clock, which all processes of a machine share.
 """
 
 import contextlib
@@ -28,18 +28,18 @@
 from lotusroute.capacity.stubs import CHANGED_HOST
 from lotusroute.process_control.log_fields import log_field
 
-HOLLOW_PER_PROCESS = 160
-# Relays that are acceptors of the lease; three if there are fewer than five relays.
+HOLLOW_PER_PROCESS = 160  # hollow subscribers
+# How many relays are acceptors of the lease: five, or three if there are fewer than five relays.
 LARGE_ACCEPTOR_GROUP = 5
 SMALL_ACCEPTOR_GROUP = 3
 LEASE = "origin"
 LEASE_DURATION_MS = 1_500
-MAX_SUBSCRIBERS = 4_000  # of a relay
+MAX_SUBSCRIBERS = 4_000  # per relay
 START_TIMEOUT_S = 60.0
 LEASE_TIMEOUT_S = 30.0
 REPORT_TIMEOUT_S = 20.0
 REPORT_CHECK_INTERVAL_S = 0.05
-SETTLE_DELAY_S = 8.0  # after the last start
+SETTLE_DELAY_S = 8.0  # between the start of the last process and the first measurement
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """How many processes and members a fleet has."""
 
     relays: int
-    real: int  # balancers that are the program itself
+    real: int  # balancers that run the real program, one process each
     hollow: int  # hollow subscribers
     zones: int
     hosts: int  # servers in the endpoint list
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OriginFigures:
-    """What the relay that is the origin uses at rest."""
+    """What the origin, the relay that polls discovery, uses at rest."""
 
     cpu_percent: float  # of one core
     bytes_per_s: float  # in both directions
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestFigures:
-    """What relays and real balancers use at rest; means over all of them but the origin."""
+    """What relays and real balancers use at rest: the origin's figures, and means over all others."""
 
     origin: OriginFigures
     relay_cpu_percent: float  # of one core
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowGroup:
-    """A process of hollow subscribers of one zone."""
+    """A process of hollow subscribers, all in one zone."""
 
     process: MeasuredProcess
     zone: str
@@ -84,12 +84,12 @@
 
 
 class PropagationFleet:
-    """The processes of a run; a context manager that starts and kills them."""
+    """A context manager that starts the processes of a run and kills them at the end."""
 
     def __init__(self, size: FleetSize, report: Callable[[str], None]) -> None:
         self.size = size
         self.relays: dict[str, MeasuredProcess] = {}  # by name
-        self.balancers: dict[str, MeasuredProcess] = {}  # the real ones, by name
+        self.balancers: dict[str, MeasuredProcess] = {}  # real balancers, by name
         self.hollow: list[HollowGroup] = []
         self.discovery: MeasuredProcess
         names = [f"r{index + 1}" for index in range(size.relays)]
@@ -186,11 +186,11 @@
     # Relays
 
     def running_relays(self) -> list[str]:
-        """Return the names of the relays that have not ended, sorted."""
+        """Return the sorted names of the relays whose process has not ended."""
         return sorted(name for name, relay in self.relays.items() if relay.is_running())
 
     def origin(self) -> str:
-        """Return the relay that acquired the lease last and has not logged its loss."""
+        """Return the name of the relay that acquired the lease last and has not logged its loss."""
         acquired_at: dict[str, float] = {}
         for name, relay in self.relays.items():
             for line in relay.lines:
@@ -203,11 +203,11 @@
     # Changes of the endpoint list
 
     def publish_change(self, number: int) -> float:
-        """Have discovery make the change of this number; return when it was made."""
+        """Make discovery change its list; `number` is that of the change. Return when it was made."""
         return self._publish(signal.SIGUSR2, number)
 
     def publish_burst(self, last_number: int) -> float:
-        """Have discovery make a burst of changes; return when the last one was made."""
+        """Make discovery change its list in a burst; return when the last change, `last_number`, was made."""
         return self._publish(signal.SIGHUP, last_number)
 
     def _publish(self, request: signal.Signals, number: int) -> float:
@@ -215,7 +215,7 @@
         return float(log_field(line, "at"))
 
     def collect_reports(self) -> list[SubscriberReport]:
-        """Have all processes of hollow subscribers write their reports, and return them."""
+        """Make all processes of hollow subscribers write their reports, and return those."""
         for group in self.hollow:
             group.report_file.unlink(missing_ok=True)
         for group in self.hollow:
@@ -229,14 +229,14 @@
         return [SubscriberReport.read(group.report_file) for group in self.hollow]
 
     def balancer_update_times(self, change: int) -> dict[str, float]:
-        """Return when each real balancer logged a change; without those that have not."""
+        """Return when each real balancer logged a change first, leaving out those that have not logged it."""
         times = {name: change_time(balancer.lines, change) for name, balancer in self.balancers.items()}
         return {name: logged_at for name, logged_at in times.items() if logged_at is not None}
 
     # Usage
 
     def measure_at_rest(self, seconds: float) -> RestFigures:
-        """Measure CPU time, bytes and memory of relays and balancers."""
+        """Measure CPU, bytes per second and memory of relays and real balancers for `seconds`."""
         origin = self.origin()
         measured = {**self.relays, **self.balancers}
         before = processes.sample_all(measured)
@@ -261,7 +261,7 @@
 
 
 def change_time(lines: Iterable[str], change: int) -> float | None:
-    """Return when a balancer logged a change first; None if it has not.
+    """Return when a balancer first logged a change; None if it has not.
 
     >>> line = f'time=7.000 mono=12.500 level=debug event="endpoint update" server={CHANGED_HOST} cell=3'
     >>> change_time([line], 3), change_time([line], 4)
@@ -271,7 +271,8 @@
 
 
 def _logs_change(line: str, change: int) -> bool:
-    # The stub puts the number of a change into the field that balancers log as `cell`. It may end the line.
+    # The discovery stub sends the number of a change in the field that balancers log as `cell`. The field may
+    # be the last one of the line; the space after it keeps change 1 from matching cell=10.
     return (
         'event="endpoint update"' in line
         and f"server={CHANGED_HOST}" in line
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -1,8 +1,8 @@
-"""Measures a connection storm at discovery: many clients poll it at once when it starts or recovers.
+"""Measures a reconnect storm at discovery: many clients poll it at once when it starts or recovers.
 
-All run in one process: a discovery stub that answers at a limited rate, and clients that are the program's
-own `Discovery`. The reactor has to be installed before this module is imported. Times are in seconds of the
-reactor's clock unless a name ends in `_ms`.
+Everything runs in one process: a discovery stub that answers at a limited rate, and clients that are the
+balancer's own `Discovery` class. The reactor has to be installed before this module is imported. Times are in
+seconds on the reactor's clock unless a name ends in `_ms`.
 """
 
 import time
@@ -21,25 +21,25 @@
 from lotusroute.process_control.config_files import endpoint_entry
 from lotusroute.process_control.free_ports import LOOPBACK
 
-STORM_DURATION_S = 10.0  # from the first answer on
-REST_DURATION_S = 5.0  # at the end of a run
+STORM_DURATION_S = 10.0  # after discovery becomes available
+REST_DURATION_S = 5.0  # at the end of a run, when the storm is taken to be over
 
 
 @dataclass(frozen=True, slots=True)
 class StormOptions:
-    """What a storm consists of."""
+    """The parameters of a storm."""
 
     clients: int
     hosts: int  # servers in the endpoint list
-    answers_per_s: float  # that discovery gives
-    down_s: float  # for which discovery gives no answer at first
-    duration_s: float  # of the run after that
+    answers_per_s: float  # at most, by discovery
+    down_s: float  # at the start of the run, while discovery gives no answer
+    duration_s: float  # of the rest of the run, while discovery answers
     grace_ms: float  # the clients' grace period of a drain
 
 
 @dataclass(frozen=True, slots=True)
 class FirstListTimes:
-    """When clients had their first endpoint list, in s since discovery was available."""
+    """When clients received their first endpoint list, in s after discovery became available."""
 
     p50: float
     last: float
@@ -53,27 +53,27 @@
     polls_first_10s: int
     max_polls_per_second: int
     polls_per_second_at_rest: float  # in the last 5 s
-    rejected: int  # polls rejected by the stub
+    rejected: int  # polls that the stub rejected, because its queue was full or the poll waited too long
     abandoned: int  # polls whose client closed the connection before the answer
-    watches: int
-    answers: int
+    watches: int  # long polls that the stub took from its queue
+    answers: int  # other polls that it answered
     clients_without_list: int  # at the end
-    first_list_s: FirstListTimes | None  # None if no client had a list
-    cpu_s: float
+    first_list_s: FirstListTimes | None  # None if no client received a list
+    cpu_s: float  # of the whole process: clients and stub
 
 
 class StormClients:
-    """Clients that poll one discovery service, and when each had its first list."""
+    """Clients that poll one discovery service, and when each received its first list."""
 
     def __init__(self, port: int, grace_ms: float, available_from: float) -> None:
-        self.first_lists: dict[int, float] = {}  # by client, s since discovery was available
+        self.first_lists: dict[int, float] = {}  # by client, in s after discovery became available
         self._address = Address(LOOPBACK, port)
         self._grace_ms = grace_ms
         self._available_from = available_from
         self._counters: Counter[str] = Counter()
 
     def start_client(self, index: int) -> None:
-        """Start a client; its index is also its seed."""
+        """Start a client; its index is also the seed of its random delays."""
 
         def record(_update: object) -> None:
             self.first_lists.setdefault(index, reactor.seconds() - self._available_from)
@@ -84,7 +84,7 @@
 
 
 def run_storm(options: StormOptions) -> StormFigures:
-    """Run a storm once and return its figures."""
+    """Run one storm and return its figures."""
     available_from = reactor.seconds() + options.down_s
     entries = [endpoint_entry(f"s-{index}", DISCARD_PORT) for index in range(options.hosts)]
     discovery = DiscoveryResource(entries, options.answers_per_s, available_from)
--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -1,4 +1,4 @@
-"""Lines fitted to measured series by least squares, and the comparison of two runs by their lines."""
+"""Fits lines to measured series by least squares, and compares two runs by their lines."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from lotusroute.capacity.errors import TooFewSizesError
 from lotusroute.capacity.measurement import Point, Series
 
-MAX_GROWTH = 1.25  # factor from one run to the next
-MIN_SIZES = 4  # of a series with a reliable slope
-MIN_LINE_SIZES = 2
-ALLOWED_ERRORS = 2  # standard errors of a slope that do not count as a difference
+MAX_GROWTH = 1.25  # factor from one run to the next; more is reported
+MIN_SIZES = 4  # in a series, for a reliable slope
+MIN_LINE_SIZES = 2  # in a series, for any line
+ALLOWED_ERRORS = 2  # standard errors of a slope that are taken as noise
 
 
 @dataclass(frozen=True, slots=True)
 class RegressionLine:
-    """A line through the points of a series."""
+    """A line fitted to the points of a series."""
 
     name: str  # role.figure
     unit: str
-    slope: float  # units per unit of size
+    slope: float  # in `unit` per unit of size
     intercept: float  # value at size 0
     slope_error: float  # standard error of the slope
     points: tuple[Point, ...]
@@ -31,7 +31,7 @@
         return self.intercept + self.slope * size
 
     def extrapolation_factor(self, size: float) -> float:
-        """Return the factor by which a size exceeds the largest measured one, at least 1."""
+        """Return the ratio of a size to the largest measured one, at least 1."""
         return max(1.0, size / max(point.size for point in self.points))
 
 
@@ -90,9 +90,9 @@
 
 
 def _values_to_compare(old: RegressionLine, new: RegressionLine) -> _ComparedValues:
-    """Return the slopes if the old one exceeds its error, else the values at the old run's largest size.
+    """Return the slopes if the old one is above its noise, else the lines' values at the old run's last size.
 
-    The new slope is reduced by its error, so that noise is not reported as growth.
+    ALLOWED_ERRORS standard errors are subtracted from the new slope, so that noise is not reported as growth.
     """
     if old.slope > ALLOWED_ERRORS * old.slope_error and old.slope > 0:
         return _ComparedValues(old.slope, new.slope - ALLOWED_ERRORS * new.slope_error)
--- a/lotusroute/capacity/relay_role.py
+++ b/lotusroute/capacity/relay_role.py
@@ -1,10 +1,10 @@
-"""Measures three relays at rest, at several numbers of subscribers of each."""
+"""Measures three relays at rest, by the number of subscribers per relay."""
 
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet
 
 RELAYS = 3
-REAL_SUBSCRIBERS = 2
+REAL_SUBSCRIBERS = 2  # balancers that run the real program, in addition to the hollow ones
 
 
 def measure_relays(size: int, options: MeasurementOptions) -> list[Measurement]:
--- a/lotusroute/capacity/role_registry.py
+++ b/lotusroute/capacity/role_registry.py
@@ -1,4 +1,4 @@
-"""The roles that can be measured, by the name that `capacity measure` accepts."""
+"""The roles that `capacity measure` accepts, by name, with their default sizes."""
 
 from lotusroute.capacity.data_plane_role import measure_data_plane
 from lotusroute.capacity.direct_discovery_role import measure_direct_discovery
--- a/lotusroute/capacity/run_file.py
+++ b/lotusroute/capacity/run_file.py
@@ -7,7 +7,7 @@
 from lotusroute.capacity.errors import RunFileError
 from lotusroute.capacity.measurement import Series
 
-# Names of figures in files of earlier builds.
+# Present names of figures, by the names that earlier builds wrote.
 RENAMED_FIGURES = {
     "decisions.flow": "routing.flow",
     "discovery.alone.calls": "direct_discovery.polls",
@@ -30,7 +30,7 @@
 
     lines: list[Series]
     role: str = ""
-    seconds: float = 0.0  # for which each size was measured
+    seconds: float = 0.0  # duration of the measurement at each size
 
 
 def write_run(file: str, run: Run) -> None:
@@ -40,7 +40,7 @@
 
 
 def read_run(file: str) -> Run:
-    """Read a run, with the present names of its figures; raises `RunFileError`."""
+    """Read a run, with figures under their present names; raises `RunFileError`."""
     try:
         run = msgspec.json.decode(pathlib.Path(file).read_bytes(), type=Run)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/lotusroute/capacity/server_stub.py
+++ b/lotusroute/capacity/server_stub.py
@@ -1,8 +1,9 @@
-"""A stub of a server as a process on loopback.
+"""A stub server that runs as a process on loopback.
 
     python -m lotusroute.capacity.server_stub PORT
 
-It confirms each connection with a receipt, echoes each line, and sends BYE after the client's end of stream.
+It accepts each connection with a receipt (`UP r1`), echoes every line, and sends BYE once the client has
+closed its sending side.
 """
 
 import asyncio
@@ -11,11 +12,11 @@
 
 from lotusroute.process_control.free_ports import LOOPBACK
 
-BACKLOG = 1_024  # connections waiting to be accepted
+BACKLOG = 1_024  # connections that may wait to be accepted
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve one connection until its client closes it."""
+    """Serve one connection until its client closes its sending side."""
     with contextlib.suppress(OSError, asyncio.IncompleteReadError):
         await reader.readuntil(b"\r\n")
         writer.write(b"UP r1\r\n")
@@ -27,7 +28,7 @@
 
 
 async def main(port: str) -> None:
-    """Serve until killed."""
+    """Serve until the process is killed."""
     listener = await asyncio.start_server(serve, LOOPBACK, int(port), backlog=BACKLOG)
     await listener.serve_forever()
 
--- a/lotusroute/capacity/signals.py
+++ b/lotusroute/capacity/signals.py
@@ -1,4 +1,4 @@
-"""Unix signals as events of Twisted's reactor."""
+"""Delivers Unix signals as events of Twisted's reactor."""
 
 import signal
 from collections.abc import Callable
@@ -7,10 +7,11 @@
 
 
 def call_on_signal(reactor: ReactorBase, number: signal.Signals, callback: Callable[[], object]) -> None:
-    """Have the reactor call `callback` whenever the process receives a signal."""
+    """Make the reactor call `callback` whenever the process receives this signal."""
 
     def handle(_number: int, _frame: object) -> None:
-        # A signal handler may interrupt any code; the reactor calls back between two events.
+        # A signal handler can interrupt any code, so the callback is left to the reactor, which runs it
+        # between two events.
         reactor.callFromThread(callback)
 
     signal.signal(number, handle)
--- a/lotusroute/capacity/stubs.py
+++ b/lotusroute/capacity/stubs.py
@@ -1,9 +1,9 @@
-"""What the stubs beside the measured processes have in common."""
+"""Constants and types shared by the stubs and the processes that start them."""
 
 from lotusroute.process_control.config_files import JsonValue
 
-CHANGED_HOST = "s-0"  # the server whose entry a discovery stub changes
-BURST_CHANGES = 50  # that a discovery stub makes within a second on SIGHUP
-DISCARD_PORT = 9  # of servers to which nothing connects
+CHANGED_HOST = "s-0"  # the server whose entry the discovery stub changes
+BURST_CHANGES = 50  # changes that the discovery stub makes within a second on SIGHUP
+DISCARD_PORT = 9  # for servers in endpoint lists to which nothing connects
 
-EndpointDocument = dict[str, JsonValue]  # a server as discovery lists it
+EndpointDocument = dict[str, JsonValue]  # a server's entry as discovery sends it
--- a/lotusroute/capacity/target.py
+++ b/lotusroute/capacity/target.py
@@ -1,4 +1,4 @@
-"""The operators' capacity target for two years from now, and the figures that follow from it by division."""
+"""The operators' capacity target, set two years ahead, and the figures that follow from it by division."""
 
 from typing import NamedTuple
 
@@ -12,18 +12,18 @@
     connections: int = 400_000_000
     shards: int = 1_500_000
     listeners: int = 480_000  # of the largest topic
-    deliveries: float = 140e6  # a second
+    deliveries: float = 140e6  # per second
     delivery_ms: float = 370.0  # 99th percentile
     regions: int = 8
     zones: int = 19
-    changes: int = 8_000  # of configuration, a day
+    changes: int = 8_000  # of configuration, per day
     in_force_s: float = 4.0  # from a change until it is in force everywhere
-    core: float = 0.035  # fraction of a core for the control plane of a balancer
-    memory_mb: float = 64.0  # for the control plane of a balancer
-    bytes_s: float = 8_192.0  # a second for the control plane of a balancer
+    core: float = 0.035  # fraction of a core per balancer, for the control plane
+    memory_mb: float = 64.0  # per balancer, for the control plane
+    bytes_s: float = 8_192.0  # per second and balancer, for the control plane
     machines: int = 44  # of the control plane
-    machines_fail: int = 19  # a day
-    replaced: int = 540  # processes a day
+    machines_fail: int = 19  # per day
+    replaced: int = 540  # processes per day
 
     def derived_figures(self) -> dict[str, float]:
         """Return the figures that follow from the target by division.
