--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -1,6 +1,6 @@
 """Measures how long a change of the endpoint list takes to reach all subscribers of relays.
 
-A run takes one fleet through scenarios, each of which is a fault and a change of the list at the same time.
+A run puts one fleet through several scenarios. In each, a fault occurs and the list changes at the same time.
 Times are in seconds.
 """
 
@@ -19,23 +19,23 @@
 from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet, RestFigures
 from lotusroute.capacity.stubs import BURST_CHANGES
 
-REST_DURATION_S = 6.0  # for which the fleet is measured before the first scenario
-PROPAGATION_TIMEOUT_S = 12.0  # a subscriber without the change after it is counted as lagging
-REPORT_INTERVAL_S = 0.5
+REST_DURATION_S = 6.0  # of the measurement at rest, before the first scenario
+PROPAGATION_TIMEOUT_S = 12.0  # a subscriber that has not received the change by then counts as lagging
+REPORT_INTERVAL_S = 0.5  # between two collections of reports
 PAUSE_S = 3.0  # after each scenario
-SEED = 1  # of the choice of relays that fail
+SEED = 1  # of the random choice of relays that fail
 
 
 class Scenario(StrEnum):
-    """What happens at the time of a change of the endpoint list."""
+    """What happens while the endpoint list changes."""
 
     CALM = "calm"  # no fault
     BURST = "burst"  # many changes within a second
     KILL = "kill"  # a relay is killed
-    STOP = "stop"  # a relay is stopped and continues afterwards
-    TWO = "two"  # two relays of a zone are stopped
+    STOP = "stop"  # a relay is stopped (SIGSTOP) and continues afterwards
+    TWO = "two"  # two relays are stopped, both in one zone if it has two
     ORIGIN = "origin"  # the origin is killed
-    ZONE = "zone"  # all hollow subscribers of a zone restart
+    ZONE = "zone"  # all hollow subscribers of a zone lose their state and restart
 
 
 SCENARIOS = tuple(Scenario)
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PropagationFigures:
-    """How long one change took, over all subscribers that received it."""
+    """How long one change took to propagate, over all subscribers that received it."""
 
     p50_s: float
     p99_s: float
     worst_s: float
     received: int  # subscribers that received the change
-    lagging: int  # hollow subscribers that did not
+    lagging: int  # hollow subscribers that did not receive it in time
     real: int  # real balancers that received it
-    distinct_lists: int  # of hollow subscribers; 1 if all have the same list
-    fallbacks: int  # times since the start that a hollow subscriber fell back to polling discovery
+    distinct_lists: int  # among hollow subscribers; 1 if all have the same list
+    fallbacks: int  # how often since the start a hollow subscriber fell back to polling discovery
 
     def is_late(self, limit_s: float) -> bool:
-        """Return whether some subscriber received the change later than the limit, or not at all."""
+        """Return whether a subscriber received the change after more than `limit_s`, or is lagging."""
         return self.lagging > 0 or self.worst_s > limit_s
 
 
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """The fleet at the start of a scenario."""
+    """The fleet at the start of a scenario, as its fault needs it."""
 
     fleet: PropagationFleet
-    origin: str  # name of the relay
-    other_relays: list[str]  # names of the other relays that run
+    origin: str  # name of the relay that is the origin
+    other_relays: list[str]  # names of the other running relays
     rng: random.Random
 
     def any_other_relay(self) -> str:
-        """Return a random relay other than the origin."""
+        """Return the name of a random running relay other than the origin."""
         return self.rng.choice(self.other_relays)
 
 
 @contextlib.contextmanager
 def no_fault(_situation: Situation) -> Iterator[None]:
-    """Leave the fleet as it is."""
+    """Cause no fault."""
     yield
 
 
@@ -96,7 +96,7 @@
 
 @contextlib.contextmanager
 def kill_origin(situation: Situation) -> Iterator[None]:
-    """Kill the relay that polls discovery."""
+    """Kill the origin, the relay that polls discovery."""
     situation.fleet.relays[situation.origin].send_signal(signal.SIGKILL)
     yield
 
@@ -110,7 +110,7 @@
 
 @contextlib.contextmanager
 def stop_two_relays(situation: Situation) -> Iterator[None]:
-    """Stop two relays other than the origin, of the same zone if it has two."""
+    """Stop two relays other than the origin until the change has propagated; of one zone, if it has two."""
     zones = situation.fleet.relay_zones
     zone = zones[situation.any_other_relay()]
     of_zone = [name for name in situation.other_relays if zones[name] == zone]
@@ -121,7 +121,7 @@
 
 @contextlib.contextmanager
 def restart_zone(situation: Situation) -> Iterator[None]:
-    """Have all hollow subscribers of the first zone lose their state and restart."""
+    """Make all hollow subscribers of the first zone lose their state and restart."""
     zone = situation.fleet.hollow[0].zone
     for group in situation.fleet.hollow:
         if group.zone == zone:
@@ -154,7 +154,7 @@
 def run_scenarios(
     size: FleetSize, scenarios: Sequence[Scenario], report: Callable[[str], None]
 ) -> PropagationRun:
-    """Run scenarios one after the other on one fleet.
+    """Run scenarios on one fleet, one after the other.
 
     Raises `RunTooLargeError` if the fleet does not fit on this machine.
     """
@@ -176,14 +176,14 @@
 
 
 def _propagate(fleet: PropagationFleet, scenario: Scenario, change: int) -> PropagationFigures:
-    """Publish the changes of a scenario, the last of which is `change`, and follow that one."""
+    """Publish the changes of a scenario, and measure the last one, which has the number `change`."""
     if scenario is Scenario.BURST:
         return follow_change(fleet, change, fleet.publish_burst(change))
     return follow_change(fleet, change, fleet.publish_change(change))
 
 
 def follow_change(fleet: PropagationFleet, change: int, published_at: float) -> PropagationFigures:
-    """Wait until all hollow subscribers have a change, for at most PROPAGATION_TIMEOUT_S."""
+    """Wait, for at most PROPAGATION_TIMEOUT_S, until all hollow subscribers have received a change."""
     deadline = time.monotonic() + PROPAGATION_TIMEOUT_S
     while True:
         reports = fleet.collect_reports()
@@ -207,7 +207,7 @@
 
 
 def _times_received(reports: Sequence[SubscriberReport], change: int) -> list[float | None]:
-    """Return when each hollow subscriber received a change; None for one that did not."""
+    """Return when each hollow subscriber received a change; None for each that did not."""
     return [_first_received(changes, change) for report in reports for changes in report.received.values()]
 
 
