--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Installs the program's reactor in the process that runs the tests, before any module imports Twisted's."""
+"""Installs the program's reactor in the pytest process before any module imports Twisted's default reactor."""
 
 from lotusroute.net import monotonic_reactor
 
--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -1,4 +1,4 @@
-"""A balancer in a process of its own, with its fake discovery and connections of its clients."""
+"""Runs a balancer as a separate process for tests, with a fake discovery service and client connections."""
 
 import json
 import os
@@ -30,26 +30,26 @@
 }
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
-# Each worker of pytest has ports of its own: a process that takes seconds to start finds its port free.
+# Each pytest worker has a separate set of ports, so that no other worker takes a port before the process that
+# it is meant for has bound it, which can take seconds.
 PORTS = PortAllocator(ALLOCATED_PORTS[WORKER::WORKER_COUNT])
 
 
 def free_port() -> int:
-    """Return a port for a program that is still to start."""
+    """Return a free port for a process that has not started yet."""
     return PORTS.allocate()
 
 
 class ClientConnection(socket.SocketIO):
-    """A client's connection as an unbuffered file."""
+    """A client's connection as an unbuffered file; `conn` is its socket."""
 
     conn: socket.socket
 
 
 class Balancer:
-    """The program in a process of its own, with its discovery and its clients.
+    """A balancer process and its fake discovery; opens clients' connections to it.
 
-    The process starts at once; as a context manager it waits until the balancer is ready, and kills it at the
-    end.
+    The process starts at once; the context manager waits until the balancer is ready and kills it at the end.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         known: int = 0,
         **discovery_state: object,
     ) -> None:
-        """`known` is the version of the cached list; `discovery_state` sets attributes of the discovery."""
+        """`known` is the version of the cached list; `discovery_state` sets attributes of `discovery`."""
         self.discovery = FakeDiscovery(*servers, available=available)
         vars(self.discovery).update(discovery_state)
         self.flow_count = 0
@@ -99,13 +99,13 @@
         self.discovery.shutdown()
 
     def connect_and_send(self, line: bytes) -> ClientConnection:
-        """Connect and send a first line."""
+        """Open a connection and send its first line."""
         file = self.connect()
         file.conn.sendall(line + b"\r\n")
         return file
 
     def connect(self) -> ClientConnection:
-        """Connect and send nothing."""
+        """Open a connection without sending anything."""
         conn = socket.create_connection((LOOPBACK, self.port), timeout=TIMEOUT_S)
         file = cast(ClientConnection, conn.makefile("rwb", buffering=0))
         file.conn = conn
@@ -122,23 +122,23 @@
         return self.connect_and_send(f"OPEN {flow_id} {key} {text}".encode())
 
     def reload(self, text: str | None = None, **changes: JsonValue) -> None:
-        """Replace the configuration file and have the program read it."""
+        """Apply `changes` to the configuration file, or write `text` instead, and send SIGHUP."""
         self.config.update(changes)
         self.config_file.write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def suspend(self) -> None:
-        """Stop the process, and return once it has stopped."""
+        """Suspend the process (SIGSTOP) and return once it has stopped."""
         self.process.send_signal(signal.SIGSTOP)
         stat = pathlib.Path(f"/proc/{self.process.pid}/stat")
         wait_until(lambda: stat.read_text().rsplit(")", 1)[1].split()[0] == "T")
 
     def resume(self) -> None:
-        """Let a suspended process continue."""
+        """Let the suspended process continue."""
         self.process.send_signal(signal.SIGCONT)
 
     def terminate(self, number: int = signal.SIGKILL) -> str:
-        """Send the signal if the program runs, wait for its exit and return its log."""
+        """Send the signal if the process still runs, wait for its exit and return its log."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         return self.process.communicate(timeout=TIMEOUT_S)[1]
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -1,4 +1,4 @@
-"""Fake servers on loopback sockets, each with threads of its own."""
+"""Fake servers on loopback sockets; each runs in its own threads."""
 
 import contextlib
 import socket
@@ -13,17 +13,17 @@
 class FakeServer:
     """A server on a free port.
 
-    It sends `reply`, if there is one, for a first line, and later lines back unchanged. Tests set its
-    attributes while it runs.
+    It answers the first line of a connection with `reply`, or not at all without one, and echoes later lines.
+    Tests may change its attributes while it runs.
     """
 
     def __init__(self, name: str, reply: bytes | None = b"UP r1\r\n") -> None:
         self.name = name
         self.reply = reply
-        self.lines: list[bytes] = []  # received; an empty one for each end of a connection
+        self.lines: list[bytes] = []  # all received lines; an empty one marks the end of a connection
         self.connections: list[socket.socket] = []
-        self.unresponsive = False  # sends no more lines back
-        self.resets_connections = False  # ends connections with a reset
+        self.unresponsive = False  # stops echoing lines
+        self.resets_connections = False  # ends connections with a reset instead of BYE
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.port: int = self.socket.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
@@ -42,7 +42,7 @@
             self.serve_connection(conn)
 
     def serve_connection(self, conn: socket.socket) -> None:
-        """Serve one connection to its end; tests replace this method."""
+        """Serve one connection until it ends; some tests replace this method."""
         with contextlib.suppress(ConnectionResetError), conn.makefile("rb") as lines:
             for line in lines:
                 self.lines.append(line)
@@ -72,9 +72,9 @@
 
 
 class SlowAcceptServer(FakeServer):
-    """A server to which no connection is established until `start_accepting`.
+    """A server to which no connection can be established until `start_accepting`.
 
-    Its queue of connections is full, so that the system lets later ones wait and tries again after a second.
+    Its listen backlog is full, so the kernel leaves further connections pending and retries after a second.
     """
 
     def _accept(self) -> None:
@@ -85,13 +85,13 @@
         super()._accept()
 
     def start_accepting(self) -> None:
-        """Accept the connections that wait, and all later ones."""
+        """Accept the pending connections and all later ones."""
         self.accepting.set()
 
     def wait_for_connections(self, count: int = 1) -> bool:
-        """Wait until so many connections are established, beside the one that fills the queue."""
+        """Wait until `count` connections are established, not counting the one that fills the backlog."""
         return wait_until(lambda: len(self.connections) > count)
 
     def open_lines(self) -> list[bytes]:
-        """Return the first lines of flows that it received."""
+        """Return the received first lines of flows."""
         return [line for line in self.lines if line.startswith(b"OPEN")]
--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -1,4 +1,4 @@
-"""Test doubles and fixed values that the tests of golden bytes share."""
+"""Test doubles and fixed values of the golden-bytes tests, which compare exact wire and file contents."""
 
 import random
 from collections import Counter
@@ -13,12 +13,12 @@
 NOW = 10_000.0  # ms
 PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
 FLEET = {"name": "f", "keepers": ["a", "b", "c"], "peers": PEERS}
-# A proposal of b: task, ballot, proposer, round, duration of 3000 ms.
+# A propose message from b: task, ballot, proposer, round, lease duration of 3000 ms.
 PROPOSE_B = b"\x95\xa5watch\xcd\x08\x01\xaab#0a1b2c3d\x03\xcb\x40\xa7\x70\0\0\0\0\0"
 
 
 class RecordingTransport:
-    """Records calls as (direction, peer, kind, body); the test supplies the answers."""
+    """Records calls as (direction, peer, kind, body); tests fire the Deferreds in `answers` themselves."""
 
     def __init__(self):
         self.calls, self.answers, self.outbound, self.inbound = [], [], {}, {}
@@ -37,9 +37,9 @@
 
 
 def lease_service_at_fixed_clock(name, state):
-    """Return a lease service whose clock shows NOW.
+    """Return a lease service whose clock always shows NOW.
 
-    Its acceptor, if it has one, grants leases and may promise ballots up to 4095.
+    Its acceptor, if it has one, may grant leases and promise ballots up to 4095.
     """
     fleet = config.parse_fleet_config({**FLEET, "state": str(state)})
     service = LeaseService(task.Clock(), fleet, name, Counter(), clock=lambda: NOW)
@@ -53,14 +53,14 @@
 
 
 def exchange(connection, transport, data):
-    """Pass received data to a connection and return what it sends."""
+    """Deliver data to a connection and return what it sends in response."""
     transport.clear()
     connection.dataReceived(data)
     return transport.value()
 
 
 class RecordingDiscovery:
-    """A discovery client that records the updates of other processes."""
+    """A discovery client that records the updates shared by other processes."""
 
     list_url, version, closed = "http://10.0.0.9:8500/api/targets", 12, False
 
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity runs: deterministic counts at two sizes, commands, and rejected arguments."""
+"""Tests of the capacity commands: deterministic counts at two sizes, measured runs and rejected arguments."""
 
 import json
 import subprocess
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""Tests of docs/CAPACITY.md: how each figure is known, and that derived figures agree with their formulas."""
+"""Tests of docs/CAPACITY.md: each figure states its origin, and derived figures agree with their formulas."""
 
 import ast
 import operator
@@ -14,16 +14,16 @@
 OPERATORS = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
 ORIGINS = "target|measured|worked out|guessed"
 ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.MULTILINE)
-ROUNDING_FRACTION = 0.006  # figures on the page have three digits
+ROUNDING_FRACTION = 0.006  # figures on the page are rounded to three digits
 
 
 class Figure(NamedTuple):
-    """A row of the page's table of figures."""
+    """One row of the page's table of figures."""
 
     name: str
     value: float
-    origin: str  # how it is known
-    source: str  # a command or a formula
+    origin: str  # how the value is known, one of ORIGINS
+    source: str  # the command that measured it or the formula that yields it
 
 
 @pytest.fixture(scope="module")
@@ -35,7 +35,7 @@
 
 
 def evaluate(formula, values):
-    """Evaluate a formula of numbers, named values and the four operations."""
+    """Evaluate a formula of numbers, names of values and the four basic operations."""
 
     def evaluate_node(node):
         if isinstance(node, ast.Expression):
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -1,4 +1,4 @@
-"""docs/on-call.md names every log event and counter of the program, with its file, and no other."""
+"""Tests that docs/on-call.md lists exactly the log events and counters in the code, with their files."""
 
 import ast
 import pathlib
@@ -8,21 +8,21 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "lotusroute"
-TOOLS = {"capacity", "fault_injection"}  # measure and try out the program; nobody is on call for them
+TOOLS = {"capacity", "fault_injection"}  # measure and test the program; nobody is on call for them
 LOGGING_FUNCTIONS = {"log_event", "log_exception", "log_step"}
-COUNTER_TABLE = re.compile(r"[A-Z_]*COUNTERS?")  # module constants that map a type or outcome to its counter
-PLACEHOLDER = "*"  # the variable part of a name: `ended_RESULT` on the page, f"ended_{result}" in the code
+COUNTER_TABLE = re.compile(r"[A-Z_]*COUNTERS?")  # constants that map a type or outcome to its counter
+PLACEHOLDER = "*"  # for the variable part of a name: `ended_RESULT` on the page, f"ended_{result}" in code
 
 
 def _name_of(node: ast.expr) -> str:
-    """The last part of a dotted name; empty for any other expression."""
+    """Return the last part of a dotted name, or an empty string for any other expression."""
     if isinstance(node, ast.Attribute):
         return node.attr
     return node.id if isinstance(node, ast.Name) else ""
 
 
 def _text_of(node: ast.expr) -> str | None:
-    """A string literal, with a placeholder for each variable part; None for any other expression."""
+    """Return a string literal with a placeholder for each variable part; None for any other expression."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return node.value
     if isinstance(node, ast.JoinedStr):
@@ -32,7 +32,7 @@
 
 
 def _events_in(tree: ast.AST) -> set[str]:
-    """Literals that follow a logging function: called with it, or passed behind it to a timer."""
+    """Return event names: literal arguments of logging functions that are called or are passed to a timer."""
     found = set()
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call):
@@ -46,7 +46,7 @@
 
 
 def _is_counter_table(node: ast.AST) -> bool:
-    """Whether this assigns a dict to a constant whose name ends in COUNTER or COUNTERS."""
+    """Return whether this assigns a dict to a constant whose name ends in COUNTER or COUNTERS."""
     if not isinstance(node, ast.Assign | ast.AnnAssign) or not isinstance(node.value, ast.Dict):
         return False
     target = node.targets[0] if isinstance(node, ast.Assign) else node.target
@@ -54,7 +54,7 @@
 
 
 def _counters_in(tree: ast.AST) -> set[str]:
-    """Literal keys of `counters[...]`, and the values of tables of counters."""
+    """Return counter names: literal keys of `counters[...]`, and the values of counter tables."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Subscript) and _name_of(node.value).lstrip("_") == "counters":
@@ -65,7 +65,7 @@
 
 
 def _in_code(collect) -> dict[str, set[str]]:
-    """By name: the files, relative to the package, that write it."""
+    """Return the names that `collect` finds in the code, each with its files (relative to the package)."""
     found: dict[str, set[str]] = {}
     for file in sorted(PACKAGE.rglob("*.py")):
         relative = file.relative_to(PACKAGE)
@@ -77,7 +77,7 @@
 
 
 def _on_page(kind: str) -> dict[str, set[str]]:
-    """By name: the files that the page's tables of this kind give in their column `where`."""
+    """Return the names in the page's tables of this kind, each with the files in its column `where`."""
     found: dict[str, set[str]] = {}
     column = None
     for line in (ROOT / "docs/on-call.md").read_text(encoding="utf-8").splitlines():
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for conditions that other threads and processes bring about."""
+"""Waits for conditions that other threads or processes fulfil."""
 
 import time
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 def wait_until(condition: Callable[[], Result]) -> Result:
-    """Wait until the condition returns something true, and return that."""
+    """Call `condition` repeatedly until its result is true, and return that; fail after TIMEOUT_S."""
     deadline = time.monotonic() + TIMEOUT_S
     while not (result := condition()):
         assert time.monotonic() < deadline, "the condition was not met in time"
