--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -90,7 +90,7 @@
             cpu_seconds = balancer.cpu_seconds()
             return BalancerSample(time.monotonic(), cpu_seconds, balancer.resident_mb())
 
-        samples = asyncio.run(_use_connections(port, size, options.seconds, sample))
+        samples = asyncio.run(_sample_connections(port, size, options.seconds, sample))
     memory_mb = samples.idle.resident_mb - empty_mb
     lines = LINES_PER_CLIENT * size
     return [
@@ -128,15 +128,15 @@
 async def _open_flows(port: int, count: int) -> None:
     """Open and close `count` connections, CONCURRENT_CLIENTS at a time."""
 
-    async def open_part(first: int) -> None:
+    async def run_client(first: int) -> None:
         for key in range(first, count, CONCURRENT_CLIENTS):
             client = await StubClient.open(port, key)
             await client.close()
 
-    await asyncio.gather(*(open_part(first) for first in range(CONCURRENT_CLIENTS)))
+    await asyncio.gather(*(run_client(first) for first in range(CONCURRENT_CLIENTS)))
 
 
-async def _use_connections(
+async def _sample_connections(
     port: int, count: int, seconds: float, sample: Callable[[], BalancerSample]
 ) -> ConnectionSamples:
     """Open connections, leave them idle for `seconds`, then exchange lines over all; sample at each bound."""
