--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -16,8 +16,8 @@
 from lotusroute.capacity.deployment import (
     allocate_port,
     run_discovery,
-    run_folder,
     start_balancer,
+    temporary_folder,
     wait_until_listening,
 )
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
@@ -116,7 +116,7 @@
     port = allocate_port()
     hosts = [endpoint_entry(f"s-{index}", server_port) for index in range(SERVERS)]
     with (
-        run_folder() as folder,
+        temporary_folder() as folder,
         run_discovery(SERVERS, server_port) as discovery,
         MeasuredProcess("lotusroute.capacity.server_stub", [str(server_port)]),
         start_balancer(folder, "n1", port, discovery.port, {}, hosts) as balancer,
--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -45,13 +45,13 @@
     return _ports.allocate()
 
 
-def address(port: int) -> str:
+def loopback_address(port: int) -> str:
     """Return a loopback port as HOST:PORT, the form that configuration files use."""
     return f"{LOOPBACK}:{port}"
 
 
 @contextlib.contextmanager
-def run_folder() -> Iterator[pathlib.Path]:
+def temporary_folder() -> Iterator[pathlib.Path]:
     """Provide a temporary folder for the files of a run; it is removed at the end."""
     with tempfile.TemporaryDirectory(prefix="lotusroute-scale-") as name:
         yield pathlib.Path(name)
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -2,7 +2,7 @@
 
 import time
 
-from lotusroute.capacity.deployment import address, run_discovery, run_folder
+from lotusroute.capacity.deployment import loopback_address, run_discovery, temporary_folder
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.capacity.processes import MeasuredProcess, check_footprint, usage_between
@@ -13,9 +13,9 @@
 def measure_direct_discovery(size: int, options: MeasurementOptions) -> list[Measurement]:
     """Measure discovery with `size` clients, which all run in one process."""
     options.report(check_footprint(2, size))
-    with run_folder() as folder, run_discovery(options.hosts) as discovery:
+    with temporary_folder() as folder, run_discovery(options.hosts) as discovery:
         names = [f"n{index + 1}" for index in range(size)]
-        settings_file = MemberSettings(names, address(discovery.port)).write(folder / "clients.json")
+        settings_file = MemberSettings(names, loopback_address(discovery.port)).write(folder / "clients.json")
         with MeasuredProcess("lotusroute.capacity.direct_discovery_clients", [settings_file]) as clients:
             clients.wait_for_line("event=ready")
             time.sleep(SETTLE_DELAY_S)
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -15,12 +15,12 @@
 from lotusroute.capacity import processes
 from lotusroute.capacity.deployment import (
     RunningDiscovery,
-    address,
     allocate_port,
     fleet_config,
+    loopback_address,
     run_discovery,
-    run_folder,
     start_balancer,
+    temporary_folder,
     wait_for_lease_holder,
 )
 from lotusroute.capacity.errors import NoUpdateSentError
@@ -57,7 +57,7 @@
 
     def __enter__(self) -> Self:
         with contextlib.ExitStack() as stack:
-            folder = stack.enter_context(run_folder())
+            folder = stack.enter_context(temporary_folder())
             self.discovery = stack.enter_context(run_discovery(self._hosts))
             for name in self.names[:MAX_REAL_BALANCERS]:
                 self.balancers[name] = stack.enter_context(self._start_balancer(folder, name))
@@ -82,7 +82,7 @@
         file = fleet_config(self._ports, self.acceptors, HOLLOW_LEASE).write(folder / "hollow.toml")
         for start in range(MAX_REAL_BALANCERS, len(self.names), HOLLOW_PER_PROCESS):
             names = self.names[start : start + HOLLOW_PER_PROCESS]
-            settings = HollowBalancerSettings(names, address(self.discovery.port), file)
+            settings = HollowBalancerSettings(names, loopback_address(self.discovery.port), file)
             settings_file = settings.write(folder / f"hollow{start}.json")
             yield MeasuredProcess("lotusroute.capacity.hollow_balancers", [settings_file])
 
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -14,11 +14,11 @@
 from lotusroute.capacity import processes
 from lotusroute.capacity.deployment import (
     UNLIMITED_ANSWERS_PER_S,
-    address,
     allocate_port,
     fleet_config,
-    run_folder,
+    loopback_address,
     start_balancer,
+    temporary_folder,
     wait_for_lease_holder,
     write_relays_file,
 )
@@ -104,7 +104,7 @@
         process_count = self.size.relays + self.size.real + groups + 1
         self._report(processes.check_footprint(process_count, self.size.hollow))
         with contextlib.ExitStack() as stack:
-            folder = stack.enter_context(run_folder())
+            folder = stack.enter_context(temporary_folder())
             self._start_discovery(stack)
             self._start_relays(folder, stack)
             self._start_balancers(folder, stack)
@@ -138,7 +138,7 @@
                 max_subscribers=MAX_SUBSCRIBERS,
             )
             file = config.write(folder / f"{name}.toml")
-            options = ["--fleet", file, "--name", name, "--discovery", address(self._discovery_port)]
+            options = ["--fleet", file, "--name", name, "--discovery", loopback_address(self._discovery_port)]
             process = MeasuredProcess("lotusroute", ["relay", "run", *options])
             self.relays[name] = stack.enter_context(process)
         for relay in self.relays.values():
@@ -162,7 +162,7 @@
             report_file = folder / f"report{group}.json"
             settings = HollowSubscriberSettings(
                 names=[f"h{index}" for index in range(first, last)],
-                discovery=address(self._discovery_port),
+                discovery=loopback_address(self._discovery_port),
                 zone=self._zone(group),
                 relays=relays,
                 report_file=str(report_file),
@@ -180,7 +180,7 @@
         """Return the addresses of the relays by zone and name."""
         addresses: dict[str, dict[str, str]] = {}
         for name, zone in self.relay_zones.items():
-            addresses.setdefault(zone, {})[name] = address(self._relay_ports[name])
+            addresses.setdefault(zone, {})[name] = loopback_address(self._relay_ports[name])
         return addresses
 
     # Relays
