--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -33,7 +33,7 @@
     size_bytes: int
 
 
-class RelayScript:
+class RelaySimulation:
     """A simulated relay and its subscribers, which acknowledge each message immediately."""
 
     def __init__(self, subscribers: int) -> None:
@@ -73,39 +73,39 @@
             pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE_MS)
 
 
-def relay(size: int) -> SentCounts:
+def count_sent_by_relay(size: int) -> SentCounts:
     """Count what a relay sends to `size` subscribers that join with an empty list: changes, then idle time.
 
-    >>> few, many = relay(10), relay(20)
+    >>> few, many = count_sent_by_relay(10), count_sent_by_relay(20)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
-    script = RelayScript(size)
+    simulation = RelaySimulation(size)
     endpoints = [endpoint_entry(f"s-{index}", DISCARD_PORT) for index in range(ENDPOINTS)]
-    script.publish(EndpointListUpdate(1, True, endpoints))
-    script.join_all()
+    simulation.publish(EndpointListUpdate(1, True, endpoints))
+    simulation.join_all()
     for change in range(CHANGES):
-        script.now += CHANGE_INTERVAL_MS
-        script.publish(
+        simulation.now += CHANGE_INTERVAL_MS
+        simulation.publish(
             EndpointListUpdate(2 + change, False, [endpoint_entry("s-0", DISCARD_PORT, "DRAINING")])
         )
-        script.fanout.on_store_changed(script.now)
-        script.now += HEARTBEAT_INTERVAL_MS
-        script.tick()
-    end = script.now + IDLE_TIME_MS
-    while script.now < end:
-        script.now += TICK_INTERVAL_MS
-        script.tick()
-    assert all(subscriber.items == script.store.items for subscriber in script.subscribers.values())
-    return SentCounts(script.messages, script.size_bytes)
-
-
-def holder(size: int) -> SentCounts:
+        simulation.fanout.on_store_changed(simulation.now)
+        simulation.now += HEARTBEAT_INTERVAL_MS
+        simulation.tick()
+    end = simulation.now + IDLE_TIME_MS
+    while simulation.now < end:
+        simulation.now += TICK_INTERVAL_MS
+        simulation.tick()
+    assert all(subscriber.items == simulation.store.items for subscriber in simulation.subscribers.values())
+    return SentCounts(simulation.messages, simulation.size_bytes)
+
+
+def count_sent_by_lease_holder(size: int) -> SentCounts:
     """Count what the holder of the lease `watch` sends in a fleet of `size` balancers.
 
     It sends one change to each of the others, then heartbeats while idle.
 
-    >>> few, many = holder(11), holder(21)
+    >>> few, many = count_sent_by_lease_holder(11), count_sent_by_lease_holder(21)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
@@ -116,6 +116,6 @@
     update_bytes = len(msgspec.msgpack.encode(update))
     heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
     peers = size - 1
-    messages_each = 1 + heartbeats
-    bytes_each = update_bytes + heartbeats * heartbeat_bytes
-    return SentCounts(messages_each * peers, bytes_each * peers)
+    messages_per_peer = 1 + heartbeats
+    bytes_per_peer = update_bytes + heartbeats * heartbeat_bytes
+    return SentCounts(messages_per_peer * peers, bytes_per_peer * peers)
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -20,16 +20,16 @@
 
 
 @pytest.mark.parametrize(
-    ("role", "size", "messages", "size_bytes"),
+    ("count_sent", "size", "messages", "size_bytes"),
     [
-        (deterministic_counts.relay, 10, 140, 24_440),
-        (deterministic_counts.relay, 20, 280, 48_880),
-        (deterministic_counts.holder, 11, 160, 7_230),
-        (deterministic_counts.holder, 21, 320, 14_460),
+        (deterministic_counts.count_sent_by_relay, 10, 140, 24_440),
+        (deterministic_counts.count_sent_by_relay, 20, 280, 48_880),
+        (deterministic_counts.count_sent_by_lease_holder, 11, 160, 7_230),
+        (deterministic_counts.count_sent_by_lease_holder, 21, 320, 14_460),
     ],
 )
-def test_messages_and_bytes_of_a_role_do_not_change(role, size, messages, size_bytes):
-    assert role(size) == deterministic_counts.SentCounts(messages, size_bytes)
+def test_messages_and_bytes_of_relay_and_lease_holder_do_not_change(count_sent, size, messages, size_bytes):
+    assert count_sent(size) == deterministic_counts.SentCounts(messages, size_bytes)
 
 
 def write_run(file, *lines):
