--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -54,7 +54,7 @@
         self._next_answer_at = 0.0
         self._queue: deque[PendingPoll] = deque()
         # Long polls that are held until the list changes or their hold time ends.
-        self._watches: list[PendingPoll] = []
+        self._held_polls: list[PendingPoll] = []
         # Polls that arrived before `available_from`, until their clients close the connection.
         self._unanswered: set[server.Request] = set()
 
@@ -63,10 +63,10 @@
         self.sequence += 1
         by_name = {str(host["host"]): host for host in [*self.hosts, *hosts]}
         self.hosts = list(by_name.values())
-        watches = self._watches
-        self._watches = []
-        for poll in watches:
-            self._answer(poll, hosts)
+        held_polls = self._held_polls
+        self._held_polls = []
+        for poll in held_polls:
+            self._send_changes(poll, hosts)
 
     def render_GET(self, request: server.Request) -> object:
         """Queue a poll, or reject it if the queue is full."""
@@ -110,29 +110,29 @@
         poll.request.finish()
 
     def _serve(self, poll: PendingPoll) -> None:
-        hold = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
+        hold_s = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
-        self.counters["watches" if hold else "answers"] += 1
+        self.counters["watches" if hold_s else "answers"] += 1
         if 0 <= known_sequence == self.sequence - 1:
             # The stub does not record which hosts the last change affected, so it sends all as changes.
-            self._answer(poll, self.hosts)
+            self._send_changes(poll, self.hosts)
         elif known_sequence < self.sequence:
-            self._write(poll, self.hosts, complete=True)
-        elif hold:
-            self._watches.append(poll)
-            reactor.callLater(hold, self._end_watch, poll)
+            self._send(poll, self.hosts, complete=True)
+        elif hold_s:
+            self._held_polls.append(poll)
+            reactor.callLater(hold_s, self._end_hold, poll)
         else:
-            self._answer(poll, [])
+            self._send_changes(poll, [])
 
-    def _end_watch(self, poll: PendingPoll) -> None:
-        if poll in self._watches:
-            self._watches.remove(poll)
-            self._answer(poll, [])
+    def _end_hold(self, poll: PendingPoll) -> None:
+        if poll in self._held_polls:
+            self._held_polls.remove(poll)
+            self._send_changes(poll, [])
 
-    def _answer(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
-        self._write(poll, changed, complete=False)
+    def _send_changes(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
+        self._send(poll, changed, complete=False)
 
-    def _write(self, poll: PendingPoll, hosts: list[EndpointDocument], complete: bool) -> None:
+    def _send(self, poll: PendingPoll, hosts: list[EndpointDocument], complete: bool) -> None:
         if not poll.connected:
             return
         body = json.dumps({"seq": self.sequence, "whole": complete, "hosts": hosts}).encode()
