--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -38,11 +38,11 @@
 DISCOVERY = "discovery"  # key of the discovery stub among the measured processes
 
 # Units of measurements.
-CPU = "% of a core"
-BYTES = "B a second, both ways"
+CPU_UNIT = "% of a core"
+BYTES_UNIT = "B a second, both ways"
 
 
-class LinkedFleet:
+class MeasuredFleet:
     """The processes of a fleet and its discovery stub; a context manager that starts and kills them."""
 
     def __init__(self, size: int, hosts: int) -> None:
@@ -118,7 +118,7 @@
     hollow = size - real
     hollow_processes = (hollow + HOLLOW_PER_PROCESS - 1) // HOLLOW_PER_PROCESS
     options.report(processes.check_footprint(real + 1 + hollow_processes, hollow))
-    with LinkedFleet(size, options.hosts) as fleet:
+    with MeasuredFleet(size, options.hosts) as fleet:
         time.sleep(SETTLE_DELAY_S)
         usage = fleet.measure_usage(options.seconds)
         if usage[fleet.lease_holder].rate("shared_discovery_sent") <= 0:
@@ -126,7 +126,7 @@
         return _measurements(size, fleet, usage)
 
 
-def _measurements(size: int, fleet: LinkedFleet, usage: Mapping[str, ProcessUsage]) -> list[Measurement]:
+def _measurements(size: int, fleet: MeasuredFleet, usage: Mapping[str, ProcessUsage]) -> list[Measurement]:
     holder = [fleet.lease_holder]
     others = fleet.other_balancers()
     acceptors = fleet.other_acceptors()
@@ -141,14 +141,14 @@
         return _mean(names, lambda name: fleet.balancers[name].resident_mb())
 
     return [
-        Measurement("holder.cpu", CPU, size, cpu(holder)),
+        Measurement("holder.cpu", CPU_UNIT, size, cpu(holder)),
         Measurement("holder.messages", "calls sent a second", size, rate(holder, "peer_calls_sent")),
-        Measurement("holder.bytes", BYTES, size, rate(holder, *processes.PEER_BYTE_COUNTERS)),
+        Measurement("holder.bytes", BYTES_UNIT, size, rate(holder, *processes.PEER_BYTE_COUNTERS)),
         Measurement("holder.memory", "MB", size, memory(holder)),
-        Measurement("balancer.cpu", CPU, size, cpu(others)),
-        Measurement("balancer.bytes", BYTES, size, rate(others, *processes.PEER_BYTE_COUNTERS)),
+        Measurement("balancer.cpu", CPU_UNIT, size, cpu(others)),
+        Measurement("balancer.bytes", BYTES_UNIT, size, rate(others, *processes.PEER_BYTE_COUNTERS)),
         Measurement("balancer.memory", "MB", size, memory(others)),
-        Measurement("acceptor.cpu", CPU, size, cpu(acceptors)),
+        Measurement("acceptor.cpu", CPU_UNIT, size, cpu(acceptors)),
         Measurement(
             "acceptor.messages", "calls received a second", size, rate(acceptors, "peer_calls_received")
         ),
