--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
+class ScenarioContext:
     """The fleet at the start of a scenario, as its fault needs it."""
 
     fleet: PropagationFleet
@@ -82,48 +82,48 @@
 
 
 @contextlib.contextmanager
-def no_fault(_situation: Situation) -> Iterator[None]:
+def no_fault(_context: ScenarioContext) -> Iterator[None]:
     """Cause no fault."""
     yield
 
 
 @contextlib.contextmanager
-def kill_relay(situation: Situation) -> Iterator[None]:
+def kill_relay(context: ScenarioContext) -> Iterator[None]:
     """Kill a relay other than the origin."""
-    situation.fleet.relays[situation.any_other_relay()].send_signal(signal.SIGKILL)
+    context.fleet.relays[context.any_other_relay()].send_signal(signal.SIGKILL)
     yield
 
 
 @contextlib.contextmanager
-def kill_origin(situation: Situation) -> Iterator[None]:
+def kill_origin(context: ScenarioContext) -> Iterator[None]:
     """Kill the origin, the relay that polls discovery."""
-    situation.fleet.relays[situation.origin].send_signal(signal.SIGKILL)
+    context.fleet.relays[context.origin].send_signal(signal.SIGKILL)
     yield
 
 
 @contextlib.contextmanager
-def stop_relay(situation: Situation) -> Iterator[None]:
+def stop_relay(context: ScenarioContext) -> Iterator[None]:
     """Stop a relay other than the origin until the change has propagated."""
-    with _stopped([situation.fleet.relays[situation.any_other_relay()]]):
+    with _stopped([context.fleet.relays[context.any_other_relay()]]):
         yield
 
 
 @contextlib.contextmanager
-def stop_two_relays(situation: Situation) -> Iterator[None]:
+def stop_two_relays(context: ScenarioContext) -> Iterator[None]:
     """Stop two relays other than the origin until the change has propagated; of one zone, if it has two."""
-    zones = situation.fleet.relay_zones
-    zone = zones[situation.any_other_relay()]
-    of_zone = [name for name in situation.other_relays if zones[name] == zone]
-    names = (of_zone + situation.other_relays)[:2]
-    with _stopped([situation.fleet.relays[name] for name in names]):
+    zones = context.fleet.relay_zones
+    zone = zones[context.any_other_relay()]
+    of_zone = [name for name in context.other_relays if zones[name] == zone]
+    names = (of_zone + context.other_relays)[:2]
+    with _stopped([context.fleet.relays[name] for name in names]):
         yield
 
 
 @contextlib.contextmanager
-def restart_zone(situation: Situation) -> Iterator[None]:
+def restart_zone(context: ScenarioContext) -> Iterator[None]:
     """Make all hollow subscribers of the first zone lose their state and restart."""
-    zone = situation.fleet.hollow[0].zone
-    for group in situation.fleet.hollow:
+    zone = context.fleet.hollow[0].zone
+    for group in context.fleet.hollow:
         if group.zone == zone:
             group.process.send_signal(signal.SIGUSR2)
     yield
@@ -140,7 +140,7 @@
             process.send_signal(signal.SIGCONT)
 
 
-FAULTS: dict[Scenario, Callable[[Situation], AbstractContextManager[None]]] = {
+FAULTS: dict[Scenario, Callable[[ScenarioContext], AbstractContextManager[None]]] = {
     Scenario.CALM: no_fault,
     Scenario.BURST: no_fault,
     Scenario.KILL: kill_relay,
@@ -168,14 +168,14 @@
             change += BURST_CHANGES if scenario is Scenario.BURST else 1
             origin = fleet.origin()
             others = [name for name in fleet.running_relays() if name != origin]
-            with FAULTS[scenario](Situation(fleet, origin, others, rng)):
-                results[scenario] = _propagate(fleet, scenario, change)
+            with FAULTS[scenario](ScenarioContext(fleet, origin, others, rng)):
+                results[scenario] = _measure_propagation(fleet, scenario, change)
             report(f"{scenario}: {json.dumps(asdict(results[scenario]))}")
             time.sleep(PAUSE_S)
     return PropagationRun(rest, results)
 
 
-def _propagate(fleet: PropagationFleet, scenario: Scenario, change: int) -> PropagationFigures:
+def _measure_propagation(fleet: PropagationFleet, scenario: Scenario, change: int) -> PropagationFigures:
     """Publish the changes of a scenario, and measure the last one, which has the number `change`."""
     if scenario is Scenario.BURST:
         return follow_change(fleet, change, fleet.publish_burst(change))
