--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -10,9 +10,9 @@
 from lotusroute.capacity.measurement import Point, Series
 
 MAX_GROWTH = 1.25  # factor from one run to the next; more is reported
-MIN_SIZES = 4  # in a series, for a reliable slope
+MIN_RELIABLE_SIZES = 4  # in a series, for a reliable slope
 MIN_LINE_SIZES = 2  # in a series, for any line
-ALLOWED_ERRORS = 2  # standard errors of a slope that are taken as noise
+NOISE_STANDARD_ERRORS = 2  # of a slope; a smaller difference is taken as noise
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,9 +92,9 @@
 def _values_to_compare(old: RegressionLine, new: RegressionLine) -> _ComparedValues:
     """Return the slopes if the old one is above its noise, else the lines' values at the old run's last size.
 
-    ALLOWED_ERRORS standard errors are subtracted from the new slope, so that noise is not reported as growth.
+    NOISE_STANDARD_ERRORS are subtracted from the new slope, so that noise is not reported as growth.
     """
-    if old.slope > ALLOWED_ERRORS * old.slope_error and old.slope > 0:
-        return _ComparedValues(old.slope, new.slope - ALLOWED_ERRORS * new.slope_error)
+    if old.slope > NOISE_STANDARD_ERRORS * old.slope_error and old.slope > 0:
+        return _ComparedValues(old.slope, new.slope - NOISE_STANDARD_ERRORS * new.slope_error)
     last_size = old.points[-1].size
     return _ComparedValues(old.value_at(last_size), new.value_at(last_size))
--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -10,7 +10,7 @@
 from lotusroute.capacity.errors import RunFileError, TooFewSizesError
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions, group_into_series
 from lotusroute.capacity.processes import RunTooLargeError
-from lotusroute.capacity.regression_line import MIN_SIZES, RegressionLine, find_growth, fit_line
+from lotusroute.capacity.regression_line import MIN_RELIABLE_SIZES, RegressionLine, find_growth, fit_line
 from lotusroute.capacity.run_file import Run, read_run, write_run
 from lotusroute.capacity.target import Target
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_wrong_use, hidden_alias
@@ -80,7 +80,7 @@
 
 def _line_summary(line: RegressionLine, size_count: int) -> str:
     points = " ".join(f"{point.size:g}:{point.value:.4g}" for point in line.points)
-    caution = "" if size_count >= MIN_SIZES else f"  (only {size_count} sizes)"
+    caution = "" if size_count >= MIN_RELIABLE_SIZES else f"  (only {size_count} sizes)"
     return (
         f"{line.name}: slope {line.slope:.5g} +- {line.slope_error:.2g} {line.unit}, "
         f"{line.intercept:.4g} at size 0; {points}{caution}"
