--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -65,8 +65,8 @@
     list_url, version, closed = "http://10.0.0.9:8500/api/targets", 12, False
 
     def __init__(self):
-        self.taken = []
+        self.updates = []
 
     def apply_shared_update(self, *update):
-        self.taken.append(update)
+        self.updates.append(update)
         return True
--- a/tests/test_golden_bytes_peers.py
+++ b/tests/test_golden_bytes_peers.py
@@ -198,7 +198,7 @@
         == other.lease_service.handle_call("a", "watch", HEARTBEAT)
         == b""
     )
-    assert other.discovery.taken == [(response, since)]
+    assert other.discovery.updates == [(response, since)]
     assert (other.highest_fencing_token, other.holder_seq) == (7, 12)
 
 
--- a/tests/test_golden_bytes_relay.py
+++ b/tests/test_golden_bytes_relay.py
@@ -80,7 +80,7 @@
     acknowledged = [balancer.handle_call("r1", "news", body) for body in (*SNAPSHOT_PARTS, DELTA, HEARTBEAT)]
     assert acknowledged == 2 * [b"\x92\x00\x00"] + [b"\x92\x03\x01"] + 2 * [b"\x92\x03\x02"]
     removal = {"seq": 5, "whole": False, "hosts": [{"host": "s-2", "health": "DELETED"}]}
-    assert discovery.taken == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (removal, 4)]
+    assert discovery.updates == [({"seq": 4, "whole": True, "hosts": HOSTS}, None), (removal, 4)]
 
 
 def test_updates_are_encoded_and_decoded_as_these_bytes(monkeypatch):
--- a/tests/test_relay_update_source.py
+++ b/tests/test_relay_update_source.py
@@ -89,7 +89,7 @@
     discovery = PolledDiscovery()
     discovery.version = None
     wait_for_poll(source, discovery)
-    assert discovery.taken == [({"seq": 12, "whole": True, "hosts": [{"host": "s-1"}]}, None)]
+    assert discovery.updates == [({"seq": 12, "whole": True, "hosts": [{"host": "s-1"}]}, None)]
 
 
 def test_the_list_of_another_discovery_service_does_not_count(reactor, source):
