--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -28,11 +28,11 @@
     "siblings": 1,
     "me": 0,
 }
-WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+WORKER_INDEX = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
 # Each pytest worker has a separate set of ports, so that no other worker takes a port before the process that
 # it is meant for has bound it, which can take seconds.
-PORTS = PortAllocator(ALLOCATED_PORTS[WORKER::WORKER_COUNT])
+PORTS = PortAllocator(ALLOCATED_PORTS[WORKER_INDEX::WORKER_COUNT])
 
 
 def free_port() -> int:
@@ -57,13 +57,13 @@
         *servers: FakeServer,
         settings: JsonObject = SETTINGS,
         sockets: int = 1024,
-        memory: int = 1024,
+        memory_mb: int = 1024,
         available: bool = True,
         env: Iterable[tuple[str, str]] = (),
-        known: int = 0,
+        cached_version: int = 0,
         **discovery_state: object,
     ) -> None:
-        """`known` is the version of the cached list; `discovery_state` sets attributes of `discovery`."""
+        """`cached_version` is that of the cached list; `discovery_state` sets attributes of `discovery`."""
         self.discovery = FakeDiscovery(*servers, available=available)
         vars(self.discovery).update(discovery_state)
         self.flow_count = 0
@@ -74,8 +74,8 @@
             discovery=Address(LOOPBACK, self.discovery.server_port),
             settings=settings,
             seed="5eed",
-            limits={"sockets": sockets, "memory_mb": memory},
-            cached_list={"seq": known, "hosts": [server.entry() for server in servers]},
+            limits={"sockets": sockets, "memory_mb": memory_mb},
+            cached_list={"seq": cached_version, "hosts": [server.entry() for server in servers]},
         ).document()
         self.folder = tempfile.TemporaryDirectory()
         self.config_file = pathlib.Path(self.folder.name, "config.json")
@@ -137,8 +137,8 @@
         """Let the suspended process continue."""
         self.process.send_signal(signal.SIGCONT)
 
-    def terminate(self, number: int = signal.SIGKILL) -> str:
+    def terminate(self, signal_number: int = signal.SIGKILL) -> str:
         """Send the signal if the process still runs, wait for its exit and return its log."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
         return self.process.communicate(timeout=TIMEOUT_S)[1]
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -79,7 +79,7 @@
 
     def _accept(self) -> None:
         self.socket.listen(0)
-        self.queue_filler = socket.create_connection(self.socket.getsockname())
+        self.backlog_filler = socket.create_connection(self.socket.getsockname())
         self.accepting = threading.Event()
         self.accepting.wait()
         super()._accept()
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -76,13 +76,13 @@
 
 
 def test_a_response_that_was_queued_for_two_seconds_is_waited_for():
-    with Balancer(FakeServer("s1"), known=None, response_delay=2.2) as balancer:
+    with Balancer(FakeServer("s1"), cached_version=None, response_delay=2.2) as balancer:
         wait_until(lambda: [version for _, version in balancer.discovery.polls] == [None, "1"])
 
 
 @pytest.mark.parametrize("known", [None, -1, "7", True, 1.5, 8])
 def test_a_cached_version_that_is_invalid_or_newer_than_discoverys_means_the_complete_list(known):
-    with Balancer(FakeServer("s1"), known=known) as balancer:
+    with Balancer(FakeServer("s1"), cached_version=known) as balancer:
         assert balancer.open_flow().readline() == b"UP r1\r\n"
         wait_until(
             lambda: [version for _, version in balancer.discovery.polls][known == 8 :][:2] == [None, "1"]
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -63,8 +63,8 @@
                 server,
                 settings=SETTINGS,
                 sockets=4_096,
-                memory=80,
-                known=1,
+                memory_mb=80,
+                cached_version=1,
                 env=env.items(),
                 **DISCOVERY_STATES[discovery],
             )
