--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -74,17 +74,17 @@
         (("compare", __file__, __file__), f"{__file__}: no run of `capacity measure --json`"),
     ],
 )
-def test_wrong_use_and_too_large_runs_exit_with_2_and_say_how_to_correct_it(arguments, message):
+def test_invalid_arguments_and_too_large_runs_exit_with_2_and_a_corrective_message(arguments, message):
     done = run_command(*arguments)
     assert done.returncode == 2 and message in done.stderr, done.stderr
 
 
-def test_over_half_of_the_machines_memory_is_rejected():
+def test_a_run_that_needs_over_half_of_the_machines_memory_is_rejected():
     with pytest.raises(RunTooLargeError, match="half of this machine's"):
         check_footprint(10, 10_000_000)
 
 
-def test_no_line_is_fitted_to_one_size():
+def test_fitting_a_line_to_a_single_size_is_rejected():
     with pytest.raises(TooFewSizesError, match="at one size"):
         fit_line(Series("r", "ms", (Point(1, 2.0), Point(1, 3.0))))
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -74,7 +74,7 @@
         assert figure.origin != "measured" or "`" in figure.source, f"{figure.name}: no command"
 
 
-def test_the_page_states_the_target_of_the_program(figures):
+def test_target_figures_on_the_page_match_the_code(figures):
     stated = {figure.name: figure.value for figure in figures if figure.origin == "target"}
     target = Target()._asdict()
     assert {name: target[name] for name in stated} == stated and len(stated) >= 12
