--- a/lotusroute/capacity/processes.py
+++ b/lotusroute/capacity/processes.py
@@ -46,7 +46,9 @@
     installed = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / BYTES_PER_MIB
     allowed = MAX_MEMORY_FRACTION * installed
     if needed > allowed:
-        raise RunTooLargeError(f"{needed:.0f} MB, {allowed:.0f} are half of this machine's; measure fewer")
+        raise RunTooLargeError(
+            f"{needed:.0f} MB needed, {allowed:.0f} MB allowed, half of this machine's memory; measure fewer"
+        )
     return f"{processes} processes, {hollow} hollow balancers, {needed:.0f} MB of {installed:.0f}"
 
 
--- a/lotusroute/capacity/run_file.py
+++ b/lotusroute/capacity/run_file.py
@@ -44,7 +44,7 @@
     try:
         run = msgspec.json.decode(pathlib.Path(file).read_bytes(), type=Run)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise RunFileError(f"{file}: no run of `capacity measure --json`: {error}") from None
+        raise RunFileError(f"{file}: not a run of `capacity measure --json`: {error}") from None
     lines = [
         Series(RENAMED_FIGURES.get(series.name, series.name), series.unit, series.points)
         for series in run.lines
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -71,7 +71,7 @@
             ("propagation", "--relays", "64", "--real", "64", "--hollow", "20000"),
             "254 processes, 200 at most",
         ),
-        (("compare", __file__, __file__), f"{__file__}: no run of `capacity measure --json`"),
+        (("compare", __file__, __file__), f"{__file__}: not a run of `capacity measure --json`"),
     ],
 )
 def test_invalid_arguments_and_too_large_runs_exit_with_2_and_a_corrective_message(arguments, message):
@@ -80,7 +80,7 @@
 
 
 def test_a_run_that_needs_over_half_of_the_machines_memory_is_rejected():
-    with pytest.raises(RunTooLargeError, match="half of this machine's"):
+    with pytest.raises(RunTooLargeError, match="half of this machine's memory"):
         check_footprint(10, 10_000_000)
 
 
