--- a/lotusroute/capacity/__init__.py
+++ b/lotusroute/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures how resource usage grows with size, and states the capacity target. Balancers do not import it."""
+"""Measures resource usage by size, to compare it with the capacity target. Balancers do not import it."""
--- a/lotusroute/capacity/client_stub.py
+++ b/lotusroute/capacity/client_stub.py
@@ -7,7 +7,7 @@
 from lotusroute.capacity.errors import ConnectionRejectedError
 from lotusroute.process_control.free_ports import LOOPBACK
 
-MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"
+MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"  # the line that all clients exchange
 
 # Each connection has a unique id, because a balancer keeps the ids of closed flows reserved for a while.
 _client_ids = itertools.count(1)
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -1,7 +1,7 @@
 """Measures one balancer's CPU time and memory for flows, idle connections and relayed lines.
 
-The size is the number of connections. The balancer is the real program. Servers and discovery are stub
-processes; the stub clients run in the measuring process.
+The size is the number of connections; for lines it is the number of lines. The balancer is the real program.
+Servers and discovery are stub processes; the stub clients run in the measuring process.
 """
 
 import asyncio
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -27,7 +27,7 @@
 
 
 class SentCounts(NamedTuple):
-    """What a sender sent to all its receivers together."""
+    """What a sender sent to all its receivers; a relay's bytes include the acknowledgements it received."""
 
     messages: int
     size_bytes: int
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -1,4 +1,4 @@
-"""Measures the discovery stub by the number of clients that poll it directly."""
+"""Measures a discovery stub and its clients, by the number of clients that poll it directly."""
 
 import time
 
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -110,6 +110,7 @@
         poll.request.finish()
 
     def _serve(self, poll: PendingPoll) -> None:
+        """Answer a poll with what its client lacks; hold a long poll if it lacks nothing."""
         hold_s = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
         self.counters["watches" if hold_s else "answers"] += 1
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -60,6 +60,7 @@
 
 
 def _route_flow(director: Director, flow_id: int) -> None:
+    """Route a flow in its own segment, then end it."""
     flow = events.FlowRequest(flow_id, "live", None, f"g{flow_id}", f"k{flow_id}", FLOW_DEADLINE_MS)
     director.decide(1.0, flow)
     director.decide(2.0, events.ClientDisconnected(flow_id))
--- a/lotusroute/capacity/member_process.py
+++ b/lotusroute/capacity/member_process.py
@@ -1,6 +1,6 @@
-"""Runs many members (hollow balancers, subscribers or discovery clients) in one process, on one reactor.
+"""Runs many members (hollow balancers, subscribers or discovery clients) in one process.
 
-It is the reactor that the program uses.
+They share one reactor, the one that the program uses.
 """
 
 import signal
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -229,7 +229,7 @@
         return [SubscriberReport.read(group.report_file) for group in self.hollow]
 
     def balancer_update_times(self, change: int) -> dict[str, float]:
-        """Return when each real balancer logged a change first, leaving out those that have not logged it."""
+        """Return when each real balancer first logged a change, leaving out those that have not logged it."""
         times = {name: change_time(balancer.lines, change) for name, balancer in self.balancers.items()}
         return {name: logged_at for name, logged_at in times.items() if logged_at is not None}
 
--- a/lotusroute/capacity/target.py
+++ b/lotusroute/capacity/target.py
@@ -1,4 +1,4 @@
-"""The operators' capacity target, set two years ahead, and the figures that follow from it by division."""
+"""The operators' capacity target for two years ahead, and the figures that follow from it by division."""
 
 from typing import NamedTuple
 
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -1,6 +1,6 @@
 """Measures how long a change of the endpoint list takes to reach all subscribers of relays.
 
-A run puts one fleet through several scenarios. In each, a fault occurs and the list changes at the same time.
+A run puts one fleet through several scenarios. In each, the list changes; in most, a fault occurs with it.
 Times are in seconds.
 """
 
@@ -33,7 +33,7 @@
     BURST = "burst"  # many changes within a second
     KILL = "kill"  # a relay is killed
     STOP = "stop"  # a relay is stopped (SIGSTOP) and continues afterwards
-    TWO = "two"  # two relays are stopped, both in one zone if it has two
+    TWO = "two"  # two relays are stopped (SIGSTOP), of one zone if it has two
     ORIGIN = "origin"  # the origin is killed
     ZONE = "zone"  # all hollow subscribers of a zone lose their state and restart
 
