--- a/lotusroute/capacity/__init__.py
+++ b/lotusroute/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what the program costs by size and compares it with the capacity target. No balancer uses it."""
+"""Measures resource usage by size, to compare it with the capacity target. Balancers do not import it."""
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -1,6 +1,7 @@
-"""Counts the messages and bytes that a role sends in a fixed script, without a process or a clock.
+"""Counts the messages and bytes that a relay or a lease holder sends in a fixed simulated scenario.
 
-The counts do not depend on the machine: they grow only if the code sends more.
+No process and no clock is involved, so the counts do not depend on the machine: they grow only if the code
+sends more.
 """
 
 from typing import NamedTuple
@@ -16,24 +17,24 @@
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
-ENDPOINTS = 20  # in the list
-IDLE_TIME_MS = 6_000.0  # without a change, at the end of the script
-CHANGES = 3
+ENDPOINTS = 20  # in the endpoint list
+IDLE_TIME_MS = 6_000.0  # without a change, at the end of the scenario
+CHANGES = 3  # published one after the other
 CHANGE_INTERVAL_MS = 10.0
 TICK_INTERVAL_MS = 100.0
-AGE_MS = 100.0  # of the endpoint list, in all messages
+AGE_MS = 100.0  # age of the endpoint list that every message states
 DISCOVERY_ADDRESS = "d:1"
 
 
 class SentCounts(NamedTuple):
-    """What a role sent to all its receivers together."""
+    """What a sender sent to all its receivers; a relay's bytes include the acknowledgements it received."""
 
     messages: int
     size_bytes: int
 
 
-class RelayScript:
-    """A relay and its subscribers, which acknowledge each message at once."""
+class RelaySimulation:
+    """A simulated relay and its subscribers, which acknowledge each message immediately."""
 
     def __init__(self, subscribers: int) -> None:
         self.now = 0.0
@@ -44,20 +45,20 @@
         self.size_bytes = 0
 
     def publish(self, update: EndpointListUpdate) -> None:
-        """Publish an answer of discovery."""
+        """Store an update as if discovery had sent it."""
         self.store.publish(1, endpoint_items.item_changes(self.store, update, DISCOVERY_ADDRESS))
 
     def join_all(self) -> None:
-        """Have all subscribers join with an empty list."""
+        """Let all subscribers join with an empty list."""
         for name in self.subscribers:
             self.perform(self.fanout.join(self.now, name, Version()))
 
     def tick(self) -> None:
-        """Have the relay send what is due."""
+        """Let the relay send what is due."""
         self.perform(self.fanout.tick(self.now, AGE_MS))
 
     def perform(self, actions: list[Action]) -> None:
-        """Deliver all messages, and those that their acknowledgements cause."""
+        """Deliver the messages of `actions` and those that the acknowledgements trigger."""
         pending = list(actions)
         while pending:
             action = pending.pop(0)
@@ -72,37 +73,39 @@
             pending += self.fanout.on_acknowledgement(self.now, action.subscriber, subscriber.version, AGE_MS)
 
 
-def relay(size: int) -> SentCounts:
-    """Count for a relay with `size` subscribers that join with an empty list: some changes, then idle time.
+def count_sent_by_relay(size: int) -> SentCounts:
+    """Count what a relay sends to `size` subscribers that join with an empty list: changes, then idle time.
 
-    >>> few, many = relay(10), relay(20)
+    >>> few, many = count_sent_by_relay(10), count_sent_by_relay(20)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
-    script = RelayScript(size)
+    simulation = RelaySimulation(size)
     endpoints = [endpoint_entry(f"s-{index}", DISCARD_PORT) for index in range(ENDPOINTS)]
-    script.publish(EndpointListUpdate(1, True, endpoints))
-    script.join_all()
+    simulation.publish(EndpointListUpdate(1, True, endpoints))
+    simulation.join_all()
     for change in range(CHANGES):
-        script.now += CHANGE_INTERVAL_MS
-        script.publish(
+        simulation.now += CHANGE_INTERVAL_MS
+        simulation.publish(
             EndpointListUpdate(2 + change, False, [endpoint_entry("s-0", DISCARD_PORT, "DRAINING")])
         )
-        script.fanout.on_store_changed(script.now)
-        script.now += HEARTBEAT_INTERVAL_MS
-        script.tick()
-    end = script.now + IDLE_TIME_MS
-    while script.now < end:
-        script.now += TICK_INTERVAL_MS
-        script.tick()
-    assert all(subscriber.items == script.store.items for subscriber in script.subscribers.values())
-    return SentCounts(script.messages, script.size_bytes)
+        simulation.fanout.on_store_changed(simulation.now)
+        simulation.now += HEARTBEAT_INTERVAL_MS
+        simulation.tick()
+    end = simulation.now + IDLE_TIME_MS
+    while simulation.now < end:
+        simulation.now += TICK_INTERVAL_MS
+        simulation.tick()
+    assert all(subscriber.items == simulation.store.items for subscriber in simulation.subscribers.values())
+    return SentCounts(simulation.messages, simulation.size_bytes)
 
 
-def holder(size: int) -> SentCounts:
-    """Count for the holder of the lease `watch` in a fleet of `size` balancers: one change, then idle time.
+def count_sent_by_lease_holder(size: int) -> SentCounts:
+    """Count what the holder of the lease `watch` sends in a fleet of `size` balancers.
 
-    >>> few, many = holder(11), holder(21)
+    It sends one change to each of the others, then heartbeats while idle.
+
+    >>> few, many = count_sent_by_lease_holder(11), count_sent_by_lease_holder(21)
     >>> many.messages == 2 * few.messages, many.size_bytes == 2 * few.size_bytes
     (True, True)
     """
@@ -113,6 +116,6 @@
     update_bytes = len(msgspec.msgpack.encode(update))
     heartbeat_bytes = len(msgspec.msgpack.encode(heartbeat))
     peers = size - 1
-    messages_each = 1 + heartbeats
-    bytes_each = update_bytes + heartbeats * heartbeat_bytes
-    return SentCounts(messages_each * peers, bytes_each * peers)
+    messages_per_peer = 1 + heartbeats
+    bytes_per_peer = update_bytes + heartbeats * heartbeat_bytes
+    return SentCounts(messages_per_peer * peers, bytes_per_peer * peers)
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -1,21 +1,21 @@
-"""Measures discovery at several numbers of clients that poll it directly."""
+"""Measures a discovery stub and its clients, by the number of clients that poll it directly."""
 
 import time
 
-from lotusroute.capacity.deployment import address, run_discovery, run_folder
+from lotusroute.capacity.deployment import loopback_address, run_discovery, temporary_folder
 from lotusroute.capacity.measurement import Measurement, MeasurementOptions
 from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.capacity.processes import MeasuredProcess, check_footprint, usage_between
 
-SETTLE_DELAY_S = 4.0  # after the last start, before anything is measured
+SETTLE_DELAY_S = 4.0  # between the start of the last client and the measurement
 
 
 def measure_direct_discovery(size: int, options: MeasurementOptions) -> list[Measurement]:
-    """Measure discovery with `size` clients, all of one process."""
+    """Measure discovery with `size` clients, which all run in one process."""
     options.report(check_footprint(2, size))
-    with run_folder() as folder, run_discovery(options.hosts) as discovery:
+    with temporary_folder() as folder, run_discovery(options.hosts) as discovery:
         names = [f"n{index + 1}" for index in range(size)]
-        settings_file = MemberSettings(names, address(discovery.port)).write(folder / "clients.json")
+        settings_file = MemberSettings(names, loopback_address(discovery.port)).write(folder / "clients.json")
         with MeasuredProcess("lotusroute.capacity.direct_discovery_clients", [settings_file]) as clients:
             clients.wait_for_line("event=ready")
             time.sleep(SETTLE_DELAY_S)
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -1,6 +1,6 @@
-"""A discovery stub as a web resource: polls wait in a queue and are answered at a limited rate.
+"""The web resource of a discovery stub: polls wait in a queue and are answered at a limited rate.
 
-Times are in seconds of the reactor's clock.
+Times are in seconds on the reactor's clock.
 """
 
 import json
@@ -12,7 +12,7 @@
 from lotusroute.capacity.stubs import EndpointDocument
 from lotusroute.net.reactor import reactor
 
-QUEUE_TIMEOUT_S = 2.0  # after which a poll in the queue is rejected
+QUEUE_TIMEOUT_S = 2.0  # a poll that waited longer is rejected when its turn comes
 MAX_QUEUE_LENGTH = 64  # polls; further ones are rejected at once
 UNLIMITED_ANSWERS_PER_S = 1e6
 STATUS_REJECTED = 503
@@ -24,10 +24,10 @@
 
     request: server.Request
     received_at: float
-    connected: bool = True  # the client has not closed the connection
+    connected: bool = True  # false once the client has closed the connection
 
     def mark_disconnected(self, _reason: object) -> None:
-        """Note that the client closed the connection."""
+        """Record that the client closed the connection."""
         self.connected = False
 
 
@@ -42,31 +42,31 @@
         answers_per_s: float = UNLIMITED_ANSWERS_PER_S,
         available_from: float = 0.0,
     ) -> None:
-        """`hosts` is the endpoint list; no poll that comes before `available_from` is answered."""
+        """`hosts` is the endpoint list; polls that arrive before `available_from` are never answered."""
         super().__init__()
         self.hosts = hosts
         self.sequence = 1  # version of the list
         self.available_from = available_from
-        self.poll_times: list[float] = []  # of polls from `available_from` on
-        self.bytes_sent = 0  # in answers
+        self.poll_times: list[float] = []  # of the polls that arrived from `available_from` on
+        self.bytes_sent = 0  # in the bodies of answers
         self.counters: Counter[str] = Counter()
         self._answer_interval = 1 / answers_per_s
         self._next_answer_at = 0.0
         self._queue: deque[PendingPoll] = deque()
-        # Long polls that wait for a change or the end of their hold time.
-        self._watches: list[PendingPoll] = []
-        # Polls that came before `available_from`, until their clients close the connection.
+        # Long polls that are held until the list changes or their hold time ends.
+        self._held_polls: list[PendingPoll] = []
+        # Polls that arrived before `available_from`, until their clients close the connection.
         self._unanswered: set[server.Request] = set()
 
     def change(self, hosts: list[EndpointDocument]) -> None:
-        """Replace or add these servers, and answer all watches with them."""
+        """Replace or add these servers, and answer all held long polls with them."""
         self.sequence += 1
         by_name = {str(host["host"]): host for host in [*self.hosts, *hosts]}
         self.hosts = list(by_name.values())
-        watches = self._watches
-        self._watches = []
-        for poll in watches:
-            self._answer(poll, hosts)
+        held_polls = self._held_polls
+        self._held_polls = []
+        for poll in held_polls:
+            self._send_changes(poll, hosts)
 
     def render_GET(self, request: server.Request) -> object:
         """Queue a poll, or reject it if the queue is full."""
@@ -90,7 +90,7 @@
         reactor.callLater(max(0.0, self._next_answer_at - reactor.seconds()), self._process_next)
 
     def _process_next(self) -> None:
-        """Answer the first poll of the queue that can still be answered."""
+        """Answer the first queued poll that can still be answered; schedule the next one."""
         while self._queue:
             poll = self._queue.popleft()
             if not poll.connected:
@@ -110,29 +110,30 @@
         poll.request.finish()
 
     def _serve(self, poll: PendingPoll) -> None:
-        hold = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
+        """Answer a poll with what its client lacks; hold a long poll if it lacks nothing."""
+        hold_s = float(poll.request.args.get(b"hold_ms", [b"0"])[0]) / 1000
         known_sequence = int(poll.request.args.get(b"from", [b"-1"])[0])
-        self.counters["watches" if hold else "answers"] += 1
+        self.counters["watches" if hold_s else "answers"] += 1
         if 0 <= known_sequence == self.sequence - 1:
-            # The stub does not remember which hosts the last change concerned.
-            self._answer(poll, self.hosts)
+            # The stub does not record which hosts the last change affected, so it sends all as changes.
+            self._send_changes(poll, self.hosts)
         elif known_sequence < self.sequence:
-            self._write(poll, self.hosts, complete=True)
-        elif hold:
-            self._watches.append(poll)
-            reactor.callLater(hold, self._end_watch, poll)
+            self._send(poll, self.hosts, complete=True)
+        elif hold_s:
+            self._held_polls.append(poll)
+            reactor.callLater(hold_s, self._end_hold, poll)
         else:
-            self._answer(poll, [])
+            self._send_changes(poll, [])
 
-    def _end_watch(self, poll: PendingPoll) -> None:
-        if poll in self._watches:
-            self._watches.remove(poll)
-            self._answer(poll, [])
+    def _end_hold(self, poll: PendingPoll) -> None:
+        if poll in self._held_polls:
+            self._held_polls.remove(poll)
+            self._send_changes(poll, [])
 
-    def _answer(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
-        self._write(poll, changed, complete=False)
+    def _send_changes(self, poll: PendingPoll, changed: list[EndpointDocument]) -> None:
+        self._send(poll, changed, complete=False)
 
-    def _write(self, poll: PendingPoll, hosts: list[EndpointDocument], complete: bool) -> None:
+    def _send(self, poll: PendingPoll, hosts: list[EndpointDocument], complete: bool) -> None:
         if not poll.connected:
             return
         body = json.dumps({"seq": self.sequence, "whole": complete, "hosts": hosts}).encode()
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity runs: deterministic counts at two sizes, commands, and rejected arguments."""
+"""Tests of the capacity commands: deterministic counts at two sizes, measured runs and rejected arguments."""
 
 import json
 import subprocess
@@ -20,16 +20,16 @@
 
 
 @pytest.mark.parametrize(
-    ("role", "size", "messages", "size_bytes"),
+    ("count_sent", "size", "messages", "size_bytes"),
     [
-        (deterministic_counts.relay, 10, 140, 24_440),
-        (deterministic_counts.relay, 20, 280, 48_880),
-        (deterministic_counts.holder, 11, 160, 7_230),
-        (deterministic_counts.holder, 21, 320, 14_460),
+        (deterministic_counts.count_sent_by_relay, 10, 140, 24_440),
+        (deterministic_counts.count_sent_by_relay, 20, 280, 48_880),
+        (deterministic_counts.count_sent_by_lease_holder, 11, 160, 7_230),
+        (deterministic_counts.count_sent_by_lease_holder, 21, 320, 14_460),
     ],
 )
-def test_messages_and_bytes_of_a_role_do_not_change(role, size, messages, size_bytes):
-    assert role(size) == deterministic_counts.SentCounts(messages, size_bytes)
+def test_messages_and_bytes_of_relay_and_lease_holder_do_not_change(count_sent, size, messages, size_bytes):
+    assert count_sent(size) == deterministic_counts.SentCounts(messages, size_bytes)
 
 
 def write_run(file, *lines):
@@ -71,20 +71,20 @@
             ("propagation", "--relays", "64", "--real", "64", "--hollow", "20000"),
             "254 processes, 200 at most",
         ),
-        (("compare", __file__, __file__), f"{__file__}: no run of `capacity measure --json`"),
+        (("compare", __file__, __file__), f"{__file__}: not a run of `capacity measure --json`"),
     ],
 )
-def test_wrong_use_and_too_large_runs_exit_with_2_and_say_how_to_correct_it(arguments, message):
+def test_invalid_arguments_and_too_large_runs_exit_with_2_and_a_corrective_message(arguments, message):
     done = run_command(*arguments)
     assert done.returncode == 2 and message in done.stderr, done.stderr
 
 
-def test_over_half_of_the_machines_memory_is_rejected():
-    with pytest.raises(RunTooLargeError, match="half of this machine's"):
+def test_a_run_that_needs_over_half_of_the_machines_memory_is_rejected():
+    with pytest.raises(RunTooLargeError, match="half of this machine's memory"):
         check_footprint(10, 10_000_000)
 
 
-def test_no_line_is_fitted_to_one_size():
+def test_fitting_a_line_to_a_single_size_is_rejected():
     with pytest.raises(TooFewSizesError, match="at one size"):
         fit_line(Series("r", "ms", (Point(1, 2.0), Point(1, 3.0))))
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""Tests of docs/CAPACITY.md: how each figure is known, and that derived figures agree with their formulas."""
+"""Tests of docs/CAPACITY.md: each figure states its origin, and derived figures agree with their formulas."""
 
 import ast
 import operator
@@ -14,16 +14,16 @@
 OPERATORS = {ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv}
 ORIGINS = "target|measured|worked out|guessed"
 ROW = re.compile(rf"^\| `(\w+)` \| ([^|]*) \| ([^|]*) \| ({ORIGINS}) \| ([^|]*) \|$", re.MULTILINE)
-ROUNDING_FRACTION = 0.006  # figures on the page have three digits
+ROUNDING_FRACTION = 0.006  # figures on the page are rounded to three digits
 
 
 class Figure(NamedTuple):
-    """A row of the page's table of figures."""
+    """One row of the page's table of figures."""
 
     name: str
     value: float
-    origin: str  # how it is known
-    source: str  # a command or a formula
+    origin: str  # how the value is known, one of ORIGINS
+    source: str  # the command that measured it or the formula that yields it
 
 
 @pytest.fixture(scope="module")
@@ -35,7 +35,7 @@
 
 
 def evaluate(formula, values):
-    """Evaluate a formula of numbers, named values and the four operations."""
+    """Evaluate a formula of numbers, names of values and the four basic operations."""
 
     def evaluate_node(node):
         if isinstance(node, ast.Expression):
@@ -74,7 +74,7 @@
         assert figure.origin != "measured" or "`" in figure.source, f"{figure.name}: no command"
 
 
-def test_the_page_states_the_target_of_the_program(figures):
+def test_target_figures_on_the_page_match_the_code(figures):
     stated = {figure.name: figure.value for figure in figures if figure.origin == "target"}
     target = Target()._asdict()
     assert {name: target[name] for name in stated} == stated and len(stated) >= 12
