--- a/benchmarks/checkout_path.py
+++ b/benchmarks/checkout_path.py
@@ -1,4 +1,7 @@
-"""Makes the package of this checkout importable for benchmarks; import it before `lotusroute`."""
+"""Adds this checkout to `sys.path`, so that benchmarks import `lotusroute` from it.
+
+Import this module before `lotusroute`.
+"""
 
 import pathlib
 import sys
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,6 +1,6 @@
-"""Measures the CPU time of routing decisions by the number of servers and of open connections.
+"""Measures how much CPU time routing decisions take, for various numbers of servers and open connections.
 
-Each figure is the median of several blocks of flows. No socket is opened.
+Each figure is the median over several blocks of flows. No socket is opened.
 """
 
 import json
@@ -24,14 +24,14 @@
 
 
 class Figures(TypedDict):
-    """Microseconds of CPU time."""
+    """CPU time in microseconds."""
 
-    flow_us: float  # per flow that is opened, established and ended
-    tick_us: float  # per tick
+    flow_us: float  # to open, establish and end one flow
+    tick_us: float  # of one tick
 
 
 class FlowDriver:
-    """Opens and ends flows of one director, in virtual time (ms)."""
+    """Opens and ends flows through one director, in virtual time (ms)."""
 
     def __init__(self, server_count: int) -> None:
         self.rng = random.Random(SEED)
@@ -66,7 +66,7 @@
 
 
 def measure(server_count: int, connection_count: int) -> Figures:
-    """Measure a flow and a tick with the given numbers of servers and open connections."""
+    """Measure one flow and one tick with the given numbers of servers and open connections."""
     driver = FlowDriver(server_count)
     for flow_id in range(connection_count):
         driver.open_flow(flow_id)
@@ -88,7 +88,7 @@
 @click.command(epilog="Example: python benchmarks/decisions.py --json")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of a table.")
 def main(as_json: bool) -> None:
-    """Measure the CPU time of a flow and of a tick by the number of servers and open connections."""
+    """Measure the CPU time of a flow and of a tick, for various numbers of servers and open connections."""
     results = {
         f"{servers} servers, {connections} open connections": measure(servers, connections)
         for servers in SERVER_COUNTS
--- a/benchmarks/endpoint_list_stub.py
+++ b/benchmarks/endpoint_list_stub.py
@@ -1,4 +1,4 @@
-"""A stub of discovery that does no more than the benchmark needs, to leave the CPU to the other peers."""
+"""A minimal stub of discovery: it does only what the benchmark needs, to leave the CPU to the other peers."""
 
 import json
 import urllib.parse
@@ -11,16 +11,16 @@
 from lotusroute.process_control.config_files import JsonObject
 from lotusroute.process_control.free_ports import LOOPBACK
 
-MIN_POLL_S = 0.05  # the shortest time that a poll for changes takes
+MIN_POLL_S = 0.05  # a poll for changes is answered no sooner
 
 
 class EndpointListConnection(LineConnection):
-    """Serves the endpoint list over HTTP: once the complete list, then updates without servers."""
+    """Serves the endpoint list over HTTP: the complete list first, then updates without any changes."""
 
     factory: "EndpointList"
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer a request by its first line; headers are ignored."""
+        """Answer a request from its request line; headers are ignored."""
         if not line.startswith(b"GET "):
             return
         path = line.split(b" ")[1].decode()
@@ -48,6 +48,6 @@
 
 
 def start_endpoint_list(settings: EndpointListSettings) -> EndpointListStarted:
-    """Start to serve the endpoint list."""
+    """Start to serve the endpoint list on a port that the system chooses."""
     port = reactor.listenTCP(0, EndpointList(list(settings.hosts)), interface=LOOPBACK)
     return EndpointListStarted(port=port.getHost().port)
--- a/benchmarks/line_connection.py
+++ b/benchmarks/line_connection.py
@@ -1,4 +1,4 @@
-"""What the stubs of servers and clients have in common: connections that exchange lines."""
+"""The line protocol over TCP, shared by the stubs of servers and discovery and by the clients."""
 
 from typing import cast
 
@@ -7,15 +7,15 @@
 
 
 class LineConnection(LineReceiver):
-    """A TCP connection that exchanges lines and sends small writes at once."""
+    """A TCP connection that exchanges lines, with Nagle's algorithm turned off."""
 
     delimiter = b"\r\n"
 
     @property
     def connection(self) -> Connection:
-        """The transport, as what it is."""
+        """The transport, typed as a TCP connection."""
         return cast(Connection, self.transport)
 
     def connectionMade(self) -> None:
-        """Have the system send small writes at once."""
+        """Turn off Nagle's algorithm, so that small writes are sent at once."""
         self.connection.setTcpNoDelay(True)
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -1,4 +1,8 @@
-"""Clients that open flows and measure set-ups and lines."""
+"""Clients that open flows and measure set-up times and the round trips of lines.
+
+A client requests a flow with its first line. The first line that comes back is either a receipt (`UP ...`),
+by which the server accepts the flow, or a rejection.
+"""
 
 import itertools
 import random
@@ -15,13 +19,13 @@
 from lotusroute.process_control.free_ports import LOOPBACK
 
 FLOW_TIMEOUT_MS = 3_000
-KEY_COUNT = 1_000  # keys of skewed clients, the n-th in proportion to 1/n
-KEY_BITS = 64  # of the keys of other clients
+KEY_COUNT = 1_000  # distinct keys of skewed clients; the n-th is used in proportion to 1/n
+KEY_BITS = 64  # length of the random keys of other clients
 CONNECT_TIMEOUT_S = 5.0
 
 
 class Client(LineConnection):
-    """One flow: it is requested and awaits its receipt; then it ends, or stays open and exchanges lines."""
+    """One flow: requested, then established by a receipt; then it ends, or stays open and exchanges lines."""
 
     factory: "ClientFactory"
 
@@ -35,7 +39,7 @@
         self.sendLine(self.factory.generator.next_request())
 
     def lineReceived(self, line: bytes) -> None:
-        """Handle the receipt or a later line."""
+        """Handle the response to the request, or a later line."""
         generator = self.factory.generator
         if self.receipt:
             generator.line_received(self, line)
@@ -44,7 +48,7 @@
         generator.receipt_received(self, (time.monotonic() - self.requested_at) * 1000)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Report the end of the flow."""
+        """Tell the load generator that the flow has ended."""
         self.factory.generator.connection_lost(self)
 
     def close(self) -> None:
@@ -53,7 +57,7 @@
 
 
 class ClientFactory(protocol.ClientFactory):
-    """Makes the clients of a load generator."""
+    """Creates the clients of a load generator."""
 
     noisy = False
     protocol = Client
@@ -62,15 +66,15 @@
         self.generator = generator
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """Report a connection that was never made."""
+        """Tell the load generator that a connection could not be made."""
         self.generator.connection_lost(None)
 
 
 class LoadGenerator:
-    """Opens a number of flows, so many at a time; passes messages to `report`; stops the reactor at the end.
+    """Opens `flows` flows, `concurrency` at a time, passes results to `report`, then stops the reactor.
 
-    A flow ends at its receipt. With `hold_s` it stays open until all are established and that time has
-    passed; with `line_count` it stays open until so many lines have been echoed.
+    A flow ends at its receipt. With `hold_s`, it stays open for that many seconds after all flows have been
+    answered; with `line_count`, it stays open until that many lines have been echoed.
     """
 
     def __init__(self, settings: ClientsSettings, report: Callable[[Message], None]) -> None:
@@ -114,7 +118,7 @@
         return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_TIMEOUT_MS}".encode()
 
     def receipt_received(self, client: Client, setup_ms: float) -> None:
-        """Handle the answer to a request, which follows it after so many ms: a receipt or a rejection."""
+        """Handle the response to a request, a receipt or a rejection, which came after `setup_ms`."""
         if not client.receipt.startswith(b"UP"):
             self.rejected += 1
             client.close()
@@ -133,7 +137,7 @@
             client.close()
 
     def _check_all_established(self) -> None:
-        """Report that all flows are established, once each has been answered or has failed."""
+        """Once each flow has been answered or has failed, report how many are established."""
         answered = len(self.setups_ms) + self.rejected + self.failed
         if self.all_established or answered < self.settings.flows:
             return
@@ -154,7 +158,7 @@
         client.sendLine(b"M %d" % len(self.line_delays_ms))
 
     def line_received(self, client: Client, line: bytes) -> None:
-        """Handle a line after the receipt: a migration, or the echo of a line."""
+        """Handle a line after the receipt: a request to migrate, or the echo of a line."""
         if line.startswith(b"MOVE"):
             self.migrated += 1
         elif line.startswith(b"M "):
@@ -165,7 +169,7 @@
                 client.close()
 
     def connection_lost(self, client: Client | None) -> None:
-        """Handle the end of a connection; None for one that was never made."""
+        """Handle the end of a connection; `client` is None for one that could not be made."""
         self.connections -= 1
         if client is None or not client.receipt:
             self.failed += 1
@@ -183,7 +187,7 @@
             self._finish()
 
     def _finish(self) -> None:
-        """Report the result and stop."""
+        """Report the result and stop the reactor."""
         self.report(
             ClientsResult(
                 opened=self.opened,
