--- a/benchmarks/loopback.py
+++ b/benchmarks/loopback.py
@@ -1,6 +1,6 @@
-"""Benchmark of the started program on loopback, pinned to a core, beside processes of servers and clients.
+"""Benchmarks the balancer as a process on loopback, pinned to one core; servers and clients use the others.
 
-It prints figures, and their ratios to those of another checkout, without a verdict.
+It prints figures, and their ratios to those of another checkout, but does not judge them.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class Options(TypedDict):
-    """The options of the command."""
+    """The command-line options."""
 
     chosen: tuple[str, ...]
     quick: bool
@@ -33,7 +33,7 @@
     known = all_cases()
     for name in chosen:
         if name not in known:
-            raise click.UsageError(f"no case '{name}'; --list names them")
+            raise click.UsageError(f"there is no case '{name}'; --list prints the names of all cases")
     if chosen:
         return list(chosen)
     return list(QUICK_CASES if quick else known)
@@ -42,7 +42,7 @@
 def run_rounds(
     name: str, builds: Mapping[str, pathlib.Path], rounds: int, seed: int, progress: str
 ) -> CaseResult:
-    """Run one case on all builds in turn."""
+    """Run one case `rounds` times, in each round on all builds in turn."""
     case = all_cases()[name]
     figures: dict[str, list[Figures]] = {build: [] for build in builds}
     for index in range(rounds):
@@ -57,7 +57,7 @@
 
 
 def list_cases(context: click.Context, _: click.Parameter, requested: bool) -> None:
-    """Print the names of all cases and exit, where that is requested."""
+    """Print the names of all cases and exit, if that is requested."""
     if requested:
         click.echo("\n".join(all_cases()))
         context.exit()
@@ -67,12 +67,12 @@
     epilog="Examples: python benchmarks/loopback.py --quick; python benchmarks/loopback.py "
     "--case idle-16 --against ../before --rounds 5 --plot out.png"
 )
-@click.option("--case", "chosen", multiple=True, help="A case by name; may be repeated. Default: all.")
-@click.option("--quick", is_flag=True, help="Six cases that show most, in about a minute.")
+@click.option("--case", "chosen", multiple=True, help="Name of a case to run; may be repeated. Default: all.")
+@click.option("--quick", is_flag=True, help="Run the six most informative cases, in about a minute.")
 @click.option("--against", type=click.Path(exists=True, file_okay=False), help="A checkout to compare with.")
-@click.option("--rounds", type=click.IntRange(1, 20), default=1, help="Runs of each case.")
+@click.option("--rounds", type=click.IntRange(1, 20), default=1, help="Number of runs of each case.")
 @click.option("--seed", default=1, show_default=True, help="Seed of the peers in the first round.")
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON object in place of the table.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of the table.")
 @click.option("--plot", "plot_file", help="Plot the figures into this PNG file.")
 @click.option(
     "--list",
@@ -83,7 +83,7 @@
     help="Print the names of the cases and exit.",
 )
 def main(**options: Unpack[Options]) -> None:
-    """Measure flows of the balancer of this checkout on loopback: rejections, migrations and costs."""
+    """Measure the balancer of this checkout on loopback: rejections, migrations and the cost of flows."""
     names = select_cases(options["chosen"], options["quick"])
     builds = {"other": pathlib.Path(options["against"]).resolve()} if options["against"] else {}
     builds["this"] = CHECKOUT
--- a/benchmarks/loopback_cases.py
+++ b/benchmarks/loopback_cases.py
@@ -1,4 +1,4 @@
-"""The cases of the loopback benchmark."""
+"""The cases of the loopback benchmark: each is a set of servers and the flows that clients open to them."""
 
 import random
 from typing import NamedTuple
@@ -9,21 +9,21 @@
 
 
 class Case(NamedTuple):
-    """One set of servers, and the flows that clients open."""
+    """A set of servers and the flows that clients open to them."""
 
     name: str
     setups_ms: tuple[float, ...]  # median set-up time of each server
-    spread: str = "light"  # of the set-up times: light, heavy or wild
+    spread: str = "light"  # distribution of the set-up times: light, heavy or wild; see server_stub.py
     concurrency: int = 16
     flows: int = 2_000
     skewed: bool = False
     hold_s: float = 0.0  # how long flows stay open; 0: each ends at its receipt
-    line_count: int = 0  # that one client sends, one after the other, through the balancer and directly
-    slow: SlowPeriod | None = None
+    line_count: int = 0  # lines that one client sends, one after the other, through the balancer and directly
+    slow: SlowPeriod | None = None  # of one server
 
 
 def all_cases() -> dict[str, Case]:
-    """Return all cases by name. Cases of long set-ups have fewer flows, so that none takes much over 20 s."""
+    """Return all cases by name. Long set-ups come with fewer flows, so that no case takes much over 20 s."""
     cases = [
         *_idle_cases(),
         *_setup_cases(),
@@ -65,8 +65,8 @@
                 flows = max(100, min(2_000, int(8_000 * concurrency / (setup_ms + 2))))
                 cases.append(Case(name, (setup_ms,) * 8, spread, concurrency, flows))
     cases.append(Case("100ms-wild-16", (100.0,) * 8, "wild", 16, 1_200))
-    # The generator is seeded anew for each server, so that all have the same set-up time. It stays so because
-    # the figures in docs/performance.md are of this case.
+    # Each server seeds a new generator, so all eight get the same set-up time. This is kept, because the
+    # figures in docs/performance.md were measured with this case.
     mixed = tuple(random.Random(1).choice((0.0, 1.0, 5.0, 20.0, 100.0)) for _ in range(8))
     for concurrency in (1, 16, 64):
         flows = 300 if concurrency == 1 else 1_500
--- a/benchmarks/loopback_processes.py
+++ b/benchmarks/loopback_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the loopback benchmark: the balancer on a core of its own, and its peers on the others."""
+"""The processes of the loopback benchmark: the balancer, pinned to one core, and its peers on the others."""
 
 import json
 import os
@@ -30,7 +30,7 @@
 from lotusroute.process_control.readiness import wait_until_ready
 
 PEERS_SCRIPT = pathlib.Path(__file__).resolve().with_name("peers.py")
-READY_TIMEOUT_S = 10.0  # for the balancer to answer a health check, or to print its counters
+READY_TIMEOUT_S = 10.0  # for the balancer to answer a health check, or to log its counters
 COUNTERS_CHECK_INTERVAL_S = 0.01
 MAX_SOCKETS = 16_384  # of the balancer
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -45,12 +45,12 @@
 
 
 def pin_to(cores: set[int]) -> Callable[[], None]:
-    """Return a function that pins the process that calls it to these cores."""
+    """Return a function that pins the process in which it is called to these cores."""
     return lambda: os.sched_setaffinity(0, cores)
 
 
 class PeerProcess:
-    """One process of `peers.py`, which runs the peers of that name."""
+    """A process of `peers.py`, which runs peers of one kind: servers, the endpoint list, or clients."""
 
     def __init__(self, peers: str, settings: Settings, cores: set[int]) -> None:
         command = [sys.executable, str(PEERS_SCRIPT), peers, to_json(settings)]
@@ -60,10 +60,12 @@
         self._messages = self.process.stdout
 
     def read_message(self, message_type: type[MessageType]) -> MessageType:
-        """Wait for the next message and return it; raises ClickException where the process has ended."""
+        """Wait for the next message and return it; raises ClickException if the process ends first."""
         line = self._messages.readline()
         if not line:
-            raise click.ClickException(f"a peer ended early with {self.process.wait()}; see above")
+            raise click.ClickException(
+                f"a peer process ended early with exit code {self.process.wait()}; see above"
+            )
         return message_type(**json.loads(line))
 
     def close(self) -> None:
@@ -74,7 +76,7 @@
 
 
 class BalancerProcess:
-    """The balancer of the checkout at `root`, on one core, with a log file in `folder`."""
+    """The balancer of the checkout at `root`, pinned to one core, with its log file in `folder`."""
 
     def __init__(
         self,
@@ -104,7 +106,7 @@
             self.process = start_process(module_command(PROGRAM), options)
 
     def wait_ready(self) -> None:
-        """Wait until the balancer answers a health check; raises ClickException."""
+        """Wait until the balancer answers a health check; raises ClickException at the timeout."""
         try:
             wait_until_ready(self.port, READY_TIMEOUT_S)
         except NotReadyError as error:
@@ -112,7 +114,7 @@
             raise click.ClickException(f"{self.root}: {error}: {log_tail}") from error
 
     def cpu_ms(self) -> float:
-        """Return the CPU time that the process has used."""
+        """Return the CPU time that the process has used, of user and system together."""
         stat = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         user_ticks = int(fields[11])
@@ -120,12 +122,12 @@
         return (user_ticks + system_ticks) * 1000 / CLOCK_TICKS_PER_S
 
     def memory_kb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory of the process."""
         resident_pages = int(pathlib.Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return resident_pages * PAGE_SIZE_BYTES / 1024
 
     def counters(self) -> dict[str, int]:
-        """Have the balancer print its counters, and return them; raises ClickException."""
+        """Have the balancer log its counters and return them; raises ClickException at the timeout."""
         printed_before = len(self._counter_lines())
         self.process.send_signal(signal.SIGUSR1)
         deadline = time.monotonic() + READY_TIMEOUT_S
@@ -134,10 +136,12 @@
             if len(lines) > printed_before:
                 return parse_counters(lines[-1])
             time.sleep(COUNTERS_CHECK_INTERVAL_S)
-        raise click.ClickException(f"{self.root}: the program prints no counters")
+        raise click.ClickException(
+            f"{self.root}: the balancer logged no counters within {READY_TIMEOUT_S:g} s"
+        )
 
     def _counter_lines(self) -> list[str]:
-        """Return the complete lines of counters in the log."""
+        """Return the complete lines with counters in the log."""
         lines = self.log_file.read_text().splitlines(keepends=True)
         return [line for line in lines if COUNTERS_EVENT in line and line.endswith("\n")]
 
--- a/benchmarks/loopback_report.py
+++ b/benchmarks/loopback_report.py
@@ -1,4 +1,4 @@
-"""Figures of the loopback benchmark, how rounds are combined, and how they are printed and plotted."""
+"""The figures of the loopback benchmark: combines those of several rounds, prints and plots them."""
 
 import dataclasses
 import statistics
@@ -9,7 +9,7 @@
 import click
 
 COMPARED_FIGURES = ("cpu_ms_per_flow", "flows_per_second", "setup_ms_p50", "kb_per_connection", "line_ms")
-FAILURE_FIGURES = ("rejected", "lost", "migrated")  # are 0 in a good run
+FAILURE_FIGURES = ("rejected", "lost", "migrated")  # 0 in a run without failures
 PLOTS = {
     "cpu_ms_per_flow": "CPU per flow, ms",
     "setup_ms_p50": "set-up, median ms",
@@ -19,8 +19,8 @@
 PLOT_ROW_INCHES = 0.28
 PLOT_MARGIN_INCHES = 1.5
 PLOT_DPI = 80
-BAR_HEIGHT = 0.38  # of the row of a case
-BAR_DISTANCE = 0.4  # between the bars of two builds
+BAR_HEIGHT = 0.38  # as a fraction of a case's row
+BAR_DISTANCE = 0.4  # between the bars of two builds, as a fraction of a row
 TABLE_HEAD = (
     f"{'case':<22}{'flows':>6}{'estab.':>7}{'rej.':>6}{'lost':>5}{'migr.':>6}{'con/fl':>8}{'flows/s':>8}"
     f"{'cpu ms':>8}{'p50 ms':>9}{'p99 ms':>9}{'KB':>7}{'line':>8}{'direct':>8}"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Figures:
-    """What one build did in a case, in one round or in all rounds together."""
+    """The figures of one build in a case, of one round or of all rounds combined."""
 
     requested: float
     established: float
@@ -43,11 +43,11 @@
     setup_ms_p99: float
     kb_per_connection: float
     line_ms: float
-    line_ms_direct: float  # without the balancer
+    line_ms_direct: float  # as line_ms, but without the balancer
 
 
 class Ratio(NamedTuple):
-    """The figures of this build over those of the other one, over all rounds."""
+    """A figure of this build divided by that of the other build, as a range over all rounds."""
 
     minimum: float
     median: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseResult:
-    """The figures of a case, and those of the other build where there is one."""
+    """The figures of a case, with those of the other build if there is one."""
 
     this: Figures
     other: Figures | None = None
@@ -68,7 +68,7 @@
 
 
 def compute_ratios(this_rounds: Sequence[Figures], other_rounds: Sequence[Figures]) -> dict[str, Ratio]:
-    """Return the ratios of the rounds in which both builds have a figure."""
+    """Return the ratio of each compared figure, over the rounds in which it is not 0 in either build."""
     ratios = {}
     for name in COMPARED_FIGURES:
         pairs = [
@@ -82,7 +82,7 @@
 
 
 def combine(rounds: Sequence[Figures]) -> Figures:
-    """Return the median of each figure over all rounds, and the maximum of failures."""
+    """Return the median of each figure over all rounds, or its maximum where it counts failures."""
     combined = {}
     for field in dataclasses.fields(Figures):
         values = [getattr(figures, field.name) for figures in rounds]
@@ -102,7 +102,7 @@
 
 
 def print_case(name: str, result: CaseResult) -> None:
-    """Print the rows of one case, and the ratios where there is another build."""
+    """Print the rows of one case, and the ratios if there is another build."""
     if result.other is not None:
         click.echo(table_row(f"  {name} other", result.other))
     click.echo(table_row(name, result.this))
@@ -113,7 +113,7 @@
 
 
 def plot(file: str, results: Mapping[str, CaseResult]) -> None:
-    """Plot the figures of PLOTS into a file, a bar for each case and build."""
+    """Plot the figures of PLOTS into a PNG file, with a bar for each case and build."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -1,4 +1,4 @@
-"""One run of the loopback benchmark: the processes of a case on one checkout, and their figures."""
+"""One run of the loopback benchmark: starts the processes of a case on one checkout, returns its figures."""
 
 import contextlib
 import os
@@ -27,18 +27,18 @@
 from lotusroute.address import parse_address
 from lotusroute.process_control.config_files import JsonValue
 
-SERVER_PROCESSES = 3  # that the servers are divided among
-CLIENT_PROCESSES = 3  # that the clients are divided among, from CONCURRENT flows on
+SERVER_PROCESSES = 3  # the servers are divided among them
+CLIENT_PROCESSES = 3  # the clients are divided among them, if CONCURRENT flows or more are opened at a time
 CONCURRENT = 16
-COUNTERS_DELAY_S = 0.5  # after the last receipt, for ends of connections to arrive
-MAX_SETUP_US = 60_000_000  # the longest set-up that the histogram distinguishes
-HISTOGRAM_DIGITS = 3
-# The counter of migrations has another name in builds up to 964a6b3.
+COUNTERS_DELAY_S = 0.5  # after the clients end, for the ends of connections to reach the balancer
+MAX_SETUP_US = 60_000_000  # the longest set-up time that the histogram can record
+HISTOGRAM_DIGITS = 3  # significant digits of recorded values
+# Builds up to 964a6b3 name the counter of migrations "moved".
 MIGRATION_COUNTERS = ("migrated", "moved")
 
 
 class Run:
-    """The processes of one run; a context manager that starts and kills them."""
+    """The processes of one run. As a context manager, it starts them and kills them at the end."""
 
     def __init__(self, case: Case, root: pathlib.Path, seed: int) -> None:
         self.case = case
@@ -66,13 +66,13 @@
         self._resources.close()
 
     def start_peer(self, peers: str, settings: Settings) -> PeerProcess:
-        """Start a process of peers."""
+        """Start a process of `peers.py`, which is killed at the end of the run."""
         peer = PeerProcess(peers, settings, self.peer_cores)
         self._resources.callback(peer.close)
         return peer
 
     def _start_servers(self) -> list[dict[str, JsonValue]]:
-        """Start all servers; returns their entries of the endpoint list."""
+        """Start all servers and return their entries of the endpoint list."""
         process_count = min(SERVER_PROCESSES, len(self.case.setups_ms))
         processes = []
         for index in range(process_count):
@@ -90,7 +90,7 @@
         return hosts
 
     def start_clients(self) -> list[PeerProcess]:
-        """Start the clients, which open their flows at once."""
+        """Start the clients, which begin to open flows immediately."""
         case = self.case
         process_count = CLIENT_PROCESSES if case.concurrency >= CONCURRENT else 1
         processes = []
@@ -108,19 +108,19 @@
         return processes
 
     def measure_direct_lines(self) -> list[float]:
-        """Send lines to the first server without the balancer; returns their delays in ms."""
+        """Send lines to the first server without the balancer and return their round-trip times in ms."""
         port = parse_address(str(self.hosts[0]["dial"])).port
         settings = ClientsSettings(port=port, flows=1, concurrency=1, seed=1, line_count=self.case.line_count)
         return self.start_peer("clients", settings).read_message(ClientsResult).line_delays_ms
 
 
 def _part(total: int, parts: int, index: int) -> int:
-    """Return one part of a total that is divided as evenly as possible."""
+    """Return the part at `index` of a total that is divided as evenly as possible."""
     return total // parts + int(total % parts > index)
 
 
 def run_case(case: Case, root: pathlib.Path, seed: int) -> Figures:
-    """Run one case on one checkout and return its figures; all processes have ended afterwards."""
+    """Run one case on one checkout and return its figures, after all of its processes have ended."""
     with Run(case, root, seed) as run:
         memory_before = run.balancer.memory_kb()
         cpu_before = run.balancer.cpu_ms()
