--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -2,11 +2,15 @@
 
     python benchmarks/mixed_builds.py --other ../lotusroute-964a6b3
 
-There are two arrangements: one process of the other build beside two of this one, and the other way round.
-In each, a lease is granted, and another process acquires it when its holder shuts down. The shared discovery
-task and relays carry an endpoint list to balancers of both builds. Then this build starts on the state
-folders of the processes before it. The exit code is 0 where all of that was seen, 1 where something was not,
-and 2 on wrong use. All processes stay on loopback.
+A build is a checkout of the project. There are two arrangements: one process of the other build with two of
+this one, and one of this build with two of the other. Each is checked as follows:
+
+- A process acquires the lease, and another one acquires it when the holder shuts down.
+- The shared discovery task and the relays carry an endpoint list to balancers of both builds.
+- This build then starts on the state folders that the processes of both builds left.
+
+The exit code is 0 if all of that was observed, 1 if something was not, and 2 on wrong use. All processes stay
+on loopback.
 """
 
 import argparse
@@ -19,7 +23,7 @@
 
 from lotusroute.process_control.errors import ProcessControlError
 
-# The names of one counter, that of builds up to 964a6b3 first.
+# The names of one counter each, the name in builds up to 964a6b3 first.
 SHARED_UPDATES = ("watch_taken", "shared_discovery_applied")
 RELAY_UPDATES = ("news_taken", "updates_applied")
 
@@ -28,7 +32,7 @@
 
 
 def check_leases(builds: Builds, report: Report) -> None:
-    """Check that each build holds the lease, shares the endpoint list, and starts on the other's state."""
+    """Check changes of the lease holder, the shared endpoint list, and a restart on state of both builds."""
     with run_mixed_fleet(builds) as fleet:
         for name in builds:
             fleet.start_balancer(name)
@@ -38,20 +42,20 @@
 
 
 def _check_holder_change(fleet: MixedFleet, report: Report) -> None:
-    """Check that the lease holder shares the list, and that another process succeeds it at its shutdown."""
+    """Check that others apply the holder's list, and that one acquires the lease when the holder stops."""
     holder = fleet.wait_for_holder()
     token = fleet.highest_token()
     others = [name for name in fleet.builds if name != holder]
     for name in others:
         fleet.wait_until_applied(name, SHARED_UPDATES)
-    report(f"lease: {holder} holds under {token}; {' and '.join(others)} apply its list")
+    report(f"lease: {holder} holds it with fencing token {token}; {' and '.join(others)} apply its list")
     fleet.stop(holder)
-    wait_for(lambda: fleet.highest_token() > token, f"a successor of {holder}")
+    wait_for(lambda: fleet.highest_token() > token, f"another process acquires the lease after {holder}")
     fleet.start_balancer(holder)
 
 
 def _check_restart(fleet: MixedFleet, report: Report) -> None:
-    """Check that this build starts on all state folders, and that its fencing tokens are higher."""
+    """Check that this build starts on all state folders, and that its first fencing token is higher."""
     token = fleet.highest_token()
     fleet.stop_all()
     fleet.builds = dict.fromkeys(fleet.builds, CHECKOUT)
@@ -60,12 +64,14 @@
     holder = fleet.wait_for_holder()
     next_token = fleet.highest_token()
     if next_token <= token:
-        raise StepFailedError(f"{holder} holds under {next_token} after {token}")
-    report(f"state: this build starts on all state folders and goes from {token} to {next_token}")
+        raise StepFailedError(
+            f"{holder} acquired the lease with fencing token {next_token}, not above {token} from before"
+        )
+    report(f"state: this build starts on all state folders; fencing token {token}, then {next_token}")
 
 
 def check_relays(builds: Builds, other: pathlib.Path, report: Report) -> None:
-    """Check that relays of both builds carry a change of the list to balancers of both."""
+    """Check that relays of both builds carry a snapshot and a change of the list to balancers of both."""
     with run_mixed_fleet(builds) as fleet:
         for name in builds:
             fleet.start_relay(name)
@@ -74,7 +80,7 @@
         for name, build in subscribers.items():
             fleet.start_subscriber(name, build)
         for name in subscribers:
-            _wait_for_updates(fleet, name, 0, "an update")
+            _wait_for_updates(fleet, name, 0, "the snapshot")
         applied = {name: fleet.running[name].counter(RELAY_UPDATES) for name in subscribers}
         fleet.publish_change()
         for name in subscribers:
@@ -83,13 +89,13 @@
 
 
 def _wait_for_updates(fleet: MixedFleet, name: str, applied: int, update: str) -> None:
-    """Wait until a balancer has applied more updates of the relays than before."""
+    """Wait until a balancer has applied more than `applied` updates of the relays."""
     process = fleet.running[name]
     wait_for(lambda: process.counter(RELAY_UPDATES) > applied, f"{name} applies {update}")
 
 
 def check_arrangement(title: str, builds: Builds, other: pathlib.Path) -> bool:
-    """Check leases and relays of one arrangement and print what was seen; returns whether all was."""
+    """Check leases and relays in one arrangement and print what was observed; returns whether all passed."""
 
     def report(text: str) -> None:
         print(f"{title}: {text}", flush=True)
@@ -104,13 +110,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Check both arrangements; returns the exit code."""
+    """Check both arrangements and return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--other", type=pathlib.Path, required=True, help="checkout of the other build")
     options = parser.parse_args(arguments)
     other = options.other.resolve()
     if not (other / "lotusroute/__main__.py").is_file():
-        parser.error(f"--other {options.other}: no checkout of lotusroute")
+        parser.error(f"--other {options.other}: not a checkout of lotusroute")
     arrangements = {
         "one of the other build, two of this one": {"n1": other, "n2": CHECKOUT, "n3": CHECKOUT},
         "one of this build, two of the other one": {"n1": CHECKOUT, "n2": other, "n3": other},
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -1,7 +1,7 @@
 """A fleet whose processes are of two builds, for `mixed_builds.py`.
 
-A build is a checkout. Older builds give some log events, fields and counters other names: the names of one
-thing are tuples here, the oldest first.
+A build is a checkout of the project. Older builds use other names for some log events, log fields and
+counters. All names of one of these are a tuple here, the oldest first.
 """
 
 import contextlib
@@ -30,11 +30,11 @@
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command
 
 STEP_TIMEOUT_S = 20.0
-CHECK_INTERVAL_S = 0.05  # at which a condition is checked
-APPLY_DELAY_S = 0.3  # in which a published change usually reaches the whole fleet
+CHECK_INTERVAL_S = 0.05  # between checks of an awaited condition
+APPLY_DELAY_S = 0.3  # within which a published change usually reaches the whole fleet
 LEASE_MS = 1_000
 MAX_SUBSCRIBERS = 8  # of a relay
-DISCARD_PORT = 9  # of the listed server, to which nothing connects
+DISCARD_PORT = 9  # port of the only listed server; nothing connects to it
 FLEET_NAME = "mixed"
 ZONE = "a"
 SETTINGS: JsonObject = {
@@ -48,21 +48,21 @@
 
 
 class StepFailedError(ProcessControlError):
-    """What both builds have to do together was not seen in time."""
+    """A step that both builds take together was not observed in time, or had a wrong result."""
 
 
 def wait_for(condition: Callable[[], Result], awaited: str) -> Result:
-    """Wait until the condition returns something true and return that; raises StepFailedError."""
+    """Wait until the condition returns a true value and return it; raises StepFailedError at the timeout."""
     deadline = time.monotonic() + STEP_TIMEOUT_S
     while not (result := condition()):
         if time.monotonic() > deadline:
-            raise StepFailedError(f"not seen within {STEP_TIMEOUT_S:g} s: {awaited}")
+            raise StepFailedError(f"not observed within {STEP_TIMEOUT_S:g} s: {awaited}")
         time.sleep(CHECK_INTERVAL_S)
     return result
 
 
 class BuildProcess(LoggedProcess):
-    """A process of a build."""
+    """A process of the program, run from the checkout of a build."""
 
     def __init__(
         self, build: pathlib.Path, arguments: Sequence[str] = (), environment: Mapping[str, str] | None = None
@@ -71,7 +71,7 @@
         super().__init__(module_command(PROGRAM, *arguments), options)
 
     def fencing_tokens(self) -> list[int]:
-        """Return the fencing tokens of the leases that it has acquired, in order."""
+        """Return the fencing tokens of the leases that the process has acquired, in order."""
         records = [parse_fields(line) for line in self.lines]
         return [
             int(record[key])
@@ -82,14 +82,16 @@
         ]
 
     def counter(self, names: Sequence[str]) -> int:
-        """Return the present value of a counter, under any of its names; 0 if it was never incremented."""
-        self.wait_for_line("")  # a process that has logged something handles signals
+        """Return the value of the counter that has one of these names; 0 if it was never incremented."""
+        self.wait_for_line(
+            ""
+        )  # once it has logged a line, the process handles the signal to log its counters
         counters = self.counters()
         return sum(counters.get(name, 0) for name in names)
 
 
 class MixedFleet:
-    """Processes of a fleet, each of the build given for its name, with state folders that outlive them."""
+    """The processes of a fleet, each run from the build for its name. Their state folders outlive them."""
 
     def __init__(
         self, folder: pathlib.Path, builds: Mapping[str, pathlib.Path], discovery: DiscoveryServer
@@ -104,7 +106,7 @@
             self._state_folder(name).mkdir()
 
     def start_balancer(self, name: str) -> None:
-        """Start a balancer with the shared discovery task."""
+        """Start a balancer that takes part in the lease of the shared discovery task."""
         environment = {
             "LB_CONFIG": self._write_balancer_config(name),
             "LB_FLEET": self._write_fleet_config(name, "watch"),
@@ -112,7 +114,7 @@
         self.running[name] = BuildProcess(self.builds[name], environment=environment)
 
     def start_relay(self, name: str) -> None:
-        """Start a relay."""
+        """Start a relay, which takes part in the lease of the origin task."""
         fleet_file = self._write_fleet_config(name, "origin")
         options = ["--fleet", fleet_file, "--name", name, "--discovery", str(self.discovery.address)]
         self.running[name] = BuildProcess(self.builds[name], ["relay", "run", *options])
@@ -127,7 +129,7 @@
         self.running[name] = BuildProcess(build, environment=environment)
 
     def stop(self, name: str) -> None:
-        """Shut a process down gracefully and wait for its end; its log can still be read."""
+        """Shut a process down gracefully and wait until it ends; its log can still be read."""
         self.running[name].stop(signal.SIGTERM)
 
     def stop_all(self) -> None:
@@ -137,18 +139,18 @@
         self.running.clear()
 
     def highest_token(self) -> int:
-        """Return the highest fencing token up to now; 0 for none."""
+        """Return the highest fencing token in the logs of the processes; 0 if there is none."""
         return max(
             (token for process in self.running.values() for token in process.fencing_tokens()), default=0
         )
 
     def wait_for_holder(self) -> str:
-        """Return the process that acquired the lease last; raises StepFailedError where none does."""
+        """Return the process that acquired the lease last; raises StepFailedError if none acquires it."""
         wait_for(self.highest_token, "a lease is acquired")
         return max(self.running, key=lambda name: max(self.running[name].fencing_tokens(), default=0))
 
     def publish_change(self) -> None:
-        """Make discovery list a new version."""
+        """Have discovery publish a new version of the endpoint list."""
         version = self.discovery.seq
         self.discovery.publish([{**entry, "block": version} for entry in self.discovery.entries])
 
@@ -190,7 +192,7 @@
 
 @contextlib.contextmanager
 def run_mixed_fleet(builds: Mapping[str, pathlib.Path]) -> Iterator[MixedFleet]:
-    """Yield a fleet with files in a temporary folder and a discovery with one server; both end with it."""
+    """Yield a fleet and a discovery that lists one server; at the end, stop them and delete all files."""
     with tempfile.TemporaryDirectory(prefix="lotusroute-mixed-") as folder:
         discovery = DiscoveryServer([endpoint_entry("s-1", DISCARD_PORT)])
         fleet = MixedFleet(pathlib.Path(folder), builds, discovery)
--- a/benchmarks/peer_messages.py
+++ b/benchmarks/peer_messages.py
@@ -1,6 +1,6 @@
-"""Messages between a benchmark and its peer processes.
+"""Messages between a benchmark and its peer processes, which run servers, the endpoint list or clients.
 
-A process receives its settings as an argument and writes its results as lines of JSON.
+A peer process gets its settings as an argument in JSON and prints its messages as lines of JSON.
 """
 
 import dataclasses
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowPeriod:
-    """The time in which one server takes ten times as long, in seconds from its start."""
+    """The period, in seconds from its start, in which one server takes ten times as long to set up a flow."""
 
-    server: int  # its index
+    server: int  # its index in the process
     start_s: float
     end_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServersSettings:
-    """Settings of a process of servers."""
+    """Settings of a process that runs servers."""
 
-    setups_ms: list[float]  # of each server, the median time until its receipt
-    spread: str  # of the set-up times: light, heavy or wild
+    setups_ms: list[float]  # for each server, the median time until it sends the receipt of a flow
+    spread: str  # distribution of the set-up times: light, heavy or wild
     seed: int
     name: str = "s"  # prefix of the servers' names
     slow: SlowPeriod | None = None
@@ -51,15 +51,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClientsSettings:
-    """Settings of a process of clients."""
+    """Settings of a process that runs clients."""
 
     port: int
-    flows: int
-    concurrency: int
+    flows: int  # to open in total
+    concurrency: int  # flows that are opened at a time
     seed: int
     skewed: bool = False  # whether keys follow a Zipf distribution; otherwise each key occurs once
-    hold_s: float = 0.0  # for how long flows stay open after all are established; 0: each ends at its receipt
-    line_count: int = 0  # lines that one client sends, each after the reply to the previous one
+    hold_s: float = 0.0  # how long flows stay open after all have been answered; 0: each ends at its receipt
+    line_count: int = 0  # lines that one client sends, each after the echo of the previous one
 
     @classmethod
     def from_json(cls, text: str) -> "ClientsSettings":
@@ -83,22 +83,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowsEstablished:
-    """All flows that stay open are established; sent only with `hold_s`."""
+    """All flows have been answered, and `count` of them are established; sent only with `hold_s`."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClientsResult:
-    """All flows have ended."""
+    """The figures of all flows, sent when they have ended."""
 
     opened: int
     rejected: int
-    lost: int
+    lost: int  # without any response
     migrated: int
-    seconds: float
+    seconds: float  # from the start until all flows had ended, or with `hold_s` until all were answered
     setups_ms: list[float] = field(default_factory=list)  # of established flows
-    line_delays_ms: list[float] = field(default_factory=list)
+    line_delays_ms: list[float] = field(default_factory=list)  # from sending a line to its echo
 
 
 Settings = ServersSettings | EndpointListSettings | ClientsSettings
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,7 @@
-"""One process of peers for the loopback benchmark: servers, the endpoint list, or clients.
+"""Runs peers of one kind for the loopback benchmark: servers, the endpoint list, or clients.
 
-Peers run in processes of their own, so that their CPU time is not counted as the balancer's. They use nothing
-of the balancer but its reactor, connect on loopback only, and end with the process that started them.
+Peers run in separate processes, so that their CPU time does not count as the balancer's. Of the balancer's
+code they use only the reactor. They connect on loopback only, and end with the process that started them.
 
     python benchmarks/peers.py servers '{"setups_ms": [1, 1], "spread": "light", "seed": 1}'
     python benchmarks/peers.py clients '{"port": 9000, "flows": 100, "concurrency": 4, "seed": 1}'
@@ -20,7 +20,7 @@
 
 from lotusroute.net.reactor import reactor
 
-MAX_LIFETIME_S = 300.0  # of a process, also where its parent does not end it
+MAX_LIFETIME_S = 300.0  # after which a process ends even if its parent has not ended it
 PARENT_CHECK_INTERVAL_S = 1.0
 WRONG_USE = 2  # exit code
 
@@ -53,15 +53,15 @@
 
 
 def stop_if_orphaned(parent: int) -> None:
-    """Stop where the parent process has ended."""
+    """Stop the reactor if the parent process has ended."""
     if os.getppid() != parent:
         reactor.stop()
 
 
 def main() -> int:
-    """Run the peers that the arguments name up to their end; returns the exit code."""
+    """Run the kind of peers that the arguments name until they end, and return the exit code."""
     if len(sys.argv) != 3 or sys.argv[1] not in PEERS:
-        print(f"peers.py: give one of {', '.join(PEERS)}, and its settings as JSON", file=sys.stderr)
+        print(f"peers.py: give one of {', '.join(PEERS)}, then its settings as JSON", file=sys.stderr)
         return WRONG_USE
     _, peers, settings = sys.argv
     reactor.callLater(MAX_LIFETIME_S, reactor.stop)
