--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,15 +1,15 @@
 """Measures how many flows all balancers together send to servers in slow start.
 
-A fleet of directors runs in one process, in virtual time (ms). Simulated clients open flows, some servers are
-replaced, and the connects to each new server are counted in every window. The count does not depend on
-anything that a director reports.
+A fleet of directors, the routing logic of one balancer each, runs in one process, in virtual time (ms).
+Simulated clients open flows, some servers are replaced, and the connects to each new server are counted in
+every window. The counts do not rely on anything that a director reports.
 
     python benchmarks/slow_start.py --directors 30 --replace six-of-ten --seeds 50
 
-A warm server has a capacity of C flows per second: the flows that it gets, over the load of the fleet. In
-slow start its capacity is C x share, where the share grows linearly from SLOW_START_SHARE to 1. The settings
-allow it N = SLOW_START_BURST x C x share x window connects in a window. With more than N + 2 x sqrt(N) + 2,
-which leaves room for random variation, it counts as overloaded.
+A warm server has a capacity of C flows per second: the rate at which it gets flows, divided by
+FLEET_LOAD_FRACTION. In slow start, the capacity is C x share, where the share grows linearly from
+SLOW_START_SHARE to 1. The settings allow N = SLOW_START_BURST x C x share x window connects in a window. A
+server counts as overloaded with more than N + 2 x sqrt(N) + 2, which leaves room for random variation.
 """
 
 import json
@@ -32,32 +32,32 @@
 )
 
 WINDOW_MS = 2_000.0
-FLEET_LOAD_FRACTION = 0.4  # of the servers' capacity, before the first replacement
+FLEET_LOAD_FRACTION = 0.4  # load as a fraction of the servers' capacity, before the first replacement
 OLDER_OPTIONS = {"cold": "replace"}
 DIRECTOR_COUNTS = (2, 5, 20, 30, 60, 200)
 GROUP_COUNTS = (0, 36, 190)
 
 
 class Window(NamedTuple):
-    """The connects to one server in slow start in a window."""
+    """The connects in one window to one server in slow start."""
 
-    overload_ratio: float = 0.0  # of the connects to the limit above which the server is overloaded
+    overload_ratio: float = 0.0  # connects, divided by the number above which the server is overloaded
     connects: int = 0
     allowed_connects: float = 0.0  # by the settings
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The result of one run."""
+    """The result of one case with one seed."""
 
-    worst: Window  # the one with the highest ratio
+    worst: Window  # the one with the highest overload ratio
     allowance_used: float  # connects to servers in slow start, as a fraction of those allowed
-    established: float  # flows, as a fraction of those requested
+    established: float  # established flows, as a fraction of requested flows
     lost: float  # clients that gave up, as a fraction of requested flows
 
 
 def allowed_connects(started_at: float, window_end: float) -> float:
-    """Return how many connects the settings allow a server in slow start in a window."""
+    """Return how many connects the settings allow in a window to a server in slow start."""
 
     def share(timestamp: float) -> float:
         progress = min(1.0, max(0.0, timestamp - started_at) / SLOW_START_MS)
@@ -69,7 +69,7 @@
 
 
 def worst_window(started_at: float, connects: list[float]) -> Window:
-    """Return the window of a server's slow start with the highest overload ratio."""
+    """Return the window with the highest overload ratio in the slow start of a server."""
     worst = Window()
     first = 0
     for last, window_end in enumerate(connects):
@@ -107,7 +107,7 @@
 
 
 def summarize(case: Case, results: list[Result]) -> dict[str, object]:
-    """Return one row of the output: the worst window of all seeds, and means over the seeds."""
+    """Return one row of the output: the worst window of all seeds, and means over all seeds."""
     worst = max((result.worst for result in results), key=lambda window: window.overload_ratio)
 
     def mean(values: list[float]) -> float:
@@ -135,11 +135,11 @@
     "replacements",
     multiple=True,
     type=click.Choice(list(REPLACEMENTS)),
-    help="Servers that are replaced; may be repeated.",
+    help="Part of the servers that is replaced; may be repeated.",
 )
 @click.option("--seeds", type=click.IntRange(1), default=50, help="Number of seeds per case.")
 @click.option("--first", "first_seed", type=int, default=1, help="The first seed.")
-@click.option("--workers", type=click.IntRange(1, 64), default=2, help="Number of processes.")
+@click.option("--workers", type=click.IntRange(1, 64), default=2, help="Number of worker processes.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object per case.")
 def main(
     directors: tuple[int, ...],
@@ -149,7 +149,7 @@
     workers: int,
     as_json: bool,
 ) -> None:
-    """Count the connects to new servers; exit with 1 if one was overloaded.
+    """Count the connects to servers in slow start; exit with 1 if any server was overloaded.
 
     Example: python benchmarks/slow_start.py --directors 20 --directors 30 --seeds 50 --workers 4
     """
@@ -169,7 +169,7 @@
 
 
 def make_cases(directors: Sequence[int], replacements: Sequence[str]) -> list[Case]:
-    """Return all cases with the given numbers of balancers and replacements; by default with all of them."""
+    """Return all cases with the given numbers of balancers and replacements; none given stands for all."""
     return [
         Case(count, skewed, replacement, groups, connection_storm)
         for count in directors or DIRECTOR_COUNTS
--- a/benchmarks/slow_start_simulation.py
+++ b/benchmarks/slow_start_simulation.py
@@ -1,6 +1,7 @@
-"""Simulates a fleet of directors with clients and servers, of which some are replaced.
+"""Simulates a fleet of directors with their clients and servers, while some servers are replaced.
 
-All directors run in one process, in virtual time (ms). The simulation records the connects to new servers.
+A director is the routing logic of one balancer. All directors run in one process, in virtual time (ms). The
+simulation records the connects to new servers.
 """
 
 import heapq
@@ -17,19 +18,19 @@
 OBSERVATION_MS = 24_000.0  # from the first replacement
 SLOW_START_MS = 18_000.0
 SLOW_START_SHARE = 0.2
-SLOW_START_BURST = 3.0  # multiple of its capacity
+SLOW_START_BURST = 3.0  # multiple of its capacity above which a server is overloaded
 MEAN_LIFETIME_MS = 12_000.0  # of a connection
 FLOWS_PER_SERVER_PER_S = 1.2
-SETUP_MS = 5.0
+SETUP_MS = 5.0  # from the connect until the flow is established
 FLOW_DEADLINE_MS = 1_800.0  # from the request
 CLIENT_RETRIES = 3
-CLIENT_BACKOFF_MS = 200.0  # without a Retry-After
-CONNECTION_STORM_MS = 3_000.0  # from the first replacement
-DRAIN_MS = 1_000.0  # in which the connections of a replaced server are closed
+CLIENT_BACKOFF_MS = 200.0  # if the balancer gives no time to retry after
+CONNECTION_STORM_MS = 3_000.0  # when connections are reset, from the first replacement
+DRAIN_MS = 1_000.0  # within which the connections of a replaced server are closed
 
 
 class Replacement(NamedTuple):
-    """Which part of the servers is replaced, one after the other."""
+    """The part of the servers that is replaced, one after the other within `duration_ms`."""
 
     server_fraction: float
     duration_ms: float
@@ -39,13 +40,13 @@
 
 
 class Case(NamedTuple):
-    """A fleet, its clients and the events of a run."""
+    """A fleet, its clients, and what happens to its servers and connections during a run."""
 
     directors: int
     skewed: bool  # every eighth balancer gets six times the flows of the others
     replacement: str  # a key of REPLACEMENTS
     groups: int  # of clients; 0: clients have no group
-    connection_storm: bool  # a third of all connections are reset, and their clients reconnect
+    connection_storm: bool  # a third of all connections are reset at once, and their clients reconnect
 
     @property
     def server_count(self) -> int:
@@ -76,14 +77,14 @@
 
 
 class Attempt(NamedTuple):
-    """A requested flow that is not established."""
+    """A requested flow that is not established yet."""
 
     client: int
     retries: int
 
 
 class ScheduledCall(NamedTuple):
-    """A call that is due at a time; ordered by the time, then by `order`."""
+    """A call that is due at a time of the simulation; sorted by that time, then by `order`."""
 
     due_at: float
     order: int
@@ -91,7 +92,7 @@
 
 
 class Simulation:
-    """The directors, their clients and their servers, in virtual time."""
+    """A discrete-event simulation of the directors, their clients and their servers."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case = case
@@ -145,7 +146,7 @@
             scheduled.call()
 
     def decide(self, director: int, event: events.Event) -> None:
-        """Pass an event to a director and carry out its actions."""
+        """Pass an event to a director and carry out the actions that it returns."""
         for action in self.directors[director].decide(self.now, event):
             match action:
                 case events.Connect():
