--- a/benchmarks/loopback_processes.py
+++ b/benchmarks/loopback_processes.py
@@ -52,8 +52,8 @@
 class PeerProcess:
     """A process of `peers.py`, which runs peers of one kind: servers, the endpoint list, or clients."""
 
-    def __init__(self, peers: str, settings: Settings, cores: set[int]) -> None:
-        command = [sys.executable, str(PEERS_SCRIPT), peers, to_json(settings)]
+    def __init__(self, peer_kind: str, settings: Settings, cores: set[int]) -> None:
+        command = [sys.executable, str(PEERS_SCRIPT), peer_kind, to_json(settings)]
         options = ProcessOptions(initialize=pin_to(cores), stdin=subprocess.DEVNULL, stdout=subprocess.PIPE)
         self.process = start_process(command, options)
         assert self.process.stdout is not None
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -65,9 +65,9 @@
     def __exit__(self, *_: object) -> None:
         self._resources.close()
 
-    def start_peer(self, peers: str, settings: Settings) -> PeerProcess:
+    def start_peer(self, peer_kind: str, settings: Settings) -> PeerProcess:
         """Start a process of `peers.py`, which is killed at the end of the run."""
-        peer = PeerProcess(peers, settings, self.peer_cores)
+        peer = PeerProcess(peer_kind, settings, self.peer_cores)
         self._resources.callback(peer.close)
         return peer
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -45,7 +45,7 @@
     LoadGenerator(ClientsSettings.from_json(settings), report).start()
 
 
-PEERS: dict[str, Callable[[str], None]] = {
+PEER_KINDS: dict[str, Callable[[str], None]] = {
     "servers": serve_servers,
     "list": serve_endpoint_list,
     "clients": run_clients,
@@ -60,12 +60,12 @@
 
 def main() -> int:
     """Run the kind of peers that the arguments name until they end, and return the exit code."""
-    if len(sys.argv) != 3 or sys.argv[1] not in PEERS:
-        print(f"peers.py: give one of {', '.join(PEERS)}, then its settings as JSON", file=sys.stderr)
+    if len(sys.argv) != 3 or sys.argv[1] not in PEER_KINDS:
+        print(f"peers.py: give one of {', '.join(PEER_KINDS)}, then its settings as JSON", file=sys.stderr)
         return WRONG_USE
-    _, peers, settings = sys.argv
+    _, peer_kind, settings = sys.argv
     reactor.callLater(MAX_LIFETIME_S, reactor.stop)
-    reactor.callWhenRunning(PEERS[peers], settings)
+    reactor.callWhenRunning(PEER_KINDS[peer_kind], settings)
     task.LoopingCall(stop_if_orphaned, os.getppid()).start(PARENT_CHECK_INTERVAL_S)
     reactor.run()
     return 0
