--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -22,7 +22,7 @@
 
 MAX_LIFETIME_S = 300.0  # after which a process ends even if its parent has not ended it
 PARENT_CHECK_INTERVAL_S = 1.0
-WRONG_USE = 2  # exit code
+EXIT_WRONG_USE = 2
 
 
 def report(message: Message) -> None:
@@ -62,7 +62,7 @@
     """Run the kind of peers that the arguments name until they end, and return the exit code."""
     if len(sys.argv) != 3 or sys.argv[1] not in PEER_KINDS:
         print(f"peers.py: give one of {', '.join(PEER_KINDS)}, then its settings as JSON", file=sys.stderr)
-        return WRONG_USE
+        return EXIT_WRONG_USE
     _, peer_kind, settings = sys.argv
     reactor.callLater(MAX_LIFETIME_S, reactor.stop)
     reactor.callWhenRunning(PEER_KINDS[peer_kind], settings)
