--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -30,7 +30,7 @@
     factory: "ClientFactory"
 
     def __init__(self) -> None:
-        self.receipt = b""
+        self.response = b""
 
     def connectionMade(self) -> None:
         """Request the flow."""
@@ -41,11 +41,11 @@
     def lineReceived(self, line: bytes) -> None:
         """Handle the response to the request, or a later line."""
         generator = self.factory.generator
-        if self.receipt:
+        if self.response:
             generator.line_received(self, line)
             return
-        self.receipt = line
-        generator.receipt_received(self, (time.monotonic() - self.requested_at) * 1000)
+        self.response = line
+        generator.response_received(self, (time.monotonic() - self.requested_at) * 1000)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Tell the load generator that the flow has ended."""
@@ -117,9 +117,9 @@
             key = f"{self.rng.getrandbits(KEY_BITS):x}"
         return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_TIMEOUT_MS}".encode()
 
-    def receipt_received(self, client: Client, setup_ms: float) -> None:
+    def response_received(self, client: Client, setup_ms: float) -> None:
         """Handle the response to a request, a receipt or a rejection, which came after `setup_ms`."""
-        if not client.receipt.startswith(b"UP"):
+        if not client.response.startswith(b"UP"):
             self.rejected += 1
             client.close()
             return
@@ -171,7 +171,7 @@
     def connection_lost(self, client: Client | None) -> None:
         """Handle the end of a connection; `client` is None for one that could not be made."""
         self.connections -= 1
-        if client is None or not client.receipt:
+        if client is None or not client.response:
             self.failed += 1
         if client is not None:
             self.established.discard(client)
