--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -82,11 +82,11 @@
         self.report = report
         self.rng = random.Random(settings.seed)
         self.flow_numbers = itertools.count()
-        self.name = f"{settings.seed:x}x"  # prefix of the flows' ids
+        self.flow_id_prefix = f"{settings.seed:x}x"
         self.key_weights = list(itertools.accumulate(1 / rank for rank in range(1, KEY_COUNT + 1)))
         self.factory = ClientFactory(self)
         self.opened = 0
-        self.connections = 0
+        self.connection_count = 0
         self.rejected = 0
         self.failed = 0
         self.migrated = 0
@@ -106,7 +106,7 @@
 
     def _open_flow(self) -> None:
         self.opened += 1
-        self.connections += 1
+        self.connection_count += 1
         reactor.connectTCP(LOOPBACK, self.settings.port, self.factory, timeout=CONNECT_TIMEOUT_S)
 
     def next_request(self) -> bytes:
@@ -115,7 +115,9 @@
             key = f"k{self.rng.choices(range(KEY_COUNT), cum_weights=self.key_weights)[0]}"
         else:
             key = f"{self.rng.getrandbits(KEY_BITS):x}"
-        return f"OPEN {self.name}{next(self.flow_numbers):x} {key} c=live,d={FLOW_TIMEOUT_MS}".encode()
+        return (
+            f"OPEN {self.flow_id_prefix}{next(self.flow_numbers):x} {key} c=live,d={FLOW_TIMEOUT_MS}".encode()
+        )
 
     def response_received(self, client: Client, setup_ms: float) -> None:
         """Handle the response to a request, a receipt or a rejection, which came after `setup_ms`."""
@@ -170,7 +172,7 @@
 
     def connection_lost(self, client: Client | None) -> None:
         """Handle the end of a connection; `client` is None for one that could not be made."""
-        self.connections -= 1
+        self.connection_count -= 1
         if client is None or not client.response:
             self.failed += 1
         if client is not None:
@@ -182,7 +184,7 @@
             self._open_flow()
         elif self.settings.hold_s:
             self._check_all_established()
-        elif not self.connections:
+        elif not self.connection_count:
             self.ended_at = time.monotonic()
             self._finish()
 
