--- a/benchmarks/endpoint_list_stub.py
+++ b/benchmarks/endpoint_list_stub.py
@@ -17,7 +17,7 @@
 class EndpointListConnection(LineConnection):
     """Serves the endpoint list over HTTP: the complete list first, then updates without any changes."""
 
-    factory: "EndpointList"
+    factory: "EndpointListServer"
 
     def lineReceived(self, line: bytes) -> None:
         """Answer a request from its request line; headers are ignored."""
@@ -37,7 +37,7 @@
         self.connection.write(head + body)
 
 
-class EndpointList(protocol.ServerFactory):
+class EndpointListServer(protocol.ServerFactory):
     """Serves one endpoint list."""
 
     noisy = False
@@ -49,5 +49,5 @@
 
 def start_endpoint_list(settings: EndpointListSettings) -> EndpointListStarted:
     """Start to serve the endpoint list on a port that the system chooses."""
-    port = reactor.listenTCP(0, EndpointList(list(settings.hosts)), interface=LOOPBACK)
+    port = reactor.listenTCP(0, EndpointListServer(list(settings.hosts)), interface=LOOPBACK)
     return EndpointListStarted(port=port.getHost().port)
