--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -24,8 +24,8 @@
 from lotusroute.process_control.errors import ProcessControlError
 
 # The names of one counter each, the name in builds up to 964a6b3 first.
-SHARED_UPDATES = ("watch_taken", "shared_discovery_applied")
-RELAY_UPDATES = ("news_taken", "updates_applied")
+SHARED_UPDATE_COUNTERS = ("watch_taken", "shared_discovery_applied")
+RELAY_UPDATE_COUNTERS = ("news_taken", "updates_applied")
 
 Builds = Mapping[str, pathlib.Path]  # the checkout of each process, by its name
 Report = Callable[[str], None]
@@ -47,7 +47,7 @@
     token = fleet.highest_token()
     others = [name for name in fleet.builds if name != holder]
     for name in others:
-        fleet.wait_until_applied(name, SHARED_UPDATES)
+        fleet.wait_until_applied(name, SHARED_UPDATE_COUNTERS)
     report(f"lease: {holder} holds it with fencing token {token}; {' and '.join(others)} apply its list")
     fleet.stop(holder)
     wait_for(lambda: fleet.highest_token() > token, f"another process acquires the lease after {holder}")
@@ -81,7 +81,7 @@
             fleet.start_subscriber(name, build)
         for name in subscribers:
             _wait_for_updates(fleet, name, 0, "the snapshot")
-        applied = {name: fleet.running[name].counter(RELAY_UPDATES) for name in subscribers}
+        applied = {name: fleet.running[name].counter(RELAY_UPDATE_COUNTERS) for name in subscribers}
         fleet.publish_change()
         for name in subscribers:
             _wait_for_updates(fleet, name, applied[name], "the change")
@@ -91,7 +91,7 @@
 def _wait_for_updates(fleet: MixedFleet, name: str, applied: int, update: str) -> None:
     """Wait until a balancer has applied more than `applied` updates of the relays."""
     process = fleet.running[name]
-    wait_for(lambda: process.counter(RELAY_UPDATES) > applied, f"{name} applies {update}")
+    wait_for(lambda: process.counter(RELAY_UPDATE_COUNTERS) > applied, f"{name} applies {update}")
 
 
 def check_arrangement(title: str, builds: Builds, other: pathlib.Path) -> bool:
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -41,8 +41,8 @@
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
 }
-LEASE_ACQUIRED = ("lease held", "lease acquired")
-FENCING_TOKEN = ("fence", "fencing_token")
+LEASE_ACQUIRED_EVENTS = ("lease held", "lease acquired")
+FENCING_TOKEN_KEYS = ("fence", "fencing_token")
 
 Result = TypeVar("Result")
 
@@ -76,8 +76,8 @@
         return [
             int(record[key])
             for record in records
-            if record.get("event") in LEASE_ACQUIRED
-            for key in FENCING_TOKEN
+            if record.get("event") in LEASE_ACQUIRED_EVENTS
+            for key in FENCING_TOKEN_KEYS
             if key in record
         ]
 
@@ -154,13 +154,13 @@
         version = self.discovery.seq
         self.discovery.publish([{**entry, "block": version} for entry in self.discovery.entries])
 
-    def wait_until_applied(self, name: str, counter: Sequence[str]) -> None:
+    def wait_until_applied(self, name: str, counter_names: Sequence[str]) -> None:
         """Publish changes until a process has applied one that the lease holder sent."""
 
         def publish_and_check() -> bool:
             self.publish_change()
             time.sleep(APPLY_DELAY_S)
-            return self.running[name].counter(counter) > 0
+            return self.running[name].counter(counter_names) > 0
 
         wait_for(publish_and_check, f"{name} applies a list")
 
