--- a/benchmarks/loopback.py
+++ b/benchmarks/loopback.py
@@ -19,7 +19,7 @@
 class Options(TypedDict):
     """The command-line options."""
 
-    chosen: tuple[str, ...]
+    case_names: tuple[str, ...]
     quick: bool
     against: str | None
     rounds: int
@@ -28,14 +28,14 @@
     plot_file: str | None
 
 
-def select_cases(chosen: tuple[str, ...], quick: bool) -> list[str]:
+def select_cases(requested: tuple[str, ...], quick: bool) -> list[str]:
     """Return the names of the cases to run."""
     known = all_cases()
-    for name in chosen:
+    for name in requested:
         if name not in known:
             raise click.UsageError(f"there is no case '{name}'; --list prints the names of all cases")
-    if chosen:
-        return list(chosen)
+    if requested:
+        return list(requested)
     return list(QUICK_CASES if quick else known)
 
 
@@ -67,7 +67,9 @@
     epilog="Examples: python benchmarks/loopback.py --quick; python benchmarks/loopback.py "
     "--case idle-16 --against ../before --rounds 5 --plot out.png"
 )
-@click.option("--case", "chosen", multiple=True, help="Name of a case to run; may be repeated. Default: all.")
+@click.option(
+    "--case", "case_names", multiple=True, help="Name of a case to run; may be repeated. Default: all."
+)
 @click.option("--quick", is_flag=True, help="Run the six most informative cases, in about a minute.")
 @click.option("--against", type=click.Path(exists=True, file_okay=False), help="A checkout to compare with.")
 @click.option("--rounds", type=click.IntRange(1, 20), default=1, help="Number of runs of each case.")
@@ -84,7 +86,7 @@
 )
 def main(**options: Unpack[Options]) -> None:
     """Measure the balancer of this checkout on loopback: rejections, migrations and the cost of flows."""
-    names = select_cases(options["chosen"], options["quick"])
+    names = select_cases(options["case_names"], options["quick"])
     builds = {"other": pathlib.Path(options["against"]).resolve()} if options["against"] else {}
     builds["this"] = CHECKOUT
     if not options["as_json"]:
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -28,8 +28,10 @@
 from lotusroute.process_control.config_files import JsonValue
 
 SERVER_PROCESSES = 3  # the servers are divided among them
-CLIENT_PROCESSES = 3  # the clients are divided among them, if CONCURRENT flows or more are opened at a time
-CONCURRENT = 16
+CLIENT_PROCESSES = (
+    3  # the clients are divided among them from MULTI_PROCESS_CONCURRENCY on, else one runs all
+)
+MULTI_PROCESS_CONCURRENCY = 16  # flows that are opened at a time
 COUNTERS_DELAY_S = 0.5  # after the clients end, for the ends of connections to reach the balancer
 MAX_SETUP_US = 60_000_000  # the longest set-up time that the histogram can record
 HISTOGRAM_DIGITS = 3  # significant digits of recorded values
@@ -92,13 +94,13 @@
     def start_clients(self) -> list[PeerProcess]:
         """Start the clients, which begin to open flows immediately."""
         case = self.case
-        process_count = CLIENT_PROCESSES if case.concurrency >= CONCURRENT else 1
+        process_count = CLIENT_PROCESSES if case.concurrency >= MULTI_PROCESS_CONCURRENCY else 1
         processes = []
         for index in range(process_count):
             settings = ClientsSettings(
                 port=self.balancer.port,
-                flows=_part(case.flows, process_count, index),
-                concurrency=_part(case.concurrency, process_count, index),
+                flows=_even_part(case.flows, process_count, index),
+                concurrency=_even_part(case.concurrency, process_count, index),
                 seed=self.seed * 100 + index,
                 skewed=case.skewed,
                 hold_s=case.hold_s,
@@ -114,7 +116,7 @@
         return self.start_peer("clients", settings).read_message(ClientsResult).line_delays_ms
 
 
-def _part(total: int, parts: int, index: int) -> int:
+def _even_part(total: int, parts: int, index: int) -> int:
     """Return the part at `index` of a total that is divided as evenly as possible."""
     return total // parts + int(total % parts > index)
 
