--- a/benchmarks/regression.py
+++ b/benchmarks/regression.py
@@ -29,12 +29,12 @@
 SCORE_NOISE = 0.07  # by which a panel's score differs between two runs of one build
 RUN_TIMEOUT_S = 1_200.0
 OUTPUT_TAIL_LENGTH = 300  # characters of output in an error message
-DAY = re.compile(
+DAY_LINE = re.compile(
     r"^(?P<name>\S+)\s+G (?P<g>\d\.\d+)\s+floor \d\.\d+\s+top \d\.\d+.*?score \d\.\d+(?P<violations>.*)$",
     re.MULTILINE,
 )
-SCORE = re.compile(r"^score of the real nodes (\d\.\d+)", re.MULTILINE)
-GATE = re.compile(r"^GATE (passed|failed)(.*)$", re.MULTILINE)
+SCORE_LINE = re.compile(r"^score of the real nodes (\d\.\d+)", re.MULTILINE)
+GATE_LINE = re.compile(r"^GATE (passed|failed)(.*)$", re.MULTILINE)
 
 
 class BenchError(Exception):
@@ -46,7 +46,7 @@
     """One run of a panel."""
 
     score: float
-    days: dict[str, float]  # the figure G that the bench prints for each day
+    g_by_day: dict[str, float]  # the figure G that the bench prints for each day
     violations: list[str]  # violated rules and crashes of each day, and a failed gate
 
 
@@ -55,17 +55,17 @@
 
     >>> day = "zone  G 0.600  floor 0.5  top 0.9  score 0.25"
     >>> parse_output(f"{day}\\nscore of the real nodes 0.250 (the mean)")
-    PanelRun(score=0.25, days={'zone': 0.6}, violations=[])
+    PanelRun(score=0.25, g_by_day={'zone': 0.6}, violations=[])
     """
-    days = list(DAY.finditer(output))
-    score = SCORE.search(output)
+    days = list(DAY_LINE.finditer(output))
+    score = SCORE_LINE.search(output)
     if not days or score is None:
         shown = output.strip()[-OUTPUT_TAIL_LENGTH:] or "nothing"
         raise BenchError(f"no score in the output of the bench: {shown}")
     violations = [
         f"{day['name']}: {day['violations'].strip()}" for day in days if "BROKEN" in day["violations"]
     ]
-    gate = GATE.search(output)
+    gate = GATE_LINE.search(output)
     if gated and gate is None:
         raise BenchError("the output of the bench has a score, but no line that begins with GATE")
     if gate is not None and gate[1] == "failed":
@@ -248,8 +248,8 @@
     baseline = "none" if baseline_score is None else f"{baseline_score:.3f}"
     verdict = ", regressed" if regressed else ""
     print(f"{name}: {statistics.median(scores):.3f} of {scores}, baseline {baseline}{verdict}")
-    for day in runs[0].days:
-        print(f"  {day}: G {[run.days.get(day) for run in runs]}")
+    for day in runs[0].g_by_day:
+        print(f"  {day}: G {[run.g_by_day.get(day) for run in runs]}")
     for run in runs:
         for violation in run.violations:
             print(f"  violation {violation}")
--- a/benchmarks/sampled_days.py
+++ b/benchmarks/sampled_days.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-CONCURRENT_DAYS = 3  # each takes some 5 GB of memory
+DEFAULT_CONCURRENCY = 3  # each takes some 5 GB of memory
 START_INTERVAL_S = 2.0  # days that start at the same moment may end without output
 DAY_TIMEOUT_S = 900.0
 OUTPUT_TAIL_LENGTH = 200  # characters of output in the result of a day without figures
@@ -29,7 +29,7 @@
     r".*?score \d\.\d+(?P<violations>.*)$",
     re.MULTILINE,
 )
-BROKEN_RULE = re.compile(r"^RULE BROKEN .*$", re.MULTILINE)
+BROKEN_RULE_LINE = re.compile(r"^RULE BROKEN .*$", re.MULTILINE)
 
 
 class Day(NamedTuple):
@@ -82,7 +82,7 @@
     if line is None:
         shown = output.strip()[-OUTPUT_TAIL_LENGTH:] or "nothing printed"
         return DayResult(day, f"no figures in the output: {shown}")
-    rule = BROKEN_RULE.search(output)
+    rule = BROKEN_RULE_LINE.search(output)
     violation = rule[0] if rule else line["violations"].strip()
     return DayResult(day, violation, float(line["g"]), float(line["served"]), float(line["required"]))
 
@@ -118,7 +118,7 @@
     output_folder: pathlib.Path | None
 
 
-class Runner:
+class DayRunner:
     """Runs days with the given options; `run` may be called from several threads."""
 
     def __init__(self, options: Options) -> None:
@@ -175,7 +175,7 @@
         "--why", default="Drawn days of the standing test.", help="note in the journal entries"
     )
     parser.add_argument("--runs", type=int, default=1, help="runs of each day")
-    parser.add_argument("--concurrency", type=int, default=CONCURRENT_DAYS, help="days run at a time")
+    parser.add_argument("--concurrency", type=int, default=DEFAULT_CONCURRENCY, help="days run at a time")
     parser.add_argument("--output", type=pathlib.Path, help="folder to write the output of the bench to")
     hidden = argparse.SUPPRESS
     parser.add_argument("--plays", dest="runs", type=int, default=hidden, help=hidden)
@@ -207,7 +207,7 @@
 def main(arguments: list[str] | None = None) -> int:
     """Run the days; return 0 if none failed, 1 if one did. Exits with 2 on wrong use."""
     options = parse_arguments(arguments)
-    runner = Runner(options)
+    runner = DayRunner(options)
     results = []
     with concurrent.futures.ThreadPoolExecutor(options.concurrency) as pool:
         for result in pool.map(runner.run, options.days):
