--- a/benchmarks/slow_start_simulation.py
+++ b/benchmarks/slow_start_simulation.py
@@ -112,9 +112,11 @@
             Director(service_config._replace(instance_index=index), seed * 1_000 + index)
             for index in range(case.directors)
         ]
-        self.weights = [6.0 if case.skewed and index % 8 == 0 else 1.0 for index in range(case.directors)]
+        self.flow_weights = [
+            6.0 if case.skewed and index % 8 == 0 else 1.0 for index in range(case.directors)
+        ]
         self.now = 0.0
-        self.calls: list[ScheduledCall] = []  # a heap
+        self.scheduled_calls: list[ScheduledCall] = []  # a heap
         self.scheduled_count = 0
         self.last_id = 0  # of flows and clients
         self.attempts: dict[int, Attempt] = {}  # by flow id
@@ -126,7 +128,7 @@
     def schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call; calls at the same time are made in the order in which they were scheduled."""
         self.scheduled_count += 1
-        heapq.heappush(self.calls, ScheduledCall(self.now + delay, self.scheduled_count, call))
+        heapq.heappush(self.scheduled_calls, ScheduledCall(self.now + delay, self.scheduled_count, call))
 
     def run(self) -> None:
         """Run the simulation to its end."""
@@ -136,12 +138,12 @@
         )
         for director in range(len(self.directors)):
             self.decide(director, endpoints)
-        self.schedule(0.0, self._next_client)
+        self.schedule(0.0, self._start_next_client)
         self._schedule_replacements(names)
         if self.case.connection_storm:
-            self.schedule(STABILIZATION_MS + CONNECTION_STORM_MS, self._break_connections)
-        while self.calls and self.calls[0].due_at <= STABILIZATION_MS + OBSERVATION_MS:
-            scheduled = heapq.heappop(self.calls)
+            self.schedule(STABILIZATION_MS + CONNECTION_STORM_MS, self._reset_connections)
+        while self.scheduled_calls and self.scheduled_calls[0].due_at <= STABILIZATION_MS + OBSERVATION_MS:
+            scheduled = heapq.heappop(self.scheduled_calls)
             self.now = scheduled.due_at
             scheduled.call()
 
@@ -156,7 +158,9 @@
                 case events.Reject() | events.Abort():
                     self._retry(action)
                 case events.Migrate():
-                    self._close(action.id, events.ConnectionResult.CANCELLED, self.rng.uniform(50.0, 500.0))
+                    self._close_connection(
+                        action.id, events.ConnectionResult.CANCELLED, self.rng.uniform(50.0, 500.0)
+                    )
                 case events.SetTimer():
                     self.schedule(
                         action.delay, partial(self.decide, director, events.TimerFired(action.mark))
@@ -164,15 +168,15 @@
 
     # Clients
 
-    def _next_client(self) -> None:
+    def _start_next_client(self) -> None:
         flows_per_ms = FLOWS_PER_SERVER_PER_S * self.case.server_count / 1_000
-        self.schedule(self.rng.expovariate(flows_per_ms), self._next_client)
+        self.schedule(self.rng.expovariate(flows_per_ms), self._start_next_client)
         self.last_id += 1
         self._open_flow(self.last_id, 0)
 
     def _open_flow(self, client: int, retries: int) -> None:
         self.counters["requested"] += 1
-        director = self.rng.choices(range(len(self.directors)), self.weights)[0]
+        director = self.rng.choices(range(len(self.directors)), self.flow_weights)[0]
         self.last_id += 1
         flow = self.last_id
         self.attempts[flow] = Attempt(client, retries)
@@ -210,15 +214,15 @@
         self.counters["established"] += 1
         self.connections[flow] = Connection(director, server, client)
         self.decide(director, events.Established(flow, server))
-        self.schedule(self.rng.expovariate(1 / MEAN_LIFETIME_MS), partial(self._end, flow))
+        self.schedule(self.rng.expovariate(1 / MEAN_LIFETIME_MS), partial(self._end_connection, flow))
 
-    def _end(self, flow: int) -> None:
+    def _end_connection(self, flow: int) -> None:
         if flow in self.connections:
             connection = self.connections.pop(flow)
             ended = events.ConnectionEnded(flow, connection.server, True, events.ConnectionResult.OK)
             self.decide(connection.director, ended)
 
-    def _close(self, flow: int, result: events.ConnectionResult, reconnect_delay: float) -> None:
+    def _close_connection(self, flow: int, result: events.ConnectionResult, reconnect_delay: float) -> None:
         """End a connection; its client reconnects after the delay."""
         if flow in self.connections:
             connection = self.connections.pop(flow)
@@ -226,10 +230,10 @@
             self.decide(connection.director, ended)
             self.schedule(reconnect_delay, partial(self._open_flow, connection.client, 1))
 
-    def _break_connections(self) -> None:
+    def _reset_connections(self) -> None:
         for flow in list(self.connections):
             if self.rng.random() < 1 / 3:
-                self._close(flow, events.ConnectionResult.RESET, self.rng.uniform(50.0, 1_500.0))
+                self._close_connection(flow, events.ConnectionResult.RESET, self.rng.uniform(50.0, 1_500.0))
 
     # Servers
 
@@ -238,10 +242,10 @@
         count = max(1, round(replacement.server_fraction * len(names)))
         for index in range(count):
             offset = replacement.duration_ms * index / count if count > 1 else 0.0
-            replace = partial(self._replace, names[index], f"c{index}")
+            replace = partial(self._replace_server, names[index], f"c{index}")
             self.schedule(STABILIZATION_MS + offset, replace)
 
-    def _replace(self, old: str, new: str) -> None:
+    def _replace_server(self, old: str, new: str) -> None:
         self.started_at[new] = self.now
         self.connects[new] = []
         changes = (
@@ -254,5 +258,7 @@
             if connection.server == old:
                 closing_delay = self.rng.uniform(0.0, DRAIN_MS)
                 reconnect_delay = self.rng.uniform(50.0, 500.0)
-                close = partial(self._close, flow, events.ConnectionResult.CANCELLED, reconnect_delay)
+                close = partial(
+                    self._close_connection, flow, events.ConnectionResult.CANCELLED, reconnect_delay
+                )
                 self.schedule(closing_delay, close)
