--- a/benchmarks/loopback_cases.py
+++ b/benchmarks/loopback_cases.py
@@ -65,8 +65,8 @@
                 flows = max(100, min(2_000, int(8_000 * concurrency / (setup_ms + 2))))
                 cases.append(Case(name, (setup_ms,) * 8, spread, concurrency, flows))
     cases.append(Case("100ms-wild-16", (100.0,) * 8, "wild", 16, 1_200))
-    # Each server seeds a new generator, so all eight get the same set-up time. This is kept, because the
-    # figures in docs/performance.md were measured with this case.
+    # A new generator is seeded for each server, so all eight have the same set-up time. This is kept, because
+    # the figures in docs/performance.md were measured with this case.
     mixed = tuple(random.Random(1).choice((0.0, 1.0, 5.0, 20.0, 100.0)) for _ in range(8))
     for concurrency in (1, 16, 64):
         flows = 300 if concurrency == 1 else 1_500
--- a/benchmarks/loopback_report.py
+++ b/benchmarks/loopback_report.py
@@ -9,7 +9,7 @@
 import click
 
 COMPARED_FIGURES = ("cpu_ms_per_flow", "flows_per_second", "setup_ms_p50", "kb_per_connection", "line_ms")
-FAILURE_FIGURES = ("rejected", "lost", "migrated")  # 0 in a run without failures
+FAILURE_FIGURES = ("rejected", "lost", "migrated")  # all 0 in a good run
 PLOTS = {
     "cpu_ms_per_flow": "CPU per flow, ms",
     "setup_ms_p50": "set-up, median ms",
@@ -68,7 +68,7 @@
 
 
 def compute_ratios(this_rounds: Sequence[Figures], other_rounds: Sequence[Figures]) -> dict[str, Ratio]:
-    """Return the ratio of each compared figure, over the rounds in which it is not 0 in either build."""
+    """Return the ratio of each compared figure, over the rounds in which it is not 0 for either build."""
     ratios = {}
     for name in COMPARED_FIGURES:
         pairs = [
--- a/benchmarks/loopback_run.py
+++ b/benchmarks/loopback_run.py
@@ -28,10 +28,8 @@
 from lotusroute.process_control.config_files import JsonValue
 
 SERVER_PROCESSES = 3  # the servers are divided among them
-CLIENT_PROCESSES = (
-    3  # the clients are divided among them from MULTI_PROCESS_CONCURRENCY on, else one runs all
-)
-MULTI_PROCESS_CONCURRENCY = 16  # flows that are opened at a time
+CLIENT_PROCESSES = 3  # the clients are divided among them, or run in one process if fewer are concurrent
+MULTI_PROCESS_CONCURRENCY = 16  # the lowest concurrency with which clients run in CLIENT_PROCESSES processes
 COUNTERS_DELAY_S = 0.5  # after the clients end, for the ends of connections to reach the balancer
 MAX_SETUP_US = 60_000_000  # the longest set-up time that the histogram can record
 HISTOGRAM_DIGITS = 3  # significant digits of recorded values
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -23,7 +23,7 @@
 
 from lotusroute.process_control.errors import ProcessControlError
 
-# The names of one counter each, the name in builds up to 964a6b3 first.
+# Each tuple holds the names of one counter, the name in builds up to 964a6b3 first.
 SHARED_UPDATE_COUNTERS = ("watch_taken", "shared_discovery_applied")
 RELAY_UPDATE_COUNTERS = ("news_taken", "updates_applied")
 
@@ -32,7 +32,7 @@
 
 
 def check_leases(builds: Builds, report: Report) -> None:
-    """Check changes of the lease holder, the shared endpoint list, and a restart on state of both builds."""
+    """Check that each build holds the lease and shares the list, and that this one starts on all states."""
     with run_mixed_fleet(builds) as fleet:
         for name in builds:
             fleet.start_balancer(name)
@@ -55,7 +55,7 @@
 
 
 def _check_restart(fleet: MixedFleet, report: Report) -> None:
-    """Check that this build starts on all state folders, and that its first fencing token is higher."""
+    """Check that this build starts on all state folders, and that its fencing token is higher."""
     token = fleet.highest_token()
     fleet.stop_all()
     fleet.builds = dict.fromkeys(fleet.builds, CHECKOUT)
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -83,9 +83,7 @@
 
     def counter(self, names: Sequence[str]) -> int:
         """Return the value of the counter that has one of these names; 0 if it was never incremented."""
-        self.wait_for_line(
-            ""
-        )  # once it has logged a line, the process handles the signal to log its counters
+        self.wait_for_line("")  # a process that has logged a line handles the signal for its counters
         counters = self.counters()
         return sum(counters.get(name, 0) for name in names)
 
--- a/benchmarks/peer_messages.py
+++ b/benchmarks/peer_messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowPeriod:
-    """The period, in seconds from its start, in which one server takes ten times as long to set up a flow."""
+    """When one server takes ten times as long to set up a flow, in seconds from the start of the server."""
 
     server: int  # its index in the process
     start_s: float
