--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,7 @@
-"""One process of peers for the loopback benchmark: servers, the endpoint list, or clients.
+"""Runs peers of one kind for the loopback benchmark: servers, the endpoint list, or clients.
 
-Peers run in processes of their own, so that their CPU time is not counted as the balancer's. They use nothing
-of the balancer but its reactor, connect on loopback only, and end with the process that started them.
+Peers run in separate processes, so that their CPU time does not count as the balancer's. Of the balancer's
+code they use only the reactor. They connect on loopback only, and end with the process that started them.
 
     python benchmarks/peers.py servers '{"setups_ms": [1, 1], "spread": "light", "seed": 1}'
     python benchmarks/peers.py clients '{"port": 9000, "flows": 100, "concurrency": 4, "seed": 1}'
@@ -20,9 +20,9 @@
 
 from lotusroute.net.reactor import reactor
 
-MAX_LIFETIME_S = 300.0  # of a process, also where its parent does not end it
+MAX_LIFETIME_S = 300.0  # after which a process ends even if its parent has not ended it
 PARENT_CHECK_INTERVAL_S = 1.0
-WRONG_USE = 2  # exit code
+EXIT_WRONG_USE = 2
 
 
 def report(message: Message) -> None:
@@ -45,7 +45,7 @@
     LoadGenerator(ClientsSettings.from_json(settings), report).start()
 
 
-PEERS: dict[str, Callable[[str], None]] = {
+PEER_KINDS: dict[str, Callable[[str], None]] = {
     "servers": serve_servers,
     "list": serve_endpoint_list,
     "clients": run_clients,
@@ -53,19 +53,19 @@
 
 
 def stop_if_orphaned(parent: int) -> None:
-    """Stop where the parent process has ended."""
+    """Stop the reactor if the parent process has ended."""
     if os.getppid() != parent:
         reactor.stop()
 
 
 def main() -> int:
-    """Run the peers that the arguments name up to their end; returns the exit code."""
-    if len(sys.argv) != 3 or sys.argv[1] not in PEERS:
-        print(f"peers.py: give one of {', '.join(PEERS)}, and its settings as JSON", file=sys.stderr)
-        return WRONG_USE
-    _, peers, settings = sys.argv
+    """Run the kind of peers that the arguments name until they end, and return the exit code."""
+    if len(sys.argv) != 3 or sys.argv[1] not in PEER_KINDS:
+        print(f"peers.py: give one of {', '.join(PEER_KINDS)}, then its settings as JSON", file=sys.stderr)
+        return EXIT_WRONG_USE
+    _, peer_kind, settings = sys.argv
     reactor.callLater(MAX_LIFETIME_S, reactor.stop)
-    reactor.callWhenRunning(PEERS[peers], settings)
+    reactor.callWhenRunning(PEER_KINDS[peer_kind], settings)
     task.LoopingCall(stop_if_orphaned, os.getppid()).start(PARENT_CHECK_INTERVAL_S)
     reactor.run()
     return 0
