--- a/lotusroute/net/admission.py
+++ b/lotusroute/net/admission.py
@@ -16,9 +16,13 @@
 RESERVED_SOCKETS_DIVISOR = 8
 MIN_RESERVED_SOCKETS = 64
 SOCKETS_PER_FLOW = 2  # the client's connection and the server's
-BASE_MEMORY_MB = 32  # used by the process without flows
-MEMORY_PER_FLOW_MB = 1 / 16  # for the data buffered on both sides and the flow's objects
-MAX_BACKLOG = 4096  # queued events above which new flows are rejected
+# Memory of the process without flows: the program takes 24 MB, and the interpreter's memory grows over time.
+BASE_MEMORY_MB = 32
+# Memory of a flow: its objects, and the data that is buffered on both sides, read or still to be written.
+MEMORY_PER_FLOW_MB = 1 / 16
+# Number of queued events above which new flows are rejected. Handling this many takes about 100 ms, by which
+# a new flow would be delayed.
+MAX_BACKLOG = 4096
 # How long after the balancer's start existing connections are accepted; a later request that claims to be one
 # is forged.
 EXISTING_ACCEPT_WINDOW_MS = 60_000.0
@@ -67,7 +71,11 @@
         self._closed = True
 
     def evaluate(self, request: OpenRequest) -> AdmissionResult:
-        """Decide whether to accept a request; existing connections are accepted even at capacity."""
+        """Decide whether to accept a request.
+
+        Existing connections are accepted even at capacity: they use no more capacity than they used before
+        the balancer was restarted.
+        """
         if not self._is_valid(request):
             return AdmissionResult.MALFORMED
         if request.existing_server and self._loop.clock() > self._started_at + EXISTING_ACCEPT_WINDOW_MS:
@@ -82,8 +90,9 @@
     def _is_valid(self, request: OpenRequest) -> bool:
         """Return whether a server could serve the request.
 
-        An id that is already in use is rejected here: a server would answer ERR to the healthy flow with the
-        same id, and that answer would count as a failure of the server.
+        An id that is already in use, sent again by another client, is rejected here: a server would answer
+        ERR to the healthy flow with the same id. Each such answer counts as a failure of the server, and two
+        in a row eject it.
         """
         tenants = self._config.tenants
         if request.service_type not in self._config.service.service_types:
--- a/lotusroute/net/connection_monitor.py
+++ b/lotusroute/net/connection_monitor.py
@@ -17,10 +17,13 @@
 from lotusroute.net.upstream_events import ReplyTimed
 from lotusroute.routing import events
 
+# Time between two checks. Whether a server is slow is judged by its reply delays since the last check.
 CHECK_INTERVAL_MS = 1_000.0
-# A server that owes a reply counts as unresponsive once it has sent nothing for this long.
+# A server that owes a reply counts as unresponsive once it has sent nothing for this long. Healthy servers
+# reply at once, and clients wait for a reply for at most 7 s.
 UNRESPONSIVE_TIMEOUT_MS = 2_500.0
-# A client that has sent lines before counts as idle once it has sent none for this long.
+# A client that has sent lines before counts as idle once it has sent none for this long. Such clients usually
+# send a line every 2 s.
 IDLE_CLIENT_TIMEOUT_MS = 60_000.0
 
 
@@ -45,8 +48,10 @@
         self._endings = endings
         self._decide = decide
         self._slow_latency_threshold = slow_latency_threshold
-        self._reply_delays: dict[str, list[float]] = {}  # by server; measured since the last check
-        self._slow_servers: set[str] = set()  # reported as slow, and not yet as recovered
+        # The reply delays that were measured since the last check, by server.
+        self._reply_delays: dict[str, list[float]] = {}
+        # The servers that were reported as slow and not yet as recovered.
+        self._slow_servers: set[str] = set()
 
     def start(self) -> None:
         """Schedule the next check."""
--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -22,10 +22,17 @@
 from lotusroute.net.structured_log import log_event
 from lotusroute.net.upstream_attempt import UpstreamAttempt
 
-FIRST_LINE_TIMEOUT_S = 2.0  # from connecting to a complete first line; the protocol allows 3 s
-MAX_HEALTH_CHECKS = 16  # on one connection; the front end sends one
-LINGER_TIMEOUT_S = 1.0  # the time that the protocol gives a client to close after its last line
-MAX_DISCARDED_BYTES = 16_384  # read and discarded after the balancer's last line; beyond it, reading stops
+# Longest time from connecting to a complete first line. The protocol requires that a connection on which no
+# first line arrives is closed within 3 s.
+FIRST_LINE_TIMEOUT_S = 2.0
+# Largest number of health checks (PING) on one connection. The front end sends one; an endless sequence of
+# them would use up CPU time.
+MAX_HEALTH_CHECKS = 16
+# Time for a client to close its connection after the balancer's last line. The protocol requires that
+# connections end within 1 s.
+LINGER_TIMEOUT_S = 1.0
+# Number of bytes that are read and discarded after the balancer's last line; beyond it, reading stops.
+MAX_DISCARDED_BYTES = 16_384
 
 
 class RequestReceived(NamedTuple):
@@ -33,7 +40,7 @@
 
     connection: "DownstreamConnection"
     request: OpenRequest
-    received_at: float  # by the event loop's clock
+    received_at: float  # the time of the event loop's clock at which the line was read
 
     @property
     def flow_number(self) -> int:
@@ -52,7 +59,8 @@
 
     enqueue: Callable[[object], None]  # accepts the events defined in this module
     clock: Callable[[], float]
-    ready: Callable[[], bool]  # returns whether flows can be served, which answers a health check
+    # Returns whether flows can be served. A health check is answered PONG if so, else BUSY.
+    ready: Callable[[], bool]
     counters: Counter[str]
 
     def admit(self, connection: "DownstreamConnection") -> None:
@@ -75,8 +83,8 @@
     """One connection from a client or from the front end."""
 
     factory: ConnectionManager  # type: ignore[assignment]  # Twisted declares any factory, or none
-    # The protocol has clients wait for their answer. Data that they send before is read all the same, since a
-    # disconnect goes unnoticed behind unread data.
+    # Limit on the data that a client sends before its answer, although the protocol has clients wait for it.
+    # Such data is read all the same, because a disconnect goes unnoticed behind unread data.
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
@@ -99,7 +107,8 @@
         """Read lines, or discard what arrives after the final answer."""
         self.read_count += 1
         if self.upstream is None and self.answered:
-            # If this data were buffered, the buffer would grow without limit.
+            # If this data were buffered, a client that sends 60 MB would let the buffer grow to 60 MB, and
+            # each read would copy the whole buffer.
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.transport.pauseProducing()
@@ -147,7 +156,8 @@
             super().buffer_overflowed()
             return
         self.factory.counters["early_data_overflows"] += 1
-        self.disconnected = True  # for the handler of the request, which may still be queued
+        # The request may still be queued; its handler ignores a client that has disconnected.
+        self.disconnected = True
         self.reject_malformed()
         self._report_closed()
 
@@ -266,13 +276,18 @@
         self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Close the connection if it has no flow, freeing its descriptor in this iteration of the reactor."""
+        """Close the connection if it has no flow, freeing its descriptor in this iteration of the reactor.
+
+        If it were freed in the next iteration, a connection storm would by then have taken the descriptors
+        that flows need.
+        """
         if not self.answered:
             if self._has_requested_flow():
                 return
             self.transport.writeSomeData(BUSY + LINE_END)
         elif self.has_unsent_data():
-            # The last line, perhaps a MOVE, is still to be written; the connection lingers only briefly.
+            # The last line, perhaps a MOVE, is still to be written. The connection lingers for at most
+            # `LINGER_TIMEOUT_S`.
             return
         self.factory.counters["idle_connections_evicted"] += 1
         self.transport.connectionLost(Failure(error.ConnectionDone()))
--- a/lotusroute/net/draining.py
+++ b/lotusroute/net/draining.py
@@ -12,7 +12,7 @@
 from lotusroute.net.flow import ActiveFlow
 from lotusroute.net.reasons import MigrationReason
 
-MIGRATION_INTERVAL_MS = 50.0  # between batches
+MIGRATION_INTERVAL_MS = 50.0  # the time between two batches of migrations
 
 
 class DrainStep(NamedTuple):
@@ -30,8 +30,9 @@
     def migrate_batch(self, candidates: list[ActiveFlow], time_left: float, reason: MigrationReason) -> None:
         """Migrate the share of the candidates that is needed to migrate all of them within `time_left`.
 
-        A fractional batch size is rounded up or down at random: if each of hundreds of balancers rounded it
-        up, they would migrate most clients in the first step.
+        A fractional batch size is rounded up or down at random. If 200 balancers with one or two clients of a
+        draining server each rounded it up, they would migrate most clients in the first step, as a connection
+        storm.
         """
         batch_size = len(candidates) / max(1.0, time_left / MIGRATION_INTERVAL_MS)
         for flow in candidates[: int(batch_size + self._rng.random())]:
@@ -54,7 +55,8 @@
     def migrate_clients(self, now: float) -> None:
         """Migrate the next batch of each draining server's clients."""
         for server, deadline in self._endpoints.drain_deadlines.items():
-            # Looked up for each server: migrating one server's clients changes the table.
+            # The table is read again for each server, because migrating one server's clients changes it. A
+            # lookup shared by two servers that drain at once could leave no candidates to the second.
             candidates = [
                 flow for flow in self._flow_table.established() if flow.established_upstream.server == server
             ]
--- a/lotusroute/net/existing_connections.py
+++ b/lotusroute/net/existing_connections.py
@@ -13,10 +13,14 @@
 from lotusroute.net.reasons import AnswerReason
 from lotusroute.routing.events import NEVER_RAN, ConnectionResult, Idempotency
 
-# Below the 40 s after its request at which the protocol counts an existing connection as lost.
+# Longest time from a request until its existing connection is given up. The protocol counts the connection as
+# lost after 40 s.
 EXISTING_TIMEOUT_MS = 35_000.0
-EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0  # long, as servers are busiest just after a balancer's start
-EXISTING_RETRY_BACKOFF_MS = 1_000.0  # multiplied by the number of attempts so far
+# Time for a server to take an existing connection back. It is long because servers are busiest just after a
+# balancer's start.
+EXISTING_ATTEMPT_TIMEOUT_MS = 8_000.0
+# Backoff before the next attempt. It is multiplied by the number of attempts so far.
+EXISTING_RETRY_BACKOFF_MS = 1_000.0
 
 
 class RetryExisting(NamedTuple):
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -18,7 +18,7 @@
 from lotusroute.net.upstream_attempt import UpstreamAttempt
 from lotusroute.routing import events
 
-MIN_SEND_GRACE_MS = 50.0  # the protocol extends every time limit by this
+MIN_SEND_GRACE_MS = 50.0  # the protocol extends every time limit by this, also a drain grace of 0
 
 
 @dataclass(slots=True, eq=False)
@@ -28,10 +28,12 @@
     number: int
     request: OpenRequest
     service_type: events.ServiceType
-    deadline: float  # by which the client has to be answered
+    deadline: float  # the time by which the client has to be answered
     downstream: DownstreamConnection
-    upstream: UpstreamAttempt | None = None  # the attempt in flight, or the established one
-    timer: DelayedCall | None = None  # of the attempt, or of the close grace after the client has left
+    # The attempt in flight, or the established one; a flow has at most one at a time.
+    upstream: UpstreamAttempt | None = None
+    # The timer of the attempt or, once the client of an established flow has left, of the close grace.
+    timer: DelayedCall | None = None
     established: bool = False
     client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is connected
     reconnect_attempts: int = 0  # attempts of an existing connection
@@ -42,7 +44,9 @@
     def record_attempt_result(self, result: events.ConnectionResult) -> None:
         """Record how an attempt ended.
 
-        Once an attempt may have run the flow, the results of later attempts do not make a retry safe again.
+        Once an attempt may have run the flow, the results of later attempts do not make a retry safe again. A
+        shutdown that considered only the attempt in flight would tell clients that a retry is safe when it is
+        not.
         """
         if result not in events.NEVER_RAN and self.may_have_run_since is None:
             self.may_have_run_since = self.attempt_started_at
--- a/lotusroute/net/flow_attempts.py
+++ b/lotusroute/net/flow_attempts.py
@@ -46,7 +46,8 @@
     def start(self, flow: ActiveFlow, server: str, deadline: float) -> None:
         """Start an attempt that must be established by `deadline`."""
         if flow.downstream.has_disconnected():
-            # The client's disconnect may have been unread until now, behind lines that it sent early.
+            # When an earlier attempt failed, the client's disconnect may still have been unread behind lines
+            # that it sent early. Without this check, the next attempt would start.
             self.withdraw(flow)
             return
         now = self._clock()
@@ -123,8 +124,8 @@
     def cancel_unavailable(self) -> None:
         """Cancel attempts that are still connecting to servers that no longer accept new flows.
 
-        Such an attempt might connect only after the drain grace. Attempts of existing connections continue:
-        those return to their own server even if it drains.
+        Such an attempt might connect, and write its first line, only after the drain grace. Attempts of
+        existing connections continue: those return to their own server even if it drains.
         """
         for flow in list(self._flow_table):
             attempt = flow.upstream
--- a/lotusroute/net/flow_endings.py
+++ b/lotusroute/net/flow_endings.py
@@ -16,7 +16,7 @@
 from lotusroute.net.upstream_events import AttemptStage
 from lotusroute.routing import events
 
-SERVER_CLOSE_GRACE_MS = 2_000.0  # the time for a server to close a connection whose client has left
+SERVER_CLOSE_GRACE_MS = 2_000.0  # time for a server to close a connection whose client has left
 
 
 class CloseGraceExpired(NamedTuple):
@@ -43,7 +43,8 @@
         if not flow.established:
             self._attempts.withdraw(flow)
         elif not flow.client_left_at:
-            # Time limit, since a server that has disappeared never closes the connection.
+            # The server usually closes the connection now. One that has disappeared never does, so the time
+            # for it is limited.
             flow.client_left_at = self._loop.clock()
             flow.timer = self._loop.call_later(SERVER_CLOSE_GRACE_MS, CloseGraceExpired(flow.number))
 
@@ -86,7 +87,7 @@
         for flow in list(self._flow_table):
             attempt = flow.upstream
             if flow.established or (attempt is not None and attempt.stage == AttemptStage.ESTABLISHED):
-                continue  # established, or its receipt is queued
+                continue  # the flow is established, or its receipt is queued
             if attempt is not None:
                 flow.record_attempt_result(attempt.abort())
             answer = flow.final_rejection(self._answers.busy_line(SHUTDOWN_RETRY_AFTER_MS))
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -1,6 +1,7 @@
 """The flows in flight, by number, and the client ids that are in use.
 
-Owns both. An id counts as in use for a while after its flow has ended, because servers may still use it.
+Owns both. An id counts as in use for a while after its flow has ended, because servers keep an id as long as
+any of their clients may use it.
 Times are milliseconds.
 """
 
@@ -13,7 +14,7 @@
 from lotusroute.routing.events import ServiceType
 
 CLOSED_FLOW_ID_TTL_MS = 60_000.0  # how long servers may still use the id of an ended flow
-MAX_CLOSED_FLOW_IDS = 20_000
+MAX_CLOSED_FLOW_IDS = 20_000  # these take about 5 MB
 
 
 class FlowTable:
@@ -22,10 +23,13 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._flows: dict[int, ActiveFlow] = {}
-        self._ids: set[str] = set()  # of the requests of flows in flight and of those in `_closed`
-        self._closed: deque[tuple[float, str]] = deque()  # end times and ids of ended flows, the oldest first
+        # The request ids of the flows in flight and of the ended flows in `_closed`.
+        self._ids: set[str] = set()
+        # The end times and request ids of recently ended flows, the oldest first.
+        self._closed: deque[tuple[float, str]] = deque()
         self._last_number = 0
-        # The dict's own method: it is called for every event, and a wrapper would add overhead.
+        # This is the dict's own method, because it is called for every event and a wrapper would cost one
+        # more call each time.
         self.get: Callable[[int], ActiveFlow | None] = self._flows.get
 
     def __len__(self) -> int:
--- a/lotusroute/net/line_protocol.py
+++ b/lotusroute/net/line_protocol.py
@@ -18,11 +18,12 @@
 
 from lotusroute.net.structured_log import log_exception
 
-MAX_LINE_LENGTH = 4096  # with the line ending; set by the protocol
-# The most that is read at once, and that may wait to be written. With Twisted's 64 KiB, a balancer at its
-# limit of connections would exceed its memory.
+# Longest line, including its line ending. The protocol sets this limit.
+MAX_LINE_LENGTH = 4096
+# Largest amount of data that is read at once, and that may wait to be written. With Twisted's 64 KiB in each
+# direction, a balancer at its limit of connections would take 90 MB and exceed its memory.
 SOCKET_BUFFER_BYTES = 8_192
-MAX_COMMAND_LENGTH = 12  # only this much of a line is searched for its command
+MAX_COMMAND_LENGTH = 12  # a command is looked for in this much of a line; the longest command has 4 bytes
 
 PING = b"PING"
 PONG = b"PONG"
@@ -34,7 +35,8 @@
 ERR = b"ERR"
 LOAD = b"LOAD"
 LINE_END = b"\r\n"
-RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")  # a server's receipt as a complete line
+# A server's receipt as a complete line. Only a line that matches it means that a server has accepted a flow.
+RECEIPT = re.compile(rb"UP [!-~][ -~]*\r\n")
 
 
 def command_of(line: memoryview) -> bytes:
@@ -52,10 +54,10 @@
 
     transport: Any  # a TCP transport; the interface that Twisted declares lacks TCP's methods
     MAX_LENGTH = MAX_LINE_LENGTH
-    MAX_BUFFERED = MAX_LINE_LENGTH  # the most that may arrive while lines are buffered
-    buffering = False  # while set, lines are buffered instead of passed on; the socket is still read
-    read_closed = False  # the other end has stopped sending
-    write_closed = False  # this end has stopped sending
+    MAX_BUFFERED = MAX_LINE_LENGTH  # largest amount of data that may arrive while lines are buffered
+    buffering = False  # whether lines are buffered instead of passed on; the socket is still read
+    read_closed = False  # whether the other end has stopped sending
+    write_closed = False  # whether this end has stopped sending
 
     def connectionMade(self) -> None:
         """Set the options of the socket and the transport."""
@@ -119,8 +121,8 @@
     def write_now(self, data: bytes) -> bytes:
         """Write as much as the socket takes at once and return the rest.
 
-        Nothing is written while the transport has unsent data. Leaving a small write to the reactor would
-        cost one more iteration and two epoll calls.
+        Nothing is written while the transport has unsent data. Leaving each small write to the reactor would
+        cost one more iteration and two epoll calls, a third of the latency of a line.
         """
         transport = self.transport
         if not transport.connected or self.has_unsent_data():
--- a/lotusroute/net/listener.py
+++ b/lotusroute/net/listener.py
@@ -15,7 +15,9 @@
 from lotusroute.net.downstream import DownstreamConnection
 from lotusroute.net.line_protocol import BUSY
 
-ACCEPTS_PER_ITERATION = 16  # of the reactor, so that it serves all other sockets in between
+# Largest number of connections that are accepted in one iteration of the reactor. All other sockets are
+# served in between, so that a connection storm shares the CPU with them.
+ACCEPTS_PER_ITERATION = 16
 # Descriptors reserved for discovery, the log and the reactor: the process's limit divided by the divisor, but
 # at least the minimum.
 RESERVED_DESCRIPTOR_DIVISOR = 16
@@ -40,8 +42,8 @@
         self.clock = clock
         self.ready = ready
         self.counters = counters
-        self.connections: set[DownstreamConnection] = set()  # open; removed when closed
-        self.idle: dict[DownstreamConnection, None] = {}  # those without a flow, the oldest first
+        self.connections: set[DownstreamConnection] = set()  # all open connections
+        self.idle: dict[DownstreamConnection, None] = {}  # open connections without a flow, the oldest first
         self.descriptor_limit = 1
         self.set_descriptor_limit(sockets)
 
@@ -53,7 +55,8 @@
     def admit(self, connection: DownstreamConnection) -> None:
         """Admit a new connection, or reject it if no descriptor is free.
 
-        Idle connections are evicted for it, because it may request a flow.
+        Idle connections are evicted for it, because it may request a flow. Without the eviction, hundreds of
+        connections that send nothing would cause ordinary clients to be rejected.
         """
         self.connections.add(connection)
         self.idle[connection] = None
@@ -119,7 +122,8 @@
     """The listening socket, which accepts only a few connections in each iteration of the reactor.
 
     Twisted adapts this number to the load: after a burst it would accept hundreds of connections, more than
-    there are descriptors for, before reading the first.
+    there are descriptors for, before reading the first, and ordinary clients' connections would have to be
+    closed unread.
     """
 
     @property
--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -34,11 +34,11 @@
     tenant: str | None
     group: str | None
     key: str | None
-    timeout: float  # within which the client has to be answered
+    timeout: float  # the time within which the client has to be answered
     reconnecting: bool
-    existing_server: str | None  # that the client was connected to before this balancer started
+    existing_server: str | None  # the server that the client was connected to before this balancer started
     line_before_timeout: bytes  # the line up to the value of the timeout
-    line_after_timeout: bytes  # the rest of the line behind that value
+    line_after_timeout: bytes  # the line behind the value of the timeout
 
     def rewritten(self, timeout: float) -> bytes:
         """Return the line to send to a server that has `timeout` to answer."""
@@ -75,7 +75,7 @@
 class _Parameters(NamedTuple):
     by_name: dict[bytes, str]
     timeout_start: int  # position in the line at which the value of the timeout starts
-    timeout_end: int  # position just behind that value
+    timeout_end: int  # position in the line just behind the value of the timeout
 
 
 def _parse_parameters(text: bytes, start: int) -> _Parameters:
--- a/lotusroute/net/reasons.py
+++ b/lotusroute/net/reasons.py
@@ -10,17 +10,20 @@
     """What ended an attempt, or the connection that it established."""
 
     CONNECT_FAILED = "connect failed"
-    NOT_SENT = "not sent"  # once connected, the client's line was no longer allowed to be sent
-    ANSWERED = "server answered"  # with a line other than a receipt
+    # When the attempt connected, the client's line was no longer allowed to be sent.
+    NOT_SENT = "not sent"
+    # The server answered the first line with something other than a receipt.
+    ANSWERED = "server answered"
     SERVER_CLOSED = "server closed"
-    CONNECTION_LOST = "connection lost"  # reset, or broken in another way
+    CONNECTION_LOST = "connection lost"  # the connection was reset, or broken in another way
     LINE_TOO_LONG = "line too long"
     CLIENT_LEFT = "client left"
     TIMED_OUT = "timed out"
     SERVER_DRAINS = "server drains"
     UNRESPONSIVE = "server unresponsive"
     MIGRATED = "client migrated"
-    CLOSE_GRACE_EXPIRED = "close grace expired"  # the server does not close though the client has left
+    # The client has left, and the server has not closed the connection in time.
+    CLOSE_GRACE_EXPIRED = "close grace expired"
 
 
 class MigrationReason(StrEnum):
--- a/lotusroute/net/request_admission.py
+++ b/lotusroute/net/request_admission.py
@@ -13,9 +13,13 @@
 from lotusroute.routing import events
 
 DEADLINE_MARGIN_MS = 40.0  # a flow is answered this long before its timeout, to allow for a busy core
-MAX_DEADLINE_MARGIN_FRACTION = 0.25  # of the client's timeout, so that a short one leaves time to serve
+# Largest part of the client's timeout that the margin may take, so that a short timeout leaves time to serve
+# the flow.
+MAX_DEADLINE_MARGIN_FRACTION = 0.25
+# Retry-After for a flow that finds no capacity. Some connections end every second, which frees capacity.
 CAPACITY_RETRY_AFTER_MS = 1_000.0
-SHUTDOWN_RETRY_AFTER_MS = 400.0  # by then the front end sends clients to other balancers only
+# Retry-After during the shutdown. After this time, the front end sends clients only to other balancers.
+SHUTDOWN_RETRY_AFTER_MS = 400.0
 
 
 class RequestAdmission:
@@ -41,7 +45,8 @@
         """Admit a new flow or an existing connection, or reject it at once."""
         downstream = event.connection
         if downstream.disconnected or downstream.has_disconnected():
-            # An attempt for this client would take a place in a server's queue for nothing.
+            # An attempt for this client would take a place in a server's queue for nothing, and attempts for
+            # hundreds of clients whose disconnects were unread would fill the queue.
             self._counters["client_disconnects"] += 1
             return
         match self._admission.evaluate(event.request):
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -14,11 +14,13 @@
 from lotusroute.net.reasons import MigrationReason
 from lotusroute.net.structured_log import log_event
 
-# After the start of the shutdown. Until then the front-end load balancer still sends clients to this
-# balancer, including those that it has just migrated.
+# Time from the start of the shutdown to the first migrations. Until then the front-end load balancer still
+# sends clients to this balancer, including those that it has just migrated.
 MIGRATION_START_MS = 450.0
-MIGRATION_SPREAD_MS = 1_300.0  # time over which clients are migrated, to avoid a connection storm
-# The front end keeps sending clients for 400 ms, and a busy core reads their requests late.
+# Time over which clients are migrated, so that other balancers see no connection storm.
+MIGRATION_SPREAD_MS = 1_300.0
+# Shortest duration of the shutdown. The front end keeps sending clients for 400 ms, and a busy core reads
+# their requests late.
 MIN_DURATION_MS = 900.0
 # The platform waits for the longest connect timeout, but no longer than this, before it kills the process.
 MAX_CONNECT_TIMEOUT_MS = 3_000.0
@@ -84,7 +86,8 @@
         if elapsed >= self._answer_limit:
             self._endings.reject_unfinished()
         if established or self._flow_table:
-            # Flows that this step has ended count too, as their last lines are still to be written.
+            # Flows that this step has ended count too. If the process exited in the step that migrates the
+            # last clients, these would be cut off before their MOVE is written.
             self._last_active_elapsed = elapsed
         if self._finished(elapsed):
             self._on_stopped()
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -27,7 +27,7 @@
 class AttemptContext:
     """The objects that all attempts of a balancer share."""
 
-    enqueue: Callable[[object], None]  # accepts the events defined in `upstream_events`
+    enqueue: Callable[[object], None]  # queues an event that is defined in `upstream_events`
     clock: Callable[[], float]
     counters: Counter[str]
 
--- a/lotusroute/net/upstream_connection.py
+++ b/lotusroute/net/upstream_connection.py
@@ -16,7 +16,9 @@
 if TYPE_CHECKING:
     from lotusroute.net.upstream_attempt import UpstreamAttempt
 
-MAX_TIMED_LINES = 64  # unanswered lines of one client that are kept to time their replies
+# Largest number of a client's unanswered lines whose replies are timed: the lines of about two minutes from a
+# client that sends one every 2 s.
+MAX_TIMED_LINES = 64
 # The result for each answer that rejects a flow; any other answer but a receipt is an error.
 REJECTION_RESULTS = {BUSY: ConnectionResult.FULL, MOVE: ConnectionResult.CANCELLED}
 
@@ -26,13 +28,13 @@
 
     def __init__(self, attempt: "UpstreamAttempt") -> None:
         self.attempt = attempt
-        self.downstream: LineProtocol | None = None  # the client's connection, once established
-        self.downstream_left = False  # the client has stopped sending, or its connection was lost
+        self.downstream: LineProtocol | None = None  # the client's connection, once the flow is established
+        self.downstream_left = False  # whether the client has stopped sending or its connection was lost
         self.result_if_closed = ConnectionResult.RESET  # the result to report if the connection is closed now
         # When the client's unanswered lines were sent, the oldest first; each reply removes the oldest.
         self.sent_times: deque[float] = deque(maxlen=MAX_TIMED_LINES)
-        self.last_reply_time = 0.0  # when the server's last line was read; 0: never
-        self.last_request_time = 0.0  # when the client's last line was read; 0: never
+        self.last_reply_time = 0.0  # when the server's last line was read; 0 if none was read
+        self.last_request_time = 0.0  # when the client's last line was read; 0 if none was read
 
     def connectionMade(self) -> None:
         """Write the first line, unless it may no longer be sent."""
@@ -92,7 +94,8 @@
         """From now on, forward lines to and from a client's connection."""
         self.downstream = downstream
         self.last_reply_time = self.attempt.clock()
-        # Without keep-alive, the loss of a client that only receives would never be detected.
+        # Without keep-alive, the loss of a client that only receives would never be detected, and its
+        # descriptors would never be freed.
         downstream.transport.setTcpKeepAlive(True)
         # Backpressure both ways: neither side is read while the other has unsent data.
         downstream.transport.registerProducer(self.transport, streaming=True)
@@ -145,7 +148,8 @@
     def client_idle_time(self, now: float) -> float:
         """Return how long it is since the client's last line.
 
-        This is 0 for a client that has never sent a line: it only receives, and does not count as idle.
+        This is 0 for a client that has never sent a line. Such a client only receives; if it counted as idle,
+        it would be migrated every minute.
         """
         return now - self.last_request_time if self.last_request_time else 0.0
 
--- a/lotusroute/net/upstream_events.py
+++ b/lotusroute/net/upstream_events.py
@@ -11,7 +11,7 @@
 
 
 class AttemptStage(IntEnum):
-    """How far an attempt has come; the log has the names in lower case."""
+    """How far an attempt has come; the log contains the names in lower case."""
 
     CONNECTING = 0
     WRITING = 1  # the first line is partly written
@@ -21,7 +21,7 @@
 
     @property
     def log_name(self) -> str:
-        """The stage as it is logged."""
+        """The stage as it is logged; operators search the log for these values."""
         return self.name.lower()
 
 
@@ -46,7 +46,7 @@
     """A server has reported the load of a connection."""
 
     flow_number: int
-    load: float  # work per second
+    load: float  # the work per second that the connection causes
 
 
 class ReplyTimed(NamedTuple):
