--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -53,11 +53,14 @@
     """
     match = OPEN_LINE.fullmatch(line)
     if match is None:
-        raise ProtocolError("expected OPEN, an id, a key and a list of parameters")
+        raise ProtocolError(f"expected OPEN, an id, a key and a list of parameters, received {line!r}")
     parameters, timeout_start, timeout_end = _parse_parameters(match[3], match.start(3))
     timeout = float(parameters.get(TIMEOUT, 0))
     if timeout <= 0 or not parameters.get(SERVICE_TYPE):
-        raise ProtocolError("the service type (c) is missing or empty, or the timeout (d) is missing or 0")
+        raise ProtocolError(
+            "expected a non-empty service type (c) and a timeout (d) above 0, "
+            f"received c={parameters.get(SERVICE_TYPE)!r} and d={parameters.get(TIMEOUT)!r}"
+        )
     return OpenRequest(
         id=match[1].decode(),
         service_type=parameters[SERVICE_TYPE],
@@ -85,12 +88,17 @@
     for part in text.split(b","):
         match = PARAMETER.fullmatch(part)
         if match is None or match[1] in parameters:
-            raise ProtocolError(f"parameter {part!r} is not <name>=<value> or repeats a name")
+            raise ProtocolError(
+                f"expected <name>=<value> with a name that is not repeated, received {part!r}"
+            )
         name, value = match.groups()
         parameters[name] = value.decode()
         if name == TIMEOUT:
             if not TIMEOUT_VALUE.fullmatch(value):
-                raise ProtocolError(f"timeout (d) {value!r} is not a valid number of milliseconds")
+                raise ProtocolError(
+                    "expected a timeout (d) in milliseconds of at most 7 digits and 9 decimals, "
+                    f"received {value!r}"
+                )
             timeout_start = start + match.start(2)
             timeout_end = start + len(part)
         start += len(part) + 1
