--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -30,7 +30,8 @@
 }
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
-# Each worker of pytest has ports of its own: a process that takes seconds to start finds its port free.
+# Each worker of pytest has ports of its own, from a range that the system does not assign. Otherwise a
+# process that takes seconds to start could find its port in use, and would exit.
 PORTS = PortAllocator(ALLOCATED_PORTS[WORKER::WORKER_COUNT])
 
 
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -20,10 +20,10 @@
     def __init__(self, name: str, reply: bytes | None = b"UP r1\r\n") -> None:
         self.name = name
         self.reply = reply
-        self.lines: list[bytes] = []  # received; an empty one for each end of a connection
+        self.lines: list[bytes] = []  # the received lines, and an empty one for each connection that ended
         self.connections: list[socket.socket] = []
-        self.unresponsive = False  # sends no more lines back
-        self.resets_connections = False  # ends connections with a reset
+        self.unresponsive = False  # whether lines are no longer sent back
+        self.resets_connections = False  # whether connections are ended with a reset
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.port: int = self.socket.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
@@ -74,7 +74,8 @@
 class SlowAcceptServer(FakeServer):
     """A server to which no connection is established until `start_accepting`.
 
-    Its queue of connections is full, so that the system lets later ones wait and tries again after a second.
+    Its queue of connections is full, so that the system drops the SYN of each later connection and
+    retransmits it after a second.
     """
 
     def _accept(self) -> None:
@@ -89,7 +90,7 @@
         self.accepting.set()
 
     def wait_for_connections(self, count: int = 1) -> bool:
-        """Wait until so many connections are established, beside the one that fills the queue."""
+        """Wait until `count` connections are established, besides the one that fills the queue."""
         return wait_until(lambda: len(self.connections) > count)
 
     def open_lines(self) -> list[bytes]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def admission(loop, table):
-    # 64 descriptors are reserved, and the other four are enough for two flows.
+    # 64 descriptors are reserved; the other four are enough for two flows, which take two descriptors each.
     return AdmissionControl(config(sockets=68), loop, table)
 
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -41,7 +41,8 @@
 def test_a_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(
     effect, early_bytes, disconnect
 ):
-    # The balancer has to read beyond what the client sent early to notice its FIN or RST.
+    # A balancer that read only 4 KiB after the first line would notice neither the FIN nor the RST of a
+    # client that sent more, and would forward the flow of a client that has left.
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(timeout_ms=4_000)
@@ -54,7 +55,7 @@
         disconnect(client)
         time.sleep(0.1)
         server.start_accepting()
-        time.sleep(1.5)  # the kernel retransmits the SYN after one second
+        time.sleep(1.5)  # the kernel retransmits the SYN of the attempt after one second
         assert not server.open_lines()
         assert balancer.open_flow("other").readline() == b"UP r1\r\n"
 
@@ -63,13 +64,15 @@
 def test_a_client_that_disconnects_while_the_balancer_is_suspended_is_not_forwarded_when_its_attempt_connects(
     disconnect,
 ):
+    # When the balancer resumes, it handles the connection to the server first; the client's disconnect is
+    # then still unread, and the first line would be written for a client that has left.
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
         client = balancer.open_flow(timeout_ms=4_000)
         time.sleep(0.2)
         balancer.suspend()
         server.start_accepting()
-        server.wait_for_connections()  # so the balancer is notified of them before the disconnect
+        server.wait_for_connections()  # the balancer is notified of the connection before the disconnect
         disconnect(client)
         time.sleep(0.35)
         balancer.resume()
@@ -78,6 +81,8 @@
 
 
 def test_hundreds_of_clients_that_disconnected_while_the_balancer_was_suspended_are_not_forwarded():
+    # Each request arrives together with its client's disconnect. Attempts for hundreds of clients that have
+    # left would fill the server's queue.
     server = FakeServer("s0")
     with Balancer(server) as balancer:
         balancer.suspend()
@@ -101,7 +106,8 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_no_retry_starts_for_a_client_whose_disconnect_is_unread_behind_its_own_lines(effect, disconnect):
-    # A read takes at most 8 KiB, so the FIN is still unread when the first attempt fails.
+    # A read takes at most 8 KiB, so the FIN behind 14 KB of lines is still unread when the first attempt
+    # fails, and a retry would start for a client that has left.
     first, second = FakeServer("s0", None), FakeServer("s1")
     with Balancer(first, second, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
@@ -122,6 +128,8 @@
 
 @pytest.mark.parametrize("early_bytes", [0, 9_000, 16_000])
 def test_hundreds_of_clients_that_disconnect_as_their_attempts_connect_are_not_forwarded(early_bytes):
+    # The attempts connect while the balancer is suspended. The disconnects of the clients, which have sent up
+    # to 16 KB early, are still unread when it resumes.
     server = SlowAcceptServer("s0")
     with Balancer(server, settings=flow_settings()) as balancer:
         clients = [balancer.open_flow(str(index), timeout_ms=4_000) for index in range(120)]
@@ -154,6 +162,8 @@
 
 
 def test_an_existing_connection_whose_client_disconnects_between_attempts_is_not_retried():
+    # The retry's backoff of one second expires while the balancer is suspended, so the FIN of the client, which
+    # has sent 15 KB early, is still unread when the retry is due.
     server = FakeServer("s0", b"BUSY\r\n")
     with Balancer(server, settings=flow_settings(deadline=8_000)) as balancer:
         client = balancer.open_flow(timeout_ms=8_000, at="s0")
@@ -168,6 +178,8 @@
 
 
 def test_early_data_beyond_the_buffer_limit_is_rejected_at_once_and_less_is_served():
+    # The limit is 16 KiB. If reading stopped there, the client's disconnect would go unnoticed; if it went
+    # on, the buffer would fill the memory.
     server = FakeServer("s0", None)
     with Balancer(server) as balancer:
         early_client, flooding_client = (
@@ -184,7 +196,7 @@
             try:
                 conn.sendall(b"UP r1\r\n")
             except OSError:
-                continue  # the connection for the rejected client is closed
+                continue  # this connection belongs to the rejected client and is closed
         assert early_client.readline() == b"UP r1\r\n" and [early_client.readline() for _ in lines] == lines
 
 
@@ -207,7 +219,8 @@
 
 
 def test_a_flood_detected_when_its_flow_is_admitted_is_rejected_and_its_socket_lingers():
-    # Closing the socket with unread data would send a reset, which may overtake the final answer.
+    # The flood is found while its flow is admitted, by the check for a disconnect. Closing the socket with
+    # unread data would send a reset, which may overtake the final answer.
     events, counters = [], collections.Counter()
     factory = DownstreamFactory(events.append, lambda: 0.0, lambda: True, 1_024, counters)
     connection = factory.buildProtocol(None)
@@ -226,6 +239,8 @@
 
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_a_client_reset_in_the_reactor_iteration_of_its_receipt_closes_the_server_connection_too(effect):
+    # The receipt is handled when the client's connection is lost already, but the event that reports the loss
+    # is still queued. Without a check, the server's connection would be attached to a closed one.
     server = FakeServer("s0", None)
     with Balancer(server, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow()
@@ -241,6 +256,8 @@
 
 
 def test_a_server_that_does_not_close_after_its_client_has_disconnected_is_disconnected():
+    # The server has 2 s to close. Without a limit, one that has disappeared would hold two descriptors
+    # forever.
     server = FakeServer("s0")
     server.serve_connection = lambda conn: (server.lines.append(conn.recv(4096)), conn.sendall(b"UP r1\r\n"))
     with Balancer(server) as balancer:
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -86,6 +86,8 @@
 
 
 def test_a_request_with_the_id_of_another_flow_reaches_no_server_and_that_flow_is_still_served():
+    # A server that receives the id of an open flow again answers ERR to the healthy flow, and is ejected
+    # after two such answers.
     server = FakeServer("s1")
     settings_with_tenant = {**SETTINGS, "tenants": [{"name": "acme"}]}
     with Balancer(server, settings=settings_with_tenant) as balancer:
@@ -118,6 +120,8 @@
 
 
 def test_sixty_megabytes_without_a_line_ending_are_rejected_and_neither_read_nor_buffered(shared_balancer):
+    # If the data after the final answer were buffered, the buffer would grow to 60 MB, and each read would
+    # copy all of it.
     conn = socket.create_connection(("127.0.0.1", shared_balancer.port), timeout=TIMEOUT_S)
     conn.settimeout(0.1)
     sent, start = 0, time.monotonic()
@@ -125,12 +129,15 @@
         while sent < 60_000_000:
             sent += conn.send(b"k" * 65536)
     assert sent < 20_000_000 and conn.recv(5) == b"ERR\r\n" and time.monotonic() < start + 3.0
+    # VmHWM is the process's peak memory.
     status = pathlib.Path(f"/proc/{shared_balancer.process.pid}/status").read_text()
     assert int(status.split("VmHWM:")[1].split()[0]) < 60_000  # kB
     assert shared_balancer.open_flow().readline() == b"UP r1\r\n"
 
 
 def test_hundreds_of_idle_connections_take_no_descriptor_from_a_new_flow():
+    # Without the eviction of idle connections, hundreds of clients that send nothing would cause ordinary
+    # clients to be rejected.
     with Balancer(FakeServer("s1"), sockets=128) as balancer:
         for _ in range(3):
             idle = [socket.create_connection(("127.0.0.1", balancer.port)) for _ in range(300)]
@@ -141,6 +148,7 @@
 
 
 def test_a_thousand_health_checks_on_one_connection_end_with_an_error(shared_balancer):
+    # The front end sends one health check on a connection; an endless sequence would use up CPU time.
     client = shared_balancer.connect_and_send(b"\r\n".join([b"PING"] * 1000))
     answers = [client.readline() for _ in range(17)]
     assert answers == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
--- a/tests/test_flow_completion.py
+++ b/tests/test_flow_completion.py
@@ -26,6 +26,7 @@
 
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_an_attempt_that_has_not_connected_is_cancelled_when_its_server_drains(effect):
+    # An attempt that connects late would write its first line when the drain grace is over.
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(effect)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
@@ -39,13 +40,15 @@
 
 
 def test_an_attempt_that_connected_while_the_balancer_was_suspended_is_not_used_after_the_drain_grace():
+    # When the balancer resumes after 400 ms, it finds the connection before it reads that the server drains.
+    # The drain grace of 300 ms is over, so the server would no longer accept the line.
     slow, other = SlowAcceptServer("s0"), FakeServer("s1", b"UP other\r\n")
     with Balancer(slow, other, settings=flow_settings(grace=300)) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         time.sleep(0.1)
         balancer.suspend()
         slow.start_accepting()
-        slow.wait_for_connections()  # so the balancer is notified of it before the drain
+        slow.wait_for_connections()  # the balancer is notified of the connection before the drain
         balancer.discovery.entries, balancer.discovery.seq = [slow.entry("DRAINING"), other.entry()], 2
         time.sleep(0.4)
         balancer.resume()
@@ -53,12 +56,15 @@
 
 
 def test_a_retry_that_connects_after_the_deduplication_window_is_not_sent():
+    # The first attempt may have run the flow, and servers remember its key for 600 ms. The retry connects
+    # only after the SYN is retransmitted, one second later; sent then, it could run the flow a second time.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings("idempotency_key", group="all", window=600)
     with Balancer(first, second, settings=settings) as balancer:
         client = balancer.open_flow(KEY_OF_FIRST_SERVER, timeout_ms=4_000)
         wait_until(lambda: first.lines)
-        wait_until(lambda: is_connecting_to(second))  # if accepted before, the retry is within the window
+        # A retry that is accepted before it has waited for a retransmission would be within the window.
+        wait_until(lambda: is_connecting_to(second))
         second.start_accepting()
         assert client.readline().startswith(b"BUSY") and not second.open_lines()
 
@@ -107,6 +113,8 @@
 
 
 def test_a_first_line_that_is_complete_but_unread_at_its_timeout_is_served():
+    # The line is completed while the balancer is suspended. When it resumes, the timeout of 2 s has expired
+    # and the rest of the line is still in the socket.
     with Balancer(FakeServer("s0")) as balancer:
         client = balancer.connect_and_send(b"PING")
         assert client.readline() == b"PONG\r\n"
@@ -132,6 +140,8 @@
 
 
 def test_an_unwritten_move_is_not_lost_when_new_connections_take_all_descriptors():
+    # A migrated client counts as idle. If it were evicted for a new connection while data is still to be
+    # written, it would never read its MOVE.
     server = FakeServer("s0")
     with Balancer(server, sockets=128) as balancer:
         client = balancer.open_flow()
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -19,7 +19,9 @@
     ],
 )
 def test_shutdown_does_not_call_a_retry_safe_when_an_earlier_attempt_may_have_run(effect, group, answer):
-    # The final answer depends on all attempts, not only on the attempt in flight, which has not connected.
+    # The first attempt may have run the flow; the attempt in flight has not connected. A shutdown that
+    # considers only the latter would answer BUSY in all cases, also if the client's retry could run the flow
+    # a second time.
     first, second = resetting_server("s0"), SlowAcceptServer("s1")
     settings = flow_settings(effect, deadline=8_000, group=group, window=20_000)
     with Balancer(first, second, settings=settings) as balancer:
@@ -44,6 +46,8 @@
 
 
 def test_clients_that_connect_while_a_balancer_is_suspended_in_its_shutdown_are_answered_before_its_exit():
+    # When the balancer resumes, the time of the shutdown is over, but these clients are still unread. A
+    # balancer that goes by elapsed time alone would exit without answering them.
     with Balancer(FakeServer("s0")) as balancer:
         waiting = balancer.connect_and_send(b"PING")
         assert waiting.readline() == b"PONG\r\n"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,6 +19,7 @@
 
 
 def test_clients_of_two_servers_that_drain_at_once_are_all_migrated_in_time():
+    # If both servers shared one lookup of candidates, the first could leave none to the second.
     servers = [FakeServer(f"s{index}", f"UP s{index}\r\n".encode()) for index in range(3)]
     with Balancer(*servers) as balancer:
         clients = [balancer.open_flow(at=f"s{index}") for index in (0, 1)]
@@ -41,7 +42,9 @@
 
 
 def test_balancers_with_one_client_each_spread_their_migrations_though_all_get_the_list_at_once():
-    # If each balancer rounded up its batch of less than one client, all would migrate in the first step.
+    # When 18 servers drain at once, 200 balancers may have one or two clients of each. If each balancer
+    # rounded up its batch of less than one client, all clients would migrate in one step, as a connection
+    # storm.
     migrated, steps = Counter(), int(DRAIN_MIGRATION_SPREAD_MS / MIGRATION_INTERVAL_MS)
     for seed in range(200):
         established = [types.SimpleNamespace(number=1)]
@@ -70,6 +73,7 @@
 
 
 def test_the_last_client_migrated_before_the_exit_reads_its_move():
+    # A balancer that exits in the step that migrates the last clients would not write their MOVE.
     with Balancer(FakeServer("s1")) as balancer:
         clients = [balancer.open_flow(str(index)) for index in range(15)]
         assert {client.readline() for client in clients} == {b"UP r1\r\n"}
@@ -90,7 +94,8 @@
 
 
 def test_signals_that_arrive_during_startup_are_handled_once_it_is_complete():
-    # An unhandled SIGHUP would terminate the process.
+    # A reload may be requested while a restarted process still starts. The default action of SIGHUP
+    # terminates the process.
     starting = Balancer(FakeServer("s1"))
     status, sighup_bit = pathlib.Path(f"/proc/{starting.process.pid}/status"), 1 << signal.SIGHUP - 1
     wait_until(lambda: int(status.read_text().split("SigCgt:")[1].split()[0], 16) & sighup_bit)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -86,7 +86,7 @@
     server = FakeServer("s1")
 
     def reply_and_end(connection):
-        # One thread sends both, so that the end follows the receipt; otherwise the attempt would fail.
+        # One thread sends the receipt and then the end. If the end came first, the attempt would fail.
         connection.recv(4096)
         connection.sendall(b"UP r\r\nM 1 a\r\nBYE\r\n")
         connection.shutdown(socket.SHUT_WR)
@@ -98,6 +98,7 @@
 
 
 def test_clients_of_a_server_that_becomes_unresponsive_are_migrated_before_they_give_up():
+    # Clients wait for a reply for at most 7 s.
     server = FakeServer("s1")
     with Balancer(server) as balancer:
         client = balancer.open_flow()
@@ -109,6 +110,8 @@
 
 
 def test_a_suspension_of_the_balancer_is_not_taken_for_an_unresponsive_server():
+    # The timeouts expire while the balancer is suspended. If they were handled before what has arrived on the
+    # sockets, healthy servers would be ejected for the balancer's own suspension.
     server = FakeServer("s1", None)
     with Balancer(server) as balancer:
         client = balancer.open_flow()
@@ -131,7 +134,7 @@
 
 
 def test_only_a_client_that_has_sent_lines_counts_as_idle():
-    # A client that only receives is not idle.
+    # If a client that only receives counted as idle, it would be migrated every minute.
     attempt = new_attempt(b"", clock=lambda: 5_000.0)
     attempt.connection = UpstreamConnection(attempt)
     assert attempt.connection.client_idle_time(90_000.0) == 0.0
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-TIMEOUT_S = 10.0  # for anything that a test waits for
+TIMEOUT_S = 10.0  # longest time that a test waits for anything
 POLL_INTERVAL_S = 0.01
 
 Result = TypeVar("Result")
