--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -162,8 +162,8 @@
 
 
 def test_an_existing_connection_whose_client_disconnects_between_attempts_is_not_retried():
-    # The retry's backoff of one second expires while the balancer is suspended, so the FIN of the client, which
-    # has sent 15 KB early, is still unread when the retry is due.
+    # The retry's backoff of one second expires while the balancer is suspended, so the FIN of the client,
+    # which has sent 15 KB early, is still unread when the retry is due.
     server = FakeServer("s0", b"BUSY\r\n")
     with Balancer(server, settings=flow_settings(deadline=8_000)) as balancer:
         client = balancer.open_flow(timeout_ms=8_000, at="s0")
