--- a/lotusroute/net/downstream.py
+++ b/lotusroute/net/downstream.py
@@ -57,7 +57,7 @@
 class ConnectionManager(Protocol):
     """What a connection uses of the factory that accepted it."""
 
-    enqueue: Callable[[object], None]  # accepts the events defined in this module
+    enqueue: Callable[[object], None]  # queues an event that is defined in this module
     clock: Callable[[], float]
     # Returns whether flows can be served. A health check is answered PONG if so, else BUSY.
     ready: Callable[[], bool]
@@ -88,8 +88,8 @@
     MAX_BUFFERED = 4 * MAX_LINE_LENGTH
 
     def __init__(self) -> None:
-        self.flow_number = 0  # 0 while there is no flow
-        self.upstream: UpstreamAttempt | None = None  # set while the flow is established
+        self.flow_number = 0  # the number of the connection's flow, or 0 while it has none
+        self.upstream: UpstreamAttempt | None = None  # the flow's attempt while the flow is established
         self.answered = False
         self.disconnected = False
         self.health_check_count = 0
@@ -99,7 +99,8 @@
     def connectionMade(self) -> None:
         """Start the timeout of the first line."""
         super().connectionMade()
-        # Received data does not restart it: a client that sends byte by byte must not hold its descriptor.
+        # Received data does not restart the timeout: a client that sends its first line byte by byte must not
+        # hold a descriptor for longer.
         self.setTimeout(FIRST_LINE_TIMEOUT_S)
         self.factory.admit(self)
 
--- a/lotusroute/net/flow.py
+++ b/lotusroute/net/flow.py
@@ -18,7 +18,7 @@
 from lotusroute.net.upstream_attempt import UpstreamAttempt
 from lotusroute.routing import events
 
-MIN_SEND_GRACE_MS = 50.0  # the protocol extends every time limit by this, also a drain grace of 0
+MIN_SEND_GRACE_MS = 50.0  # the protocol extends every time limit by this much, also a drain grace of 0
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,7 @@
     timer: DelayedCall | None = None
     established: bool = False
     client_left_at: float = 0.0  # when the client of an established flow left; 0 while it is connected
-    reconnect_attempts: int = 0  # attempts of an existing connection
+    reconnect_attempts: int = 0  # number of attempts so far to re-establish an existing connection
     attempt_started_at: float = 0.0
     attempt_deadline: float = 0.0
     may_have_run_since: float | None = None  # start of the first attempt that may have run on a server
--- a/lotusroute/net/flow_table.py
+++ b/lotusroute/net/flow_table.py
@@ -14,7 +14,7 @@
 from lotusroute.routing.events import ServiceType
 
 CLOSED_FLOW_ID_TTL_MS = 60_000.0  # how long servers may still use the id of an ended flow
-MAX_CLOSED_FLOW_IDS = 20_000  # these take about 5 MB
+MAX_CLOSED_FLOW_IDS = 20_000  # largest number of ids of ended flows that are kept, which take about 5 MB
 
 
 class FlowTable:
--- a/lotusroute/net/shutdown.py
+++ b/lotusroute/net/shutdown.py
@@ -27,7 +27,7 @@
 # Answers may be given until this long after the connect timeout. The platform kills the process 700 ms after
 # the connect timeout.
 ANSWER_MARGIN_MS = 350.0
-FLUSH_TIME_MS = 200.0  # from the last answer to the exit, for writing and reading it
+FLUSH_TIME_MS = 200.0  # time from the last answer to the exit, in which the answer is written and read
 
 
 def _ignore_end() -> None:
@@ -54,7 +54,8 @@
         self._migrator = migrator
         self._has_pending_answers = has_pending_answers
         connect_timeout = min(context.config.longest_connect_timeout, MAX_CONNECT_TIMEOUT_MS)
-        self._answer_limit = connect_timeout + ANSWER_MARGIN_MS  # since the start of the shutdown
+        # Time from the start of the shutdown until the last flows are answered.
+        self._answer_limit = connect_timeout + ANSWER_MARGIN_MS
         self._started_at = 0.0
         self._last_active_elapsed = 0.0  # time from the start to the last step that found flows
         self._on_stopped: Callable[[], None] = _ignore_end
--- a/lotusroute/net/upstream_attempt.py
+++ b/lotusroute/net/upstream_attempt.py
@@ -59,7 +59,8 @@
         self.counters = context.counters
         self.stage = AttemptStage.CONNECTING
         self.final_stage = AttemptStage.CONNECTING  # the last stage before `OVER`
-        # Set once connected; whoever has received this attempt's receipt may rely on it.
+        # The connection is set once the attempt has connected. Code that handles the attempt's receipt may
+        # rely on it.
         self.connection: UpstreamConnection = None  # type: ignore[assignment]
         self.connector: Connector | None = None
         # Whether the flow's deadline shortened the connect timeout; then a timeout is not the server's fault.
@@ -72,7 +73,7 @@
         """
         self.timeout_shortened = timeout_shortened
         host, port = address
-        # With None Twisted sets no timeout of its own, but it declares a float.
+        # Twisted sets no timeout of its own if `timeout` is None, although it declares a float.
         self.connector = reactor.connectTCP(host, port, self, timeout=None)  # type: ignore[arg-type]
 
     def buildProtocol(self, addr: IAddress) -> UpstreamConnection:
--- a/lotusroute/net/upstream_events.py
+++ b/lotusroute/net/upstream_events.py
@@ -53,4 +53,4 @@
     """A server has replied to a client's line."""
 
     server: str
-    delay: float  # from forwarding the line to reading the reply
+    delay: float  # the time from forwarding the line to reading the reply
