--- a/lotusroute/net/open_request.py
+++ b/lotusroute/net/open_request.py
@@ -34,11 +34,11 @@
     tenant: str | None
     group: str | None
     key: str | None
-    timeout: float  # within which the client has to be answered
+    timeout: float  # the time within which the client has to be answered
     reconnecting: bool
-    existing_server: str | None  # that the client was connected to before this balancer started
+    existing_server: str | None  # the server that the client was connected to before this balancer started
     line_before_timeout: bytes  # the line up to the value of the timeout
-    line_after_timeout: bytes  # the rest of the line behind that value
+    line_after_timeout: bytes  # the line behind the value of the timeout
 
     def rewritten(self, timeout: float) -> bytes:
         """Return the line to send to a server that has `timeout` to answer."""
@@ -53,11 +53,14 @@
     """
     match = OPEN_LINE.fullmatch(line)
     if match is None:
-        raise ProtocolError("expected OPEN, an id, a key and a list of parameters")
+        raise ProtocolError(f"expected OPEN, an id, a key and a list of parameters, received {line!r}")
     parameters, timeout_start, timeout_end = _parse_parameters(match[3], match.start(3))
     timeout = float(parameters.get(TIMEOUT, 0))
     if timeout <= 0 or not parameters.get(SERVICE_TYPE):
-        raise ProtocolError("the service type (c) is missing or empty, or the timeout (d) is missing or 0")
+        raise ProtocolError(
+            "expected a non-empty service type (c) and a timeout (d) above 0, "
+            f"received c={parameters.get(SERVICE_TYPE)!r} and d={parameters.get(TIMEOUT)!r}"
+        )
     return OpenRequest(
         id=match[1].decode(),
         service_type=parameters[SERVICE_TYPE],
@@ -75,7 +78,7 @@
 class _Parameters(NamedTuple):
     by_name: dict[bytes, str]
     timeout_start: int  # position in the line at which the value of the timeout starts
-    timeout_end: int  # position just behind that value
+    timeout_end: int  # position in the line just behind the value of the timeout
 
 
 def _parse_parameters(text: bytes, start: int) -> _Parameters:
@@ -85,12 +88,17 @@
     for part in text.split(b","):
         match = PARAMETER.fullmatch(part)
         if match is None or match[1] in parameters:
-            raise ProtocolError(f"parameter {part!r} is not <name>=<value> or repeats a name")
+            raise ProtocolError(
+                f"expected <name>=<value> with a name that is not repeated, received {part!r}"
+            )
         name, value = match.groups()
         parameters[name] = value.decode()
         if name == TIMEOUT:
             if not TIMEOUT_VALUE.fullmatch(value):
-                raise ProtocolError(f"timeout (d) {value!r} is not a valid number of milliseconds")
+                raise ProtocolError(
+                    "expected a timeout (d) in milliseconds of at most 7 digits and 9 decimals, "
+                    f"received {value!r}"
+                )
             timeout_start = start + match.start(2)
             timeout_end = start + len(part)
         start += len(part) + 1
--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -30,8 +30,8 @@
 }
 WORKER_INDEX = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 WORKER_COUNT = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
-# Each pytest worker has a separate set of ports, so that no other worker takes a port before the process that
-# it is meant for has bound it, which can take seconds.
+# Each pytest worker has a separate set of ports, from a range that the system does not assign. Otherwise a
+# process that takes seconds to bind its port could find it in use, and would exit.
 PORTS = PortAllocator(ALLOCATABLE_PORTS[WORKER_INDEX::WORKER_COUNT])
 
 
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -74,7 +74,8 @@
 class SlowAcceptServer(FakeServer):
     """A server to which no connection can be established until `start_accepting`.
 
-    Its listen backlog is full, so the kernel leaves further connections pending and retries after a second.
+    Its listen backlog is full, so the system drops the SYN of each later connection and retransmits it after
+    a second.
     """
 
     def _accept(self) -> None:
