--- a/lotusroute/__main__.py
+++ b/lotusroute/__main__.py
@@ -8,7 +8,8 @@
 import signal
 import sys
 
-# The default action of these signals ends the process. Signals that arrive during the imports are recorded
+# The default action of these signals ends the process and the connections of all its clients, even for a
+# SIGHUP that only announces a changed discovery address. Signals that arrive during the imports are recorded
 # and handled once the reactor runs. The configuration is read after the handlers are set, so that no SIGHUP
 # for a changed configuration is missed.
 EARLY_SIGNALS: list[int] = []
@@ -49,7 +50,9 @@
 if TYPE_CHECKING:
     from lotusroute.fleet.lease_service import LeaseService
 
-# For the three generations of the garbage collector; see `gc.set_threshold`.
+# Thresholds of the garbage collector's three generations (see `gc.set_threshold`): the number of objects, and
+# of collections of the younger generation, after which one is collected. The youngest is collected once every
+# few hundred flows.
 GC_THRESHOLDS = (5_000, 20, 20)
 FIRST_RESPONSE_TIMEOUT_S = 1.0  # how long the listener waits for discovery's first response
 LISTEN_BACKLOG = 1024  # room for all clients of a failed peer, which reconnect at the same time
--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -25,7 +25,7 @@
     "settings.deductions.cross_zone": 0,
 }
 LOAD_REPORT_PATHS = ("settings.family_info.report_x0", "settings.family_info.report_x1")
-CACHED_LIST_PATH = "known"
+CACHED_LIST_PATH = "known"  # upgraded as a single value, whatever keys it contains
 # Settings that describe the old servers, clients or balancers. They are carried over, since a balancer
 # without them would not follow the deployment's rules, but the operator should set them again.
 REENTERED_PATHS = (
--- a/lotusroute/net/balancer.py
+++ b/lotusroute/net/balancer.py
@@ -28,6 +28,7 @@
 from lotusroute.routing.director import Director
 from lotusroute.routing.start_times import StartTimes
 
+# Smallest difference between a server's start time in the endpoint list and its corrected one that is logged.
 MIN_LOGGED_CORRECTION_MS = 100.0
 
 
@@ -39,8 +40,9 @@
     """Passes events between the sockets and the `Director`, which makes the routing decisions."""
 
     def __init__(self, config: BalancerConfig, counters: Counters) -> None:
-        # Both are set by the caller that opens the sockets. The first returns whether clients that have no
-        # flow yet still wait for an answer, the second makes discovery send the complete list again.
+        # The caller that opens the sockets sets the next two attributes. `has_pending_answers` returns
+        # whether clients that have no flow yet still wait for an answer; `request_complete_list` makes
+        # discovery send the complete list again.
         self.has_pending_answers: Callable[[], bool] = _no_pending_answers
         self.request_complete_list: Callable[[], None] | None = None
         self.loop = EventLoop(counters)
@@ -152,15 +154,18 @@
         self.flow_manager.endings.fail(flow_number)
         match event:
             case events.TimerFired():
-                # Only the handler of this event sets the Director's next timer, so the event is repeated.
+                # Only the handler of this event sets the Director's next timer, without which the Director's
+                # periodic work would stop for good. So the event is repeated.
                 self.loop.call_later(CHECK_INTERVAL_MS, event)
             case DrainStep():
-                # Only this event brings a shutdown to its end, so it is repeated.
+                # Only the handler of this event schedules the next step of a shutdown, without which the
+                # shutdown would never end. So the event is repeated.
                 self.loop.call_later(MIGRATION_INTERVAL_MS, event)
             case RequestReceived() if not event.flow_number:
                 event.connection.send_final_answer(ERR)
             case EndpointUpdate() if self.request_complete_list is not None:
-                # Part of the update may have been applied, and discovery does not repeat changes.
+                # Part of the update may have been applied, but a drain in it not. Discovery does not repeat
+                # changes unless the complete list is requested.
                 self.request_complete_list()
 
 
--- a/lotusroute/net/balancer_context.py
+++ b/lotusroute/net/balancer_context.py
@@ -13,7 +13,7 @@
 class BalancerContext:
     """The configuration, the event loop and the state that several components of a balancer use."""
 
-    config: BalancerConfig  # as loaded at startup; `DiscoverySession` applies a reloaded one
+    config: BalancerConfig  # configuration at startup; `DiscoverySession` applies a reloaded one
     counters: Counters
     loop: EventLoop
     flow_table: FlowTable
--- a/lotusroute/net/clock_monitor.py
+++ b/lotusroute/net/clock_monitor.py
@@ -12,8 +12,9 @@
 from lotusroute.monotonic_clock import monotonic_ms
 from lotusroute.net.structured_log import Counters, log_event
 
-MIN_STEP_MS = 100.0  # slewing changes the wall clock by less than this between two calls
-MAX_TIMER_DELAY_MS = 1_000.0
+# Smallest step that is reported. Slewing changes the wall clock by less than this between two calls.
+MIN_STEP_MS = 100.0
+MAX_TIMER_DELAY_MS = 1_000.0  # delay from which the periodic timer is reported as late
 
 
 class ClockMonitor:
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -17,13 +17,16 @@
 
 Value = TypeVar("Value")
 Parsed = TypeVar("Parsed")
-JsonObject: TypeAlias = dict[str, Any]  # not validated yet
+# A JSON object from a file, whose values have not been validated yet.
+JsonObject: TypeAlias = dict[str, Any]
 
-DEFAULT_SOCKETS = 1024
-DEFAULT_MEMORY_MB = 1024.0  # more than connections on the default number of descriptors can use
+DEFAULT_SOCKETS = 1024  # number of descriptors that a process may usually have open
+# More memory than connections on the default number of descriptors can use.
+DEFAULT_MEMORY_MB = 1024.0
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # enough for a distant location and one lost packet
-DEFAULT_DRAIN_GRACE_MS = 500.0
-DEFAULT_FLOW_TIMEOUT_MS = 3_000.0  # of a service type whose `deadline` is not set
+DEFAULT_DRAIN_GRACE_MS = 500.0  # the shortest grace that any deployment requires
+# Time to establish a flow of a service type whose `deadline` is not set.
+DEFAULT_FLOW_TIMEOUT_MS = 3_000.0
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
 
@@ -55,13 +58,13 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int  # of the random number generators
+    seed: int  # seed of the random number generators
     sockets: int  # limit on open file descriptors
     memory_mb: float
-    tenants: frozenset[str]  # the tenants whose flows are accepted; empty accepts all
+    tenants: frozenset[str]  # the tenants whose flows are accepted; if empty, all flows are accepted
     cached_list: JsonObject  # the endpoint list of an earlier run, in discovery's format
     service: ServiceConfig
-    connect_timeout: float  # ms, for one connection attempt to a server
+    connect_timeout: float  # ms; longest duration of one connection attempt to a server
     longest_connect_timeout: float  # ms; the longest time that any service type has to establish a flow
     drain_grace: float  # ms from the announcement of a drain until nothing may be sent to that server
     discovery_is_local_agent: bool  # an agent on this machine serves the endpoint list
@@ -72,7 +75,8 @@
     """Read the file that LB_CONFIG names and the environment.
 
     At the start, the environment takes precedence over the file. On a reload the file does, because a process
-    keeps the environment of its start, which may name a discovery address that is no longer in service.
+    keeps the environment of its start, which may name a discovery address that is no longer in service. A
+    balancer that followed that address would keep an endpoint list that nothing updates.
     """
     path = environ.get("LB_CONFIG")
     if not path:
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -42,7 +42,7 @@
 
 STATUS_OK = 200
 REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # the polled version may still be valid
-MAX_LOGGED_ERROR_LENGTH = 200
+MAX_LOGGED_ERROR_LENGTH = 200  # characters
 DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(ASSUMED_DRAIN_GRACE_MS)
 
 
@@ -67,7 +67,7 @@
     ) -> None:
         """`enqueue` is called with each update.
 
-        `version` is that of the list that was enqueued before, None to request the complete list.
+        `version` is the version of the list that was enqueued before, or None to request the complete list.
         """
         host, port = address
         self.list_url = f"http://{host}:{port}/api/targets"
@@ -175,7 +175,8 @@
     ) -> EndpointUpdate | DiscoveryFailed:
         """Decode a response and record it; raises unless it is a list that can be applied."""
         if response.status in REJECTION_STATUSES:
-            # The version is kept: complete lists would add to the load of an overloaded discovery.
+            # The version is kept: if 40 balancers request the complete list after a rejection, an overloaded
+            # discovery answers none of them.
             return DiscoveryFailed(PollStage.REJECTED, f"status {response.status}")
         if response.status != STATUS_OK:
             raise ProtocolError(f"status {response.status}")
--- a/lotusroute/net/discovery_request.py
+++ b/lotusroute/net/discovery_request.py
@@ -11,7 +11,9 @@
 
 Result = TypeVar("Result")
 
-SUSPENSION_THRESHOLD_S = 0.05  # a timer that is later than this indicates that the process was suspended
+# A timer that is later than this shows that the process was suspended. Its timeout then does not show that
+# discovery is not answering.
+SUSPENSION_THRESHOLD_S = 0.05
 
 
 class HttpResponse(NamedTuple):
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -37,7 +37,8 @@
     ) -> None:
         """`enqueue` is called with endpoint updates, `apply_limits` with each reloaded configuration."""
         self.config = balancer_config
-        self.update_source: UpdateSource | None = None  # set where balancers share discovery's updates
+        # The source of the updates that balancers share; None if this balancer shares none.
+        self.update_source: UpdateSource | None = None
         self._first_config = balancer_config
         self._enqueue = enqueue
         self._apply_limits = apply_limits
--- a/lotusroute/net/discovery_source.py
+++ b/lotusroute/net/discovery_source.py
@@ -14,7 +14,7 @@
     """What an update source may use of the discovery client that it is attached to."""
 
     list_url: str  # URL of the endpoint list
-    version: int | None  # of the client's list; None if the complete list is needed
+    version: int | None  # version of the client's list; None if the client needs the complete list
     closed: bool
 
     def remaining(self) -> float:
@@ -32,7 +32,8 @@
 class UpdateSource(Protocol):
     """A source of endpoint updates that is shared by several processes."""
 
-    discovery: DiscoveryClient | None  # the client that it is attached to; replaced by a reload
+    # The client that the source is attached to; a reload that names another address replaces it.
+    discovery: DiscoveryClient | None
 
     async def wait_until_poll_due(self, discovery: DiscoveryClient, /) -> None:
         """Wait until the client has to poll by itself or is closed."""
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -21,7 +21,7 @@
 }
 # Raised by decoding where keys are missing or values have unexpected types.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
-MAX_LOGGED_ENTRY_LENGTH = 200
+MAX_LOGGED_ENTRY_LENGTH = 200  # characters
 
 # A list as discovery sends it, not validated yet: `seq` is its version, `whole` says whether it is complete
 # or only changes, and `hosts` has an entry for each server.
@@ -33,7 +33,7 @@
 
     scope: ListScope
     servers: tuple[Server, ...]
-    addresses: dict[str, Address]  # by server id; removed servers have none
+    addresses: dict[str, Address]  # address of each server by its id, without removed servers
     # When the list before this update was last known to be current, in seconds of the monotonic clock; None
     # if there was no list.
     previous_list_at: float | None = None
--- a/lotusroute/net/monotonic_reactor.py
+++ b/lotusroute/net/monotonic_reactor.py
@@ -54,7 +54,8 @@
     class MonotonicEPollReactor(MonotonicTime, EPollReactor):
         """Twisted's epoll reactor on the monotonic clock, without a log context per event.
 
-        Twisted sets up a log context for each read and write, which costs CPU; none of our log lines use it.
+        Twisted sets up a log context for each read and write, which takes a ninth of the CPU time of a flow;
+        none of our log lines use it.
         """
 
         def doPoll(self, timeout: float | None) -> None:
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -3,7 +3,8 @@
 One deadline covers all polls. By the protocol, a change counts as received `MAX_UPDATE_DELAY_S` after
 discovery has it, whether polls succeed or not. From then on, a draining server may be sent to only for its
 grace. So all polls, with their timeouts and backoffs, have to fit into the sum of both times, counted from
-the last complete response.
+the last complete response. A separate limit for each poll and each backoff would not be enough: an unanswered
+long poll and a rejection after it would exceed the deadline by up to 4 s.
 
 Nothing here does I/O or reads a clock: the caller passes the time. All times are seconds of the monotonic
 clock unless a name ends in `_ms`.
@@ -16,23 +17,30 @@
 
 from lotusroute.monotonic_clock import MS_PER_SECOND
 
-MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received, by the protocol
-LONG_POLL_HOLD_MS = 2_000  # how long discovery may hold a poll while there are no changes
-ASSUMED_DRAIN_GRACE_MS = 2_000.0  # for a client without service settings, as in a relay
+# By the protocol, a change counts as received this long after discovery has it.
+MAX_UPDATE_DELAY_S = 6.0
+LONG_POLL_HOLD_MS = 2_000  # longest time for which discovery holds a poll while there are no changes
+# The grace that a client without service settings, such as a relay, assumes.
+ASSUMED_DRAIN_GRACE_MS = 2_000.0
 TIMING_MARGIN_S = 0.15  # allowance for a busy CPU and for network latency
-QUEUE_TIMEOUT_S = 2.0  # how long a poll may wait in discovery's queue behind those of others
-# For a complete response, beyond the hold; shorter if the last response shows that discovery queues no polls.
+# Longest time that a poll waits in discovery's queue, behind the polls of other balancers, before it fails.
+QUEUE_TIMEOUT_S = 2.0
+# Timeout of a complete response, which is added to the hold. The shorter one applies if discovery queues no
+# polls: if the last response came within half of it after the hold.
 REQUEST_TIMEOUT_S = QUEUE_TIMEOUT_S + 0.3
 UNQUEUED_REQUEST_TIMEOUT_S = 1.0
-# The same for an agent on this machine, which responds at once.
+# Bounds of the timeout of an agent on this machine, which has the list and responds at once.
 MIN_AGENT_REQUEST_TIMEOUT_S = 0.1
 MAX_AGENT_REQUEST_TIMEOUT_S = 1.0
-MIN_BACKOFF_S = 0.1  # leaves time within the limit of 200 ms for a watch event
+# Longest backoff after a first failure. It must be shorter than the 200 ms that a watch event may take.
+MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-MAX_AGENT_BACKOFF_S = 0.5
-# Reserved for the backoff after a rejection, so that the retries of many balancers are spread out.
+MAX_AGENT_BACKOFF_S = 0.5  # shorter than for a remote discovery, because polls cost an agent almost nothing
+# Time reserved for the backoff after a rejection. It is long enough to spread the retries of 200 balancers
+# whose polls are rejected at the same time, so that these do not arrive as another storm.
 MIN_REJECTION_BACKOFF_S = 1.2
-MIN_BACKOFF_FRACTION = 0.2  # the fixed part of a backoff; the rest is random
+# The fixed part of a backoff; the rest is random, so that the polls of many balancers spread.
+MIN_BACKOFF_FRACTION = 0.2
 
 
 class PollStage(StrEnum):
@@ -44,6 +52,7 @@
     MALFORMED_RESPONSE = "malformed response"
 
 
+# A response of which only a part arrives counts as none: the same timeout covers the headers and the body.
 UNANSWERED_STAGES = frozenset((PollStage.NO_RESPONSE, PollStage.PARTIAL_RESPONSE))
 
 
@@ -52,9 +61,9 @@
     """Time limits of polls and backoffs."""
 
     discovery_is_local_agent: bool
-    update_interval: float  # from one complete response to the end of the next
-    request_timeout: float  # beyond the hold
-    unqueued_request_timeout: float
+    update_interval: float  # longest time from one complete response to the end of the next
+    request_timeout: float  # timeout of a complete response, which is added to the hold
+    unqueued_request_timeout: float  # the request timeout if discovery queues no polls
     queue_timeout: float
     max_backoff: float
 
@@ -106,7 +115,7 @@
 
     started_at: float
     hold: float  # how long discovery may hold the poll while there are no changes
-    timeout: float  # for the complete response, including the hold
+    timeout: float  # longest time until the complete response, including the hold
     suspension_extension: float  # added to the timeout if this process was suspended during the poll
 
 
@@ -119,8 +128,8 @@
         self._list_current_at = now  # when the list was last known to be current
         self._unanswered = True  # the last poll was not answered, or there was none
         self._queued = True  # the last response may have waited in discovery's queue, or there was none
-        self._backoff = 0.0  # the last one; 0 after a success
-        self._rejections = 0  # in a row
+        self._backoff = 0.0  # upper bound of the last backoff; 0 after a success
+        self._rejections = 0  # number of rejections since the last success
 
     @property
     def is_backing_off(self) -> bool:
@@ -148,10 +157,11 @@
     def _hold_time(self, now: float, request_timeout: float, max_hold: float) -> float:
         """Return how long discovery may hold a poll.
 
-        A poll after an unanswered one is not held, because a held poll does not show whether discovery is
-        back. Otherwise the hold leaves time for what may follow: the timeout of this poll, a rejection of the
-        next one and the queue. If polls are queued, no time is reserved for the rejection: shorter holds mean
-        more polls, which lengthen the queue.
+        A poll after an unanswered one is not held: a held poll does not show whether discovery is back, and
+        the changes that discovery gets in the meantime count as received. Otherwise the hold leaves time for
+        what may follow: the timeout of this poll, a rejection of the next one and the queue. If polls are
+        queued, no time is reserved for the rejection: shorter holds mean more polls, and the queue would
+        never empty.
         """
         if self._unanswered:
             return 0.0
@@ -181,7 +191,8 @@
         was_unanswered = self._unanswered
         self._unanswered = stage in UNANSWERED_STAGES
         if was_unanswered and self._unanswered:
-            # Discovery is down: the delay of its changes counts from the time when it is back.
+            # Two unanswered polls in a row show that discovery is down. The delay of its changes then counts
+            # from the time when it is back.
             self.note_list_current_at(poll.started_at)
 
     def next_backoff(self, now: float, stage: PollStage) -> float:
@@ -196,8 +207,8 @@
     def _rejection_backoff(self, now: float, first: bool) -> float:
         """Return the longest backoff after a rejection.
 
-        Rejecting a poll costs discovery work too, so the backoff uses the time that is left, less what the
-        next poll may wait in the queue.
+        Rejecting a poll costs discovery work too: the rejections of 40 balancers that retry every second keep
+        it busy. So the backoff uses the time that is left, less what the next poll may wait in the queue.
         """
         limits = self._limits
         if limits.discovery_is_local_agent:
--- a/lotusroute/net/structured_log.py
+++ b/lotusroute/net/structured_log.py
@@ -18,8 +18,9 @@
 class KeyValueFormatter(logging.Formatter):
     """Formats a record as key=value pairs; a value with spaces, quotes or `=` is quoted.
 
-    `time` is Unix time in seconds by the wall clock, which may be stepped. `mono` is the machine's monotonic
-    clock in seconds. It gives the order of lines and the time between them, also across processes.
+    `time` is Unix time in seconds by the wall clock. Because that clock may be stepped, `mono` has the
+    machine's monotonic clock in seconds, by which the lines of all its processes keep their order and the
+    time between them.
 
     >>> fields = {"server": "s-1", "setup_ms": 4.25}
     >>> record = logging.makeLogRecord({"msg": "outlier ejected", "levelname": "INFO", "fields": fields})
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -20,7 +20,7 @@
     "idempotency_key": events.Idempotency.IDEMPOTENCY_KEY,
     "non_idempotent": events.Idempotency.NON_IDEMPOTENT,
 }
-DEFAULT_IDEMPOTENCY_SETTING = "non_idempotent"  # the safest one: such a flow never runs twice
+DEFAULT_IDEMPOTENCY_SETTING = "non_idempotent"  # the safest setting: no such flow is retried by mistake
 STABLE_WEIGHTS = ("nominal", "rough")  # kinds of weights that do not change between endpoint lists
 DEFAULT_POLL_INTERVAL_MS = 10_000.0
 LATENCY_OBJECTIVES_PATH = "family_info.message_aim"
--- a/lotusroute/wall_clock.py
+++ b/lotusroute/wall_clock.py
@@ -1,8 +1,9 @@
 """The wall clock, for points in time that are shared with other machines. Only this module may read it.
 
-The wall clock may be stepped at any moment, in both directions. So no duration is measured with it:
-deadlines, timeouts and intervals use the monotonic clock, `time.monotonic`, and timers a reactor that
-`lotusroute.net.monotonic_reactor` installs. The linter rejects readings of the wall clock elsewhere.
+The wall clock may be stepped at any moment, by seconds or by an hour, in both directions. So no duration is
+measured with it: deadlines, timeouts and intervals use the monotonic clock, `time.monotonic`, and timers a
+reactor that `lotusroute.net.monotonic_reactor` installs. The linter rejects readings of the wall clock
+elsewhere.
 """
 
 import time
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,8 @@
 from fake_servers import FakeServer
 from wall_clock import SteppableWallClock
 
-collect_ignore = ["wall_clock_shim"]  # for the processes that tests start, not for pytest's own
+# Only processes that tests start use the shim of the wall clock, pytest's own process does not.
+collect_ignore = ["wall_clock_shim"]
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -37,7 +37,8 @@
     with Balancer(one, env={"LB_DISCOVERY": old_address}.items()) as balancer:
         client = balancer.open_flow()
         assert client.readline() == b"UP one\r\n"
-        old.seq = 0  # the poll in flight is never answered; the new address must not wait for it
+        # The poll in flight is never answered. Neither it nor a backoff may delay polls to the new address.
+        old.seq = 0
         time.sleep(0.2)
         start = time.monotonic()
         balancer.reload(discovery=f"127.0.0.1:{new.server_port}")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,8 @@
 from fake_servers import FakeServer
 from waiting import TIMEOUT_S, wait_until
 
-MAX_UPDATE_DELAY_S = 6.0  # after which a change counts as received
+# By the protocol, a change counts as received this long after discovery has it.
+MAX_UPDATE_DELAY_S = 6.0
 QUEUE_DELAY_S = 2.0  # how long discovery queues a poll
 POLLING_SETTINGS = {**SETTINGS, "discovery": "ask", "rules": {"stop_sending_within": 500}}
 FAULTS = ["silent", "partial", "reject"]
@@ -74,7 +75,9 @@
 
 
 def test_two_failed_polls_in_a_row_and_a_queue_after_them_fit_into_one_deadline():
-    # One deadline covers all polls and backoffs; a separate limit for each would add up to more.
+    # One deadline covers all polls and backoffs. With a separate limit for each, two failed polls in a row
+    # take more than 6.5 s: the backoff after a rejection is up to 4 s and the grace, an unanswered long poll
+    # takes 4.3 s, and the next backoff starts from the minimum again.
     delays = measure_delays(CASES)
     assert max(delays.values()) < MAX_UPDATE_DELAY_S + 0.5, delays
 
@@ -169,8 +172,9 @@
 
 @pytest.mark.parametrize("kind", IDLE_CLIENT_DATA)
 def test_idle_clients_that_fill_the_descriptors_block_neither_updates_nor_new_flows(kind):
-    # While discovery is down, a client connects every 2 ms and keeps its descriptor. When discovery is back,
-    # the balancer connects to it within a second, and a new flow is served by the server of the new list.
+    # While discovery is down and closes each connection without a response, a client connects every 2 ms and
+    # keeps its descriptor. Polls and new flows need descriptors too: when discovery is back, the balancer
+    # connects to it within a second, and a new flow is served by the server of the new list.
     one, two = FakeServer("s0", b"UP one\r\n"), FakeServer("s1", b"UP two\r\n")
     with Balancer(one, settings=POLLING_SETTINGS, sockets=256) as balancer:
         discovery = balancer.discovery
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -56,12 +56,15 @@
     with Balancer(FakeServer("s1"), rejections=1) as balancer:
         wait_until(lambda: len(balancer.discovery.polls) > 1)
         times, versions = zip(*balancer.discovery.polls[:2], strict=True)
-        # Immediate polls for the complete list would keep an overloaded discovery from serving any balancer.
+        # Forty balancers that poll for the complete list at once after a rejection would keep an overloaded
+        # discovery from answering any of them.
         assert versions == ("0",) * 2 and times[1] - times[0] > 0.2 * 3
 
 
 def test_the_backoff_after_rejections_never_grows_beyond_what_a_drain_allows(monkeypatch):
-    # A change counts as received after 6 s, and the grace of a drain is 2 s.
+    # A change counts as received 6 s after discovery has it. From then on, a draining server may be sent to
+    # only for its grace of 2 s. If backoffs grow to 12 s, a balancer does not follow a change for up to 4 s
+    # beyond the grace.
     backoffs = []
     client = Discovery(Address("127.0.0.1", 1), 4, 7, print, structured_log.Counters())
 
@@ -101,7 +104,8 @@
 )
 @pytest.mark.parametrize("partial", [False, True])
 def test_an_unanswered_long_poll_is_replaced_before_a_short_grace_is_over(settings, partial, two_servers):
-    # The deadline is 6 s plus the grace.
+    # The deadline is the 6 s after which a change counts as received, plus a grace of at most 0.5 s. A poll
+    # that is given up only after 7.0 s misses it.
     one, two = two_servers
     with Balancer(one, two, settings=settings, partial_responses=partial) as balancer:
         opened = wait_for_long_poll(balancer)
@@ -144,8 +148,9 @@
 def test_the_first_flows_of_a_new_process_wait_for_the_first_response_of_discovery(two_servers):
     # Changes that the agent has count as received when the process starts, but the cached list is older.
     one, two = two_servers
-    # The timeout of an agent's poll is half of the grace. With a grace of 500 ms it would pass only 50 ms
-    # after this response is due, and on a busy machine the response may be later than that.
+    # The timeout of an agent's poll is half of the grace. With a grace of 500 ms it would be 250 ms and pass
+    # only 50 ms after this response is due. On a busy machine the response may be later than that, and the
+    # balancer then rightly uses the cached list. With a grace of 2 s the timeout is 1 s.
     settings = {**AGENT_SETTINGS, "rules": {"stop_sending_within": 2_000}}
     starting = Balancer(one, two, settings=settings, response_delay=0.2)
     starting.discovery.entries, starting.discovery.seq = [one.entry("DRAINING"), two.entry()], 2
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -13,9 +13,9 @@
 from lotusroute.process_control.readiness import answers_health_check
 
 PROCESS_COUNT = 10  # started at once
-CPU_SHARE = 0.1  # of a core, for each process
-READY_TIMEOUT_S = 10.0  # within which 90 % of the processes have to answer PONG
-SAMPLE_INTERVAL_S = 0.004  # between readings of the CPU time that the processes have used
+CPU_SHARE = 0.1  # the share of a core that each process may use
+READY_TIMEOUT_S = 10.0  # longest time until 90 % of the processes have to answer PONG
+SAMPLE_INTERVAL_S = 0.004  # time between two readings of the CPU time that the processes have used
 DISCOVERY_STATES = {"up": {}, "silent": {"down": True}, "rejecting": {"rejections": 1_000}, "closed": {}}
 
 
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 OFFSET_FORMAT = struct.Struct("d")
-NANOSECONDS = 1_000_000_000  # in a second
+NANOSECONDS = 1_000_000_000  # number of nanoseconds in a second
 JUMPS_PER_SECOND = 4
 MAX_JUMP_S = 3_600.0
 
