--- a/lotusroute/config_validation.py
+++ b/lotusroute/config_validation.py
@@ -47,7 +47,7 @@
     """Return the required name of the fleet."""
     name = document.get("name")
     if not isinstance(name, str) or not name:
-        raise ConfigError("name: not set; give the name of the fleet")
+        raise ConfigError("name: not set to a non-empty string; give the name of the fleet")
     return name
 
 
@@ -56,13 +56,14 @@
 
     >>> parse_name_list({"tasks": ["watch", "watch"]}, "tasks")
     Traceback (most recent call last):
-    lotusroute.errors.ConfigError: tasks: a name is given twice
+    lotusroute.errors.ConfigError: tasks: the name 'watch' is given twice
     """
     names = document.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) and name for name in names):
-        raise ConfigError(f"{key}: give a list of non-empty names")
-    if len(set(names)) < len(names):
-        raise ConfigError(f"{key}: a name is given twice")
+        raise ConfigError(f"{key}: give a list of non-empty names, not {names!r}")
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            raise ConfigError(f"{key}: the name '{name}' is given twice")
     return names
 
 
@@ -70,7 +71,7 @@
     """Return a duration in ms from `low` to `high`, or the default if the key is missing."""
     value = document.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-        raise ConfigError(f"{key}: give milliseconds from {low:g} to {high:g}")
+        raise ConfigError(f"{key}: give milliseconds from {low:g} to {high:g}, not {value!r}")
     return float(value)
 
 
@@ -78,7 +79,7 @@
     """Return a whole number from 0 to `high`; 0 if the key is missing."""
     value = document.get(key, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= high:
-        raise ConfigError(f"{key}: give a whole number from 0 to {high}")
+        raise ConfigError(f"{key}: give a whole number from 0 to {high}, not {value!r}")
     return value
 
 
--- a/lotusroute/errors.py
+++ b/lotusroute/errors.py
@@ -4,6 +4,8 @@
 specific types in their own modules.
 """
 
+from collections.abc import Iterable
+
 
 class LotusrouteError(Exception):
     """Base class of all errors that this package raises itself."""
@@ -14,18 +16,20 @@
 
 
 class MalformedNumberError(InvalidValueError):
-    """A string from a file or message is not a number."""
+    """A string from a file or message is not a finite number."""
 
     def __init__(self, text: str) -> None:
-        super().__init__(f"'{text}' is not a number")
+        super().__init__(f"expected a finite number, got '{text}'")
         self.text = text
 
 
 class UnknownNameError(InvalidValueError):
     """A name or number from a file or message is not one of the known ones."""
 
-    def __init__(self, kind: str, name: object) -> None:
-        super().__init__(f"unknown {kind} '{name}'")
+    def __init__(self, kind: str, name: object, known_names: Iterable[object]) -> None:
+        known = ", ".join(map(str, known_names))
+        expected = f"must be one of {known}" if known else "there is none so far"
+        super().__init__(f"unknown {kind} '{name}'; {expected}")
         self.kind = kind
         self.name = name
 
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -106,7 +106,7 @@
     except (OSError, ValueError) as error:
         raise ConfigError(str(error)) from None
     if not isinstance(document, dict):
-        raise ConfigError("not a JSON object")
+        raise ConfigError(f"expected a JSON object, got a value of type {type(document).__name__}")
     return document
 
 
@@ -152,7 +152,7 @@
 def _parse_section(document: JsonObject, key: str) -> JsonObject:
     section = document.get(key) or {}
     if not isinstance(section, dict):
-        raise ConfigError(f"{key}: not a JSON object")
+        raise ConfigError(f"{key}: expected a JSON object, got a value of type {type(section).__name__}")
     return section
 
 
@@ -160,7 +160,7 @@
     service = _parse_keyed("settings", parse_service_config, flat_settings)
     service_types = settings.get("service_types")
     if not (service.service_types and isinstance(service_types, list)):
-        raise ConfigError("settings.service_types: none given")
+        raise ConfigError("settings.service_types: none given; expected a list of at least one service type")
     if "" in service.service_types or len(service.service_types) < len(service_types):
         raise ConfigError("settings.service_types: names must be non-empty and distinct")
     # The line protocol has no message in which a server reports its latency.
@@ -170,7 +170,7 @@
 def _parse_cached_list(document: JsonObject) -> JsonObject:
     cached_list = document.get("known") or {"seq": 0, "hosts": []}
     if not (isinstance(cached_list, dict) and isinstance(cached_list.get("hosts"), list)):
-        raise ConfigError("known: not an endpoint list")
+        raise ConfigError("known: not an endpoint list; expected a JSON object with a list under 'hosts'")
     return cached_list
 
 
@@ -197,7 +197,7 @@
     from_file = document.get(key)
     value = (from_file or from_environment) if reloading else (from_environment or from_file)
     if not isinstance(value, str):
-        raise ConfigError(f"{variable}: not set, and no {key} in LB_CONFIG")
+        raise ConfigError(f"{variable}: not set, and the file of LB_CONFIG has no string under '{key}'")
     return value
 
 
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -179,7 +179,7 @@
             # discovery answers none of them.
             return DiscoveryFailed(PollStage.REJECTED, f"status {response.status}")
         if response.status != STATUS_OK:
-            raise ProtocolError(f"status {response.status}")
+            raise ProtocolError(f"expected status {STATUS_OK}, got {response.status}")
         message = json.loads(response.body)
         since = self.version
         update = self._decode(message)
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -105,7 +105,7 @@
     try:
         return parse_endpoint_list(balancer_config.cached_list, ListScope.CACHED)
     except MALFORMED_LIST_ERRORS as error:
-        raise ConfigError(f"known: {type(error).__name__} {error}") from None
+        raise ConfigError(f"known: {type(error).__name__}: {error}") from None
 
 
 def _poll_limits(balancer_config: config.BalancerConfig) -> PollLimits:
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -83,7 +83,7 @@
     state = look_up(STATES, value["health"], "health")
     name = value["host"]
     if not (isinstance(name, str) and name):
-        raise ProtocolError(f"host: {name!r} is not a non-empty string")
+        raise ProtocolError(f"host: expected a non-empty string, got {name!r}")
     address = None if state == EndpointState.REMOVED else parse_address(value["dial"])
     server = Server(
         id=name,
@@ -103,5 +103,5 @@
     41
     """
     if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0:
-        raise ProtocolError(f"seq: {seq!r} is not a version number")
+        raise ProtocolError(f"seq: expected a non-negative integer, got {seq!r}")
     return seq
--- a/lotusroute/service_config.py
+++ b/lotusroute/service_config.py
@@ -48,7 +48,7 @@
     try:
         return table[key]
     except KeyError:
-        raise UnknownNameError(kind, key) from None
+        raise UnknownNameError(kind, key, table) from None
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
@@ -156,7 +156,7 @@
     try:
         return look_up(choices, text, "value")
     except UnknownNameError as error:
-        raise ConfigError(f"{path}: {error}; must be one of {', '.join(choices)}") from None
+        raise ConfigError(f"{path}: {error}") from None
 
 
 def _parse_setting(
--- a/tests/test_config_upgrade.py
+++ b/tests/test_config_upgrade.py
@@ -137,7 +137,7 @@
     [
         (None, "No such file"),
         ("{", "line 1"),
-        ("[]", "not a JSON object"),
+        ("[]", "expected a JSON object, got a value of type list"),
         ('{"name": "n", "listen": "l"}', "settings.service_types: none given"),
     ],
 )
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -16,7 +16,7 @@
         ({"lease_ms": "3"}, "lease_ms: give"),
         ({"tasks": ["unknown"]}, "tasks: 'unknown' is none of watch"),
         ({"lease": 3}, "lease: no such key"),
-        ({"keepers": ["a", "a", "b"]}, "keepers: a name is given twice"),
+        ({"keepers": ["a", "a", "b"]}, "keepers: the name 'a' is given twice"),
         ({"name": ""}, "name: not set"),
         ({"term_ms": True}, "term_ms: give milliseconds"),
         ({"peers": []}, "peers: give 1 to 1024"),
--- a/tests/test_service_config.py
+++ b/tests/test_service_config.py
@@ -20,17 +20,22 @@
 
 @pytest.mark.parametrize("text", ["", "ten", "nan", "inf"])
 def test_a_malformed_number_raises_an_error_with_its_text(text):
-    with pytest.raises(MalformedNumberError, match=f"'{text}' is not a number") as raised:
+    with pytest.raises(MalformedNumberError, match=f"^expected a finite number, got '{text}'$") as raised:
         parse_number(text)
     assert raised.value.text == text
 
 
 def test_an_unknown_key_of_a_table_raises_an_error_with_its_kind_and_name():
-    with pytest.raises(UnknownNameError, match="unknown roster '9'") as raised:
+    with pytest.raises(UnknownNameError, match=r"^unknown roster '9'; must be one of 1$") as raised:
         look_up({1: "a"}, 9, "roster")
     assert (raised.value.kind, raised.value.name) == ("roster", 9)
 
 
+def test_the_error_for_a_key_of_an_empty_table_says_that_there_is_none():
+    with pytest.raises(UnknownNameError, match=r"^unknown roster '9'; there is none so far$"):
+        look_up({}, 9, "roster")
+
+
 @pytest.mark.parametrize(
     ("path", "value", "message"),
     [
@@ -40,7 +45,7 @@
             "unknown value 'x'; must be one of read_like, idempotency_key, non_idem",
         ),
         ("limits.retry_after", "yes", "unknown value 'yes'; must be one of true, false"),
-        ("limits.max_connects", "many", "'many' is not a number"),
+        ("limits.max_connects", "many", "expected a finite number, got 'many'"),
         ("limits.max_connects", "0", "0 is too small; must be at least 1$"),
         ("rules.cold_from", "1.5", "1.5 is too large; must be at most 1$"),
     ],
