--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -71,9 +71,9 @@
 class UpgradeReport(NamedTuple):
     """What the upgrade did with the keys of the old document."""
 
-    not_carried: list[str]  # paths, each with its old value or a reason
-    to_reenter: list[str]  # paths
-    unknown: list[str]  # paths
+    not_carried: list[str]  # replaced or removed paths, each with its old value or a reason
+    to_reenter: list[str]  # paths that were carried over and should be set again
+    unknown: list[str]  # paths that are not in KNOWN_PATHS; they were carried over unchanged
 
     def lines(self) -> Iterator[str]:
         """Yield the report as lines for the operator, without empty sections."""
--- a/lotusroute/net/discovery.py
+++ b/lotusroute/net/discovery.py
@@ -41,7 +41,8 @@
 from lotusroute.routing.events import ListScope
 
 STATUS_OK = 200
-REJECTION_STATUSES = frozenset((429, 502, 503, 504))  # the polled version may still be valid
+# Statuses of a rejected poll. They say nothing about the polled version, which may still be valid.
+REJECTION_STATUSES = frozenset((429, 502, 503, 504))
 MAX_LOGGED_ERROR_LENGTH = 200  # characters
 DEFAULT_POLL_LIMITS = PollLimits.for_remote_discovery(ASSUMED_DRAIN_GRACE_MS)
 
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -19,7 +19,7 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-# Raised by decoding where keys are missing or values have unexpected types.
+# The errors that decoding raises if keys are missing or values have unexpected types.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
 MAX_LOGGED_ENTRY_LENGTH = 200  # characters
 
--- a/lotusroute/net/event_loop.py
+++ b/lotusroute/net/event_loop.py
@@ -29,13 +29,14 @@
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self.clock_monitor = ClockMonitor(counters)
-        # What `clock` adds to the monotonic clock. The sum is Unix time, in which servers' start times and
-        # the balancers' turns at a shared task are expressed, but advances with the monotonic clock.
+        # The offset that `clock` adds to the monotonic clock. The sum is Unix time, because servers' start
+        # times and the balancers' turns at a shared task are expressed in it, but it advances with the
+        # monotonic clock.
         self.clock_offset = wall_clock.unix_ms() - monotonic_ms()
         self._queue: deque[object] = deque()  # admission control bounds what new connections add to it
         self._run_scheduled = False
         self._handlers: dict[type, Handler] = {}
-        # Called with a failed event and the number of its flow.
+        # This function is called with a failed event and the number of its flow.
         self.on_failure: Callable[[object, int], None] | None = None
 
     @property
--- a/lotusroute/net/poll_schedule.py
+++ b/lotusroute/net/poll_schedule.py
@@ -116,7 +116,7 @@
     started_at: float
     hold: float  # how long discovery may hold the poll while there are no changes
     timeout: float  # longest time until the complete response, including the hold
-    suspension_extension: float  # added to the timeout if this process was suspended during the poll
+    suspension_extension: float  # longest extension of the timeout if this process was suspended meanwhile
 
 
 class PollSchedule:
--- a/lotusroute/net/reactor.py
+++ b/lotusroute/net/reactor.py
@@ -12,7 +12,7 @@
 
 monotonic_reactor.install()
 
-from twisted.internet import reactor as _reactor  # noqa: E402  the reactor must be installed before
+from twisted.internet import reactor as _reactor  # noqa: E402  our reactor must be installed first
 
 reactor = cast(PosixReactorBase, _reactor)
 """Runs the timers and sockets, and thereby the process, until it is stopped."""
--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -91,7 +91,7 @@
     def __init__(self, *servers: ServerWithEntry, available: bool = True) -> None:
         self.polls: list[tuple[float, str | None]] = []  # time and version of each poll
         self.responses: list[tuple[float, int]] = []  # time and version of each response
-        self.rejections = 0  # number of next polls that are rejected
+        self.rejections = 0  # number of the next polls to reject
         self.response_delay = 0.0  # seconds before each response
         # Faults of the next polls, one each: "drop", "silent", "partial", "reject", or the seconds for which
         # the poll is queued.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -60,7 +60,7 @@
         changed = []
         for case, balancer in zip(cases, balancers, strict=True):
             wait_until(lambda balancer=balancer: len(balancer.discovery.responses) > 0)
-            # Applies to the polls after the one in flight.
+            # The script applies to the polls after the one in flight.
             balancer.discovery.script[:] = list(case)
             wait_for_poll(balancer)
             changed.append(time.monotonic())
@@ -185,7 +185,7 @@
         max_open = 150 if established else 400
         storm = ConnectionStorm(balancer.port, IDLE_CLIENT_DATA[kind], max_open, close_newest=established)
         storm.start()
-        time.sleep(9.0)  # all backoffs have grown
+        time.sleep(9.0)  # long enough for all backoffs to grow
         polls = [sent for sent, _ in discovery.polls][4:]
         assert len(polls) > 6 and max(b - a for a, b in itertools.pairwise(polls)) < 1.0 + 0.3
         discovery.entries, discovery.seq, discovery.script[:] = [one.entry("DELETED"), two.entry()], 5, []
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -12,7 +12,7 @@
 
 from lotusroute.process_control.readiness import answers_health_check
 
-PROCESS_COUNT = 10  # started at once
+PROCESS_COUNT = 10  # number of processes that are started at once
 CPU_SHARE = 0.1  # the share of a core that each process may use
 READY_TIMEOUT_S = 10.0  # longest time until 90 % of the processes have to answer PONG
 SAMPLE_INTERVAL_S = 0.004  # time between two readings of the CPU time that the processes have used
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,7 @@
-"""Steps of the wall clock affect no deadline, timeout or grace, because these are durations."""
+"""Steps of the wall clock affect no deadline, timeout or grace, because these are durations.
+
+A timer that uses the wall clock is late by the size of a step back and fires too early after a step forward.
+"""
 
 import signal
 import socket
