--- a/lotusroute/config_upgrade_rules.py
+++ b/lotusroute/config_upgrade_rules.py
@@ -25,7 +25,7 @@
     "settings.deductions.cross_zone": 0,
 }
 LOAD_REPORT_PATHS = ("settings.family_info.report_x0", "settings.family_info.report_x1")
-CACHED_LIST_PATH = "known"
+CACHED_LIST_PATH = "known"  # upgraded as a single value, whatever keys it contains
 # Settings that describe the old servers, clients or balancers. They are carried over, since a balancer
 # without them would not follow the deployment's rules, but the operator should set them again.
 REENTERED_PATHS = (
@@ -71,9 +71,9 @@
 class UpgradeReport(NamedTuple):
     """What the upgrade did with the keys of the old document."""
 
-    not_carried: list[str]  # paths, each with its old value or a reason
-    to_reenter: list[str]  # paths
-    unknown: list[str]  # paths
+    not_carried: list[str]  # replaced or removed paths, each with its old value or a reason
+    to_reenter: list[str]  # paths that were carried over and should be set again
+    unknown: list[str]  # paths that are not in KNOWN_PATHS; they were carried over unchanged
 
     def lines(self) -> Iterator[str]:
         """Yield the report as lines for the operator, without empty sections."""
--- a/lotusroute/net/config.py
+++ b/lotusroute/net/config.py
@@ -17,13 +17,16 @@
 
 Value = TypeVar("Value")
 Parsed = TypeVar("Parsed")
-JsonObject: TypeAlias = dict[str, Any]  # not validated yet
+# A JSON object from a file, whose values have not been validated yet.
+JsonObject: TypeAlias = dict[str, Any]
 
-DEFAULT_SOCKETS = 1024
-DEFAULT_MEMORY_MB = 1024.0  # more than connections on the default number of descriptors can use
+DEFAULT_SOCKETS = 1024  # number of descriptors that a process may usually have open
+# More memory than connections on the default number of descriptors can use.
+DEFAULT_MEMORY_MB = 1024.0
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0  # enough for a distant location and one lost packet
-DEFAULT_DRAIN_GRACE_MS = 500.0
-DEFAULT_FLOW_TIMEOUT_MS = 3_000.0  # of a service type whose `deadline` is not set
+DEFAULT_DRAIN_GRACE_MS = 500.0  # the shortest grace that any deployment requires
+# Time to establish a flow of a service type whose `deadline` is not set.
+DEFAULT_FLOW_TIMEOUT_MS = 3_000.0
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 TENANT_NAME_PATH = re.compile(r"tenants\.\d+\.name")
 
@@ -55,13 +58,13 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int  # of the random number generators
+    seed: int  # seed of the random number generators
     sockets: int  # limit on open file descriptors
     memory_mb: float
-    tenants: frozenset[str]  # the tenants whose flows are accepted; empty accepts all
+    tenants: frozenset[str]  # the tenants whose flows are accepted; if empty, all flows are accepted
     cached_list: JsonObject  # the endpoint list of an earlier run, in discovery's format
     service: ServiceConfig
-    connect_timeout: float  # ms, for one connection attempt to a server
+    connect_timeout: float  # ms; longest duration of one connection attempt to a server
     longest_connect_timeout: float  # ms; the longest time that any service type has to establish a flow
     drain_grace: float  # ms from the announcement of a drain until nothing may be sent to that server
     discovery_is_local_agent: bool  # an agent on this machine serves the endpoint list
@@ -72,7 +75,8 @@
     """Read the file that LB_CONFIG names and the environment.
 
     At the start, the environment takes precedence over the file. On a reload the file does, because a process
-    keeps the environment of its start, which may name a discovery address that is no longer in service.
+    keeps the environment of its start, which may name a discovery address that is no longer in service. A
+    balancer that followed that address would keep an endpoint list that nothing updates.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -102,7 +106,7 @@
     except (OSError, ValueError) as error:
         raise ConfigError(str(error)) from None
     if not isinstance(document, dict):
-        raise ConfigError("not a JSON object")
+        raise ConfigError(f"expected a JSON object, got a value of type {type(document).__name__}")
     return document
 
 
@@ -148,7 +152,7 @@
 def _parse_section(document: JsonObject, key: str) -> JsonObject:
     section = document.get(key) or {}
     if not isinstance(section, dict):
-        raise ConfigError(f"{key}: not a JSON object")
+        raise ConfigError(f"{key}: expected a JSON object, got a value of type {type(section).__name__}")
     return section
 
 
@@ -156,7 +160,7 @@
     service = _parse_keyed("settings", parse_service_config, flat_settings)
     service_types = settings.get("service_types")
     if not (service.service_types and isinstance(service_types, list)):
-        raise ConfigError("settings.service_types: none given")
+        raise ConfigError("settings.service_types: none given; expected a list of at least one service type")
     if "" in service.service_types or len(service.service_types) < len(service_types):
         raise ConfigError("settings.service_types: names must be non-empty and distinct")
     # The line protocol has no message in which a server reports its latency.
@@ -166,7 +170,7 @@
 def _parse_cached_list(document: JsonObject) -> JsonObject:
     cached_list = document.get("known") or {"seq": 0, "hosts": []}
     if not (isinstance(cached_list, dict) and isinstance(cached_list.get("hosts"), list)):
-        raise ConfigError("known: not an endpoint list")
+        raise ConfigError("known: not an endpoint list; expected a JSON object with a list under 'hosts'")
     return cached_list
 
 
@@ -193,7 +197,7 @@
     from_file = document.get(key)
     value = (from_file or from_environment) if reloading else (from_environment or from_file)
     if not isinstance(value, str):
-        raise ConfigError(f"{variable}: not set, and no {key} in LB_CONFIG")
+        raise ConfigError(f"{variable}: not set, and the file of LB_CONFIG has no string under '{key}'")
     return value
 
 
--- a/lotusroute/net/discovery_session.py
+++ b/lotusroute/net/discovery_session.py
@@ -37,7 +37,8 @@
     ) -> None:
         """`enqueue` is called with endpoint updates, `apply_limits` with each reloaded configuration."""
         self.config = balancer_config
-        self.update_source: UpdateSource | None = None  # set where balancers share discovery's updates
+        # The source of the updates that balancers share; None if this balancer shares none.
+        self.update_source: UpdateSource | None = None
         self._first_config = balancer_config
         self._enqueue = enqueue
         self._apply_limits = apply_limits
@@ -104,7 +105,7 @@
     try:
         return parse_endpoint_list(balancer_config.cached_list, ListScope.CACHED)
     except MALFORMED_LIST_ERRORS as error:
-        raise ConfigError(f"known: {type(error).__name__} {error}") from None
+        raise ConfigError(f"known: {type(error).__name__}: {error}") from None
 
 
 def _poll_limits(balancer_config: config.BalancerConfig) -> PollLimits:
--- a/lotusroute/net/endpoint_list.py
+++ b/lotusroute/net/endpoint_list.py
@@ -19,9 +19,9 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-# Raised by decoding where keys are missing or values have unexpected types.
+# The errors that decoding raises if keys are missing or values have unexpected types.
 MALFORMED_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError, InvalidValueError)
-MAX_LOGGED_ENTRY_LENGTH = 200
+MAX_LOGGED_ENTRY_LENGTH = 200  # characters
 
 # A list as discovery sends it, not validated yet: `seq` is its version, `whole` says whether it is complete
 # or only changes, and `hosts` has an entry for each server.
@@ -33,7 +33,7 @@
 
     scope: ListScope
     servers: tuple[Server, ...]
-    addresses: dict[str, Address]  # by server id; removed servers have none
+    addresses: dict[str, Address]  # address of each server by its id, without removed servers
     # When the list before this update was last known to be current, in seconds of the monotonic clock; None
     # if there was no list.
     previous_list_at: float | None = None
@@ -83,7 +83,7 @@
     state = look_up(STATES, value["health"], "health")
     name = value["host"]
     if not (isinstance(name, str) and name):
-        raise ProtocolError(f"host: {name!r} is not a non-empty string")
+        raise ProtocolError(f"host: expected a non-empty string, got {name!r}")
     address = None if state == EndpointState.REMOVED else parse_address(value["dial"])
     server = Server(
         id=name,
@@ -103,5 +103,5 @@
     41
     """
     if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0:
-        raise ProtocolError(f"seq: {seq!r} is not a version number")
+        raise ProtocolError(f"seq: expected a non-negative integer, got {seq!r}")
     return seq
