--- a/benchmarks/loopback_report.py
+++ b/benchmarks/loopback_report.py
@@ -9,8 +9,8 @@
 import click
 
 COMPARED_FIGURES = ("cpu_ms_per_flow", "flows_per_second", "setup_ms_p50", "kb_per_connection", "line_ms")
-# Counts of failures, which should all be 0. Of several rounds, the maximum counts, so that a failure in any
-# round is shown.
+# Figures that count failures and should be 0. The maximum over all rounds is shown, so that a failure in any
+# round is seen.
 FAILURE_FIGURES = ("rejected", "lost", "migrated")
 PLOTS = {
     "cpu_ms_per_flow": "CPU per flow, ms",
--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -66,7 +66,7 @@
     next_token = fleet.highest_token()
     if next_token <= token:
         raise StepFailedError(
-            f"{holder} acquired the lease with fencing token {next_token}, not above {token} from before"
+            f"expected a fencing token above {token}, but {holder} acquired the lease with {next_token}"
         )
     report(f"state: this build starts on all state folders; fencing token {token}, then {next_token}")
 
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -1,7 +1,7 @@
 """A fleet whose processes are of two builds, for `mixed_builds.py`.
 
 A build is a checkout of the project. Older builds use other names for some log events, log fields and
-counters. All names of one of these are a tuple here, the oldest first.
+counters. Here, a tuple holds all names of one event, field or counter, the oldest first.
 """
 
 import contextlib
--- a/benchmarks/peer_messages.py
+++ b/benchmarks/peer_messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowPeriod:
-    """When one server takes ten times as long to set up a flow, in seconds from the start of the server."""
+    """When one server takes ten times as long to set up flows, in seconds since the start of the server."""
 
     server: int  # index of the slow server among the servers of its process
     start_s: float
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -33,7 +33,7 @@
 
 WINDOW_MS = 2_000.0
 FLEET_LOAD_FRACTION = 0.4  # load as a fraction of the servers' capacity, before the first replacement
-OLDER_OPTIONS = {"cold": "replace"}
+OLDER_OPTIONS = {"cold": "replace"}  # older names of options, which still work, and the present names
 DIRECTOR_COUNTS = (2, 5, 20, 30, 60, 200)
 GROUP_COUNTS = (0, 36, 190)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -14,7 +14,7 @@
 
 
 def run_script(folder, *lines):
-    """Run the script in a folder that has these tests and a KNOWN-RED.txt with these lines."""
+    """Run the script in a folder that has the tests of TEST_FILE and a KNOWN-RED.txt with the given lines."""
     (folder / "test_it.py").write_text(TEST_FILE)
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     return subprocess.run(
