--- a/benchmarks/sampled_days.py
+++ b/benchmarks/sampled_days.py
@@ -114,7 +114,7 @@
 class Options:
     """The command-line options."""
 
-    days: list[Day]  # all runs in order; a day that is run several times is in the list as often
+    days: list[Day]  # one entry for each run, so a day is listed as many times as `--runs` says
     bench: pathlib.Path
     site: pathlib.Path
     program: pathlib.Path
