--- a/lotusroute/capacity/client_stub.py
+++ b/lotusroute/capacity/client_stub.py
@@ -9,7 +9,7 @@
 
 MESSAGE = b"M 1 " + b"x" * 60 + b"\r\n"  # the line that all clients exchange
 
-# Each connection has a unique id, because a balancer keeps the ids of closed flows reserved for a while.
+# Each connection has a unique id, because a balancer keeps the id of an ended flow reserved for 60 s.
 _client_ids = itertools.count(1)
 
 
--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -24,13 +24,17 @@
 from lotusroute.capacity.processes import MeasuredProcess, RunTooLargeError, check_footprint
 from lotusroute.process_control.config_files import endpoint_entry
 
-SETTLE_DELAY_S = 4.0  # between opening the last connection and measuring idle connections
-SERVERS = 8  # list entries, all for one stub process; several, because a balancer may eject single servers
-LINES_PER_CLIENT = 20  # sent one at a time, each after the echo of the previous one
-CONCURRENT_CLIENTS = 16  # flows opened, or lines exchanged, at the same time
+# Time from the opening of the last connection to the measurement of idle connections.
+SETTLE_DELAY_S = 4.0
+# Entries of the endpoint list, all for one stub process. There are several, so that flows have other servers
+# to go to while the balancer ejects one that was slow for a moment.
+SERVERS = 8
+LINES_PER_CLIENT = 20  # a client sends each line after it has received the echo of the previous one
+CONCURRENT_CLIENTS = 16  # number of clients that open flows or exchange lines at the same time
 CONCURRENT_OPENS = 32  # connections opened at the same time before the idle interval
-UNMEASURED_FLOWS = 32  # opened before measuring, because the first flows are slower
-SPARE_DESCRIPTORS = 256  # beyond the two per connection
+UNMEASURED_FLOWS = 32  # flows opened before the measurement, because the first flows are slower
+# Descriptors that a process needs in addition to two for each connection.
+SPARE_DESCRIPTORS = 256
 
 
 class RunningBalancer(NamedTuple):
@@ -44,7 +48,7 @@
 class BalancerSample:
     """The balancer's CPU time since its start and its memory, at one point in time."""
 
-    timestamp: float  # s of the monotonic clock
+    timestamp: float  # time on the monotonic clock, in s
     cpu_seconds: float
     resident_mb: float
 
--- a/lotusroute/capacity/deployment.py
+++ b/lotusroute/capacity/deployment.py
@@ -19,8 +19,8 @@
 FLEET_NAME = "scale"
 LEASE_CHECK_INTERVAL_S = 0.05
 # Command-line arguments of `discovery_stub`.
-UNLIMITED_ANSWERS_PER_S = "1e6"  # more than any run asks for
-NO_CHANGES = "0"  # interval of periodic changes; 0 turns them off
+UNLIMITED_ANSWERS_PER_S = "1e6"  # a limit on the rate of answers that no run reaches
+NO_CHANGES = "0"  # an interval of 0, which turns periodic changes off
 BALANCER_SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800, "effect": "read_like"}],
     "limits": {"max_connects": 4, "connect_timeout": 250},
--- a/lotusroute/capacity/deterministic_counts.py
+++ b/lotusroute/capacity/deterministic_counts.py
@@ -17,9 +17,9 @@
 from lotusroute.relay.fanout import HEARTBEAT_INTERVAL_MS, Action, Drop, FanOut, Heartbeat
 from lotusroute.relay.versioned_store import Version, VersionedStore
 
-ENDPOINTS = 20  # in the endpoint list
-IDLE_TIME_MS = 6_000.0  # without a change, at the end of the scenario
-CHANGES = 3  # published one after the other
+ENDPOINTS = 20  # number of servers in the endpoint list
+IDLE_TIME_MS = 6_000.0  # time without a change at the end of the scenario
+CHANGES = 3  # number of changes, which are published one after the other
 CHANGE_INTERVAL_MS = 10.0
 TICK_INTERVAL_MS = 100.0
 AGE_MS = 100.0  # age of the endpoint list that every message states
--- a/lotusroute/capacity/direct_discovery_clients.py
+++ b/lotusroute/capacity/direct_discovery_clients.py
@@ -15,7 +15,7 @@
 from lotusroute.net import structured_log
 from lotusroute.net.discovery import Discovery
 
-START_INTERVAL_S = 0.005  # between two clients
+START_INTERVAL_S = 0.005  # time between the starts of two clients
 
 
 def main(file: str) -> None:
--- a/lotusroute/capacity/direct_discovery_role.py
+++ b/lotusroute/capacity/direct_discovery_role.py
@@ -7,7 +7,7 @@
 from lotusroute.capacity.member_settings import MemberSettings
 from lotusroute.capacity.processes import MeasuredProcess, check_footprint, usage_between
 
-SETTLE_DELAY_S = 4.0  # between the start of the last client and the measurement
+SETTLE_DELAY_S = 4.0  # time between the start of the last client and the measurement
 
 
 def measure_direct_discovery(size: int, options: MeasurementOptions) -> list[Measurement]:
--- a/lotusroute/capacity/discovery_resource.py
+++ b/lotusroute/capacity/discovery_resource.py
@@ -12,8 +12,8 @@
 from lotusroute.capacity.stubs import EndpointDocument
 from lotusroute.net.reactor import reactor
 
-QUEUE_TIMEOUT_S = 2.0  # a poll that waited longer is rejected when its turn comes
-MAX_QUEUE_LENGTH = 64  # polls; further ones are rejected at once
+QUEUE_TIMEOUT_S = 2.0  # a poll that has waited longer in the queue is rejected when its turn comes
+MAX_QUEUE_LENGTH = 64  # a poll that arrives while this many polls are queued is rejected at once
 UNLIMITED_ANSWERS_PER_S = 1e6
 STATUS_REJECTED = 503
 
@@ -24,7 +24,7 @@
 
     request: server.Request
     received_at: float
-    connected: bool = True  # false once the client has closed the connection
+    connected: bool = True  # whether the client still has the connection open
 
     def mark_disconnected(self, _reason: object) -> None:
         """Record that the client closed the connection."""
@@ -45,10 +45,11 @@
         """`hosts` is the endpoint list; polls that arrive before `available_from` are never answered."""
         super().__init__()
         self.hosts = hosts
-        self.sequence = 1  # version of the list
+        self.sequence = 1  # version of the endpoint list
         self.available_from = available_from
-        self.poll_times: list[float] = []  # of the polls that arrived from `available_from` on
-        self.bytes_sent = 0  # in the bodies of answers
+        # Arrival times of the polls since `available_from`, bounded in number only by the duration of a run.
+        self.poll_times: list[float] = []
+        self.bytes_sent = 0  # total size of the bodies of all answers
         self.counters: Counter[str] = Counter()
         self._answer_interval = 1 / answers_per_s
         self._next_answer_at = 0.0
--- a/lotusroute/capacity/endpoint_list_role.py
+++ b/lotusroute/capacity/endpoint_list_role.py
@@ -12,8 +12,8 @@
 from lotusroute.routing import events
 from lotusroute.routing.director import Director
 
-REPETITIONS = 3  # of each timing; the shortest counts
-FLOWS = 200  # routed in one timing
+REPETITIONS = 3  # how often each operation is timed; the shortest time is reported
+FLOWS = 200  # number of flows that are routed in one timing
 SETUP_TARGET_MS = 300.0
 FLOW_DEADLINE_MS = 2_000.0
 SERVER_PORT = 9_000
--- a/lotusroute/capacity/fleet_role.py
+++ b/lotusroute/capacity/fleet_role.py
@@ -29,12 +29,16 @@
 from lotusroute.capacity.processes import MeasuredProcess, ProcessUsage
 from lotusroute.process_control.logged_process import TIMEOUT_S
 
-SETTLE_DELAY_S = 4.0  # between the start of the last process and the measurement
+SETTLE_DELAY_S = 4.0  # time between the start of the last process and the measurement
 MAX_REAL_BALANCERS = 5
-HOLLOW_PER_PROCESS = 60  # with more, the CPU of this one process would limit the fleet
+# Largest number of hollow balancers in a process. With more, the CPU of that process would limit the fleet,
+# and the run would measure that process.
+HOLLOW_PER_PROCESS = 60
 ACCEPTORS = 3
 LEASE = "watch"
-HOLLOW_LEASE = "check"  # differs from LEASE, so that a real balancer with its own process holds LEASE
+# The lease that hollow balancers compete for. It differs from LEASE, so that a real balancer holds LEASE: its
+# process is its own, while hollow balancers share theirs, and so its usage can be measured separately.
+HOLLOW_LEASE = "check"
 DISCOVERY = "discovery"  # key of the discovery stub among the measured processes
 
 # Units of measurements.
@@ -48,7 +52,7 @@
     def __init__(self, size: int, hosts: int) -> None:
         self.names = [f"n{index + 1}" for index in range(size)]
         self.acceptors = self.names[:ACCEPTORS]
-        self.balancers: dict[str, MeasuredProcess] = {}  # the real ones, by name
+        self.balancers: dict[str, MeasuredProcess] = {}  # the real balancers by name
         self.lease_holder = ""
         self.discovery: RunningDiscovery
         self._hosts = hosts
--- a/lotusroute/capacity/hollow_balancers.py
+++ b/lotusroute/capacity/hollow_balancers.py
@@ -19,7 +19,7 @@
 from lotusroute.net.poll_schedule import PollLimits
 from lotusroute.net.reactor import reactor
 
-START_INTERVAL_S = 0.01  # between two hollow balancers
+START_INTERVAL_S = 0.01  # time between the starts of two hollow balancers
 DRAIN_GRACE_MS = 2_000.0
 
 
@@ -32,7 +32,7 @@
         self.counters = structured_log.Counters()
 
     def start(self, name: str, seed: int) -> None:
-        """Start a hollow balancer; `seed` is that of its discovery client."""
+        """Start a hollow balancer; `seed` is the seed of its discovery client."""
         leases = lease_service.LeaseService(reactor, self.fleet, name, self.counters)
         limits = PollLimits.for_remote_discovery(DRAIN_GRACE_MS)
         discovery = Discovery(self.discovery_address, 0, seed, self._count_update, self.counters, limits)
--- a/lotusroute/capacity/hollow_subscribers.py
+++ b/lotusroute/capacity/hollow_subscribers.py
@@ -26,11 +26,12 @@
 from lotusroute.relay.config import parse_relays_config
 from lotusroute.relay.subscription import Subscription
 
-# Between two subscribers. Long enough for the relays to accept each one: a subscriber that is not accepted in
-# time falls back to polling discovery, and many such polls would take the CPU that the relays need.
+# Time between the starts of two subscribers, long enough for the relays to accept each one. A subscriber that
+# is not accepted in time falls back to polling discovery. Thousands that start at once on one machine would
+# all fall back, and the discovery process would then take the CPU that the relays need to accept them.
 START_INTERVAL_S = 0.15
 DRAIN_GRACE_MS = 500.0
-RESTART_SEED = 1_000  # seed of the first restarted subscriber; the next ones count up from it
+RESTART_SEED = 1_000  # seed of the first restarted subscriber; each further one has the next number
 
 
 class HollowSubscriber(NamedTuple):
@@ -60,7 +61,7 @@
         self.subscribers: dict[str, HollowSubscriber] = {}
 
     def start(self, name: str, seed: int) -> None:
-        """Start a hollow subscriber; `seed` is that of its discovery client."""
+        """Start a hollow subscriber; `seed` is the seed of its discovery client."""
         relays = parse_relays_config(
             {"name": FLEET_NAME, "zone": self.settings.zone, "relays": self.settings.relays}
         )
--- a/lotusroute/capacity/member_process.py
+++ b/lotusroute/capacity/member_process.py
@@ -21,8 +21,8 @@
 ) -> None:
     """Start a member every `interval_s` with its name and index, and run until the process is killed.
 
-    Starts are spread out because starting many members at once would block the reactor. After the last one,
-    `event=ready` is printed to standard error, whatever the log level.
+    Starts are spread out because starting a hundred members at once would block the reactor until all of them
+    have started. After the last start, `event=ready` is printed to standard error, whatever the log level.
     """
     structured_log.configure_logging(log_level)
     for index, name in enumerate(names):
--- a/lotusroute/capacity/member_settings.py
+++ b/lotusroute/capacity/member_settings.py
@@ -13,8 +13,8 @@
 class MemberSettings:
     """Settings that all processes of members have."""
 
-    names: list[str]  # of the members
-    discovery: str  # address as HOST:PORT
+    names: list[str]  # names of the members
+    discovery: str  # address of discovery as HOST:PORT
 
     @classmethod
     def read(cls, file: str) -> Self:
@@ -41,7 +41,7 @@
 class HollowSubscriberSettings(MemberSettings):
     """Settings of a process of hollow subscribers."""
 
-    zone: str  # of all subscribers
+    zone: str  # zone that all subscribers of the process are in
     relays: dict[str, dict[str, str]]  # addresses of the relays, by zone and name
     report_file: str  # path to which the SubscriberReport is written
 
@@ -50,10 +50,11 @@
 class SubscriberReport:
     """What the hollow subscribers of one process have received."""
 
-    # By subscriber and number of the change: when it was first received, in s on the monotonic clock.
+    # When each subscriber first received each change, in s on the monotonic clock; keyed by the subscriber's
+    # name, then by the number of the change.
     received: dict[str, dict[int, float]]
-    digests: dict[str, str]  # by subscriber, a digest of its endpoint list
-    counters: dict[str, int]  # sums over all subscribers
+    digests: dict[str, str]  # version and digest of each subscriber's endpoint list, by the subscriber's name
+    counters: dict[str, int]  # sums of the counters of all subscribers
 
     @classmethod
     def read(cls, file: pathlib.Path) -> "SubscriberReport":
--- a/lotusroute/capacity/processes.py
+++ b/lotusroute/capacity/processes.py
@@ -14,9 +14,11 @@
 from lotusroute.process_control.process_start import ProcessOptions, module_command
 
 MAX_PROCESSES = 200
-MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
-PROCESS_MB = 40.0  # upper estimate for one process of the program
-HOLLOW_BALANCER_MB = 0.35  # upper estimate for one hollow balancer
+MAX_MEMORY_FRACTION = 0.5  # fraction of the machine's memory that a run may use
+# Upper estimates of the memory of one process of the program and of one hollow balancer. With lower values, a
+# run could take more memory than it may use.
+PROCESS_MB = 40.0
+HOLLOW_BALANCER_MB = 0.35
 PEER_BYTE_COUNTERS = ("peer_bytes_received", "peer_bytes_sent")
 KIB_PER_MIB = 1_024
 BYTES_PER_MIB = 2**20
@@ -64,8 +66,8 @@
 class ProcessUsage:
     """CPU usage and counter rates of a process over an interval."""
 
-    cpu_percent: float  # of one core
-    counter_rates: dict[str, float]  # increments per second, by counter
+    cpu_percent: float  # CPU time as a percentage of one core
+    counter_rates: dict[str, float]  # increments per second, by the name of the counter
 
     def rate(self, *keys: str) -> float:
         """Return the sum of some counters' rates per second; one that was never incremented counts as 0."""
--- a/lotusroute/capacity/propagation_fleet.py
+++ b/lotusroute/capacity/propagation_fleet.py
@@ -28,18 +28,18 @@
 from lotusroute.capacity.stubs import CHANGED_HOST
 from lotusroute.process_control.log_fields import log_field
 
-HOLLOW_PER_PROCESS = 160  # hollow subscribers
+HOLLOW_PER_PROCESS = 160  # largest number of hollow subscribers in a process
 # How many relays are acceptors of the lease: five, or three if there are fewer than five relays.
 LARGE_ACCEPTOR_GROUP = 5
 SMALL_ACCEPTOR_GROUP = 3
 LEASE = "origin"
 LEASE_DURATION_MS = 1_500
-MAX_SUBSCRIBERS = 4_000  # per relay
+MAX_SUBSCRIBERS = 4_000  # largest number of subscribers that a relay accepts
 START_TIMEOUT_S = 60.0
 LEASE_TIMEOUT_S = 30.0
 REPORT_TIMEOUT_S = 20.0
 REPORT_CHECK_INTERVAL_S = 0.05
-SETTLE_DELAY_S = 8.0  # between the start of the last process and the first measurement
+SETTLE_DELAY_S = 8.0  # time between the start of the last process and the first measurement
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
 class OriginFigures:
     """What the origin, the relay that polls discovery, uses at rest."""
 
-    cpu_percent: float  # of one core
-    bytes_per_s: float  # in both directions
+    cpu_percent: float  # CPU time as a percentage of one core
+    bytes_per_s: float  # bytes sent and received per second
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
     """What relays and real balancers use at rest: the origin's figures, and means over all others."""
 
     origin: OriginFigures
-    relay_cpu_percent: float  # of one core
-    relay_bytes_per_s: float  # in both directions
+    relay_cpu_percent: float  # CPU time as a percentage of one core
+    relay_bytes_per_s: float  # bytes sent and received per second
     relay_resident_mb: float
     balancer_cpu_percent: float
     balancer_bytes_per_s: float
@@ -88,8 +88,8 @@
 
     def __init__(self, size: FleetSize, report: Callable[[str], None]) -> None:
         self.size = size
-        self.relays: dict[str, MeasuredProcess] = {}  # by name
-        self.balancers: dict[str, MeasuredProcess] = {}  # real balancers, by name
+        self.relays: dict[str, MeasuredProcess] = {}  # all relays by name, including those that were killed
+        self.balancers: dict[str, MeasuredProcess] = {}  # the real balancers by name
         self.hollow: list[HollowGroup] = []
         self.discovery: MeasuredProcess
         names = [f"r{index + 1}" for index in range(size.relays)]
@@ -203,7 +203,7 @@
     # Changes of the endpoint list
 
     def publish_change(self, number: int) -> float:
-        """Make discovery change its list; `number` is that of the change. Return when it was made."""
+        """Make discovery change its list and return when; `number` is the expected number of the change."""
         return self._publish(signal.SIGUSR2, number)
 
     def publish_burst(self, last_number: int) -> float:
--- a/lotusroute/capacity/reconnect_storm.py
+++ b/lotusroute/capacity/reconnect_storm.py
@@ -1,8 +1,8 @@
 """Measures a reconnect storm at discovery: many clients poll it at once when it starts or recovers.
 
 Everything runs in one process: a discovery stub that answers at a limited rate, and clients that are the
-balancer's own `Discovery` class. The reactor has to be installed before this module is imported. Times are in
-seconds on the reactor's clock unless a name ends in `_ms`.
+balancer's own `Discovery` class. Importing this module installs the balancer's reactor if none is
+installed yet. Times are in seconds on the reactor's clock unless a name ends in `_ms`.
 """
 
 import time
@@ -21,8 +21,11 @@
 from lotusroute.process_control.config_files import endpoint_entry
 from lotusroute.process_control.free_ports import LOOPBACK
 
-STORM_DURATION_S = 10.0  # after discovery becomes available
-REST_DURATION_S = 5.0  # at the end of a run, when the storm is taken to be over
+# Time after discovery becomes available in which polls count as part of the storm.
+STORM_DURATION_S = 10.0
+# Time at the end of a run over which the rate of polls at rest is measured; the storm is taken to be over by
+# then.
+REST_DURATION_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +34,10 @@
 
     clients: int
     hosts: int  # servers in the endpoint list
-    answers_per_s: float  # at most, by discovery
-    down_s: float  # at the start of the run, while discovery gives no answer
-    duration_s: float  # of the rest of the run, while discovery answers
-    grace_ms: float  # the clients' grace period of a drain
+    answers_per_s: float  # largest rate at which discovery answers polls
+    down_s: float  # time at the start of the run for which discovery gives no answer
+    duration_s: float  # duration of the rest of the run, in which discovery answers
+    grace_ms: float  # grace period that the clients give draining servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,23 +53,24 @@
     """The figures of one run."""
 
     clients: int
-    polls_first_10s: int
-    max_polls_per_second: int
-    polls_per_second_at_rest: float  # in the last 5 s
+    polls_first_10s: int  # polls in the 10 s after discovery became available
+    max_polls_per_second: int  # polls in the second that had the most
+    polls_per_second_at_rest: float  # mean rate of polls in the last 5 s of the run
     rejected: int  # polls that the stub rejected, because its queue was full or the poll waited too long
     abandoned: int  # polls whose client closed the connection before the answer
     watches: int  # long polls that the stub took from its queue
     answers: int  # other polls that it answered
-    clients_without_list: int  # at the end
+    clients_without_list: int  # clients that have no endpoint list at the end of the run
     first_list_s: FirstListTimes | None  # None if no client received a list
-    cpu_s: float  # of the whole process: clients and stub
+    cpu_s: float  # CPU time of the whole process, which runs both the clients and the stub
 
 
 class StormClients:
     """Clients that poll one discovery service, and when each received its first list."""
 
     def __init__(self, port: int, grace_ms: float, available_from: float) -> None:
-        self.first_lists: dict[int, float] = {}  # by client, in s after discovery became available
+        # When each client received its first list, in s after discovery became available; keyed by its index.
+        self.first_lists: dict[int, float] = {}
         self._address = Address(LOOPBACK, port)
         self._grace_ms = grace_ms
         self._available_from = available_from
--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -9,10 +9,12 @@
 from lotusroute.capacity.errors import TooFewSizesError
 from lotusroute.capacity.measurement import Point, Series
 
-MAX_GROWTH = 1.25  # factor from one run to the next; more is reported
-MIN_RELIABLE_SIZES = 4  # in a series, for a reliable slope
-MIN_LINE_SIZES = 2  # in a series, for any line
-NOISE_STANDARD_ERRORS = 2  # of a slope; a smaller difference is taken as noise
+# A figure is reported if it grew by more than this factor from one run to the next.
+MAX_GROWTH = 1.25
+MIN_RELIABLE_SIZES = 4  # number of sizes that a series needs before its slope can be relied on
+MIN_LINE_SIZES = 2  # number of different sizes that a series needs before a line can be fitted
+# A slope that differs from another value by less than this many of its standard errors is taken as noise.
+NOISE_STANDARD_ERRORS = 2
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusroute/capacity/target.py
+++ b/lotusroute/capacity/target.py
@@ -1,4 +1,7 @@
-"""The operators' capacity target for two years ahead, and the figures that follow from it by division."""
+"""The operators' capacity target for two years ahead, and the figures that follow from it by division.
+
+Measured figures do not belong here: they come from runs.
+"""
 
 from typing import NamedTuple
 
@@ -11,19 +14,19 @@
     balancers: int = 6_200
     connections: int = 400_000_000
     shards: int = 1_500_000
-    listeners: int = 480_000  # of the largest topic
-    deliveries: float = 140e6  # per second
-    delivery_ms: float = 370.0  # 99th percentile
+    listeners: int = 480_000  # number of listeners of the largest topic
+    deliveries: float = 140e6  # number of deliveries per second
+    delivery_ms: float = 370.0  # 99th percentile of the time that a delivery takes
     regions: int = 8
     zones: int = 19
-    changes: int = 8_000  # of configuration, per day
-    in_force_s: float = 4.0  # from a change until it is in force everywhere
-    core: float = 0.035  # fraction of a core per balancer, for the control plane
-    memory_mb: float = 64.0  # per balancer, for the control plane
-    bytes_s: float = 8_192.0  # per second and balancer, for the control plane
-    machines: int = 44  # of the control plane
-    machines_fail: int = 19  # per day
-    replaced: int = 540  # processes per day
+    changes: int = 8_000  # number of configuration changes per day
+    in_force_s: float = 4.0  # time from a change until it is in force everywhere
+    core: float = 0.035  # fraction of a core that the control plane may use per balancer
+    memory_mb: float = 64.0  # memory that the control plane may use per balancer
+    bytes_s: float = 8_192.0  # bytes per second that the control plane may use per balancer
+    machines: int = 44  # number of machines of the control plane
+    machines_fail: int = 19  # number of machines that fail per day
+    replaced: int = 540  # number of processes that are replaced per day
 
     def derived_figures(self) -> dict[str, float]:
         """Return the figures that follow from the target by division.
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -19,11 +19,11 @@
 from lotusroute.capacity.propagation_fleet import FleetSize, PropagationFleet, RestFigures
 from lotusroute.capacity.stubs import BURST_CHANGES
 
-REST_DURATION_S = 6.0  # of the measurement at rest, before the first scenario
+REST_DURATION_S = 6.0  # duration of the measurement at rest, before the first scenario
 PROPAGATION_TIMEOUT_S = 12.0  # a subscriber that has not received the change by then counts as lagging
-REPORT_INTERVAL_S = 0.5  # between two collections of reports
-PAUSE_S = 3.0  # after each scenario
-SEED = 1  # of the random choice of relays that fail
+REPORT_INTERVAL_S = 0.5  # time between two collections of reports
+PAUSE_S = 3.0  # waiting time after each scenario
+SEED = 1  # seed of the random choice of relays that fail
 
 
 class Scenario(StrEnum):
@@ -49,9 +49,9 @@
     p99_s: float
     worst_s: float
     received: int  # subscribers that received the change
-    lagging: int  # hollow subscribers that did not receive it in time
-    real: int  # real balancers that received it
-    distinct_lists: int  # among hollow subscribers; 1 if all have the same list
+    lagging: int  # hollow subscribers that did not receive the change in time
+    real: int  # real balancers that received the change
+    distinct_lists: int  # number of different lists that hollow subscribers have; 1 if all have the same
     fallbacks: int  # how often since the start a hollow subscriber fell back to polling discovery
 
     def is_late(self, limit_s: float) -> bool:
@@ -63,7 +63,7 @@
 class PropagationRun:
     """The figures of a run."""
 
-    rest: RestFigures  # before the first scenario
+    rest: RestFigures  # figures at rest, measured before the first scenario
     scenarios: dict[Scenario, PropagationFigures]
 
 
@@ -212,7 +212,10 @@
 
 
 def _first_received(changes: dict[int, float], change: int) -> float | None:
-    """Return when a change was received, by itself or as part of a later one; None if it was not."""
+    """Return when a change was received, by itself or with a later one; None if it was not.
+
+    A later change counts, because it contains the earlier ones.
+    """
     return min((timestamp for number, timestamp in changes.items() if number >= change), default=None)
 
 
