--- a/tests/balancer_process.py
+++ b/tests/balancer_process.py
@@ -63,7 +63,10 @@
         cached_version: int = 0,
         **discovery_state: object,
     ) -> None:
-        """`cached_version` is that of the cached list; `discovery_state` sets attributes of `discovery`."""
+        """Start the processes.
+
+        `cached_version` is the version of the cached list; `discovery_state` sets attributes of `discovery`.
+        """
         self.discovery = FakeDiscovery(*servers, available=available)
         vars(self.discovery).update(discovery_state)
         self.flow_count = 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,8 @@
 from fake_servers import FakeServer
 from wall_clock import SteppableWallClock
 
-collect_ignore = ["wall_clock_shim"]  # loaded by processes that tests start, not by pytest itself
+# The shim is to be loaded by processes that tests start, not by pytest itself.
+collect_ignore = ["wall_clock_shim"]
 
 
 @pytest.fixture(scope="module")
--- a/tests/director_host.py
+++ b/tests/director_host.py
@@ -15,7 +15,7 @@
     slow_start_duration=20_000.0,
     slow_start_burst=3.0,
 )
-KEYS = [f"key-{index}" for index in range(200)]  # keys of flow requests
+KEYS = [f"key-{index}" for index in range(200)]  # client keys that flow requests carry
 FLOW_TIMEOUT_MS = 1_800.0
 TICK_MS = 1_000.0  # the interval of the director's timer
 
@@ -32,7 +32,7 @@
         seed: int = 7,
         **config_changes: Any,
     ) -> None:
-        """Start the director with `config` and these changes to its fields, and list this many servers."""
+        """Start a director that knows `servers` servers; `config_changes` replace fields of `config`."""
         self.director = Director(config._replace(**config_changes), seed)
         self.now = 0.0
         self.last_flow_id = 0
@@ -53,7 +53,7 @@
 
     def request(
         self, key: str = "k", group: str | None = None, tenant: str | None = None, **fields: Any
-    ) -> Any:  # an action of the type that the test expects
+    ) -> Any:  # `Any`, because each test expects an action of a certain type
         """Request a new flow; returns the director's first action."""
         self.last_flow_id += 1
         deadline = self.now + FLOW_TIMEOUT_MS
--- a/tests/fake_discovery.py
+++ b/tests/fake_discovery.py
@@ -38,7 +38,7 @@
                 self._reject()
             case float(queue_s):
                 time.sleep(queue_s)
-                # The hold has expired while the poll was queued.
+                # The poll's hold time has passed while it was queued, so it is answered without another hold.
                 self._answer(poll._replace(deadline=0.0))
             case _ if discovery.rejections:
                 discovery.rejections -= 1
@@ -89,15 +89,15 @@
     """Discovery on a free port. Tests set its attributes while it runs."""
 
     def __init__(self, *servers: ServerWithEntry, available: bool = True) -> None:
-        self.polls: list[tuple[float, str | None]] = []  # time and version of each poll
-        self.responses: list[tuple[float, int]] = []  # time and version of each response
-        self.rejections = 0  # number of next polls that are rejected
+        self.polls: list[tuple[float, str | None]] = []  # time of each poll and the version that it states
+        self.responses: list[tuple[float, int]] = []  # time of each response and the version that it sends
+        self.rejections = 0  # how many of the next polls are rejected
         self.response_delay = 0.0  # seconds before each response
         # Faults of the next polls, one each: "drop", "silent", "partial", "reject", or the seconds for which
         # the poll is queued.
         self.script: list[str | float] = []
-        self.interruptions = 0  # when it is increased, the polls in flight are never answered
-        self.down = False  # polls in flight and new ones are never answered
-        self.partial_responses = False  # an interrupted poll gets a part of a response
-        self.resets = False  # the connection of an interrupted poll is reset
+        self.interruptions = 0  # whenever a test increases this, the polls in flight are never answered
+        self.down = False  # while true, polls in flight and new polls are never answered
+        self.partial_responses = False  # if true, an interrupted poll gets a part of a response
+        self.resets = False  # if true, the connection of an interrupted poll is reset
         super().__init__([server.entry() for server in servers], int(available), FakeDiscoveryHandler)
--- a/tests/fake_servers.py
+++ b/tests/fake_servers.py
@@ -13,17 +13,17 @@
 class FakeServer:
     """A server on a free port.
 
-    It answers the first line of a connection with `reply`, or not at all without one, and echoes later lines.
-    Tests may change its attributes while it runs.
+    It answers the first line of a connection with `reply`, or leaves it unanswered if there is no reply, and
+    echoes later lines. Tests may change its attributes while it runs.
     """
 
     def __init__(self, name: str, reply: bytes | None = b"UP r1\r\n") -> None:
         self.name = name
         self.reply = reply
-        self.lines: list[bytes] = []  # all received lines; an empty one marks the end of a connection
+        self.lines: list[bytes] = []  # all received lines; an empty line marks the end of a connection
         self.connections: list[socket.socket] = []
-        self.unresponsive = False  # stops echoing lines
-        self.resets_connections = False  # ends connections with a reset instead of BYE
+        self.unresponsive = False  # while true, the server reads lines and does not echo them
+        self.resets_connections = False  # while true, the server ends connections with a reset, not with BYE
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.port: int = self.socket.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
--- a/tests/flow_helpers.py
+++ b/tests/flow_helpers.py
@@ -18,7 +18,7 @@
 
 
 def flow_settings(effect="read_like", deadline=4_000, connect_timeout=5_000, grace=2_000, **fields):
-    """Return SETTINGS with one service type and these time limits, all in ms."""
+    """Return SETTINGS with one service type; `deadline`, `connect_timeout` and `grace` are in ms."""
     service_type = {"name": "live", "setup_target": 300, "deadline": deadline, "effect": effect, **fields}
     return {
         **SETTINGS,
--- a/tests/golden_bytes_support.py
+++ b/tests/golden_bytes_support.py
@@ -10,7 +10,7 @@
 from lotusroute.leases.acceptor import Acceptor
 from lotusroute.leases.proposer import Proposer
 
-NOW = 10_000.0  # ms
+NOW = 10_000.0  # time of the fixed clock, in ms
 PEERS = {"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": "10.0.0.4:1"}
 FLEET = {"name": "f", "keepers": ["a", "b", "c"], "peers": PEERS}
 # A propose message from b: task, ballot, proposer, round, lease duration of 3000 ms.
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -26,11 +26,11 @@
 LEASE_MS = 1_500
 MAX_SUBSCRIBERS = 50
 SHOW_TIMEOUT_S = 30.0  # longest run time of the status command
-RELAYS = ["r1", "r2", "r3"]  # all are acceptors of the lease
+RELAYS = ["r1", "r2", "r3"]  # names of the relays, all of which are acceptors of the lease
 ZONES = ["a", "b"]
 SERVERS = 4
 BALANCERS = 2
-DRAIN_CHECK_CLIENTS = 4  # number of clients that test a draining server, which is their default server
+DRAIN_CHECK_CLIENTS = 4  # clients that test whether a server drains; it is the default server of all
 DRAIN_CHECK_INTERVAL_S = 0.1
 
 # Client keys by default server: a balancer sends these clients there until it knows that the server drains.
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -8,11 +8,13 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "lotusroute"
-# These measure and test the program; nobody is on call for them.
+# These packages measure and test the program; nobody is on call for them.
 EXCLUDED_PACKAGES = {"capacity", "fault_injection"}
 LOGGING_FUNCTIONS = {"log_event", "log_exception", "log_step"}
-COUNTER_TABLE_NAME = re.compile(r"[A-Z_]*COUNTERS?")  # constants that map a type or outcome to its counter
-PLACEHOLDER = "*"  # for the variable part of a name: `ended_RESULT` on the page, f"ended_{result}" in code
+# Names of the constants that map a type or an outcome to its counter.
+COUNTER_TABLE_NAME = re.compile(r"[A-Z_]*COUNTERS?")
+# Stands for the variable part of a name, such as `ended_RESULT` on the page and f"ended_{result}" in code.
+PLACEHOLDER = "*"
 
 
 def _last_name(node: ast.expr) -> str:
