--- a/lotusroute/capacity/processes.py
+++ b/lotusroute/capacity/processes.py
@@ -22,7 +22,7 @@
 PEER_BYTE_COUNTERS = ("peer_bytes_received", "peer_bytes_sent")
 KIB_PER_MIB = 1_024
 BYTES_PER_MIB = 2**20
-NANOSECONDS = 1_000_000_000  # in a second
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
 class RunTooLargeError(LotusrouteError):
@@ -101,7 +101,7 @@
         total = 0.0
         for task in pathlib.Path(f"/proc/{self.process.pid}/task").iterdir():
             try:
-                total += int((task / "schedstat").read_text().split()[0]) / NANOSECONDS
+                total += int((task / "schedstat").read_text().split()[0]) / NANOSECONDS_PER_SECOND
             except OSError:
                 continue
         return total
--- a/tests/wall_clock_shim/sitecustomize.py
+++ b/tests/wall_clock_shim/sitecustomize.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 OFFSET_FORMAT = struct.Struct("d")
-NANOSECONDS = 1_000_000_000  # in a second
+NANOSECONDS_PER_SECOND = 1_000_000_000
 JUMPS_PER_SECOND = 4
 MAX_JUMP_S = 3_600.0
 
@@ -48,9 +48,9 @@
         return read_clock(clock) + (offset() if is_wall_clock else 0.0)
 
     time.time = lambda: read_time() + offset()
-    time.time_ns = lambda: int(time.time() * NANOSECONDS)
+    time.time_ns = lambda: int(time.time() * NANOSECONDS_PER_SECOND)
     time.clock_gettime = clock_gettime
-    time.clock_gettime_ns = lambda clock: int(clock_gettime(clock) * NANOSECONDS)
+    time.clock_gettime_ns = lambda clock: int(clock_gettime(clock) * NANOSECONDS_PER_SECOND)
 
 
 if "WALL_CLOCK_OFFSET_FILE" in os.environ:
