--- a/lotusroute/capacity/data_plane_role.py
+++ b/lotusroute/capacity/data_plane_role.py
@@ -58,8 +58,8 @@
     """Samples at the bounds of two consecutive intervals: one idle, one with lines exchanged."""
 
     idle: BalancerSample  # start of the idle interval, with all connections open
-    exchange: BalancerSample  # end of the idle interval; clients start to exchange lines
-    end: BalancerSample  # all lines have been exchanged
+    exchange: BalancerSample  # end of the idle interval, when clients start to exchange lines
+    end: BalancerSample  # end of the exchange, when all lines have been exchanged
 
     def idle_cpu_fraction(self) -> float:
         """Return the fraction of a core that the balancer uses while all connections are idle."""
--- a/lotusroute/capacity/measurement.py
+++ b/lotusroute/capacity/measurement.py
@@ -12,7 +12,7 @@
 class Measurement:
     """One figure of a role at one size."""
 
-    name: str  # role.figure
+    name: str  # names of the role and of the figure, joined by a dot
     unit: str
     size: float
     value: float
--- a/lotusroute/capacity/regression_line.py
+++ b/lotusroute/capacity/regression_line.py
@@ -21,7 +21,7 @@
 class RegressionLine:
     """A line fitted to the points of a series."""
 
-    name: str  # role.figure
+    name: str  # names of the role and of the figure, joined by a dot
     unit: str
     slope: float  # in `unit` per unit of size
     intercept: float  # value at size 0
--- a/lotusroute/capacity/stubs.py
+++ b/lotusroute/capacity/stubs.py
@@ -4,6 +4,6 @@
 
 CHANGED_HOST = "s-0"  # the server whose entry the discovery stub changes
 BURST_CHANGES = 50  # changes that the discovery stub makes within a second on SIGHUP
-DISCARD_PORT = 9  # for servers in endpoint lists to which nothing connects
+DISCARD_PORT = 9  # port of servers that are in endpoint lists only: nothing connects to them
 
 EndpointDocument = dict[str, JsonValue]  # a server's entry as discovery sends it
--- a/lotusroute/capacity/update_propagation.py
+++ b/lotusroute/capacity/update_propagation.py
@@ -20,7 +20,7 @@
 from lotusroute.capacity.stubs import BURST_CHANGES
 
 REST_DURATION_S = 6.0  # duration of the measurement at rest, before the first scenario
-PROPAGATION_TIMEOUT_S = 12.0  # a subscriber that has not received the change by then counts as lagging
+PROPAGATION_TIMEOUT_S = 12.0  # a subscriber without the change after this time counts as lagging
 REPORT_INTERVAL_S = 0.5  # time between two collections of reports
 PAUSE_S = 3.0  # waiting time after each scenario
 SEED = 1  # seed of the random choice of relays that fail
@@ -33,7 +33,7 @@
     BURST = "burst"  # many changes within a second
     KILL = "kill"  # a relay is killed
     STOP = "stop"  # a relay is stopped (SIGSTOP) and continues afterwards
-    TWO = "two"  # two relays are stopped (SIGSTOP), of one zone if it has two
+    TWO = "two"  # two relays, of one zone if it has two, are stopped (SIGSTOP) and continue afterwards
     ORIGIN = "origin"  # the origin is killed
     ZONE = "zone"  # all hollow subscribers of a zone lose their state and restart
 
