--- a/lotusroute/capacity/errors.py
+++ b/lotusroute/capacity/errors.py
@@ -13,7 +13,7 @@
     """A balancer did not accept a stub client's connection."""
 
     def __init__(self, answer: bytes) -> None:
-        super().__init__(f"rejected: {answer!r}")
+        super().__init__(f"rejected: expected an answer that starts with 'UP ', received {answer!r}")
         self.answer = answer
 
 
@@ -30,7 +30,7 @@
     """The lease holder sent no update during the measurement."""
 
     def __init__(self, lease_holder: str) -> None:
-        super().__init__(f"{lease_holder} held the lease but sent no update")
+        super().__init__(f"{lease_holder} held the lease but sent no update during the measurement")
         self.lease_holder = lease_holder
 
 
@@ -38,7 +38,7 @@
     """A process of hollow subscribers did not write its report within the timeout."""
 
     def __init__(self, file: pathlib.Path, timeout_s: float) -> None:
-        super().__init__(f"{file.name} was not written within {timeout_s:g} s")
+        super().__init__(f"the hollow subscribers' report {file.name} was not written within {timeout_s:g} s")
         self.file = file
         self.timeout_s = timeout_s
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -46,7 +46,7 @@
             return values[node.id]
         if isinstance(node, ast.Constant) and isinstance(node.value, int | float):
             return node.value
-        raise ValueError(f"{formula}: {ast.dump(node)}")
+        raise ValueError(f"{formula}: expected numbers, names and + - * / only, found {ast.dump(node)}")
 
     return evaluate_node(ast.parse(formula, mode="eval"))
 
@@ -71,7 +71,9 @@
 
 def test_measured_figures_name_their_command(figures):
     for figure in figures:
-        assert figure.origin != "measured" or "`" in figure.source, f"{figure.name}: no command"
+        assert figure.origin != "measured" or "`" in figure.source, (
+            f"{figure.name}: source has no command: {figure.source!r}"
+        )
 
 
 def test_target_figures_on_the_page_match_the_code(figures):
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -14,6 +14,6 @@
     """Call `condition` repeatedly until its result is true, and return that; fail after TIMEOUT_S."""
     deadline = time.monotonic() + TIMEOUT_S
     while not (result := condition()):
-        assert time.monotonic() < deadline, "the condition was not met in time"
+        assert time.monotonic() < deadline, f"the condition was not met within {TIMEOUT_S:g} s"
         time.sleep(POLL_INTERVAL_S)
     return result
