--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -16,7 +16,8 @@
 from lotusroute.cli.options import JSON_OPTION, ExitCode, exit_with_usage_error, hidden_alias
 
 ROLE_NAMES = ("data-plane", "direct-discovery", "fleet", "list", "relays")
-LEGACY_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}  # still accepted
+# Legacy names of roles, which are still accepted, and their current names.
+LEGACY_ROLE_NAMES = {"followers": "direct-discovery", "plane": "data-plane"}
 
 
 def parse_role(text: str) -> str:
--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -36,6 +36,6 @@
 
 
 def exit_with_usage_error(message: str) -> NoReturn:
-    """Print the reason why the command cannot run as given, and exit."""
+    """Print the reason why the command cannot run as given, and exit with `ExitCode.USAGE_ERROR`."""
     click.echo(f"lotusroute: {message}", err=True)
     sys.exit(ExitCode.USAGE_ERROR)
--- a/lotusroute/cli/peer_query.py
+++ b/lotusroute/cli/peer_query.py
@@ -1,4 +1,7 @@
-"""Queries the status of running processes and prints it, for the `show` commands."""
+"""Queries the status of running processes and prints it, for the `show` commands.
+
+A query does not change the state of the process that is queried.
+"""
 
 import json
 import sys
@@ -28,14 +31,14 @@
     statuses: dict[str, ProcessStatus]
     relay_statuses: dict[str, RelayStatus | None]  # None for a process that is not a relay
     documents: dict[str, ProcessDocument]  # the complete status, as `--json` prints it
-    errors: dict[str, str]  # the reasons of peers without a usable answer
+    errors: dict[str, str]  # reason for each peer without a usable answer
 
 
 def query_peers(file: str, peers: Sequence[str]) -> PeerAnswers:
     """Query the status of `peers`, or of all peers in the fleet's file if none is named.
 
-    Exits with `ExitCode.USAGE_ERROR` if the file is unusable or lacks a peer. This runs the reactor, which is
-    possible only once per process.
+    Exits with `ExitCode.USAGE_ERROR` if the file is unusable or lacks a peer. It must be called only once per
+    process, because it runs the reactor, which cannot be restarted.
     """
     config = _load_config(file, peers)
     answers = PeerAnswers({}, {}, {}, {})
@@ -67,7 +70,7 @@
             document = status_document(body)
             relay_status = decode_relay_status(document)
             printed_document = printed_process_status(document)
-        except Exception as error:  # any failure affects only this peer
+        except Exception as error:  # a failed query must not affect the other peers
             answers.errors[name] = str(error) or type(error).__name__
             continue
         answers.statuses[name] = status
--- a/lotusroute/cli/relay.py
+++ b/lotusroute/cli/relay.py
@@ -17,7 +17,7 @@
 from lotusroute.relay.status import RelayStatus
 from lotusroute.relay.versioned_store import Version
 
-SHUTDOWN_DELAY_S = 0.1  # time to send the release of the lease
+SHUTDOWN_DELAY_S = 0.1  # time between the release of the lease and the exit, so that the release is sent
 
 
 @click.command()
--- a/lotusroute/fault_injection/fault_injector.py
+++ b/lotusroute/fault_injection/fault_injector.py
@@ -19,15 +19,16 @@
     FaultKind.THROTTLE: 1,
     FaultKind.KILL_ACCEPTORS: 1,
 }
-HOLDER_PROBABILITY = 0.5  # that a fault targets the last lease holder
-STAY_DOWN_PROBABILITY = 0.3  # that an ended process is restarted only when all faults are healed
+HOLDER_PROBABILITY = 0.5  # probability that a fault targets the last lease holder
+# Probability that a process stays down after it was ended, until all faults are healed.
+STAY_DOWN_PROBABILITY = 0.3
 # Probability that a partition is healed after one of PARTITIONS_S; the others are healed with all faults.
 TEMPORARY_PARTITION_PROBABILITY = 0.7
 RESTART_DELAYS_S = (0.0, 0.05)
 PAUSES_S = (0.1, 0.6, 1.5, 3.0)
 PARTITIONS_S = (0.2, 1.0, 2.5)
 LINK_DELAYS_S = (0.05, 0.3, 0.8)
-LINK_RATES = (20.0, 200.0)  # bytes per second
+LINK_RATES = (20.0, 200.0)  # rates of throttled links in bytes per second
 
 
 class FaultInjector:
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -9,8 +9,11 @@
 from lotusroute.errors import LotusrouteError
 from lotusroute.fault_injection.log_records import INJECTOR, LEASE_ACQUIRED, LEASE_LOST, FaultKind, LogRecord
 
-MAX_READ_DELAY_S = 0.25  # between the write and the read of a record, on a busy machine
-CONTEXT_RECORDS = 20  # records before a violation that are shown with it
+# Longest time from the write to the read of a record. On a busy machine, delays of 0.02 s occur. If the limit
+# is too small, records that were read in the wrong order are reported as violations. Two processes that both
+# hold the lease for less than this time are not reported.
+MAX_READ_DELAY_S = 0.25
+CONTEXT_RECORDS = 20  # number of records before a violation that are shown with it
 
 
 class InvariantViolationError(LotusrouteError):
@@ -65,8 +68,8 @@
         self.records = records
         self.violations: list[Violation] = []
         self.holders: dict[str, dict[str, int]] = {}  # fencing tokens by task and process
-        self.highest_tokens: dict[str, int] = {}  # by task
-        self.paused: set[str] = set()  # processes
+        self.highest_tokens: dict[str, int] = {}  # highest fencing token of each task
+        self.paused: set[str] = set()  # names of the paused processes
 
     def check(self, index: int) -> None:
         """Check the record at an index; all earlier records must have been checked before."""
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -6,7 +6,8 @@
 
 Real time advances in steps. The clocks of acceptors are fast and those of proposers slow, both by the maximum
 drift, which is the worst case for a lease. A proposer reads its clock only when it is ticked or receives a
-message; at all other times it is stalled. Every promised ballot is persisted.
+message; at all other times it is stalled, and does not notice the expiry of its lease. Every promised ballot
+is persisted.
 """
 
 import random
@@ -29,15 +30,16 @@
 )
 from lotusroute.leases.proposer import Proposer, ProposerState
 
-STEP_MS = 500.0  # of real time; a lease expires after six steps
+# Duration of one step of real time. A lease expires after six steps, so that few transitions reach its end.
+STEP_MS = 500.0
 TASK = "task"
-MAX_IN_FLIGHT = 16  # messages; beyond it, the oldest ones are lost
-DRIFT_FRACTION = 0.2  # far above that of real clocks, so that the drift amounts to whole steps
+MAX_IN_FLIGHT = 16  # maximum number of messages in flight; if there are more, the oldest ones are lost
+DRIFT_FRACTION = 0.2  # far above the drift of real clocks, so that the deviation amounts to whole steps
 NO_TARGET = -1  # target of a transition that affects no single process or message
 
 
 class LowerBoundRng(random.Random):
-    """Always returns the lower bound of a range: the checker explores interleavings, not backoff times."""
+    """Always returns the lower bound of a range, because the checker explores interleavings, not backoffs."""
 
     def uniform(self, a: float, b: float) -> float:
         """Return the lower bound."""
@@ -83,7 +85,7 @@
 
     proposer: int
     acceptor: int
-    proposer_name: str  # of the incarnation that the event is addressed to
+    proposer_name: str  # name of the incarnation that the event is addressed to
     event: ReplyReceived | LeaseReleased
 
 
@@ -107,14 +109,14 @@
 class ModelState(NamedTuple):
     """The state of the whole model; hashable, and compared by value."""
 
-    now: int  # steps of real time
+    now: int  # elapsed steps of real time
     acceptors: tuple[AcceptorSnapshot, ...]
     proposers: tuple[ProposerSnapshot, ...]
-    in_flight: tuple[RequestInFlight | EventInFlight, ...]  # oldest first
-    fencing_token: int  # the highest of all holders so far
+    in_flight: tuple[RequestInFlight | EventInFlight, ...]  # messages in flight, oldest first
+    fencing_token: int  # highest fencing token of all holders so far
     holder: str  # name of the last proposer that acquired the lease
-    duplicates: int  # how many more messages may be duplicated
-    crashes: int  # how many more crashes may occur
+    duplicates: int  # number of messages that may still be duplicated
+    crashes: int  # number of crashes that may still occur
 
 
 class LeaseModel:
@@ -129,9 +131,12 @@
         drift: float = DRIFT_FRACTION,
         assumed_drift: float = DRIFT_FRACTION,
     ) -> None:
-        """`drift` is the drift of the clocks, `assumed_drift` the one that the terms allow for; fractions."""
+        """`drift` is the drift of the clocks, and `assumed_drift` the drift that the lease terms allow for.
+
+        Both are fractions of real time.
+        """
         names = tuple(f"acceptor{index}" for index in range(acceptors))
-        # Default terms, except for durations whose defaults would only lengthen the interleavings.
+        # The default terms are used, except for durations that would only lengthen the interleavings.
         self.terms = LeaseTerms(
             names, drift=assumed_drift, margin=0.0, request_timeout=2 * STEP_MS, stall_threshold=8 * STEP_MS
         )
--- a/lotusroute/fault_injection/lease_model_checker.py
+++ b/lotusroute/fault_injection/lease_model_checker.py
@@ -111,7 +111,8 @@
     )
 
 
-LEGACY_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}  # hidden; scripts may still use them
+# Legacy names of options. They are accepted because scripts may still use them, but `--help` hides them.
+LEGACY_OPTIONS = {"--askers": "proposers", "--keepers": "acceptors"}
 
 
 def create_parser() -> argparse.ArgumentParser:
@@ -139,7 +140,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the checker; returns 0, or 1 if an invariant was violated. Exits with 2 on a usage error."""
+    """Run the checker; returns 0 if no invariant was violated, otherwise 1. Exits with 2 on a usage error."""
     parser = create_parser()
     options = parser.parse_args(arguments)
     if not options.walks and not options.search:
--- a/lotusroute/fault_injection/log_records.py
+++ b/lotusroute/fault_injection/log_records.py
@@ -6,8 +6,8 @@
 
 from lotusroute.process_control.log_fields import parse_fields
 
-INJECTOR = "injector"  # in place of the process name, in the records of injected faults
-# Log events of the processes
+INJECTOR = "injector"  # process name in the records of injected faults
+# Names of the events that processes log about a lease.
 LEASE_ACQUIRED = "lease acquired"
 LEASE_LOST = "lease lost"
 
@@ -18,7 +18,7 @@
     KILL = "kill"
     TERMINATE = "terminate"
     PAUSE = "pause"
-    RESUME = "resume"  # ends PAUSE
+    RESUME = "resume"  # a paused process continues
     PARTITION = "partition"
     BLOCK = "block"
     RESET = "reset"
@@ -31,7 +31,7 @@
 class LogRecord(NamedTuple):
     """One line of the log of a process, or one injected fault."""
 
-    time: float  # when it was read or injected, in s of time.monotonic()
+    time: float  # time at which the line was read or the fault injected, in s of time.monotonic()
     process: str
     event: str
     fields: dict[str, str]
--- a/lotusroute/fault_injection/network_proxy.py
+++ b/lotusroute/fault_injection/network_proxy.py
@@ -15,8 +15,10 @@
 from lotusroute.process_control.free_ports import LOOPBACK
 from lotusroute.process_control.tcp_reset import reset_on_close
 
-READ_SIZE_BYTES = 16_384  # maximum size of a read, which is buffered while the link is blocked
-CALL_TIMEOUT_S = 10.0  # for a call to complete on the event loop
+# Maximum size of a read. While a link is blocked, each of its connections holds one read, besides the limited
+# buffers of the stream; TCP flow control makes the sender keep the rest.
+READ_SIZE_BYTES = 16_384
+CALL_TIMEOUT_S = 10.0  # longest time for a call to complete on the event loop
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -44,9 +46,10 @@
         self.ports = ports
         self.blocked: set[Link] = set()
         self.delays: dict[Link, float] = {}  # s between reading and forwarding data
-        self.rates: dict[Link, float] = {}  # bytes per second
-        self.reset_after: dict[Link, int] = {}  # bytes forwarded until one connection is reset, once
-        # The keys are links from the dialer of a connection to its peer.
+        self.rates: dict[Link, float] = {}  # maximum rates in bytes per second
+        # Number of bytes after which one connection of a link is reset; the entry is then removed.
+        self.reset_after: dict[Link, int] = {}
+        # The keys of these two are links from the dialer of a connection to its peer.
         self._listen_ports: dict[Link, int] = {}
         self._open_writers: dict[Link, set[asyncio.StreamWriter]] = {}
         self._servers: list[asyncio.Server] = []
@@ -91,7 +94,7 @@
         """Reset all open connections."""
         self._change(self._reset_connections)
 
-    # On the event loop
+    # Calls to the event loop, and functions that run on it
 
     def _call(self, coroutine: Coroutine[None, None, None]) -> None:
         """Run a coroutine on the event loop and wait until it has finished."""
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -29,7 +29,9 @@
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
 
-TIMEOUT_S = 15.0  # for a log record to appear and for a process to exit
+# Longest time for a log record to appear and for a process to exit. A process starts in about half a second
+# on an idle core, and takes longer on a busy machine.
+TIMEOUT_S = 15.0
 TASKS = ("watch",)
 SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800}],
--- a/lotusroute/fault_injection/random_scenarios.py
+++ b/lotusroute/fault_injection/random_scenarios.py
@@ -16,13 +16,14 @@
 from lotusroute.fault_injection.processes import ProcessFleet
 from lotusroute.process_control.errors import LogTimeoutError
 
-LEASE_MS = 1_000.0  # short, so that the lease changes its holder several times in a scenario
+# A third of the default lease duration, so that the lease changes its holder several times in a scenario.
+LEASE_MS = 1_000.0
 LEASE_S = LEASE_MS / 1000
-MIN_FAULTS = 2  # in a scenario
-MAX_FAULTS = 6
+MIN_FAULTS = 2  # lowest number of faults in a scenario
+MAX_FAULTS = 6  # highest number of faults in a scenario
 PAUSES_BETWEEN_FAULTS_S = (0.0, 0.05, 0.3, 1.2)
-# From healing all faults until a process holds the lease: time for the start of a process, the silence of an
-# acceptor after its restart, and one lease.
+# Longest time from healing all faults until a process holds the lease. It includes the start of a process,
+# the silence of an acceptor after its restart, and one lease.
 RECOVERY_TIMEOUT_S = 3 * LEASE_S + 5.0
 
 
@@ -33,7 +34,7 @@
     faults: tuple[str, ...]
     violations: tuple[Violation, ...]
     holder_changes: int  # acquisitions of the lease, including the first
-    recovery_time: float  # s from healing all faults until a process held the lease; -1 if none did
+    recovery_time: float  # seconds from healing all faults until a process held the lease; -1 if none did
 
     @property
     def failed(self) -> bool:
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -45,14 +45,15 @@
 RELAYS = ("r1", "r2", "r3")
 SUBSCRIBERS = ("s1", "s2")
 KEYS = tuple("abcd")
-CHANGED_KEYS = 2  # in one change
-VALUES = 3  # distinct values of an item
+CHANGED_KEYS = 2  # number of items that one change affects
+VALUES = 3  # number of distinct values of an item
 CORRUPT_VALUE = b"corrupt"
-LAST_VALUE = b"last"  # published after faults have stopped
-MAX_SUBSCRIBERS = 8  # per relay
-MAX_IN_FLIGHT = 12  # messages; beyond it, a random message is lost
-STEPS = 120  # in a walk
-RECOVERY_TICKS = 400  # ticks without faults within which all processes must converge
+LAST_VALUE = b"last"  # value that is published after faults have stopped
+MAX_SUBSCRIBERS = 8  # maximum number of subscribers of one relay
+# Number of messages in flight from which on a random one is lost for each message that a fan-out sends.
+MAX_IN_FLIGHT = 12
+STEPS = 120  # number of random steps in a walk
+RECOVERY_TICKS = 400  # number of ticks without faults within which all processes must converge
 
 # How often each of these steps is drawn, relative to each kind of fault.
 DELIVER_WEIGHT = 8
@@ -74,15 +75,16 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.fencing_token = 0  # of the most recent lease grant
+        self.fencing_token = 0  # fencing token of the most recent lease grant
         self.origins: dict[str, int] = {}  # fencing token by relay that considers itself the origin
         self.highest_fencing_tokens = dict.fromkeys(RELAYS, 0)  # highest token received or granted, by relay
         self.stores = {name: VersionedStore() for name in RELAYS + SUBSCRIBERS}
         self.fanouts = {name: FanOut(self.stores[name], MAX_SUBSCRIBERS) for name in RELAYS}
-        self.subscriptions: dict[str, str] = {}  # the relay of each subscriber
+        self.subscriptions: dict[str, str] = {}  # relay of each subscriber
         self.in_flight: list[Envelope] = []
         self.published: dict[Version, dict[str, bytes]] = {Version(): {}}
-        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())  # since the last crash
+        # Highest version of each process since its last crash.
+        self.highest_versions = dict.fromkeys(RELAYS + SUBSCRIBERS, Version())
         self.outcomes: Counter[str] = Counter()
 
     # Steps
@@ -182,7 +184,7 @@
                 self.send(origin, fanout.join(self.now, peer, self.stores[origin].version))
 
     def lose_message(self) -> None:
-        """Drop a random message in flight."""
+        """Drop a random message in flight; its sender receives no response to it."""
         if self.in_flight:
             self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
--- a/lotusroute/process_control/config_files.py
+++ b/lotusroute/process_control/config_files.py
@@ -13,7 +13,8 @@
 JsonValue = None | bool | int | float | str | Sequence["JsonValue"] | Mapping[str, "JsonValue"]
 JsonObject = Mapping[str, JsonValue]
 
-EMPTY_ENDPOINT_LIST: JsonObject = {"seq": 0, "hosts": []}  # cached in the configuration
+# Cached endpoint list in the configuration of a balancer that has not received a list yet.
+EMPTY_ENDPOINT_LIST: JsonObject = {"seq": 0, "hosts": []}
 
 
 def endpoint_entry(name: str, port: int, health: str = "SERVING") -> dict[str, JsonValue]:
@@ -86,7 +87,7 @@
     """The list of relays for one balancer, written as TOML."""
 
     name: str
-    zone: str  # of the balancer
+    zone: str  # zone of the balancer
     relays: Mapping[str, Mapping[str, Address]]  # address by zone and relay name
 
     def write(self, file: pathlib.Path) -> str:
--- a/lotusroute/process_control/discovery_server.py
+++ b/lotusroute/process_control/discovery_server.py
@@ -16,13 +16,14 @@
 from lotusroute.process_control.config_files import JsonObject
 from lotusroute.process_control.free_ports import LOOPBACK
 
-CHECK_INTERVAL_S = 0.01  # between two checks of a long poll for a change of the list
+CHECK_INTERVAL_S = 0.01  # time between two checks whether the list has changed, during a long poll
 
 
 class Poll(NamedTuple):
     """A request for the endpoint list."""
 
-    version: str | None  # of the client's list; None if it has none and needs the complete list
+    # Version of the client's list; None if the client has no list and needs the complete one.
+    version: str | None
     deadline: float  # latest time of the answer, in s of time.monotonic()
 
     @property
@@ -82,7 +83,7 @@
     ) -> None:
         super().__init__((LOOPBACK, 0), handler)
         self.entries = entries
-        self.seq = version  # of the list; while it is 0, no poll is answered
+        self.seq = version  # version of the list; while it is 0, no poll is answered
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     @property
--- a/lotusroute/process_control/errors.py
+++ b/lotusroute/process_control/errors.py
@@ -4,7 +4,7 @@
 
 from lotusroute.errors import LotusrouteError
 
-LINES_SHOWN = 20  # last log lines included in an error message
+LINES_SHOWN = 20  # number of last log lines that an error message includes
 
 
 class ProcessControlError(LotusrouteError):
--- a/lotusroute/process_control/free_ports.py
+++ b/lotusroute/process_control/free_ports.py
@@ -7,10 +7,12 @@
 from collections.abc import Sequence
 
 LOOPBACK = "127.0.0.1"
-# Below the ephemeral range of the operating system. A port from that range could be assigned to a connection
-# or listener of another program before the process that it was allocated for has started.
+# Ports below the ephemeral range of the operating system, which starts at 32768 by default on Linux.
+# A port from that range could be assigned to a connection or listener of another program before the process
+# that it was allocated for has started. That process may take seconds to start; it would then find its port
+# in use, and exit.
 ALLOCATABLE_PORTS = range(10_000, 32_000)
-MAX_RECENT_PORTS = 1_000  # most recent allocations, which are not repeated
+MAX_RECENT_PORTS = 1_000  # number of most recently allocated ports that are not allocated again
 
 
 class PortAllocator:
--- a/lotusroute/process_control/logged_process.py
+++ b/lotusroute/process_control/logged_process.py
@@ -12,8 +12,8 @@
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import ProcessOptions, start_process
 
-TIMEOUT_S = 20.0  # for a log line to appear or for a process to exit
-END_CHECK_INTERVAL_S = 0.5  # how often a wait for a log line checks that the process still runs
+TIMEOUT_S = 20.0  # longest time for a log line to appear or for a process to exit
+END_CHECK_INTERVAL_S = 0.5  # time between two checks that the process still runs, while waiting for a line
 
 
 class LoggedProcess:
--- a/lotusroute/process_control/process_start.py
+++ b/lotusroute/process_control/process_start.py
@@ -9,18 +9,17 @@
 from typing import IO
 
 PROGRAM = "lotusroute"
-Stream = (
-    int | IO[str] | IO[bytes] | None
-)  # as in `subprocess.Popen`; None inherits the stream of the current process
+# A standard stream as `subprocess.Popen` accepts it; None inherits the stream of the current process.
+Stream = int | IO[str] | IO[bytes] | None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessOptions:
     """The environment, working directory and standard streams of a new process."""
 
-    environment: Mapping[str, str] = field(default_factory=dict)  # added to the inherited environment
-    working_directory: pathlib.Path | None = None  # None inherits the current one
-    initialize: Callable[[], object] | None = None  # called in the child process before the exec call
+    environment: Mapping[str, str] = field(default_factory=dict)  # variables added to the inherited ones
+    working_directory: pathlib.Path | None = None  # None inherits the current directory
+    initialize: Callable[[], object] | None = None  # called in the child process before exec
     stdin: Stream = None
     stdout: Stream = None
     stderr: Stream = None
--- a/lotusroute/process_control/readiness.py
+++ b/lotusroute/process_control/readiness.py
@@ -7,8 +7,8 @@
 from lotusroute.process_control.errors import NotReadyError
 from lotusroute.process_control.free_ports import LOOPBACK
 
-CHECK_INTERVAL_S = 0.02
-CHECK_TIMEOUT_S = 1.0  # of each socket operation of a health check
+CHECK_INTERVAL_S = 0.02  # time between two health checks
+CHECK_TIMEOUT_S = 1.0  # timeout of each socket operation of a health check
 
 
 def wait_until_ready(port: int, timeout: float, check_timeout: float = CHECK_TIMEOUT_S) -> None:
