--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -167,7 +167,7 @@
 
     for scenario in scenarios:
         if scenario not in SCENARIOS:
-            raise click.UsageError(f"--scenario {scenario}: there are {', '.join(SCENARIOS)}")
+            raise click.UsageError(f"--scenario {scenario}: unknown; give one of {', '.join(SCENARIOS)}")
     chosen = [Scenario(scenario) for scenario in scenarios] or list(SCENARIOS)
     try:
         run = run_scenarios(FleetSize(**sizes), chosen, _print_progress)
--- a/lotusroute/fault_injection/invariants.py
+++ b/lotusroute/fault_injection/invariants.py
@@ -107,7 +107,7 @@
                 )
         highest = self.highest_tokens.get(task, 0)
         if token <= highest:
-            self._report(index, task, f"{process} has fencing token {token}, not higher than {highest}")
+            self._report(index, task, f"{process} has fencing token {token}, expected one above {highest}")
         self.highest_tokens[task] = max(token, highest)
         tokens[process] = token
 
--- a/lotusroute/fault_injection/lease_model.py
+++ b/lotusroute/fault_injection/lease_model.py
@@ -324,4 +324,6 @@
         now = self._proposer_clock(state)
         holders = [proposer.name for proposer in state.proposers if proposer.state.holds(now)]
         if len(holders) > 1:
-            raise InvariantViolationError(f"{' and '.join(holders)} hold the lease at step {state.now}")
+            raise InvariantViolationError(
+                f"{' and '.join(holders)} hold the lease at the same time, at step {state.now}"
+            )
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -188,15 +188,18 @@
         return self._records.copy()
 
     def wait_for(
-        self, condition: Callable[[list[LogRecord]], Result | None], timeout: float = TIMEOUT_S
+        self,
+        condition: Callable[[list[LogRecord]], Result | None],
+        timeout: float = TIMEOUT_S,
+        awaited: str = "matching log records",
     ) -> Result:
         """Wait until `condition`, called with all records, returns a true value, and return that value.
 
-        Raises LogTimeoutError, with the last records, after `timeout` seconds.
+        Raises LogTimeoutError, with `awaited` and the last records, after `timeout` seconds.
         """
         result = self._records.wait_for(condition, timeout)
         if result is None:
-            raise LogTimeoutError("matching log records", timeout, self.records)
+            raise LogTimeoutError(awaited, timeout, self.records)
         return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
@@ -209,4 +212,5 @@
                     return record
             return None
 
-        return self.wait_for(find)
+        processes = " or ".join(among) or "any process"
+        return self.wait_for(find, awaited=f"'{LEASE_ACQUIRED}' logged by {processes} after {after:.3f} s")
--- a/lotusroute/fault_injection/relay_model_checker.py
+++ b/lotusroute/fault_injection/relay_model_checker.py
@@ -123,8 +123,11 @@
         if not new_version:
             return
         self.fanouts[name].on_store_changed(self.now)
-        if self.published.get(store.version, store.items) != store.items:
-            raise InvariantViolationError(f"version {store.version} was published twice with different items")
+        published = self.published.get(store.version, store.items)
+        if published != store.items:
+            raise InvariantViolationError(
+                f"version {store.version} was published twice, with items {published} and {store.items}"
+            )
         self.published[store.version] = dict(store.items)
 
     def change_items(self) -> None:
@@ -259,7 +262,8 @@
             published = self.published.get(store.version)
             if published != store.items:
                 raise InvariantViolationError(
-                    f"{name} has items {store.items} at version {store.version}, published were {published}"
+                    f"{name} has items {store.items} at version {store.version}, "
+                    f"expected the published items {published}"
                 )
 
     def recover(self) -> None:
@@ -285,7 +289,8 @@
                 return
         versions = {name: str(store.version) for name, store in self.stores.items()}
         raise InvariantViolationError(
-            f"not all processes have version {self.stores[origin].version} of {origin}: {versions}"
+            f"after {RECOVERY_TICKS} ticks without faults, expected all processes to have the items of "
+            f"{origin} at version {self.stores[origin].version}; the processes have the versions {versions}"
         )
 
     def has_converged(self, expected: VersionedStore) -> bool:
--- a/lotusroute/process_control/errors.py
+++ b/lotusroute/process_control/errors.py
@@ -39,7 +39,7 @@
     """No balancer on a port answered a health check before the timeout."""
 
     def __init__(self, port: int, timeout: float) -> None:
-        super().__init__(f"port {port}: no answer to a health check within {timeout:g} s")
+        super().__init__(f"port {port}: no health check was answered with PONG within {timeout:g} s")
         self.port = port
         self.timeout = timeout
 
--- a/tests/test_capacity_commands.py
+++ b/tests/test_capacity_commands.py
@@ -66,7 +66,7 @@
         (("measure", "list", "--sizes", "50"), "give two or more"),
         (("measure", "list", "--sizes", "many"), "give whole numbers"),
         (("measure", "all"), "'data-plane', 'direct-discovery', 'fleet', 'list', 'relays'"),
-        (("propagation", "--scenario", "flood"), "there are calm, burst"),
+        (("propagation", "--scenario", "flood"), "--scenario flood: unknown; give one of calm, burst"),
         (
             ("propagation", "--relays", "64", "--real", "64", "--hollow", "20000"),
             "254 processes, 200 at most",
