--- a/lotusroute/cli/capacity.py
+++ b/lotusroute/cli/capacity.py
@@ -36,7 +36,9 @@
 @click.argument("role", type=parse_role, metavar=f"[{'|'.join(ROLE_NAMES)}]")
 @click.option("--sizes", default="", help="sizes, as in 8,30,65,125; at least two, four for a reliable fit")
 @click.option("--seconds", type=click.FloatRange(0.5, 120.0), default=8.0, help="duration in s at each size")
-@click.option("--hosts", type=click.IntRange(1, 100_000), default=20, help="servers in the endpoint list")
+@click.option(
+    "--hosts", type=click.IntRange(1, 100_000), default=20, help="number of servers in the endpoint list"
+)
 @click.option(
     "--json", "file", type=click.Path(dir_okay=False), help="write the points to this file, for `compare`"
 )
@@ -132,19 +134,29 @@
 
 @click.command()
 @click.option(
-    "--relays", type=click.IntRange(3, 64), default=6, help="relay processes; one becomes the origin"
+    "--relays",
+    type=click.IntRange(3, 64),
+    default=6,
+    help="number of relay processes, one of which becomes the origin",
+)
+@click.option(
+    "--real", type=click.IntRange(0, 64), default=3, help="number of balancers that run the whole program"
 )
-@click.option("--real", type=click.IntRange(0, 64), default=3, help="balancers that run the whole program")
 @click.option(
     "--hollow",
     type=click.IntRange(1, 20_000),
     default=160,
-    help="hollow balancers: further ones, without flows",
+    help="number of hollow balancers, which have no flows, besides the real ones",
+)
+@click.option(
+    "--zones",
+    type=click.IntRange(1, 64),
+    default=3,
+    help="number of zones that all processes are spread over",
 )
 @click.option(
-    "--zones", type=click.IntRange(1, 64), default=3, help="zones that all processes are spread over"
+    "--hosts", type=click.IntRange(1, 20_000), default=60, help="number of servers in the endpoint list"
 )
-@click.option("--hosts", type=click.IntRange(1, 20_000), default=60, help="servers in the endpoint list")
 @click.option(
     "--scenario",
     "scenarios",
@@ -186,19 +198,32 @@
 @click.command()
 @click.option(
     "--clients",
-    "--followers",  # legacy name
+    "--followers",  # legacy name of `--clients`
     "clients",
     type=click.IntRange(1, 2_000),
     default=200,
-    help="balancers; only their discovery clients run",
+    help="number of balancers, of which only the discovery clients run",
+)
+@click.option(
+    "--answers",
+    type=click.FloatRange(1.0),
+    default=150.0,
+    help="maximum number of answers of discovery per second",
+)
+@click.option(
+    "--hosts", type=click.IntRange(1, 100_000), default=60, help="number of servers in the endpoint list"
 )
-@click.option("--answers", type=click.FloatRange(1.0), default=150.0, help="answers of discovery per second")
-@click.option("--hosts", type=click.IntRange(1, 100_000), default=60, help="servers in the endpoint list")
 @click.option(
-    "--down", type=click.FloatRange(0.0, 60.0), default=8.0, help="s at the start in which discovery is down"
+    "--down",
+    type=click.FloatRange(0.0, 60.0),
+    default=8.0,
+    help="time in s from the start during which discovery is down",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(1.0, 300.0), default=20.0, help="s from the first answers to the end"
+    "--seconds",
+    type=click.FloatRange(1.0, 300.0),
+    default=20.0,
+    help="time in s from the first answers to the end of the run",
 )
 @click.option("--grace", type=click.FloatRange(0.0), default=500.0, help="grace period of a drain in ms")
 @JSON_OPTION
--- a/lotusroute/cli/fault_injection.py
+++ b/lotusroute/cli/fault_injection.py
@@ -33,17 +33,20 @@
     "--seconds",
     type=click.FloatRange(1.0),
     default=60.0,
-    help="duration in s; the last scenario is completed",
+    help="duration in s; a scenario that is running at its end is completed",
 )
 @click.option("--seed", type=int, default=1, help="seed of the first scenario; each further one adds 1")
-@click.option("--processes", type=click.IntRange(3, 25), default=3, help="balancers in each scenario")
+@click.option(
+    "--processes", type=click.IntRange(3, 25), default=3, help="number of balancers in each scenario"
+)
 @click.option(
     "--acceptors",
     type=click.Choice(["3", "5", "7"]),
     default="3",
-    help="how many of them are lease acceptors",
+    help="number of balancers that are lease acceptors",
 )
-@click.option("--keepers", "legacy_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)  # legacy name
+# Legacy name of `--acceptors`.
+@click.option("--keepers", "legacy_acceptors", type=click.Choice(["3", "5", "7"]), hidden=True)
 @JSON_OPTION
 def run(
     seconds: float, seed: int, processes: int, acceptors: str, legacy_acceptors: str | None, as_json: bool
--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -22,9 +22,11 @@
     required=True,
     envvar="LB_FLEET",
     type=click.Path(),
-    help="the fleet's configuration file; default: LB_FLEET",
+    help="path of the fleet's configuration file; default: the value of LB_FLEET",
+)
+PEER_OPTION = click.option(
+    "--peer", "peers", multiple=True, help="name of a peer to query; may be repeated; default: all peers"
 )
-PEER_OPTION = click.option("--peer", "peers", multiple=True, help="only this peer; may be repeated")
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print JSON")
 
 
