--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,8 @@
-"""Tests of the command line: command groups, lazy imports, legacy names and exit codes."""
+"""Tests of the command line: command groups, lazy imports, legacy names and exit codes.
+
+The balancer must not load the command line, and `lotusroute --help` must work without the optional
+dependencies of the commands. Legacy names must run the current commands, because operators' scripts use them.
+"""
 
 import json
 import pathlib
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,8 @@
-"""Leases in a fleet of real processes, with faults injected into the processes and the network."""
+"""Leases in a fleet of real processes, with faults injected into the processes and the network.
+
+They guard against two processes that hold the lease of a task at the same time, and against a lease that no
+process acquires in time after its holder was terminated, killed, paused or partitioned.
+"""
 
 import json
 import pathlib
--- a/tests/test_lease_model_checker.py
+++ b/tests/test_lease_model_checker.py
@@ -1,6 +1,7 @@
 """Tests of the model checker of the lease protocol.
 
-It must find no violation in the protocol, and one in each variant of the protocol that is broken on purpose.
+It must find no violation in the protocol, and one in each variant of the protocol that is broken on purpose:
+a checker that overlooks a broken protocol would say nothing about the real one.
 """
 
 import random
@@ -24,11 +25,13 @@
 
 
 def test_random_walks_find_no_violation_with_two_proposers():
-    assert random_walks(600) > 600  # more than one change of holder per walk
+    # On average, the lease must change its holder more than once in a walk; otherwise the walks test little.
+    assert random_walks(600) > 600
 
 
 def test_random_walks_find_no_violation_with_three_proposers():
-    assert random_walks(300, proposers=3) > 300  # more than one change of holder per walk
+    # On average, the lease must change its holder more than once in a walk; otherwise the walks test little.
+    assert random_walks(300, proposers=3) > 300
 
 
 def test_a_breadth_first_search_finds_no_violation():
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -1,4 +1,8 @@
-"""Tests of `lotusroute.process_control`, which starts lotusroute processes and observes them."""
+"""Tests of `lotusroute.process_control`, which starts lotusroute processes and observes them.
+
+A wait that does not end when its process exits, or a port that two processes are given, would make tests and
+measurements fail for reasons outside the program that they examine.
+"""
 
 import io
 import json
--- a/tests/test_relay_model_checker.py
+++ b/tests/test_relay_model_checker.py
@@ -1,4 +1,8 @@
-"""Tests of the model checker of relays: the invariants hold, and it detects faulty stores and fan-outs."""
+"""Tests of the model checker of relays: the invariants hold, and it detects faulty stores and fan-outs.
+
+A checker that overlooks a fault, or that never reaches one of the outcomes of an update, would say nothing
+about the relays.
+"""
 
 from collections import Counter
 
@@ -17,6 +21,7 @@
 
 
 def test_invariants_hold_and_all_update_outcomes_occur():
+    """Each outcome must occur more than 10 times in all walks, so that the walks test each of them."""
     outcomes = run_walks()
     assert min(outcomes[outcome] for outcome in UpdateOutcome) > 10
 
@@ -55,7 +60,7 @@
 
 
 class IgnoresFencingToken(VersionedStore):
-    """A store that lets a deposed origin publish."""
+    """Lets a deposed origin publish."""
 
     def publish(self, fencing_token, changes):
         return super().publish(max(fencing_token, self.version.fencing_token), changes)
