--- a/lotusroute/fault_injection/network_proxy.py
+++ b/lotusroute/fault_injection/network_proxy.py
@@ -57,7 +57,7 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
-        self._call(self._listen())
+        self._run_on_loop(self._listen())
 
     def port(self, link: Link) -> int:
         """Return the proxy's port through which the sender of a link connects to its receiver."""
@@ -66,7 +66,7 @@
     def close(self) -> None:
         """Reset all connections and stop the event loop."""
         self.reset_all()
-        self._call(self._shut_down())
+        self._run_on_loop(self._shut_down())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(CALL_TIMEOUT_S)
         self._loop.close()
@@ -75,11 +75,11 @@
 
     def block(self, *links: Link) -> None:
         """Stop forwarding on these links; data sent meanwhile is forwarded once they are unblocked."""
-        self._change(lambda: self.blocked.update(links))
+        self._change_on_loop(lambda: self.blocked.update(links))
 
     def unblock(self, *links: Link) -> None:
         """Unblock these links, or all links if none are given."""
-        self._change(lambda: self.blocked.difference_update(links or set(self.blocked)))
+        self._change_on_loop(lambda: self.blocked.difference_update(links or set(self.blocked)))
 
     def partition(self, names: Iterable[str], others: Iterable[str]) -> None:
         """Block all links between two sets of processes, in both directions."""
@@ -88,19 +88,19 @@
 
     def reset(self, name: str, other: str) -> None:
         """Reset the open connections between two processes."""
-        self._change(lambda: self._reset_connections({name, other}))
+        self._change_on_loop(lambda: self._reset_connections({name, other}))
 
     def reset_all(self) -> None:
         """Reset all open connections."""
-        self._change(self._reset_connections)
+        self._change_on_loop(self._reset_connections)
 
     # Calls to the event loop, and functions that run on it
 
-    def _call(self, coroutine: Coroutine[None, None, None]) -> None:
+    def _run_on_loop(self, coroutine: Coroutine[None, None, None]) -> None:
         """Run a coroutine on the event loop and wait until it has finished."""
         asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(CALL_TIMEOUT_S)
 
-    def _change(self, change: Callable[[], None]) -> None:
+    def _change_on_loop(self, change: Callable[[], None]) -> None:
         """Call a function on the event loop, then wake all connections that wait for a blocked link."""
 
         async def apply() -> None:
@@ -108,7 +108,7 @@
             async with self._unblocked:
                 self._unblocked.notify_all()
 
-        self._call(apply())
+        self._run_on_loop(apply())
 
     def _reset_connections(self, processes: set[str] | None = None) -> None:
         """Reset the connections between two processes, or all connections if none are given."""
