--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -56,7 +56,7 @@
 # Start
 
 
-def test_a_process_gets_its_options(tmp_path, monkeypatch):
+def test_a_process_runs_with_the_environment_directory_and_initializer_of_its_options(tmp_path, monkeypatch):
     monkeypatch.setenv("INHERITED", "7")
     script = "import os; print(os.getcwd(), os.environ['INHERITED'], os.environ['ADDED'])"
     script += "; print(oct(os.umask(0)))"
