--- a/lotusroute/process_control/free_ports.py
+++ b/lotusroute/process_control/free_ports.py
@@ -18,7 +18,8 @@
 class PortAllocator:
     """Allocates free ports, except recently allocated ones, whose processes may still be starting.
 
-    Allocators in processes that run at the same time should be given disjoint ports.
+    Allocators in processes that run at the same time should be given disjoint ports, because none of them
+    knows which ports the others have recently allocated.
     """
 
     def __init__(self, ports: Sequence[int] = ALLOCATABLE_PORTS) -> None:
