--- a/lotusroute/cli/options.py
+++ b/lotusroute/cli/options.py
@@ -22,9 +22,11 @@
     required=True,
     envvar="LB_FLEET",
     type=click.Path(),
-    help="the fleet's configuration file; default: LB_FLEET",
+    help="path of the fleet's configuration file; default: the value of LB_FLEET",
+)
+PEER_OPTION = click.option(
+    "--peer", "peers", multiple=True, help="name of a peer to query; may be repeated; default: all peers"
 )
-PEER_OPTION = click.option("--peer", "peers", multiple=True, help="only this peer; may be repeated")
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print JSON")
 
 
@@ -36,6 +38,6 @@
 
 
 def exit_with_usage_error(message: str) -> NoReturn:
-    """Print the reason why the command cannot run as given, and exit."""
+    """Print the reason why the command cannot run as given, and exit with `ExitCode.USAGE_ERROR`."""
     click.echo(f"lotusroute: {message}", err=True)
     sys.exit(ExitCode.USAGE_ERROR)
--- a/lotusroute/fault_injection/processes.py
+++ b/lotusroute/fault_injection/processes.py
@@ -29,7 +29,9 @@
 from lotusroute.process_control.log_follower import WaitableList, follow_lines
 from lotusroute.process_control.process_start import PROGRAM, ProcessOptions, module_command, start_process
 
-TIMEOUT_S = 15.0  # for a log record to appear and for a process to exit
+# Longest time for a log record to appear and for a process to exit. A process starts in about half a second
+# on an idle core, and takes longer on a busy machine.
+TIMEOUT_S = 15.0
 TASKS = ("watch",)
 SETTINGS: JsonObject = {
     "service_types": [{"name": "live", "setup_target": 300, "deadline": 1800}],
@@ -186,15 +188,18 @@
         return self._records.copy()
 
     def wait_for(
-        self, condition: Callable[[list[LogRecord]], Result | None], timeout: float = TIMEOUT_S
+        self,
+        condition: Callable[[list[LogRecord]], Result | None],
+        timeout: float = TIMEOUT_S,
+        awaited: str = "matching log records",
     ) -> Result:
         """Wait until `condition`, called with all records, returns a true value, and return that value.
 
-        Raises LogTimeoutError, with the last records, after `timeout` seconds.
+        Raises LogTimeoutError, with `awaited` and the last records, after `timeout` seconds.
         """
         result = self._records.wait_for(condition, timeout)
         if result is None:
-            raise LogTimeoutError("matching log records", timeout, self.records)
+            raise LogTimeoutError(awaited, timeout, self.records)
         return result
 
     def wait_for_holder(self, after: float = 0.0, among: tuple[str, ...] = ()) -> LogRecord:
@@ -207,4 +212,5 @@
                     return record
             return None
 
-        return self.wait_for(find)
+        processes = " or ".join(among) or "any process"
+        return self.wait_for(find, awaited=f"'{LEASE_ACQUIRED}' logged by {processes} after {after:.3f} s")
--- a/tests/test_process_control.py
+++ b/tests/test_process_control.py
@@ -1,4 +1,8 @@
-"""Tests of `lotusroute.process_control`, which starts lotusroute processes and observes them."""
+"""Tests of `lotusroute.process_control`, which starts lotusroute processes and observes them.
+
+A wait that does not end when its process exits, or a port that two processes are given, would make tests and
+measurements fail for reasons outside the program that they examine.
+"""
 
 import io
 import json
@@ -52,7 +56,7 @@
 # Start
 
 
-def test_a_process_gets_its_options(tmp_path, monkeypatch):
+def test_a_process_runs_with_the_environment_directory_and_initializer_of_its_options(tmp_path, monkeypatch):
     monkeypatch.setenv("INHERITED", "7")
     script = "import os; print(os.getcwd(), os.environ['INHERITED'], os.environ['ADDED'])"
     script += "; print(oct(os.umask(0)))"
