--- a/benchmarks/regression.py
+++ b/benchmarks/regression.py
@@ -1,7 +1,7 @@
 """Runs the panels of the bench one after the other and compares their scores with a baseline.
 
 The bench is a separate program that scores a balancer. A day is one of its scenarios, and a panel is a set of
-days. Panels never run at the same time, because days on real sockets need all cores. With
+days. Panels never run at the same time, because days on real sockets need the cores to themselves. With
 `--write-baseline`, the scores become the baseline, unless a rule was violated or a score regressed.
 
     python benchmarks/regression.py --bench ../kit/lbreal --bench mass=../kit/mass --site ../kit/site.toml
