--- a/benchmarks/sampled_days.py
+++ b/benchmarks/sampled_days.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-DEFAULT_CONCURRENCY = 3  # each takes some 5 GB of memory
+DEFAULT_CONCURRENCY = 3  # days at a time; each takes some 5 GB of memory
 START_INTERVAL_S = 2.0  # days that start at the same moment may end without output
 DAY_TIMEOUT_S = 900.0
 OUTPUT_TAIL_LENGTH = 200  # characters of output in the result of a day without figures
